--- a/balsamspindle/requests/__init__.py
+++ b/balsamspindle/requests/__init__.py
@@ -1,5 +1,6 @@
-"""A caller's request: its way in, its attempts and its outcome.
+"""Handling of a caller's request: ingress, attempts and outcome.
 
-Start with `balsamspindle.protocol.outcomes`, all that can be said of a request, then
-`ingress.py`, `forwarding.py` and `attempts.py`, in the order of its way.
+Start with `balsamspindle.protocol.outcomes`, which defines the possible outcomes, then
+read `ingress.py`, `forwarding.py` and `attempts.py`, which a request passes in this
+order.
 """
--- a/balsamspindle/requests/admissions.py
+++ b/balsamspindle/requests/admissions.py
@@ -1,7 +1,7 @@
-"""Whether a request may run, and for whom, as its head tells.
+"""Admits or refuses a request by its head, before its body is read.
 
-Load: callers with large bodies, and callers who send them slowly. What is refused is
-refused before its body is read, and costs its customer nothing.
+Callers may send large bodies, or send them slowly. The body of a refused request is not
+read, and the request does not count against its customer's limit.
 """
 
 from balsamspindle.customers import Admitted, CustomerGate, Refused
@@ -15,7 +15,7 @@
 
 
 class Admissions:
-    """Decides on the requests of one node's callers.
+    """Admits or refuses the requests of one node's callers.
 
     Parameters
     ----------
@@ -29,9 +29,10 @@
         self._customers = customers
 
     def decide(self, request: CallerRequest, now_s: float) -> Admitted | Refused:
-        """Find the route and the customer; take one request of its limit.
+        """Find the route and the customer; count the request against the limit.
 
-        It may wait a moment for the node that grants the customer's requests.
+        May block for a moment, until the node that grants the customer's requests
+        replies.
         """
         match self._route(request):
             case RouteDocument() as route:
@@ -40,10 +41,11 @@
                 return refused
 
     def refuse_on_head(self, request: CallerRequest, now_s: float) -> Refused | None:
-        """Return why a request whose body is yet to come won't run; None if it may.
+        """Return the refusal of a request without its body yet; None if it may run.
 
-        Nothing is kept of its customer's limit: held for as long as bodies take, many
-        requests could run within a moment of each other after that.
+        The request is not counted against the customer's limit meanwhile: requests
+        that were counted before their bodies arrived could all run at the same moment
+        afterwards, above the limit.
         """
         match self.decide(request, now_s):
             case Refused() as refused:
@@ -53,7 +55,7 @@
         return None
 
     def give_back(self, admitted: Admitted) -> None:
-        """Take note that a request did not run: it does not count."""
+        """Uncount an admitted request that did not run."""
         self._customers.give_back(admitted)
 
     def _route(self, request: CallerRequest) -> RouteDocument | Refused:
--- a/balsamspindle/requests/forwarded.py
+++ b/balsamspindle/requests/forwarded.py
@@ -1,4 +1,4 @@
-"""A caller's request on its way through an ingress, and what it may still do."""
+"""State of a caller's request while an ingress forwards it."""
 
 from collections.abc import Callable
 from dataclasses import dataclass, field
@@ -24,14 +24,14 @@
 ]
 
 
-# How a gate tells that a run was cut or broke off.
+# Reasons with which a gate reports that a run was cut or broke off.
 _CUT = frozenset({Reason.CANCELLED, Reason.BROKEN_ANSWER, Reason.SERVER_CRASHED})
 
 
 class Step(IntEnum):
-    """How far the search for a place has come.
+    """Steps of the search for a placement, in their order.
 
-    `balsamspindle.requests.placing` tells what each step asks.
+    `balsamspindle.requests.placement_selection` describes which gates each step asks.
     """
 
     NEAR = 0
@@ -42,22 +42,22 @@
 
 
 class StoppedBy(StrEnum):
-    """Why a request had no other attempt after its last one; for the log alone.
+    """Why no attempt followed a request's last one; used for the event log only.
 
     Attributes
     ----------
     NO_PLACE
-        No backend server was left to send it to.
+        No backend server was left to send the request to.
     ATTEMPTS_MAX
-        Its route allows no more.
+        The route allows no more attempts.
     REPEAT_DENIED
-        It may not be repeated, or there was no time or no retry for it.
+        The request may not be retried, or no time or no retry token was left.
     NODE_LEAVING
-        This node gave up all requests.
+        This node leaves and gave up all requests.
     CALLER_LEFT
-        Nobody waited any more.
+        The caller closed its connection.
     CRASHES_SERVERS
-        It is known to crash backend servers.
+        The request crashes backend servers.
     """
 
     NO_PLACE = "no_place"
@@ -70,18 +70,19 @@
 
 @dataclass
 class Search:
-    """One request's search for a place.
+    """State of one request's search for a placement.
 
     Attributes
     ----------
     step : Step
     near_tries, far_tries : int
-        Gates of the own zone and of others that were asked for a free slot.
+        Gates of the own zone and of other zones that were asked for a free slot.
     queue_near_until_s : float or None
-        Until when it may wait in queues of its own zone; None before it did.
+        Until when the request may wait in queues of its own zone, on the monotonic
+        clock; None before it first looked for one.
     told_wait_ms : dict of str to float
-        Backend servers whose gates refused because of their queue, and how
-        long it is.
+        Wait in the queue of each gate that refused because of it, by backend server
+        id.
     """
 
     step: Step = Step.NEAR
@@ -90,8 +91,8 @@
     queue_near_until_s: float | None = None
     told_wait_ms: dict[str, float] = field(default_factory=dict)
 
-    def begin(self) -> None:
-        """Search anew, after an attempt that failed."""
+    def restart(self) -> None:
+        """Start again at the first step, after an attempt that failed."""
         self.step, self.near_tries, self.far_tries = Step.NEAR, 0, 0
         self.queue_near_until_s = None
         self.told_wait_ms.clear()
@@ -99,52 +100,55 @@
 
 @dataclass
 class ForwardedRequest:
-    """A caller's request on its way through this node.
+    """A caller's request that this node forwards. Times are on the monotonic clock.
 
     Attributes
     ----------
     deadline_s : float
-        On the monotonic clock.
     tried : set of str
-        Backend servers that had an attempt.
+        Ids of the backend servers that had an attempt.
     may_have_run : bool
-        An attempt ended as unknown.
+        Whether an attempt ended with the outcome unknown.
     caller_service : str
-        The service beside this node, as backend servers are told.
+        The service beside this node, as reported to backend servers.
     sends : int
         Attempts that reached, or may have reached, a backend server.
     attempts : int
-        All that were made, those that a gate refused included.
+        All attempts, those that a gate refused included.
     refused_as_suspect : set of str
-        Backend servers whose gates refused it because they look sick.
+        Ids of the backend servers whose gates refused the request because of
+        suspicion.
     failed : set of str
-        Backend servers at which an attempt of it failed.
+        Ids of the backend servers at which an attempt failed.
     search_until_s : float or None
-        Until when it searches again after all gates refused; None before.
+        Until when the request searches again after all gates refused; None before
+        they did.
     is_last_resort : bool
-        Nobody else is left: suspected backend servers are to take it, too.
+        Whether suspected backend servers are asked, too, as no others are left.
     target_s : float or None
-        Until when an answer has its full worth, on the monotonic clock.
+        Until when an answer has its full worth; None where the route sets no target.
     wait_max_ms : float or None
-        How long the present attempt may wait for a slot.
+        The longest time that the present attempt may wait for a slot; None for as
+        long as its deadline allows.
     queue_until_s : float or None
-        Until when it may wait in the shortest queue; None before it did.
+        Until when the request may wait in the shortest queues; None before it first
+        looked for one.
     parked : ParkedAttempts
-        At gates whose nodes may end before the attempts do.
+        Attempts left open at gates whose nodes may stop before the attempts end.
     beside : list of Reply
-        To such attempts, without success, while others went on.
+        Replies without success to parked attempts, received during later ones.
     was_cut : bool
-        A run of it was lost with its gate's node, or is about to be.
+        Whether a run was lost with its gate's node, or is about to be.
     cut_s : float or None
-        When the reply came that a run of it was cut, the first one's.
+        When the first reply was received that a run was cut.
     rank_ms : float
-        By how much it is put back in queues; see `balsamspindle.requests.siblings`.
+        Delay of the request's order in queues; see `balsamspindle.requests.siblings`.
     content : int
         See `balsamspindle.requests.content`; 0 when it is not known.
     customer : str
-        Who asks; empty when it is nobody's request.
+        Empty for a request without a customer.
     stopped_by : StoppedBy or None
-        None while it goes on, and after a success.
+        None while attempts are made, and after a success.
     """
 
     request_id: str
@@ -176,48 +180,52 @@
     customer: str = ""
     stopped_by: StoppedBy | None = None
 
-    def search_afresh(self) -> None:
-        """Search for another place as if nobody had been asked.
+    def restart_search(self) -> None:
+        """Search for another placement as if no gate had been asked.
 
-        It had a run that was lost with the gate's node. What other gates told
-        before that run is seconds old; without asking them again the request
-        would be given up while they have free slots.
+        For a request whose run was lost with the gate's node. The refusals of other
+        gates before that run are seconds old; if these gates were not asked again,
+        the request would be given up although they have free slots.
         """
         self.was_cut = True
-        self.search.begin()
+        self.search.restart()
         self.tried = set(self.failed)
         self.search_until_s = self.queue_until_s = None
         self.is_last_resort = False
 
     def may_send(self) -> bool:
-        """Tell whether the route allows one more backend server."""
+        """Return whether the route allows an attempt at one more backend server."""
         return self.sends < self.route.attempts_max
 
     def note_cut(self, reply: Reply, came_s: float) -> None:
-        """Remember when it was first known that a run of it was cut."""
+        """Record when the first reply was received that a run was cut."""
         is_cut = reply.outcome is Outcome.UNKNOWN and reply.reason in _CUT
         if is_cut and self.cut_s is None:
             self.cut_s = came_s
 
     def target_left_ms(self, now_s: float) -> float | None:
-        """Return the time in which an answer still has its full worth."""
+        """Return the time left in which an answer has its full worth.
+
+        Negative after that time; None where the route sets no target.
+        """
         return None if self.target_s is None else (self.target_s - now_s) * 1000
 
 
 @dataclass(frozen=True)
 class Rescue:
-    """What may be done for the caller of a backend server that is silent.
+    """When and where a second attempt starts while the first has no reply.
 
     Attributes
     ----------
     patience_s : float
-        How long an attempt of an idempotent request may be alone.
+        How long the first attempt runs alone.
     choose : callable
-        Returns the place for a second attempt, paid for, or None.
+        Pays for a second attempt and returns its placement; None if there is none
+        or it can't be paid for.
     is_paid : bool
-        The next attempt is paid for already. An attempt at the own gate ends
-        with its patience; were the retry then not to be had, the caller of a
-        slow request would lose an answer that was on its way.
+        Whether the next attempt is paid for already. An attempt at the own gate is
+        ended after `patience_s`; were no retry available then, the caller of a slow
+        request would lose an answer that it would have received.
     """
 
     patience_s: float
@@ -226,5 +234,5 @@
 
 
 def route_id(route: RouteDocument) -> int:
-    """Return a number that is the same for all requests of a route."""
+    """Return a 32-bit hash that identifies a route."""
     return xxhash.xxh32_intdigest(f"{route.host}{route.path_prefix}".encode())
--- a/balsamspindle/requests/forwarding.py
+++ b/balsamspindle/requests/forwarding.py
@@ -1,4 +1,4 @@
-"""A request's attempts: where they go, and when another one is allowed."""
+"""Forwards a request: makes attempts until one is answered or none is allowed."""
 
 import random
 import threading
@@ -21,9 +21,9 @@
     route_id,
 )
 from balsamspindle.requests.heads import IDEMPOTENCY_KEY_MAX_CHARACTERS
+from balsamspindle.requests.hedging import HedgePlanner
 from balsamspindle.requests.links import LinkPool
-from balsamspindle.requests.placing import Placer, Placing
-from balsamspindle.requests.rescues import Rescuer
+from balsamspindle.requests.placement_selection import PlacementSelector, Selection
 from balsamspindle.requests.retries import (
     RetryPolicy,
     best_reply,
@@ -40,12 +40,12 @@
 
 __all__ = ["ForwardedRequest", "Forwarder"]
 
-# When all gates refused a request it may search again after this time, half of
-# a first hold-out, and for this part of its time. Idempotent ones don't wait: those
-# that waited would come back to queues that are full.
+# When all gates have refused a request, it asks them again at this interval (half of
+# a first hold-out), for up to this fraction of its remaining time. Idempotent requests
+# don't wait: by the time they asked again, the queues would be full.
 SEARCH_AGAIN_S = 0.25
-SEARCH_AGAIN_PARTS = {Execution.IDEMPOTENT: 0.0, Execution.NON_IDEMPOTENT: 0.1}
-# Why there is no answer where the gate left, and the backend server did not fail.
+SEARCH_AGAIN_FRACTIONS = {Execution.IDEMPOTENT: 0.0, Execution.NON_IDEMPOTENT: 0.1}
+# Reasons of a run that was lost with its gate's node; the backend server did not fail.
 _LOST_WITH_GATE = frozenset({Reason.GATE_ENDING, Reason.CANCELLED, Reason.SILENCE})
 
 
@@ -57,12 +57,12 @@
     claims : ClaimBook, default=one without a platform
     retries : RetryPolicy, default=one with the default budget
     clock : callable, default=time.monotonic
-        Tells the present time.
+        Returns the present time, in s.
     on_suspect : callable, optional
-        Told the node, the backend server, how its gate keeps usual work away,
-        and the present time.
+        Called when a gate holds a backend server out, with the gate's node, the
+        backend server's id, the hold-out and the present time.
     crash_book : CrashBook, default=an empty one
-        What is known of requests that crash backend servers.
+        Crashes of backend servers, and the requests quarantined because of them.
     """
 
     def __init__(
@@ -91,36 +91,36 @@
         self._random = random.Random(f"{own.node_id}/{own.incarnation}")
         self._random_lock = threading.Lock()
         self._sizes = AnswerSizes()
-        self._placer = Placer(
+        self._selector = PlacementSelector(
             picker,
             self._sender,
             self._free_slots,
             self._sizes,
             random.Random(f"{own.node_id}/{own.incarnation}/places"),
         )
-        self._rescuer = Rescuer(
-            picker, self._sender, self._retries, self._pick, self._blocked, clock
+        self._hedge_planner = HedgePlanner(
+            picker, self._sender, self._retries, self._select, self._blocked, clock
         )
         self._given_up = threading.Event()
 
     @property
     def suspects(self) -> Suspects:
-        """Backend servers whose gates keep work away."""
+        """Backend servers that their gates hold out."""
         return self._sender.suspects
 
     def end_by(self, ends_s: float) -> None:
-        """Have gates start only what can end until then: this node is going."""
+        """Have gates start only attempts that end before this node, at `ends_s`."""
         self._sender.end_by(ends_s)
 
     def give_up(self) -> None:
-        """End the waiting requests with what is known of them."""
+        """Stop all waits; each request ends with the replies it has."""
         self._given_up.set()
         self._sender.give_up()
 
     def forward(self, forwarded: ForwardedRequest) -> Reply:
-        """Make attempts until one answers or no other is allowed."""
+        """Make attempts until one is answered or no other is allowed."""
         if len(forwarded.idempotency_key or "") > IDEMPOTENCY_KEY_MAX_CHARACTERS:
-            return self._no_attempt(Reason.BAD_REQUEST)
+            return self._not_run_reply(Reason.BAD_REQUEST)
         forwarded.claimant = self._claimant(forwarded)
         route = forwarded.route
         self._retries.begin(route.service, self._clock(), route.weight)
@@ -135,7 +135,7 @@
         if reply.outcome is Outcome.NOT_RUN and forwarded.may_have_run:
             # The last attempt did not run; an earlier one may have.
             reply = msgspec.structs.replace(reply, outcome=Outcome.UNKNOWN)
-        return self._with_return_time(forwarded, reply)
+        return self._with_retry_after(forwarded, reply)
 
     def _claimant(self, forwarded: ForwardedRequest) -> KeyClaimant | None:
         route = forwarded.route
@@ -146,11 +146,11 @@
         )
 
     def _make_attempts(self, forwarded: ForwardedRequest) -> Reply:
-        nowhere = self._no_attempt(Reason.NO_BACKEND_SERVER)
+        nowhere = self._not_run_reply(Reason.NO_BACKEND_SERVER)
         service = forwarded.route.service
         replies: list[Reply] = []
         while True:
-            self._try_places(forwarded, replies)
+            self._try_gates(forwarded, replies)
             if not replies or self._retries.is_final(service, replies[-1]):
                 break
             reply = self._sender.reply_beside(forwarded)
@@ -160,8 +160,8 @@
             if is_success(reply):
                 forwarded.stopped_by = None
                 break
-            if self._is_over(forwarded, reply):
-                forwarded.stopped_by = self._why_over(forwarded)
+            if self._must_stop(forwarded, reply):
+                forwarded.stopped_by = self._stop_reason(forwarded)
                 break
             if not self._may_retry(forwarded, replies, None, self._clock()):
                 forwarded.stopped_by = StoppedBy.REPEAT_DENIED
@@ -170,8 +170,8 @@
             return msgspec.structs.replace(nowhere, reason=Reason.NODE_STOPPING)
         return best_reply([*forwarded.beside, *replies]) if replies else nowhere
 
-    def _try_places(self, forwarded: ForwardedRequest, replies: list[Reply]) -> None:
-        """Make attempts until one answers or no other is allowed; add their replies."""
+    def _try_gates(self, forwarded: ForwardedRequest, replies: list[Reply]) -> None:
+        """Make attempts until one succeeds or none is allowed; append their replies."""
         forwarded.stopped_by = None
         while not self._given_up.is_set():
             blocked = self._blocked(forwarded)
@@ -179,32 +179,33 @@
                 replies.append(blocked)
                 forwarded.stopped_by = StoppedBy.CRASHES_SERVERS
                 break
-            placing = self._pick(forwarded)
-            if placing is None:
-                if self._widen(forwarded):
+            selected = self._select(forwarded)
+            if selected is None:
+                if self._widen_search(forwarded):
                     continue
                 forwarded.stopped_by = StoppedBy.NO_PLACE
                 break
-            # Else the answer may be that of an attempt which began long before.
+            # With parked attempts, the answer may be that of one which began long
+            # before; its latency is then not recorded.
             is_alone = not forwarded.parked
             started_s = self._clock()
-            rescue = self._rescuer.rescue(forwarded, placing, started_s)
-            reply = self._sender.send(forwarded, *placing, rescue=rescue)
+            hedge_plan = self._hedge_planner.plan(forwarded, selected, started_s)
+            reply = self._sender.send(forwarded, *selected, rescue=hedge_plan)
             replies.append(reply)
             now_s = self._clock()
             if is_success(reply):
                 took_s = now_s - started_s if is_alone else None
-                self._note_success(forwarded, reply, took_s)
-                self._rescuer.give_back(forwarded, rescue)
+                self._record_success(forwarded, reply, took_s)
+                self._hedge_planner.give_back(forwarded, hedge_plan)
                 break
-            self._note_failure(forwarded, placing.placement, reply)
-            if self._is_over(forwarded, reply):
-                forwarded.stopped_by = self._why_over(forwarded)
-                self._rescuer.give_back(forwarded, rescue)
+            self._record_failure(forwarded, selected.placement, reply)
+            if self._must_stop(forwarded, reply):
+                forwarded.stopped_by = self._stop_reason(forwarded)
+                self._hedge_planner.give_back(forwarded, hedge_plan)
                 break
-            if not self._may_retry(forwarded, replies, rescue, now_s):
+            if not self._may_retry(forwarded, replies, hedge_plan, now_s):
                 forwarded.stopped_by = StoppedBy.REPEAT_DENIED
-                self._note_given_up(forwarded, reply)
+                self._report_retry_denied(forwarded, reply)
                 break
             if reply.reason is Reason.SERVER_CRASHED:
                 self._wait_after_crash(forwarded, now_s)
@@ -212,15 +213,15 @@
             forwarded.stopped_by = StoppedBy.NODE_LEAVING
 
     def _blocked(self, forwarded: ForwardedRequest) -> Reply | None:
-        """Return the refusal of a request that crashes whatever runs it.
+        """Return the refusal of a request that crashes backend servers, else None.
 
-        Asked before each attempt: its other repeats, and attempts of its own, may
-        have ended backend servers since it came in.
+        Checked before each attempt: earlier attempts, or requests with the same
+        content, may have crashed backend servers since the request was received.
         """
         standing = self._crash_book.standing(forwarded.content, self._clock())
         if not standing.blocked_ms:
             return None
-        refusal = self._no_attempt(Reason.CRASHES_SERVERS)
+        refusal = self._not_run_reply(Reason.CRASHES_SERVERS)
         return msgspec.structs.replace(refusal, retry_after_ms=standing.blocked_ms)
 
     def _wait_after_crash(self, forwarded: ForwardedRequest, now_s: float) -> None:
@@ -229,12 +230,12 @@
             wait_s = retry_wait_s(standing, forwarded.deadline_s - now_s, self._random)
         self._given_up.wait(wait_s)
 
-    def _note_success(
+    def _record_success(
         self, forwarded: ForwardedRequest, reply: Reply, took_s: float | None
     ) -> None:
-        """Learn from an answer how long the route's work takes and how large it is."""
+        """Record an answer's latency and size for the estimates of its route."""
         route = forwarded.route
-        # Its gate's node may end before it tells of the answer.
+        # The gate's node may stop before it reports the answer to the fleet.
         self._crash_book.answered(forwarded.content, self._clock())
         if took_s is not None:
             self._retries.note_answer(
@@ -242,30 +243,30 @@
             )
         self._sizes.note(route, len(reply.body))
 
-    def _note_failure(
+    def _record_failure(
         self, forwarded: ForwardedRequest, placement: Placement, reply: Reply
     ) -> None:
-        """Remember where the request was refused for a suspicion, or failed."""
+        """Record a backend server that was refused as suspected, or that failed."""
         server_id = placement.backend_server.backend_server_id
         if reply.reason is Reason.SUSPECTED:
             forwarded.refused_as_suspect.add(server_id)
         if not is_refusal(reply):
             forwarded.failed.add(server_id)
         if reply.reason is Reason.SERVER_CRASHED:
-            # It was lost with the backend server, as with a node that left: what
-            # others need retries for does not go before it.
+            # The run was lost without a fault of the request, as with a node that
+            # left: retries kept for heavier requests are available to it.
             forwarded.was_cut = True
 
     def _may_retry(
         self,
         forwarded: ForwardedRequest,
         replies: list[Reply],
-        rescue: Rescue | None,
+        hedge_plan: Rescue | None,
         now_s: float,
     ) -> bool:
-        """Tell whether another attempt is allowed, and pay for it."""
+        """Return whether another attempt is allowed, and pay for it."""
         route = forwarded.route
-        is_paid = rescue is not None and rescue.is_paid
+        is_paid = hedge_plan is not None and hedge_plan.is_paid
         return self._retries.may_retry(
             route.service,
             route.execution,
@@ -279,8 +280,8 @@
             was_cut=forwarded.was_cut,
         )
 
-    def _note_given_up(self, forwarded: ForwardedRequest, reply: Reply) -> None:
-        """Say why a failed attempt has no successor."""
+    def _report_retry_denied(self, forwarded: ForwardedRequest, reply: Reply) -> None:
+        """Emit the event that a retry was denied, if the request may be retried."""
         route = forwarded.route
         if reply.outcome is not Outcome.NOT_RUN and (
             route.execution is Execution.NON_IDEMPOTENT
@@ -297,14 +298,14 @@
             sends=forwarded.sends,
         )
 
-    def _widen(self, forwarded: ForwardedRequest) -> bool:
-        """Find a way on for a request that no backend server would take.
+    def _widen_search(self, forwarded: ForwardedRequest) -> bool:
+        """Prepare another search for a request that all gates refused.
 
-        Suspected ones are on trial again within a second, so a request that
-        must not be lost on one searches again for a part of its time. After
-        that, and at once where it may be repeated, one of them is to take it:
-        a service all of whose backend servers are suspected or busy still
-        serves what it can.
+        Suspected backend servers are on trial again within a second, so a
+        non-idempotent request searches again for a fraction of its time. After
+        that, or at once if idempotent, it may be sent to a suspected backend server
+        as the last resort: a service whose backend servers are all suspected or busy
+        still answers what it can.
 
         Returns
         -------
@@ -317,14 +318,14 @@
         if not self._has_suspects(forwarded, now_s):
             return False
         forwarded.tried = set(forwarded.failed)
-        forwarded.search.begin()
+        forwarded.search.restart()
         if forwarded.search_until_s is None:
-            part = SEARCH_AGAIN_PARTS[forwarded.route.execution]
+            fraction = SEARCH_AGAIN_FRACTIONS[forwarded.route.execution]
             left_s = forwarded.deadline_s - now_s
-            forwarded.search_until_s = now_s + part * left_s
+            forwarded.search_until_s = now_s + fraction * left_s
         if now_s + SEARCH_AGAIN_S < forwarded.search_until_s:
-            # Nothing is sent any more once the node has given up: its callers'
-            # connections are about to end.
+            # Nothing is sent once the node has given up its requests: its callers'
+            # connections are about to close.
             if self._given_up.wait(SEARCH_AGAIN_S):
                 return False
             return not forwarded.caller.caller_gone()
@@ -332,7 +333,7 @@
         return True
 
     def _has_suspects(self, forwarded: ForwardedRequest, now_s: float) -> bool:
-        """Tell whether suspected backend servers could still take a request."""
+        """Return whether a suspected backend server could still run a request."""
         if forwarded.refused_as_suspect:
             return True
         suspects = self._sender.suspects.at(now_s)
@@ -341,48 +342,48 @@
             for placement in self._picker.view(forwarded.route.service).placements
         )
 
-    def _no_attempt(self, reason: Reason) -> Reply:
+    def _not_run_reply(self, reason: Reason) -> Reply:
         return Reply(self._sender.next_id(), Outcome.NOT_RUN, reason)
 
-    def _pick(self, forwarded: ForwardedRequest) -> Placing | None:
+    def _select(self, forwarded: ForwardedRequest) -> Selection | None:
         claimant = forwarded.claimant
         if claimant is not None and claimant.owner() is not None:
-            return self._at_owner(forwarded, claimant)
-        placing = self._placer.next(forwarded, self._clock())
-        if placing is None and claimant is not None:
+            return self._select_at_owner(forwarded, claimant)
+        selected = self._selector.select(forwarded, self._clock())
+        if selected is None and claimant is not None:
             claimant.look_up()
             if claimant.owner() is not None:
-                return self._at_owner(forwarded, claimant)
-        return placing
+                return self._select_at_owner(forwarded, claimant)
+        return selected
 
-    def _at_owner(self, forwarded, claimant: KeyClaimant) -> Placing | None:
-        """Return the place at the one gate that may run the request's key."""
+    def _select_at_owner(self, forwarded, claimant: KeyClaimant) -> Selection | None:
+        """Return the only gate that may run the request: the owner of its claim."""
         placement = self._picker.at_node(claimant.owner(), forwarded.route.service)
-        return None if placement is None else Placing(placement)
+        return None if placement is None else Selection(placement)
 
-    def _is_over(self, forwarded: ForwardedRequest, reply: Reply) -> bool:
-        """Tell whether nothing more is to be done after a failed attempt."""
+    def _must_stop(self, forwarded: ForwardedRequest, reply: Reply) -> bool:
+        """Return whether to stop after a failed attempt; restart the search if not."""
         if not is_refusal(reply):
             if not forwarded.may_send():
                 return True
             if reply.reason in _LOST_WITH_GATE:
-                forwarded.search_afresh()
+                forwarded.restart_search()
             else:
-                forwarded.search.begin()
+                forwarded.search.restart()
         return self._given_up.is_set() or forwarded.caller.caller_gone()
 
-    def _why_over(self, forwarded: ForwardedRequest) -> StoppedBy:
+    def _stop_reason(self, forwarded: ForwardedRequest) -> StoppedBy:
         if self._given_up.is_set():
             return StoppedBy.NODE_LEAVING
         if not forwarded.may_send():
             return StoppedBy.ATTEMPTS_MAX
         return StoppedBy.CALLER_LEFT
 
-    def _with_return_time(self, forwarded: ForwardedRequest, reply: Reply) -> Reply:
-        """Tell a caller that was given up when to come back, if that helps."""
+    def _with_retry_after(self, forwarded: ForwardedRequest, reply: Reply) -> Reply:
+        """Add the time after which the caller may retry, if a retry can help."""
         if reply.reason is Reason.CRASHES_SERVERS:
-            # Others' return times are not reckoned with it: it comes back for
-            # nothing, however much room the service has.
+            # A retry won't be served, however few requests the service has, so
+            # that the retry times of other requests don't count this one.
             return reply
         is_answered = reply.outcome is Outcome.ANSWERED
         with self._random_lock:
--- a/balsamspindle/requests/rescues.py
+++ b/balsamspindle/requests/hedging.py
@@ -1,4 +1,4 @@
-"""Second attempts beside a silent one, for requests that may be repeated."""
+"""Hedging: second attempts while the first has no reply, for idempotent requests."""
 
 from collections.abc import Callable
 
@@ -11,25 +11,26 @@
     Step,
     route_id,
 )
-from balsamspindle.requests.placing import Placing
+from balsamspindle.requests.placement_selection import Selection
 from balsamspindle.requests.retries import RetryPolicy
 from balsamspindle.services.picker import Picker
 from balsamspindle.wire import Reply
 
-__all__ = ["Rescuer"]
+__all__ = ["HedgePlanner"]
 
 
-class Rescuer:
-    """Tells how long to wait for an attempt, and where else to try.
+class HedgePlanner:
+    """Decides when a second attempt starts beside the first, and where.
 
     Parameters
     ----------
-    pick : callable
-        Returns the next place for a request, None where there is none.
+    select_placement : callable
+        Returns the next placement for a request, None where there is none.
     blocked : callable
-        Returns the refusal of a request that crashes backend servers.
+        Returns the refusal of a request that crashes backend servers, None for
+        any other request.
     clock : callable
-        Tells the present time.
+        Returns the present time on the monotonic clock, in s.
     """
 
     def __init__(
@@ -37,27 +38,27 @@
         picker: Picker,
         sender: AttemptSender,
         retries: RetryPolicy,
-        pick: Callable[[ForwardedRequest], Placing | None],
+        select_placement: Callable[[ForwardedRequest], Selection | None],
         blocked: Callable[[ForwardedRequest], Reply | None],
         clock: Callable[[], float],
     ) -> None:
         self._picker = picker
         self._sender = sender
         self._retries = retries
-        self._pick = pick
+        self._select_placement = select_placement
         self._blocked = blocked
         self._clock = clock
 
-    def rescue(
-        self, forwarded: ForwardedRequest, placing: Placing, now_s: float
+    def plan(
+        self, forwarded: ForwardedRequest, selected: Selection, now_s: float
     ) -> Rescue | None:
-        """Return what may be done when the next attempt is silent."""
-        route, placement = forwarded.route, placing.placement
+        """Return when and where a second attempt may start; None if it may not."""
+        route, placement = forwarded.route, selected.placement
         if route.execution is not Execution.IDEMPOTENT:
             return None
         if route.target_ms and forwarded.search.step is Step.QUEUE:
-            # It queues because all others are busy; a second one would only
-            # make their queues longer.
+            # All gates are busy; a second attempt would only make their queues
+            # longer.
             return None
         places = self._picker.view(route.service).tiers[-1]
         if len(places) <= len(forwarded.tried) + 1:
@@ -67,27 +68,30 @@
         patience_s = self._retries.patience_s(
             route.service, is_own, left_s, now_s, route_id(route)
         )
-        # While it waits for a slot its backend server is not silent.
-        patience_s = min(left_s, patience_s + (placing.wait_max_ms or 0.0) / 1000)
+        # The time that the attempt waits for a slot says nothing about its backend
+        # server.
+        patience_s = min(left_s, patience_s + (selected.wait_max_ms or 0.0) / 1000)
         is_paid = False
         if is_own and patience_s < left_s:
             is_paid = self._retries.may_hedge(route.service, now_s, route.weight)
             patience_s = patience_s if is_paid else left_s
-        return Rescue(patience_s, lambda: self._choose_second(forwarded), is_paid)
+        return Rescue(
+            patience_s, lambda: self._choose_second_placement(forwarded), is_paid
+        )
 
-    def give_back(self, forwarded: ForwardedRequest, rescue: Rescue | None) -> None:
-        """Take back what a second attempt was to cost, if it was not made."""
-        if rescue is not None and rescue.is_paid:
+    def give_back(self, forwarded: ForwardedRequest, hedge_plan: Rescue | None) -> None:
+        """Return the retry paid for a second attempt that was not made."""
+        if hedge_plan is not None and hedge_plan.is_paid:
             self._retries.give_back(forwarded.route.service)
 
-    def _choose_second(self, forwarded: ForwardedRequest) -> Placement | None:
+    def _choose_second_placement(self, forwarded: ForwardedRequest) -> Placement | None:
         if self._blocked(forwarded) is not None:
             return None
-        placing = self._pick(forwarded)
-        if placing is None or self._sender.is_own(placing.placement):
+        selected = self._select_placement(forwarded)
+        if selected is None or self._sender.is_own(selected.placement):
             return None
-        placement = placing.placement
-        forwarded.wait_max_ms = placing.wait_max_ms
+        placement = selected.placement
+        forwarded.wait_max_ms = selected.wait_max_ms
         route = forwarded.route
         if not self._retries.may_hedge(route.service, self._clock(), route.weight):
             return None
--- a/balsamspindle/requests/latency_estimate.py
+++ b/balsamspindle/requests/latency_estimate.py
@@ -1,15 +1,22 @@
-"""How long answers of a route take, as an ingress sees them."""
+"""Estimates the latency of a route's answers, as an ingress sees it."""
 
 __all__ = ["LatencyEstimate"]
 
 
 class LatencyEstimate:
-    """How long answers of a service take: their mean, and about a 95th of 100.
-
-    `limit_s` is what a gate takes for slow, 0 while unknown.
-
-    The quantile moves up by 19 parts when an answer took longer and down by
-    one part when it did not, so that it rests where 1 of 20 takes longer.
+    """Mean and approximate 95th percentile of the latency of a route's answers.
+
+    The percentile `high_s` moves up by 19 steps for an answer that took longer and
+    down by one step for any other, so that it settles where 1 of 20 takes longer.
+
+    Attributes
+    ----------
+    mean_s : float
+        0 before the first answer.
+    high_s : float or None
+        None before the first answer.
+    limit_s : float
+        The latency above which the gate counts an answer as slow; 0 while unknown.
     """
 
     STEP = 0.005
@@ -19,8 +26,11 @@
         self.high_s: float | None = None
         self.limit_s = 0.0
 
-    def note(self, took_s: float, limit_ms: float = 0.0) -> None:
-        """Take the time of one answer, and its gate's limit for it."""
+    def record(self, took_s: float, limit_ms: float = 0.0) -> None:
+        """Record the latency of one answer, and its gate's limit for a slow answer.
+
+        A `limit_ms` of 0 means that the limit is not known and changes nothing.
+        """
         self.limit_s = limit_ms / 1000 or self.limit_s
         if self.high_s is None:
             self.mean_s, self.high_s = took_s, 2 * took_s
--- a/balsamspindle/requests/patience.py
+++ b/balsamspindle/requests/patience.py
@@ -1,26 +1,26 @@
-"""How long to wait for a peer, not counting time in which this process stood still.
+"""Timeout for a peer's reply that excludes time in which this process was stalled.
 
-A VM that is paused or short of processor time finds a limit passed before it could read
-what had come in time. The peer is not to blame for that.
+On a VM that is paused or short of CPU time, a timeout may pass before the process can
+read a reply that arrived in time. The peer must not be given up for that.
 """
 
 from collections.abc import Callable
 
 __all__ = ["Patience"]
 
-# A poll that takes longer was held up by this process, not by the peer.
-STEP_S = 0.05
+# Time beyond this in one poll is a stall of this process, not a delay of the peer.
+POLL_STEP_S = 0.05
 
 
 class Patience:
-    """The time that is left for a peer.
+    """The time that a peer has left to reply.
 
     Parameters
     ----------
     patience_s : float
-        Of time in which this process ran.
+        Timeout in time during which this process ran.
     deadline_s : float
-        On the monotonic clock; then it is over in any case.
+        When the timeout ends in any case, on the monotonic clock.
     """
 
     def __init__(self, patience_s: float, deadline_s: float) -> None:
@@ -28,14 +28,15 @@
         self._deadline_s = deadline_s
 
     def wait(self, poll: Callable[[float], bool], clock: Callable[[], float]) -> bool:
-        """Poll in short steps; tell whether it was true before the patience ended.
+        """Poll in short steps until the timeout; return whether a poll was true.
 
         Parameters
         ----------
         poll : callable
-            Waits for at most a time, in s, and tells whether it came.
+            Waits for at most the given time, in s, and returns whether the awaited
+            event came.
         clock : callable
-            Tells the present time.
+            Returns the present time on the monotonic clock, in s.
         """
         now_s = clock()
         while (step_s := self._step_s(now_s)) > 0:
@@ -46,4 +47,4 @@
         return False
 
     def _step_s(self, now_s: float) -> float:
-        return min(STEP_S, self._left_s, self._deadline_s - now_s)
+        return min(POLL_STEP_S, self._left_s, self._deadline_s - now_s)
--- a/balsamspindle/requests/retries.py
+++ b/balsamspindle/requests/retries.py
@@ -1,8 +1,8 @@
-"""When a request may have another attempt, and when its caller may come back.
+"""Decides whether a request is retried and when its caller may send it again.
 
-A fixed count of attempts multiplies the load just when all backend servers of
-a service fail. Here retries are a fraction of a service's requests, whatever
-one request would like.
+A fixed number of attempts per request multiplies the load when all backend servers of
+a service fail. The retries of a service are therefore limited to a fraction of its
+requests.
 """
 
 import random
@@ -21,108 +21,113 @@
 
 __all__ = ["RetryPolicy", "best_reply", "is_shed", "is_success"]
 
-# Gates that may tell one request to look elsewhere, because of a suspicion or
-# of a queue, before it is given up; each costs a round trip.
-HINTS_MAX = 120
+# Refusals for a reason of `_TRY_ELSEWHERE_REASONS` after which one request is given up;
+# each costs a round trip.
+TRY_ELSEWHERE_MAX = 120
 ERROR_STATUS_MIN = 500
 ROUTES_MAX = 1000
 SHED_STATUSES = frozenset({429, 503})
-# Gates that may refuse a request's repeat because they have none left to grant;
-# where three of some ten have none, the others hardly have.
+# Gates that may deny a request's retry because their retry budget is used up. Where
+# three of some ten gates have none left, the others hardly have any.
 DENIALS_MAX = 3
 
 
-class Cost(StrEnum):
+class RetryCost(StrEnum):
     """What another attempt costs after a reply."""
 
-    # There is none: the reply is the request's end.
+    # No other attempt is allowed.
     FINAL = "final"
-    # Nothing ran, and where the attempt went was old news.
+    # Nothing ran: the gate was selected with outdated information.
     FREE = "free"
-    # Nothing ran, but all may be busy: the second such attempt is paid.
+    # Nothing ran, but all gates may be busy: the first retry after such a reply is
+    # free, further ones are paid for.
     FIRST_FREE = "first_free"
     PAID = "paid"
 
 
 _REFUSAL_COSTS = {
-    Reason.NO_BACKEND_SERVER: Cost.FREE,
-    Reason.DRAINING: Cost.FREE,
-    # Each gate judges by its own backend server's time; another one may be faster.
-    Reason.NODE_STOPPING: Cost.FREE,
-    Reason.UNREACHABLE: Cost.FREE,
-    Reason.DAMAGED: Cost.FREE,
-    Reason.CLAIM_MOVED: Cost.FREE,
-    Reason.NO_FREE_SLOT: Cost.FIRST_FREE,
-    Reason.DEADLINE: Cost.FIRST_FREE,
-    Reason.DUPLICATE: Cost.PAID,
-    Reason.SUSPECTED: Cost.FREE,
-    Reason.WOULD_WAIT: Cost.FREE,
-    Reason.RETRY_BUDGET: Cost.FREE,
-    Reason.SHED: Cost.PAID,
+    Reason.NO_BACKEND_SERVER: RetryCost.FREE,
+    Reason.DRAINING: RetryCost.FREE,
+    # The backend server is too slow for the time until a node stops; others may not be.
+    Reason.NODE_STOPPING: RetryCost.FREE,
+    Reason.UNREACHABLE: RetryCost.FREE,
+    Reason.DAMAGED: RetryCost.FREE,
+    Reason.CLAIM_MOVED: RetryCost.FREE,
+    Reason.NO_FREE_SLOT: RetryCost.FIRST_FREE,
+    Reason.DEADLINE: RetryCost.FIRST_FREE,
+    Reason.DUPLICATE: RetryCost.PAID,
+    Reason.SUSPECTED: RetryCost.FREE,
+    Reason.WOULD_WAIT: RetryCost.FREE,
+    Reason.RETRY_BUDGET: RetryCost.FREE,
+    Reason.SHED: RetryCost.PAID,
 }
 
 
-# A run that a leaving gate cuts, or is about to. The budget keeps retries from adding
-# to the load of a service that fails; here nothing failed, and there are no more of
-# them than slots beside the node that leaves. Paid for, those that one node's end cuts
-# at once would use the budget up, and callers with time left would lose their reads.
-_LOSS_COSTS = {Reason.GATE_ENDING: Cost.FREE, Reason.CANCELLED: Cost.FREE}
+# Runs that a leaving gate cuts, or is about to cut. The retry budget protects a failing
+# service from more load; here nothing failed, and there are at most as many retries as
+# the gate has slots. Paid for, the retries of all runs that one leaving node cuts would
+# use the budget up, and requests with time left would fail.
+_LOST_RUN_COSTS = {Reason.GATE_ENDING: RetryCost.FREE, Reason.CANCELLED: RetryCost.FREE}
 
-_HINTS = frozenset({Reason.SUSPECTED, Reason.WOULD_WAIT, Reason.RETRY_BUDGET})
+_TRY_ELSEWHERE_REASONS = frozenset(
+    {Reason.SUSPECTED, Reason.WOULD_WAIT, Reason.RETRY_BUDGET}
+)
 
 
 def is_shed(reply: Reply) -> bool:
-    """Tell whether the backend server itself refused, out of load."""
+    """Return whether the backend server itself refused because of overload."""
     return reply.outcome is Outcome.ANSWERED and reply.status in SHED_STATUSES
 
 
 def is_success(reply: Reply) -> bool:
-    """Tell whether an answer ends its request, and shows how long work takes."""
+    """Return whether a reply is an answer without an error status of 500 or more.
+
+    Only such a reply counts for the latency estimate.
+    """
     is_answer = reply.outcome is Outcome.ANSWERED and not is_shed(reply)
     return is_answer and reply.status < ERROR_STATUS_MIN
 
 
 def best_reply(replies: list[Reply]) -> Reply:
-    """Return what the caller is told: an answer, were it a 503, before none."""
+    """Return the reply for the caller: the last answer, even a 503, else the last."""
     answers = [reply for reply in replies if reply.outcome is Outcome.ANSWERED]
     return answers[-1] if answers else replies[-1]
 
 
-def _cost(reply: Reply, execution: Execution, retries_errors: bool) -> Cost:
+def _retry_cost(reply: Reply, execution: Execution, retries_errors: bool) -> RetryCost:
     """Return what another attempt costs.
 
-    A non-idempotent request goes elsewhere only after a proof that it did not
-    run: silence may mean that it did, and the backend server's own 503 proves
-    nothing.
+    A non-idempotent request is retried only if it is proven that it did not run.
+    Without a reply it may have run, and a backend server's 503 is no proof.
     """
     match reply.outcome:
         case Outcome.NOT_RUN:
-            return _REFUSAL_COSTS.get(reply.reason, Cost.FINAL)
+            return _REFUSAL_COSTS.get(reply.reason, RetryCost.FINAL)
         case Outcome.UNKNOWN if execution is Execution.IDEMPOTENT:
-            return _LOSS_COSTS.get(reply.reason, Cost.PAID)
+            return _LOST_RUN_COSTS.get(reply.reason, RetryCost.PAID)
         case Outcome.ANSWERED if execution is Execution.IDEMPOTENT:
             is_error = retries_errors and reply.status >= ERROR_STATUS_MIN
-            return Cost.PAID if is_shed(reply) or is_error else Cost.FINAL
-    return Cost.FINAL
+            return RetryCost.PAID if is_shed(reply) or is_error else RetryCost.FINAL
+    return RetryCost.FINAL
 
 
-def _is_room_left(replies: list[Reply], attempts_max: int, denials_max: int) -> bool:
-    """Tell whether a request may have one more attempt at all."""
-    hints = sum(reply.reason in _HINTS for reply in replies)
+def _is_below_limits(replies: list[Reply], attempts_max: int, denials_max: int) -> bool:
+    """Return whether a request's attempts are below all of their limits."""
+    hints = sum(reply.reason in _TRY_ELSEWHERE_REASONS for reply in replies)
     denials = sum(reply.reason is Reason.RETRY_BUDGET for reply in replies)
-    # The reply of an attempt that was left open follows its gate's notice.
+    # A notice stands for an attempt that was left open, whose own reply follows.
     notices = sum(reply.reason is Reason.GATE_ENDING for reply in replies)
     sent = len(replies) - sum(map(is_refusal, replies)) - notices
     return (
         sent < attempts_max
         and denials < denials_max
         and len(replies) - hints < ATTEMPTS_MAX
-        and hints < HINTS_MAX
+        and hints < TRY_ELSEWHERE_MAX
     )
 
 
-class _Service:
-    """One service, as this ingress sees it."""
+class _ServiceState:
+    """What this ingress knows of one service."""
 
     def __init__(self) -> None:
         self.tokens = RetryTokens()
@@ -131,7 +136,7 @@
         self.heaviest = HeaviestWeight()
 
     def latency(self, route_id: int) -> LatencyEstimate:
-        """Return the estimate of one route's requests."""
+        """Return the latency estimate of a route, a new one if it has none."""
         latency = self.latencies.get(route_id)
         if latency is None:
             if len(self.latencies) >= ROUTES_MAX:
@@ -141,44 +146,44 @@
 
 
 class RetryPolicy:
-    """Decides on further attempts for all services of one ingress.
+    """Decides on retries and second attempts for all services of one ingress.
 
     Parameters
     ----------
     budget : callable
-        Returns the retry budget in force of a service.
+        Returns the retry budget of a service that is in force.
     """
 
-    # A second attempt starts when the first takes this many times as long as
-    # nearly all others, at the latest after a third of the time left.
+    # A second attempt starts when the first takes this many times the 95th percentile
+    # of the latency, at the latest after this fraction of the time left.
     SLOW_FACTOR = 2.0
-    LATEST_PART = 1 / 3
-    # Of a gate's limit: with the settings' largest usual factor a request
-    # counts as slow well before.
+    HEDGE_LATEST_FRACTION = 1 / 3
+    # Multiple of the gate's limit for a slow answer after which an attempt at the own
+    # gate ends. Gates count an attempt as slow well before.
     SLOWEST_FACTOR = 3.0
 
     def __init__(self, budget: Callable[[str], RetryBudget]) -> None:
         self._budget = budget
         self._lock = threading.Lock()
-        self._services: dict[str, _Service] = {}
+        self._services: dict[str, _ServiceState] = {}
 
     def begin(self, service: str, now_s: float, weight: float = 1.0) -> None:
-        """Count a request."""
+        """Record a new request, which adds to the service's retry tokens."""
         with self._lock:
-            state = self._of(service)
+            state = self._state(service)
             state.heaviest.note(weight, now_s)
-            state.tokens.note_request(self._budget(service), now_s)
+            state.tokens.record_request(self._budget(service), now_s)
 
     def note_answer(
         self, service: str, took_s: float, limit_ms: float = 0.0, route_id: int = 0
     ) -> None:
-        """Take the time of one answered attempt, and its gate's limit for it.
+        """Record an answered attempt's latency and its gate's limit for a slow answer.
 
-        Requests of different routes to one service may take times that differ
-        tenfold; a second attempt that is late for one is early for another.
+        Latency is recorded by route: the routes of one service may differ tenfold, and
+        the time for a second attempt with them.
         """
         with self._lock:
-            self._of(service).latency(route_id).note(took_s, limit_ms)
+            self._state(service).latency(route_id).record(took_s, limit_ms)
 
     def may_retry(
         self,
@@ -193,76 +198,77 @@
         weight: float = 1.0,
         was_cut: bool = False,
     ) -> bool:
-        """Tell whether a request may have another attempt, and pay for it.
+        """Return whether a request may have another attempt, and pay for it.
 
         Parameters
         ----------
         replies : list of Reply
-            Of its attempts so far.
+            Replies to its attempts so far.
         is_paid : bool
-            Whether it was paid for before; given back when it isn't needed.
+            Whether the attempt was paid for before. The token is given back where
+            none is needed.
         attempts_max : int
             Attempts that may reach a backend server.
         weight : float
-            Of its route.
+            Weight of the route.
         was_cut : bool
-            A run of it was lost with a node that left: all gates are asked for a
-            repeat, not the first few.
+            Whether a run was lost with a node that left. Then all gates are asked
+            for the retry, not just `DENIALS_MAX` of them.
         """
-        denials_max = HINTS_MAX if was_cut else DENIALS_MAX
+        denials_max = TRY_ELSEWHERE_MAX if was_cut else DENIALS_MAX
         with self._lock:
-            state = self._of(service)
+            state = self._state(service)
             budget = self._budget(service)
-            cost = _cost(replies[-1], execution, budget.on_errors)
+            cost = _retry_cost(replies[-1], execution, budget.on_errors)
             is_late = now_s + state.latency(route_id).mean_s >= deadline_s
-            if is_late or not _is_room_left(replies, attempts_max, denials_max):
-                cost = Cost.FINAL
-            if cost is not Cost.FINAL and budget.fleet_per_s_min:
-                # The gate decides: it grants what reaches backend servers.
-                cost = Cost.FREE
-            if cost is Cost.FIRST_FREE:
+            if is_late or not _is_below_limits(replies, attempts_max, denials_max):
+                cost = RetryCost.FINAL
+            if cost is not RetryCost.FINAL and budget.fleet_per_s_min:
+                # Each gate grants the retries that reach its backend server.
+                cost = RetryCost.FREE
+            if cost is RetryCost.FIRST_FREE:
                 reasons = [reply.reason for reply in replies]
                 is_first = reasons.count(replies[-1].reason) == 1
-                cost = Cost.FREE if is_first else Cost.PAID
-            if cost is Cost.PAID:
+                cost = RetryCost.FREE if is_first else RetryCost.PAID
+            if cost is RetryCost.PAID:
                 kept_part = state.heaviest.kept_part(weight)
                 return is_paid or state.tokens.take(budget, now_s, kept_part)
             if is_paid:
                 state.tokens.give_back()
-            return cost is Cost.FREE
+            return cost is RetryCost.FREE
 
     def give_back(self, service: str) -> None:
-        """Return a retry that was paid for and not made."""
+        """Give back the token of a retry that was paid for and not made."""
         with self._lock:
-            self._of(service).tokens.give_back()
+            self._state(service).tokens.give_back()
 
     def is_final(self, service: str, reply: Reply) -> bool:
-        """Tell whether a reply is told whatever comes of other attempts."""
+        """Return whether a reply goes to the caller whatever other attempts bring."""
         is_error = reply.outcome is Outcome.ANSWERED and not is_shed(reply)
         return is_success(reply) or (is_error and not self._budget(service).on_errors)
 
     def granted_by_gates(self, service: str) -> bool:
-        """Tell whether gates decide on the retries of a service."""
+        """Return whether the gates, not this ingress, limit a service's retries."""
         return bool(self._budget(service).fleet_per_s_min)
 
     def may_hedge(self, service: str, now_s: float, weight: float = 1.0) -> bool:
-        """Tell whether a second attempt beside a slow one is allowed; pay it."""
+        """Return whether a second attempt beside a slow one is allowed; pay for it."""
         if self.granted_by_gates(service):
             return True
         with self._lock:
-            state = self._of(service)
+            state = self._state(service)
             return state.tokens.take(
                 self._budget(service), now_s, state.heaviest.kept_part(weight)
             )
 
     def services(self) -> list[str]:
-        """Return the services that had requests here."""
+        """Return the services with requests at this ingress, sorted by name."""
         return sorted(self._services)
 
     def left(self, service: str, now_s: float) -> float:
-        """Return how many retries could be made now."""
+        """Return the number of retry tokens that a service has now."""
         with self._lock:
-            return self._of(service).tokens.left(self._budget(service), now_s)
+            return self._state(service).tokens.left(self._budget(service), now_s)
 
     def patience_s(
         self,
@@ -272,32 +278,33 @@
         now_s: float,
         route_id: int = 0,
     ) -> float:
-        """Return how long one attempt of an idempotent request may be alone.
+        """Return how long an idempotent request waits for its first attempt alone.
 
         Parameters
         ----------
         is_own : bool
-            The attempt is at this node's own gate, and ends when the patience
-            does. It then lasts past what the gate takes for slow: a shorter
-            silence would not count as evidence, and a backend server that
-            hangs would not be found out.
+            Whether the attempt is at this node's own gate, where it ends after this
+            time. The time is then longer than the gate's limit for a slow answer: a
+            shorter silence would not count as evidence, and a backend server that
+            hangs would not be detected.
+        left_s : float
+            Time until the request's deadline.
 
         Returns
         -------
         float
-            The whole time that is left when no retry could be paid, or none
-            would end in time.
+            `left_s` if no retry could be paid for, or none would end in time.
         """
         with self._lock:
-            state = self._of(service)
+            state = self._state(service)
             latency = state.latency(route_id)
             if self.granted_by_gates(service):
                 if is_own:
-                    # Ended early, it could find that no gate grants a repeat.
+                    # Were the attempt ended before, all gates might deny its retry.
                     return left_s
             elif not state.tokens.available(self._budget(service), now_s):
                 return left_s
-        latest_s = left_s * self.LATEST_PART
+        latest_s = left_s * self.HEDGE_LATEST_FRACTION
         if latency.high_s is None:
             return latest_s
         patience_s = min(latest_s, latency.high_s * self.SLOW_FACTOR)
@@ -314,14 +321,22 @@
         rng: random.Random,
         now_s: float,
     ) -> float:
-        """Count a request's end; return when its caller may come back, in ms."""
+        """Record a request's end; return after how many ms its caller may retry.
+
+        0 for a request that was answered.
+
+        Parameters
+        ----------
+        earliest_ms : float
+            The shortest time to return.
+        """
         with self._lock:
-            returns = self._of(service).returns
+            returns = self._state(service).returns
             returns.note(is_answered, now_s)
             return 0.0 if is_answered else returns.suggest_ms(earliest_ms, rng)
 
-    def _of(self, service: str) -> _Service:
+    def _state(self, service: str) -> _ServiceState:
         state = self._services.get(service)
         if state is None:
-            state = self._services[service] = _Service()
+            state = self._services[service] = _ServiceState()
         return state
--- a/balsamspindle/requests/retry_tokens.py
+++ b/balsamspindle/requests/retry_tokens.py
@@ -1,4 +1,4 @@
-"""Retries as a fraction of requests, by tokens that fade."""
+"""Token bucket that limits retries to a fraction of requests."""
 
 import math
 
@@ -6,18 +6,18 @@
 
 __all__ = ["FLOOR_BURST_S", "WINDOW_S", "RetryTokens"]
 
-# Requests of about this time earn the retries that may be made now.
+# Time constant of the decay of earned tokens.
 WINDOW_S = 10.0
-# So much of the retries that are always allowed may be saved up.
+# The tokens that come with time accumulate for at most this long.
 FLOOR_BURST_S = 2.0
 
 
 class RetryTokens:
-    """The retries that a service may make now.
+    """The retries that are available to one service at one ingress.
 
-    Each request adds the budget's fraction of a token, which fades over
-    `WINDOW_S`; besides, some tokens come with time, so that a service with few
-    requests can retry at all.
+    Each request adds the budget's fraction of a token; these tokens decay
+    exponentially over `WINDOW_S`. The budget's `per_s_min` tokens are added every
+    second besides, so that a service with few requests can retry at all.
     """
 
     def __init__(self) -> None:
@@ -25,28 +25,28 @@
         self._floor = math.inf
         self._changed_s = 0.0
 
-    def note_request(self, budget: RetryBudget, now_s: float) -> None:
-        """Earn a fraction of a retry."""
-        self._pass_time(budget, now_s)
+    def record_request(self, budget: RetryBudget, now_s: float) -> None:
+        """Add the fraction of a token that one request earns."""
+        self._advance_time(budget, now_s)
         self._earned += budget.fraction
 
     def left(self, budget: RetryBudget, now_s: float) -> float:
-        """Return how many retries could be made."""
-        self._pass_time(budget, now_s)
+        """Return the number of tokens available."""
+        self._advance_time(budget, now_s)
         return self._floor + self._earned
 
     def available(self, budget: RetryBudget, now_s: float) -> bool:
-        """Tell whether a retry could be made."""
-        self._pass_time(budget, now_s)
+        """Return whether a whole token is available."""
+        self._advance_time(budget, now_s)
         return self._floor >= 1 or self._earned >= 1
 
     def take(self, budget: RetryBudget, now_s: float, kept_part: float = 0.0) -> bool:
-        """Take a retry, or return False.
+        """Take a token for a retry; return False if none may be taken.
 
         Parameters
         ----------
         kept_part : float
-            Of those that are there, what must be left.
+            Fraction of the available tokens that this request may not use.
         """
         if not self.available(budget, now_s):
             return False
@@ -59,10 +59,10 @@
         return True
 
     def give_back(self) -> None:
-        """Return a retry that was taken and not made."""
+        """Return a token that was taken for a retry which was not made."""
         self._floor += 1
 
-    def _pass_time(self, budget: RetryBudget, now_s: float) -> None:
+    def _advance_time(self, budget: RetryBudget, now_s: float) -> None:
         passed_s = max(0.0, now_s - self._changed_s)
         self._changed_s = max(now_s, self._changed_s)
         self._earned *= math.exp(-passed_s / WINDOW_S)
--- a/balsamspindle/requests/turning_away.py
+++ b/balsamspindle/requests/turning_away.py
@@ -1,4 +1,4 @@
-"""Answers callers' connections for which this node has no room."""
+"""Refuses callers' connections beyond those that this node can serve."""
 
 import socket
 import threading
@@ -15,7 +15,7 @@
 
 
 class TurningAway:
-    """Tells some connections why they are not served, and drops the others.
+    """Answers refused connections with the reason, up to a limit; closes the others.
 
     Parameters
     ----------
@@ -32,21 +32,21 @@
         self._places = threading.Semaphore(WAITING_MAX)
 
     def take(self, connection: socket.socket) -> None:
-        """Answer and close a connection."""
+        """Answer a connection in the background, if there is room, and close it."""
         if self._places.acquire(blocking=False):
             submit_logged(self._executor, self._events, self._turn_away, connection)
         else:
             connection.close()
 
     def shutdown(self) -> None:
-        """End the tasks once their connections are closed."""
+        """Accept no more connections; don't wait for the accepted ones to close."""
         self._executor.shutdown(wait=False)
 
     def _turn_away(self, connection: socket.socket) -> None:
         try:
             self._refuse(connection)
         except OSError:
-            # The caller did not wait for its answer.
+            # The caller closed the connection before it was answered.
             pass
         finally:
             close_politely(connection)
--- a/balsamspindle/requests/waiting.py
+++ b/balsamspindle/requests/waiting.py
@@ -1,4 +1,4 @@
-"""Waiting for the replies to one request's attempts."""
+"""Waits for the replies to one request's attempts over links."""
 
 import math
 import time
@@ -15,7 +15,7 @@
 
 __all__ = ["Wait", "Waited", "wait_first"]
 
-# How soon a waiting task sees that this node gives up, or ends soon.
+# Interval at which a waiting task checks whether this node gives up or stops soon.
 LOOK_INTERVAL_MS = 100
 
 
@@ -29,26 +29,34 @@
 
 @dataclass(frozen=True)
 class Wait:
-    """How long a task waits for replies, and for whom.
+    """Conditions that end a wait for replies, and what is reported during it.
 
     Attributes
     ----------
+    deadline_s : float
+        On the monotonic clock.
     caller_fd : int
-        Readable when the caller sent more, or is gone.
+        Descriptor that is readable when the caller sent more or closed its
+        connection.
+    caller_gone : callable
+        Returns whether the caller closed its connection.
     on_dropped : callable
-        Told the cause when a message is not for this wait.
+        Called with the cause when a message is dropped that is not a reply to the
+        attempt.
     given_up : callable, default=never
-        Tells whether the node stops waiting for all replies.
+        Returns whether this node has given up all its waits.
     ends_s : callable, default=infinity
-        Tells when this node ends. Gates are told, so that they start nothing
-        whose reply it would not live to see.
+        Returns when this node stops, on the monotonic clock. It is sent to the gates,
+        which then start nothing whose reply would come too late.
     ends_at_notice : callable, default=never
-        Tells whether the wait is over when one attempt is left and its gate said
-        that its node may end first.
+        Returns whether the wait ends when only one attempt is left and its gate gave
+        notice that its node may stop before the attempt ends.
     beside : mapping of Link to AttemptId, default=none
-        Earlier attempts: their success counts, but the wait is not for them.
+        Parked attempts of the same request. Their success ends the wait; it does not
+        go on for them.
     on_beside : callable, default=nothing
-        Told the link and the reply when one of them ends without success.
+        Called with the link and the reply when a parked attempt ends without
+        success.
     """
 
     deadline_s: float
@@ -63,12 +71,12 @@
 
 
 class Waited(NamedTuple):
-    """The reply that came, and the link that brought it.
+    """The reply that a wait ended with, and the link that it came over.
 
     Attributes
     ----------
     replies : dict of Link to Reply
-        All that came, this one included.
+        All replies received, this one included.
     """
 
     link: Link
@@ -77,14 +85,14 @@
 
 
 def wait_first(attempts: Mapping[Link, AttemptId], wait: Wait) -> Waited | None:
-    """Wait for the first answer to attempts at one request.
+    """Wait for the first answer to one request's attempts.
 
     Returns
     -------
     Waited or None
-        The first answer, else the last other reply. None without any: at the
-        deadline, when the peers or the caller went away, when this node gave
-        up waiting, or at a gate's notice.
+        The first answer, else the last other reply. None if the wait ended without
+        any: at the deadline, when the links or the caller's connection closed, when
+        this node gave up, or at a gate's notice.
     """
     waiting = {**wait.beside, **attempts}
     poller = zmq.Poller()
@@ -95,8 +103,8 @@
     replies: dict[Link, Reply] = {}
     is_told = False
     while waiting.keys() & attempts.keys():
-        # Also past the deadline: a reply that is there counts, however long
-        # this process was stopped.
+        # Polled past the deadline, too: a reply that has arrived counts, however long
+        # this process was stalled.
         remaining_ms = left_ms(wait.deadline_s)
         ready = dict(poller.poll(min(remaining_ms, LOOK_INTERVAL_MS)))
         for link in list(waiting):
@@ -126,19 +134,19 @@
         if wait.caller_fd in ready:
             if wait.caller_gone():
                 return last
-            # A pipelined request; it waits for its turn.
+            # The caller pipelined its next request, which is read after this one.
             poller.unregister(wait.caller_fd)
     return last
 
 
 def _ends_wait(reply: Reply, is_waited_for: bool) -> bool:
-    """Tell whether a reply is the one; an earlier attempt's error is not."""
+    """Return whether a reply ends the wait; a parked attempt's error does not."""
     return is_success(reply) or (is_waited_for and reply.outcome is Outcome.ANSWERED)
 
 
 def _is_last_ending(
     waiting: Mapping[Link, AttemptId], attempts: Mapping[Link, AttemptId]
 ) -> bool:
-    """Tell whether one attempt is left, at a gate whose node may end before it."""
+    """Return whether the only attempt left is at a gate whose node may stop first."""
     left = [link for link in waiting if link in attempts]
     return len(left) == 1 and left[0].is_ending(attempts[left[0]])
--- a/balsamspindle/requests/zone_hints.py
+++ b/balsamspindle/requests/zone_hints.py
@@ -1,8 +1,8 @@
-"""Nodes of a zone tell each other which gates elsewhere keep work away.
+"""Shares hold-outs of other zones' backend servers among the nodes of one zone.
 
-A gate of another zone tells it with its refusal, and each refusal there costs
-bytes between zones. Told on within the zone, where bytes cost nothing, one
-refusal serves all of its nodes.
+A gate reports a hold-out with its refusal, and each refusal from another zone costs
+traffic between zones. Traffic within the zone is free: one refusal is shared there with
+the other nodes, so that they don't ask the same gate.
 """
 
 import random
@@ -16,23 +16,24 @@
 
 __all__ = ["ZoneHints"]
 
-# Nodes of the zone that are told: all of a small zone, and of a large one as
-# many as use the same backend servers in a second.
+# Nodes of the zone that receive a hint: all nodes of a small zone; of a large zone, as
+# many as use the same backend server within a second.
 PEERS_MAX = 12
-# One hold-out is told once: what a reply adds to it is not worth a message.
-NEWS_MS = 150.0
-TOLD_MAX = 1000
+# A hold-out is shared again only if it was extended by at least this much. The few ms
+# that each further reply adds are not worth a message.
+EXTENSION_MIN_MS = 150.0
+REPORTED_MAX = 1000
 
 
 class ZoneHints:
-    """Tells and takes hints within one zone.
+    """Sends and receives hints on hold-outs within one zone.
 
     Parameters
     ----------
     send : callable
-        Takes a member address and a message; safe from any thread.
+        Sends a message to a member address; safe from any thread.
     suspects : callable
-        Returns where hints are kept.
+        Returns the suspects to which received hints are added.
     """
 
     def __init__(
@@ -48,7 +49,7 @@
         self._suspects = suspects
         self._random = random.Random(f"{own.node_id}/{own.incarnation}/hints")
         self._lock = threading.Lock()
-        self._told_until_s: dict[str, float] = {}
+        self._reported_until_s: dict[str, float] = {}
 
     def tell(
         self,
@@ -57,32 +58,32 @@
         held_out: HeldOut,
         now_s: float,
     ) -> None:
-        """Tell the zone what a gate of another zone said."""
+        """Send a hold-out reported by another zone's gate to nodes of this zone."""
         held_out_ms = held_out.held_out_ms
         if not held_out_ms or node.availability_zone == self._own.availability_zone:
             return
         until_s = now_s + held_out_ms / 1000
         with self._lock:
-            told_s = self._told_until_s.pop(backend_server_id, 0.0)
-            self._told_until_s[backend_server_id] = max(told_s, until_s)
-            if len(self._told_until_s) > TOLD_MAX:
-                del self._told_until_s[next(iter(self._told_until_s))]
-            if until_s - told_s < NEWS_MS / 1000:
+            reported_s = self._reported_until_s.pop(backend_server_id, 0.0)
+            self._reported_until_s[backend_server_id] = max(reported_s, until_s)
+            if len(self._reported_until_s) > REPORTED_MAX:
+                del self._reported_until_s[next(iter(self._reported_until_s))]
+            if until_s - reported_s < EXTENSION_MIN_MS / 1000:
                 return
-            addresses = self._neighbours()
+            addresses = self._peer_addresses()
         hint = SuspectHint(backend_server_id, held_out)
         for address in addresses:
             self._send(address, hint)
 
     def take(self, hint: SuspectHint) -> None:
-        """Take what a node of the zone heard."""
+        """Record a hold-out that another node of the zone shared."""
         now_s = time.monotonic()
         until_s = now_s + hint.held_out.held_out_ms / 1000
         with self._lock:
-            self._told_until_s[hint.backend_server_id] = until_s
+            self._reported_until_s[hint.backend_server_id] = until_s
         self._suspects().note(hint.backend_server_id, hint.held_out, now_s)
 
-    def _neighbours(self) -> list[str]:
+    def _peer_addresses(self) -> list[str]:
         addresses = [
             record.member_address
             for record in self._directory.alive()
--- a/tests/test_overload.py
+++ b/tests/test_overload.py
@@ -1,4 +1,4 @@
-"""A service with half more work than it can do: what callers get, and when."""
+"""When requests are refused by a service at 150 % of its capacity."""
 
 import random
 import statistics
@@ -8,7 +8,7 @@
 
 from balsamspindle.backend_servers.queue import SlotQueue, Ticket, Verdict
 from balsamspindle.backend_servers.slots import SlotAccount, WorkEnd, WorkKind
-from balsamspindle.requests.placing import QUEUE_PART
+from balsamspindle.requests.placement_selection import QUEUE_WAIT_FRACTION
 
 SLOTS = 3
 STEP_S = 0.01
@@ -16,20 +16,20 @@
 WORK_S = 0.35
 TIME_S, TARGET_S = 5.0, 1.0
 FILING, LOOKUP = WorkKind(0.5, 1), WorkKind(0.33, 2)
-# A second; three slots serve some 8.6.
+# Requests per second; three slots serve some 8.6.
 ARRIVALS = ((FILING, 7.0), (LOOKUP, 6.0))
 
 
 @dataclass
 class _Request:
-    """One caller's request and what became of it."""
+    """A caller's request and its result."""
 
     kind: WorkKind
     ticket: Ticket
-    came_s: float
+    arrived_s: float
     ends_s: float = 0.0
     was_served: bool = False
-    told_after_s: float = 0.0
+    refused_after_s: float = 0.0
 
 
 class _Gate:
@@ -45,7 +45,7 @@
         self.requests: list[_Request] = []
 
     def run(self) -> "_Gate":
-        """Play the whole load."""
+        """Simulate the whole load."""
         now_s = 0.0
         while now_s < LENGTH_S:
             self._end_work(now_s)
@@ -57,9 +57,9 @@
             now_s += STEP_S
         return self
 
-    def told_after_s(self) -> list[float]:
-        """Return after which time those that were refused heard of it."""
-        return [one.told_after_s for one in self.requests if one.told_after_s]
+    def refusal_times_s(self) -> list[float]:
+        """Return the time until the refusal of each refused request."""
+        return [one.refused_after_s for one in self.requests if one.refused_after_s]
 
     def served(self) -> int:
         return sum(one.was_served for one in self.requests)
@@ -89,7 +89,7 @@
             return
         self._waiting.remove(request)
         if verdict is not Verdict.START:
-            request.told_after_s = max(STEP_S, now_s - request.came_s)
+            request.refused_after_s = max(STEP_S, now_s - request.arrived_s)
             return
         account.take(request.kind)
         request.ends_s = now_s + WORK_S
@@ -103,18 +103,18 @@
 
 
 class OverloadTests(TestCase):
-    def test_who_will_not_be_served_hears_of_it_in_time(self):
-        # Filings go first and take most of three slots; lookups come for more than
-        # is left. Each lookup that is not served waits until its caller's time is
-        # nearly over and is refused then, when nobody can help the caller. Told
-        # after half of it, with as many served, it can come back. Median before
-        # 3.5 s of 5 s, now at once, at the latest after 3.3 s.
+    def test_unserved_requests_are_refused_in_time_for_a_retry(self):
+        # Heavy requests go first and use most of three slots; more light requests
+        # arrive than the rest can serve. With no maximum wait, an unserved light
+        # request is refused shortly before its deadline (median 3.5 s of 5 s), too late
+        # for a retry. With a maximum of half of its time it is refused at once in the
+        # median and after 3.3 s at most, and as many requests are served.
         before = [_Gate(seed, None).run() for seed in range(2)]
-        after = [_Gate(seed, QUEUE_PART).run() for seed in range(2)]
-        waited_s = statistics.median(sum((one.told_after_s() for one in before), []))
+        after = [_Gate(seed, QUEUE_WAIT_FRACTION).run() for seed in range(2)]
+        waited_s = statistics.median(sum((one.refusal_times_s() for one in before), []))
         self.assertGreater(waited_s, 0.6 * TIME_S)
-        waits_s = sum((one.told_after_s() for one in after), [])
-        self.assertLess(statistics.median(waits_s), QUEUE_PART * TIME_S)
+        waits_s = sum((one.refusal_times_s() for one in after), [])
+        self.assertLess(statistics.median(waits_s), QUEUE_WAIT_FRACTION * TIME_S)
         self.assertLess(max(waits_s), 0.7 * TIME_S)
         served = [sum(one.served() for one in gates) for gates in (before, after)]
         self.assertGreater(served[1], 0.98 * served[0])
--- a/tests/test_patience.py
+++ b/tests/test_patience.py
@@ -1,10 +1,10 @@
-"""Waits that count only the time in which a process runs."""
+"""Timeouts that count only the time during which the process runs."""
 
-from balsamspindle.requests.patience import STEP_S, Patience
+from balsamspindle.requests.patience import POLL_STEP_S, Patience
 
 
 class Clock:
-    """A clock that each poll moves: by its step, or by a pause."""
+    """A clock that each poll advances, by the longer of its step and a pause."""
 
     def __init__(self, pauses_s: list[float], comes_s: float = 1e9) -> None:
         self.now_s = 100.0
@@ -22,24 +22,24 @@
         return patience.wait(self.poll, lambda: self.now_s)
 
 
-def test_a_pause_of_the_own_process_is_not_the_peers():
-    # Guards against a peer that is given up since this process stood still.
+def test_a_stall_of_the_own_process_does_not_count_against_the_peer():
+    # Without this, a peer is given up because this process was stalled.
     assert Clock([2.0], comes_s=2.1).wait(0.25)
 
 
-def test_a_peer_that_is_silent_is_given_up_after_its_time():
+def test_a_silent_peer_is_given_up_after_the_timeout():
     clock = Clock([])
     assert not clock.wait(0.25)
     assert abs(clock.now_s - 100.25) < 1e-9
 
 
-def test_the_deadline_holds_whatever_stood_still():
+def test_the_deadline_holds_despite_stalls():
     clock = Clock([0.4] * 100)
     assert not clock.wait(0.25, time_s=1.0)
     assert clock.now_s <= 101.0 + 0.4
 
 
-def test_short_patience_is_one_short_step():
+def test_a_timeout_below_one_step_takes_a_shorter_step():
     clock = Clock([])
-    assert not clock.wait(STEP_S / 2)
-    assert abs(clock.now_s - 100.0 - STEP_S / 2) < 1e-9
+    assert not clock.wait(POLL_STEP_S / 2)
+    assert abs(clock.now_s - 100.0 - POLL_STEP_S / 2) < 1e-9
--- a/tests/test_placing_at_size.py
+++ b/tests/test_placement_at_size.py
@@ -1,4 +1,4 @@
-"""Where the requests of a large fleet are placed, by zone."""
+"""Placement of a large fleet's requests within and across zones, simulated."""
 
 import heapq
 import itertools
@@ -13,8 +13,8 @@
 from balsamspindle.wire import BackendServerRecord, NodeRecord
 
 ZONES, SERVERS, SLOTS = 5, 90, 7
-# Sick at any time, for seconds; work goes past them.
-SICK_PART = 0.3
+# Fraction of the backend servers that is unhealthy; they get no requests.
+UNHEALTHY_FRACTION = 0.3
 WORK_S, LOAD, END_S = 1.5, 0.65, 20.0
 SERVICE = "crew/contracts"
 
@@ -30,12 +30,12 @@
 PLACES = tuple(placement(number) for number in range(SERVERS))
 
 
-class Play:
-    """Requests that take the freest healthy place, those of the own zone first."""
+class Simulation:
+    """Simulates requests that prefer free slots in the own zone."""
 
     def __init__(self, seed: int) -> None:
         self._random = random.Random(seed)
-        sick = self._random.sample(range(SERVERS), round(SICK_PART * SERVERS))
+        sick = self._random.sample(range(SERVERS), round(UNHEALTHY_FRACTION * SERVERS))
         self._sick = {f"server-{number}" for number in sick}
         self._busy: dict[str, int] = dict.fromkeys(
             (place.backend_server.backend_server_id for place in PLACES), 0
@@ -46,7 +46,7 @@
         self.requests = self.far = self.refused = 0
 
     def run(self) -> None:
-        rate = LOAD * (1 - SICK_PART) * SERVERS * SLOTS / WORK_S
+        rate = LOAD * (1 - UNHEALTHY_FRACTION) * SERVERS * SLOTS / WORK_S
         now_s, ends, ids = 0.0, [], itertools.count()
         while now_s < END_S:
             now_s += self._random.expovariate(rate)
@@ -76,17 +76,17 @@
 
 class PlacingAtSizeTests(TestCase):
     def test_a_large_fleet_serves_its_callers_in_their_own_zone(self):
-        # 90 backend servers in five zones, a third of them sick, loaded to two
-        # thirds. A node's subset held three of its zone; two were healthy, and
-        # a third of all answers crossed zones, where bytes are dear, while 16
-        # others of the zone had free slots.
+        # 90 backend servers in five zones, a third of them unhealthy, at a load of two
+        # thirds. If a node's subset holds only three backend servers of its zone, two
+        # are healthy, and a third of all answers crosses zones, at a cost, although 16
+        # others of the zone have free slots.
         for seed in range(3):
-            play = Play(seed)
-            play.run()
-            self.assertLess(play.far, 0.05 * play.requests)
-            self.assertLess(play.refused, 0.001 * play.requests)
+            simulation = Simulation(seed)
+            simulation.run()
+            self.assertLess(simulation.far, 0.05 * simulation.requests)
+            self.assertLess(simulation.refused, 0.001 * simulation.requests)
 
-    def test_a_node_has_places_in_other_zones_where_its_own_is_lost(self):
+    def test_a_subset_includes_placements_in_other_zones(self):
         for place in PLACES:
             chosen = subset(PLACES, place.node)
             own_zone = place.node.availability_zone
--- a/tests/test_retries.py
+++ b/tests/test_retries.py
@@ -1,4 +1,4 @@
-"""Further attempts: who gets one, and what they cost the service."""
+"""Retries: which requests get one, and the load that retries add."""
 
 import random
 
@@ -33,10 +33,10 @@
 
 
 class RetryStormTests(TestCase):
-    # All backend servers of a service fail or hang. Three attempts for each
-    # request would treble the load just then, and keep it up.
+    # When all backend servers of a service fail or hang, three attempts for each
+    # request would triple the load and keep the service overloaded.
 
-    def test_the_budget_holds_a_storm_to_its_bound(self):
+    def test_the_budget_limits_a_retry_storm(self):
         for failure in (Failure.HANG, Failure.BROKEN, Failure.SHED):
             result = run_storm(failure, SERVERS, RetryPolicy, seed=0)
             baseline = run_storm(failure, SERVERS, FixedAttempts, seed=0)
@@ -48,7 +48,7 @@
         self.assertEqual(0, result.runs)
         self.assertLessEqual(result.attempts, 2.2)
 
-    def test_the_budget_answers_while_half_of_the_backend_servers_fail(self):
+    def test_most_requests_are_answered_while_half_of_the_backend_servers_fail(self):
         for failure in Failure:
             result = run_storm(failure, SERVERS // 2, RetryPolicy, seed=0)
             self.assertGreaterEqual(result.answered, 0.9, failure)
@@ -56,12 +56,12 @@
 
     @settings(max_examples=200, derandomize=True, deadline=None)
     @given(STEPS)
-    def test_retries_stay_a_fraction_of_requests_and_a_little_with_time(self, steps):
+    def test_retries_stay_below_a_fraction_of_requests_plus_a_fixed_rate(self, steps):
         tokens, now_s, requests, retries = RetryTokens(), 0.0, 0, 0
         for kind, pause_s in steps:
             now_s += pause_s
             if kind == "request":
-                tokens.note_request(BUDGET, now_s)
+                tokens.record_request(BUDGET, now_s)
                 requests += 1
             else:
                 retries += tokens.take(BUDGET, now_s)
@@ -69,12 +69,12 @@
         self.assertLessEqual(retries, BUDGET.fraction * requests + floor + 1e-6)
 
 
-class AgainTests(TestCase):
+class MayRetryTests(TestCase):
     def _may_retry(self, execution, *replies, left_s=1.0):
         policy = RetryPolicy(lambda service: BUDGET)
         return bool(policy.may_retry(SERVICE, execution, list(replies), left_s, 0.0))
 
-    def test_what_may_go_elsewhere(self):
+    def test_which_replies_are_retried(self):
         def reply(outcome, reason=None, status=0):
             return Reply(ATTEMPT, outcome, reason, status)
 
@@ -107,9 +107,9 @@
         self.assertFalse(policy.may_retry(*arguments, 0.4, 0.0))
         self.assertTrue(policy.may_retry(*arguments, 0.6, 0.0))
 
-    def test_an_own_attempt_lasts_past_what_its_gate_takes_for_slow(self):
-        # At the own gate the attempt ends with the patience. Ended sooner, a
-        # backend server that hangs gives no evidence and is never found out.
+    def test_an_attempt_at_the_own_gate_outlasts_its_limit_for_a_slow_answer(self):
+        # An attempt at the own gate is ended after this time. If it ended sooner, a
+        # backend server that hangs would give no evidence and never be detected.
         policy = RetryPolicy(lambda service: BUDGET)
         policy.note_answer(SERVICE, 0.01, limit_ms=30.0)
         near_s, far_s = (
@@ -117,16 +117,16 @@
         )
         self.assertGreaterEqual(near_s, 0.09)
         self.assertLess(far_s, 0.09)
-        # No second attempt would end in time: the first one has it all.
+        # A second attempt would not end in time: the first has all of the time.
         self.assertEqual(0.1, policy.patience_s(SERVICE, True, 0.1, 0.0))
         while policy.may_hedge(SERVICE, 0.0):
             pass
         self.assertEqual(2.0, policy.patience_s(SERVICE, False, 2.0, 0.0))
 
-    def test_a_retry_paid_for_ahead_is_there_or_comes_back(self):
-        # At the own gate an attempt ends with its patience, to be made again
-        # elsewhere. If others took the last retry meanwhile, its caller would
-        # hear `unknown` though the answer was on its way.
+    def test_a_retry_paid_for_in_advance_is_made_or_given_back(self):
+        # A silent attempt at the own gate is ended, to be retried elsewhere. If other
+        # requests took the last token meanwhile, the caller would get `unknown`
+        # although an answer was about to come.
         policy = RetryPolicy(lambda service: BUDGET)
         self.assertTrue(policy.may_hedge(SERVICE, 0.0))
         while policy.may_hedge(SERVICE, 0.0):
@@ -140,9 +140,9 @@
         self.assertFalse(policy.may_retry(*arguments, is_paid=True))
         self.assertTrue(policy.may_hedge(SERVICE, 0.0))
 
-    def test_where_gates_grant_retries_a_few_are_asked(self):
-        # Each gate that has none left refuses the repeat. Asked one after the
-        # other, all gates of a large service would be asked for each error.
+    def test_where_gates_grant_retries_few_of_them_are_asked(self):
+        # Each gate with no budget left refuses the retry. Without a limit, all gates
+        # of a large service would be asked one after the other for each error.
         budget = RetryBudget(fraction=0.0, fleet_per_s_min=1.0, on_errors=True)
         policy = RetryPolicy(lambda service: budget)
         error = Reply(ATTEMPT, Outcome.ANSWERED, status=500)
@@ -151,23 +151,23 @@
         while policy.may_retry(SERVICE, Execution.IDEMPOTENT, replies, 100.0, 0.0):
             replies.append(denial)
         self.assertEqual(1 + DENIALS_MAX, len(replies))
-        # An attempt at the own gate can't be left for a repeat that may be denied.
+        # An attempt at the own gate isn't ended for a retry that may be denied.
         self.assertEqual(2.0, policy.patience_s(SERVICE, True, 2.0, 0.0))
         self.assertLess(policy.patience_s(SERVICE, False, 2.0, 0.0), 2.0)
 
-    def test_the_high_latency_is_passed_by_one_answer_of_twenty(self):
+    def test_the_high_latency_estimate_is_near_the_95th_percentile(self):
         rng, estimate = random.Random(5), LatencyEstimate()
         for _ in range(5000):
-            estimate.note(rng.expovariate(1.0))
-        # 95 of 100 of this distribution are under 3.0.
+            estimate.record(rng.expovariate(1.0))
+        # The 95th percentile of this distribution is 3.0.
         self.assertTrue(2.2 < estimate.high_s < 4.0, estimate.high_s)
         self.assertTrue(0.5 < estimate.mean_s < 2.0, estimate.mean_s)
 
 
 class ReturnTimeTests(TestCase):
-    def test_callers_are_spread_over_the_time_that_serves_them(self):
-        # 400 callers are given up at once by a service that answers 20 a
-        # second. Told the same second, they would come as the same wave.
+    def test_retry_times_are_spread_over_the_time_needed_to_serve_all_callers(self):
+        # A service that answers 20 requests per second gives up 400 at once. If all
+        # callers were told the same time, all of them would retry at once again.
         times, rng = ReturnTimes(), random.Random(3)
         for number in range(200):
             times.note(True, number * 0.05)
@@ -180,20 +180,20 @@
         self.assertLess(max(per_s), 40)
         self.assertGreater(max(suggested), 20_000)
 
-    def test_without_load_they_may_come_back_soon(self):
+    def test_without_load_the_retry_time_is_short(self):
         times = ReturnTimes()
         times.note(False, 0.0)
         suggested = times.suggest_ms(500.0, random.Random(3))
         self.assertTrue(500 <= suggested <= 2500)
 
 
-class LocalViewTests(TestCase):
+class IngressViewTests(TestCase):
     def setUp(self):
         super().setUp()
         server = BackendServerRecord("server", SERVICE, "1", 6, "ready")
         self.placement = Placement(OWN, server)
 
-    def test_own_attempts_since_the_last_reply_are_taken_off(self):
+    def test_own_attempts_since_the_last_reply_reduce_the_free_slots(self):
         views = FreeSlotViews()
         views.started("server")
         self.assertEqual(5, views.free_slots(self.placement, 0.0))
@@ -218,12 +218,13 @@
                 now_s += 0.125
             lengths_s.append(now_s - start_s)
         self.assertEqual([0.5, 1.0, 2.0, 4.0, 4.0], lengths_s)
-        # The one who asked first tries it; the others wait for the outcome.
+        # The first caller of `is_held` may try the link; the others wait for the
+        # result.
         self.assertTrue(holds.is_held("gate", now_s))
         holds.note_success("gate")
         self.assertFalse(holds.is_held("gate", now_s))
 
-    def test_what_is_remembered_of_links_is_bounded(self):
+    def test_the_number_of_links_held_out_is_bounded(self):
         holds = HoldOuts(0.5, 4.0)
         for number in range(3 * KEPT_MAX):
             holds.note_failure(f"gate-{number}", 0.0)
--- a/tests/test_retry_waits.py
+++ b/tests/test_retry_waits.py
@@ -1,4 +1,4 @@
-"""How long a request that was lost with a backend server waits for its retry."""
+"""Delay of the retry of a request that was lost in a backend server's crash."""
 
 import random
 
@@ -14,7 +14,7 @@
 RNG = random.Random(1)
 
 
-def test_who_was_lost_once_is_retried_at_once():
+def test_a_request_lost_once_is_retried_at_once():
     assert retry_wait_s(CALM, 10.0, RNG) == 0.0
 
 
--- a/tests/test_siblings.py
+++ b/tests/test_siblings.py
@@ -1,4 +1,4 @@
-"""Calls that stand or fall together, under more load than their service can do."""
+"""Ranks for the calls of one request, at an overloaded service."""
 
 import heapq
 import itertools
@@ -13,7 +13,7 @@
 
 GATES, SLOTS = 9, 2
 WORK_S, TARGET_S, TIME_S = 0.1, 0.46, 0.96
-# Of the time that a call has, what it may wait at one gate.
+# The longest that a call may wait at one gate: half of its time.
 WAIT_MAX_S = 0.48
 PLACES_MAX = 4
 CALLS_OF_ONE = 2
@@ -25,7 +25,7 @@
 
 
 class _Call:
-    """One call on its way: the gates that it may still ask, and its ticket."""
+    """A call in progress, with the gates that it may still ask and its ticket."""
 
     def __init__(self, parent: int, places: list[int], deadline_s: float) -> None:
         self.parent, self.places, self.deadline_s = parent, places, deadline_s
@@ -34,8 +34,8 @@
         self.ticket: Ticket | None = None
 
 
-class Play:
-    """Parents that make two calls at once at a service that can't serve all."""
+class Simulation:
+    """Simulates parent requests that each make two calls to an overloaded service."""
 
     def __init__(self, seed: int, is_ranked: bool) -> None:
         self._random = random.Random(seed)
@@ -50,8 +50,8 @@
         self._served: dict[int, int] = {}
         self.runs = 0
 
-    def whole(self) -> int:
-        """Return the parents of which all calls were served."""
+    def count_complete_parents(self) -> int:
+        """Run the simulation; return the number of parents with all calls served."""
         rate = OVERLOAD * GATES * SLOTS / WORK_S / CALLS_OF_ONE
         now_s, parents = 0.0, itertools.count()
         while now_s < END_S:
@@ -75,7 +75,7 @@
             self._search(now_s, call)
 
     def _search(self, now_s: float, call: _Call) -> None:
-        """Ask the next gate, until one takes the call or none is left."""
+        """Ask the next gate, until one accepts the call or none is left."""
         if call.parent in self._lost:
             return
         if not call.places:
@@ -97,7 +97,7 @@
     def _ask(self, now_s: float, call: _Call) -> None:
         gate = call.gate
         if call.parent in self._lost:
-            # Its parent has answered, and its connection is gone.
+            # The parent has failed, and the caller's connection is closed.
             self._queues[gate].withdraw(call.ticket)
             return
         free = SLOTS - self._busy[gate]
@@ -123,15 +123,19 @@
 
 
 class SiblingsTests(TestCase):
-    def test_an_overloaded_service_serves_whole_parents(self):
-        # A service is asked for 1.4 times what it can do, in pairs of calls, and a
-        # parent fails when one of its calls does. Each gate refused by its own
-        # queue alone, so that of many parents one call was served for nothing.
+    def test_an_overloaded_service_serves_all_calls_of_more_parents(self):
+        # At an overload of 1.4, parents make two calls each and fail when one of them
+        # does. If each gate decides by its own queue alone, many parents have one call
+        # served and the other refused.
         for seed in range(3):
-            apart, together = Play(seed, False), Play(seed, True)
-            self.assertGreater(together.whole(), 1.2 * apart.whole(), f"seed {seed}")
-            # It is not by more work.
-            self.assertLess(together.runs, 1.02 * apart.runs)
+            unranked, ranked = Simulation(seed, False), Simulation(seed, True)
+            self.assertGreater(
+                ranked.count_complete_parents(),
+                1.2 * unranked.count_complete_parents(),
+                f"seed {seed}",
+            )
+            # The gain is not due to more runs.
+            self.assertLess(ranked.runs, 1.02 * unranked.runs)
 
     def test_calls_of_one_parent_have_one_rank(self):
         siblings = Siblings(random.Random(1))
@@ -145,9 +149,9 @@
             self.assertEqual(first, second)
         self.assertGreater(len({first for first, _ in ranks[20:]}), 10)
 
-    def test_requests_that_come_alone_keep_their_order(self):
-        # Callers' requests at one node, a few a second, all of the same length: in
-        # the order of their deadlines, fewest of them are late.
+    def test_requests_that_arrive_alone_are_not_ranked(self):
+        # A few callers' requests per second at one node, all with the same time limit:
+        # fewest of them are late if served by deadline.
         siblings, draw, now_s = Siblings(random.Random(1)), random.Random(2), 0.0
         ranks = []
         for _ in range(500):
--- a/tests/test_whole_path.py
+++ b/tests/test_whole_path.py
@@ -1,4 +1,4 @@
-"""A request through real processes: caller, ingress, gate, backend server."""
+"""Requests through separate processes: caller, ingress, gate, backend server."""
 
 from testtools import TestCase
 
@@ -60,7 +60,7 @@
         runs = [server.runs().get("sign-7", 0) for server in self.servers]
         self.assertEqual(1, sum(runs))
 
-    def test_a_request_without_a_route_is_told_so(self):
+    def test_a_request_without_a_route_is_refused_with_the_reason(self):
         answer = call(self.nodes[0].caller_address, "/elsewhere")
         self.assertEqual((404, "not_run"), (answer.status, answer.outcome))
         self.assertEqual("no_route", answer.json()["reason"])
--- a/tests/test_zone_hints.py
+++ b/tests/test_zone_hints.py
@@ -1,4 +1,4 @@
-"""One refusal from another zone serves all nodes of a zone."""
+"""Sharing of hold-outs in other zones among the nodes of one zone."""
 
 import time
 
@@ -33,7 +33,7 @@
     def tell(self, held_out_ms, now_s, zone="there"):
         self.hints.tell(node("gate", zone), "server", HeldOut(held_out_ms, 1), now_s)
 
-    def test_the_zone_hears_of_a_gate_elsewhere_once(self):
+    def test_a_hold_out_in_another_zone_is_shared_once(self):
         self.tell(500.0, 10.0)
         self.assertEqual(
             [("at-mate", SuspectHint("server", HeldOut(500.0, 1)))], self.sent
@@ -43,17 +43,17 @@
         self.tell(2000.0, 10.1)
         self.assertEqual(2, len(self.sent))
 
-    def test_a_gate_of_the_own_zone_and_one_that_serves_are_no_news(self):
+    def test_hold_outs_in_the_own_zone_and_replies_without_one_are_not_shared(self):
         self.tell(500.0, 10.0, zone="here")
         self.tell(0.0, 10.0)
         self.assertEqual([], self.sent)
 
-    def test_what_a_neighbour_heard_is_believed_and_not_passed_on(self):
+    def test_a_received_hint_is_recorded_and_not_forwarded(self):
         self.hints.take(SuspectHint("server", HeldOut(60_000.0, 1)))
         self.assertEqual({"server"}, self.suspects.at(time.monotonic()))
         self.assertEqual([], self.sent)
 
-    def test_a_large_zone_is_not_told_whole(self):
+    def test_hints_are_sent_to_a_limited_number_of_nodes(self):
         for number in range(100):
             self.directory.update(node(f"mate-{number}", "here"), 0.0)
         self.tell(500.0, 10.0)
