--- a/balsamspindle/node/process.py
+++ b/balsamspindle/node/process.py
@@ -294,10 +294,10 @@
             self.events,
             claims,
             self._retries,
-            on_suspect=self._hints.tell,
+            on_suspect=self._hints.share,
             crash_book=self._crashes.book,
         )
-        self._member.register({SuspectHint: self._hints.take})
+        self._member.register({SuspectHint: self._hints.receive})
         self._ingress = Ingress(
             self._settings,
             self._configuration,
--- a/balsamspindle/requests/admissions.py
+++ b/balsamspindle/requests/admissions.py
@@ -28,7 +28,7 @@
         self._configuration = configuration
         self._customers = customers
 
-    def decide(self, request: CallerRequest, now_s: float) -> Admitted | Refused:
+    def admit(self, request: CallerRequest, now_s: float) -> Admitted | Refused:
         """Find the route and the customer; count the request against the limit.
 
         May block for a moment, until the node that grants the customer's requests
@@ -47,7 +47,7 @@
         that were counted before their bodies arrived could all run at the same moment
         afterwards, above the limit.
         """
-        match self.decide(request, now_s):
+        match self.admit(request, now_s):
             case Refused() as refused:
                 return refused
             case Admitted() as admitted:
--- a/balsamspindle/requests/attempt_ends.py
+++ b/balsamspindle/requests/attempt_ends.py
@@ -6,8 +6,8 @@
 from balsamspindle.protocol.outcomes import CancelCause, Outcome, Reason
 from balsamspindle.requests.claims import note_reply
 from balsamspindle.requests.forwarded import ForwardedRequest
+from balsamspindle.requests.reply_wait import WaitResult
 from balsamspindle.requests.sent import SentAttempt
-from balsamspindle.requests.waiting import Waited
 from balsamspindle.timeline import EventLog
 from balsamspindle.wire import Reply
 from balsamspindle.wire.replies import is_refusal
@@ -46,7 +46,7 @@
         self,
         forwarded: ForwardedRequest,
         attempts: list[SentAttempt],
-        waited: Waited | None,
+        waited: WaitResult | None,
     ) -> Reply:
         """Return what came of attempts that were waited for."""
         if waited is None:
@@ -66,7 +66,7 @@
         return reply
 
     def why_given_up(
-        self, forwarded: ForwardedRequest, waited: Waited | None = None
+        self, forwarded: ForwardedRequest, waited: WaitResult | None = None
     ) -> CancelCause:
         """Tell why no reply is waited for any more."""
         if is_answered(waited):
@@ -90,7 +90,7 @@
         )
 
 
-def is_answered(waited: Waited | None) -> bool:
+def is_answered(waited: WaitResult | None) -> bool:
     """Tell whether a backend server's answer ended the wait."""
     return waited is not None and waited.reply.outcome is Outcome.ANSWERED
 
--- a/balsamspindle/requests/attempts.py
+++ b/balsamspindle/requests/attempts.py
@@ -10,7 +10,7 @@
 from balsamspindle.protocol.outcomes import CancelCause, Outcome
 from balsamspindle.requests.caller_watch import CallerWatch
 from balsamspindle.requests.claims import GateIdentity, note_reply, with_claim
-from balsamspindle.requests.forwarded import ForwardedRequest, Rescue, Step, route_id
+from balsamspindle.requests.forwarded import ForwardedRequest, Hedge, Step, route_id
 from balsamspindle.requests.gate_links import GateLinks
 from balsamspindle.requests.link_attempts import LinkAttempts
 from balsamspindle.requests.links import LinkPool
@@ -87,8 +87,8 @@
 
         Where it was cut, others may have a free slot by now.
         """
-        if forwarded.beside:
-            return forwarded.beside.pop()
+        if forwarded.parked_replies:
+            return forwarded.parked_replies.pop()
         if forwarded.parked:
             return self._over_links.wait_parked(forwarded)
         return None
@@ -106,7 +106,7 @@
         forwarded: ForwardedRequest,
         placement: Placement,
         wait_max_ms: float | None = None,
-        rescue: Rescue | None = None,
+        hedge: Hedge | None = None,
     ) -> Reply:
         """Make one attempt, and a second one beside it if it is silent.
 
@@ -117,9 +117,9 @@
         """
         forwarded.wait_max_ms = wait_max_ms
         if self.is_own(placement):
-            reply = self._send_here(forwarded, placement, rescue)
+            reply = self._send_here(forwarded, placement, hedge)
         else:
-            reply = self._over_links.send(forwarded, placement, rescue)
+            reply = self._over_links.send(forwarded, placement, hedge)
         forwarded.may_have_run |= reply.outcome is Outcome.UNKNOWN
         return reply
 
@@ -174,12 +174,12 @@
             is_last_try=not forwarded.may_send(),
         )
 
-    def _send_here(self, forwarded, placement, rescue: Rescue | None) -> Reply:
+    def _send_here(self, forwarded, placement, hedge: Hedge | None) -> Reply:
         # The task makes the call to the backend server itself and can't look
         # after a second attempt meanwhile: it ends a silent one instead.
         deadline_s = forwarded.deadline_s
-        if rescue is not None:
-            deadline_s = min(deadline_s, self._clock() + rescue.patience_s)
+        if hedge is not None:
+            deadline_s = min(deadline_s, self._clock() + hedge.hedge_delay_s)
         dispatch = self._message(forwarded, placement, deadline_s)
         own = GateIdentity(self._own.node_id, self._own.incarnation)
         claimed = with_claim(forwarded.claimant, dispatch, own, self._clock())
@@ -193,7 +193,7 @@
         finally:
             tracked.end(reply)
         if answer is None:
-            forwarded.note_cut(reply, self._clock())
+            forwarded.record_cut(reply, self._clock())
         note_reply(forwarded.claimant, reply)
         return reply if answer is None or is_success(reply) else answer
 
--- a/balsamspindle/requests/turning_away.py
+++ b/balsamspindle/requests/connection_refuser.py
@@ -8,33 +8,35 @@
 from balsamspindle.requests.closing import close_politely
 from balsamspindle.timeline import EventLog, submit_logged
 
-__all__ = ["TurningAway"]
+__all__ = ["ConnectionRefuser"]
 
 TASKS_MAX = 4
 WAITING_MAX = 64
 
 
-class TurningAway:
+class ConnectionRefuser:
     """Answers refused connections with the reason, up to a limit; closes the others.
 
     Parameters
     ----------
-    refuse : callable
+    write_answer : callable
         Writes the answer to a connection; may raise OSError.
     """
 
     def __init__(
-        self, refuse: Callable[[socket.socket], None], events: EventLog
+        self, write_answer: Callable[[socket.socket], None], events: EventLog
     ) -> None:
-        self._refuse = refuse
+        self._write_answer = write_answer
         self._events = events
         self._executor = ThreadPoolExecutor(TASKS_MAX, "turn-away")
         self._places = threading.Semaphore(WAITING_MAX)
 
-    def take(self, connection: socket.socket) -> None:
+    def refuse(self, connection: socket.socket) -> None:
         """Answer a connection in the background, if there is room, and close it."""
         if self._places.acquire(blocking=False):
-            submit_logged(self._executor, self._events, self._turn_away, connection)
+            submit_logged(
+                self._executor, self._events, self._answer_and_close, connection
+            )
         else:
             connection.close()
 
@@ -42,9 +44,9 @@
         """Accept no more connections; don't wait for the accepted ones to close."""
         self._executor.shutdown(wait=False)
 
-    def _turn_away(self, connection: socket.socket) -> None:
+    def _answer_and_close(self, connection: socket.socket) -> None:
         try:
-            self._refuse(connection)
+            self._write_answer(connection)
         except OSError:
             # The caller closed the connection before it was answered.
             pass
--- a/balsamspindle/requests/forwarded.py
+++ b/balsamspindle/requests/forwarded.py
@@ -16,10 +16,10 @@
 
 __all__ = [
     "ForwardedRequest",
-    "Rescue",
+    "Hedge",
     "Search",
     "Step",
-    "StoppedBy",
+    "StopReason",
     "route_id",
 ]
 
@@ -41,7 +41,7 @@
     DONE = 4
 
 
-class StoppedBy(StrEnum):
+class StopReason(StrEnum):
     """Why no attempt followed a request's last one; used for the event log only.
 
     Attributes
@@ -80,7 +80,7 @@
     queue_near_until_s : float or None
         Until when the request may wait in queues of its own zone, on the monotonic
         clock; None before it first looked for one.
-    told_wait_ms : dict of str to float
+    queue_wait_ms : dict of str to float
         Wait in the queue of each gate that refused because of it, by backend server
         id.
     """
@@ -89,13 +89,13 @@
     near_tries: int = 0
     far_tries: int = 0
     queue_near_until_s: float | None = None
-    told_wait_ms: dict[str, float] = field(default_factory=dict)
+    queue_wait_ms: dict[str, float] = field(default_factory=dict)
 
     def restart(self) -> None:
         """Start again at the first step, after an attempt that failed."""
         self.step, self.near_tries, self.far_tries = Step.NEAR, 0, 0
         self.queue_near_until_s = None
-        self.told_wait_ms.clear()
+        self.queue_wait_ms.clear()
 
 
 @dataclass
@@ -135,7 +135,7 @@
         looked for one.
     parked : ParkedAttempts
         Attempts left open at gates whose nodes may stop before the attempts end.
-    beside : list of Reply
+    parked_replies : list of Reply
         Replies without success to parked attempts, received during later ones.
     was_cut : bool
         Whether a run was lost with its gate's node, or is about to be.
@@ -147,7 +147,7 @@
         See `balsamspindle.requests.content`; 0 when it is not known.
     customer : str
         Empty for a request without a customer.
-    stopped_by : StoppedBy or None
+    stopped_by : StopReason or None
         None while attempts are made, and after a success.
     """
 
@@ -172,13 +172,13 @@
     wait_max_ms: float | None = None
     queue_until_s: float | None = None
     parked: ParkedAttempts = field(default_factory=ParkedAttempts)
-    beside: list[Reply] = field(default_factory=list)
+    parked_replies: list[Reply] = field(default_factory=list)
     was_cut: bool = False
     cut_s: float | None = None
     rank_ms: float = 0.0
     content: int = 0
     customer: str = ""
-    stopped_by: StoppedBy | None = None
+    stopped_by: StopReason | None = None
 
     def restart_search(self) -> None:
         """Search for another placement as if no gate had been asked.
@@ -197,7 +197,7 @@
         """Return whether the route allows an attempt at one more backend server."""
         return self.sends < self.route.attempts_max
 
-    def note_cut(self, reply: Reply, came_s: float) -> None:
+    def record_cut(self, reply: Reply, came_s: float) -> None:
         """Record when the first reply was received that a run was cut."""
         is_cut = reply.outcome is Outcome.UNKNOWN and reply.reason in _CUT
         if is_cut and self.cut_s is None:
@@ -212,24 +212,24 @@
 
 
 @dataclass(frozen=True)
-class Rescue:
+class Hedge:
     """When and where a second attempt starts while the first has no reply.
 
     Attributes
     ----------
-    patience_s : float
+    hedge_delay_s : float
         How long the first attempt runs alone.
-    choose : callable
+    choose_placement : callable
         Pays for a second attempt and returns its placement; None if there is none
         or it can't be paid for.
     is_paid : bool
         Whether the next attempt is paid for already. An attempt at the own gate is
-        ended after `patience_s`; were no retry available then, the caller of a slow
+        ended after `hedge_delay_s`; were no retry available then, the caller of a slow
         request would lose an answer that it would have received.
     """
 
-    patience_s: float
-    choose: Callable[[], Placement | None]
+    hedge_delay_s: float
+    choose_placement: Callable[[], Placement | None]
     is_paid: bool = False
 
 
--- a/balsamspindle/requests/forwarding.py
+++ b/balsamspindle/requests/forwarding.py
@@ -16,8 +16,8 @@
 from balsamspindle.requests.claims import ClaimBook, KeyClaimant
 from balsamspindle.requests.forwarded import (
     ForwardedRequest,
-    Rescue,
-    StoppedBy,
+    Hedge,
+    StopReason,
     route_id,
 )
 from balsamspindle.requests.heads import IDEMPOTENCY_KEY_MAX_CHARACTERS
@@ -123,7 +123,7 @@
             return self._not_run_reply(Reason.BAD_REQUEST)
         forwarded.claimant = self._claimant(forwarded)
         route = forwarded.route
-        self._retries.begin(route.service, self._clock(), route.weight)
+        self._retries.record_request(route.service, self._clock(), route.weight)
         reply = None
         try:
             reply = self._make_attempts(forwarded)
@@ -164,11 +164,11 @@
                 forwarded.stopped_by = self._stop_reason(forwarded)
                 break
             if not self._may_retry(forwarded, replies, None, self._clock()):
-                forwarded.stopped_by = StoppedBy.REPEAT_DENIED
+                forwarded.stopped_by = StopReason.REPEAT_DENIED
                 break
         if not replies and self._given_up.is_set():
             return msgspec.structs.replace(nowhere, reason=Reason.NODE_STOPPING)
-        return best_reply([*forwarded.beside, *replies]) if replies else nowhere
+        return best_reply([*forwarded.parked_replies, *replies]) if replies else nowhere
 
     def _try_gates(self, forwarded: ForwardedRequest, replies: list[Reply]) -> None:
         """Make attempts until one succeeds or none is allowed; append their replies."""
@@ -177,40 +177,40 @@
             blocked = self._blocked(forwarded)
             if blocked is not None:
                 replies.append(blocked)
-                forwarded.stopped_by = StoppedBy.CRASHES_SERVERS
+                forwarded.stopped_by = StopReason.CRASHES_SERVERS
                 break
             selected = self._select(forwarded)
             if selected is None:
                 if self._widen_search(forwarded):
                     continue
-                forwarded.stopped_by = StoppedBy.NO_PLACE
+                forwarded.stopped_by = StopReason.NO_PLACE
                 break
             # With parked attempts, the answer may be that of one which began long
             # before; its latency is then not recorded.
             is_alone = not forwarded.parked
             started_s = self._clock()
-            hedge_plan = self._hedge_planner.plan(forwarded, selected, started_s)
-            reply = self._sender.send(forwarded, *selected, rescue=hedge_plan)
+            hedge = self._hedge_planner.plan(forwarded, selected, started_s)
+            reply = self._sender.send(forwarded, *selected, hedge=hedge)
             replies.append(reply)
             now_s = self._clock()
             if is_success(reply):
                 took_s = now_s - started_s if is_alone else None
                 self._record_success(forwarded, reply, took_s)
-                self._hedge_planner.give_back(forwarded, hedge_plan)
+                self._hedge_planner.give_back(forwarded, hedge)
                 break
             self._record_failure(forwarded, selected.placement, reply)
             if self._must_stop(forwarded, reply):
                 forwarded.stopped_by = self._stop_reason(forwarded)
-                self._hedge_planner.give_back(forwarded, hedge_plan)
+                self._hedge_planner.give_back(forwarded, hedge)
                 break
-            if not self._may_retry(forwarded, replies, hedge_plan, now_s):
-                forwarded.stopped_by = StoppedBy.REPEAT_DENIED
+            if not self._may_retry(forwarded, replies, hedge, now_s):
+                forwarded.stopped_by = StopReason.REPEAT_DENIED
                 self._report_retry_denied(forwarded, reply)
                 break
             if reply.reason is Reason.SERVER_CRASHED:
                 self._wait_after_crash(forwarded, now_s)
         else:
-            forwarded.stopped_by = StoppedBy.NODE_LEAVING
+            forwarded.stopped_by = StopReason.NODE_LEAVING
 
     def _blocked(self, forwarded: ForwardedRequest) -> Reply | None:
         """Return the refusal of a request that crashes backend servers, else None.
@@ -238,7 +238,7 @@
         # The gate's node may stop before it reports the answer to the fleet.
         self._crash_book.answered(forwarded.content, self._clock())
         if took_s is not None:
-            self._retries.note_answer(
+            self._retries.record_answer(
                 route.service, took_s, reply.limit_ms, route_id(route)
             )
         self._sizes.note(route, len(reply.body))
@@ -261,12 +261,12 @@
         self,
         forwarded: ForwardedRequest,
         replies: list[Reply],
-        hedge_plan: Rescue | None,
+        hedge: Hedge | None,
         now_s: float,
     ) -> bool:
         """Return whether another attempt is allowed, and pay for it."""
         route = forwarded.route
-        is_paid = hedge_plan is not None and hedge_plan.is_paid
+        is_paid = hedge is not None and hedge.is_paid
         return self._retries.may_retry(
             route.service,
             route.execution,
@@ -289,7 +289,7 @@
             return
         left = None
         if not self._retries.granted_by_gates(route.service):
-            left = round(self._retries.left(route.service, self._clock()), 1)
+            left = round(self._retries.tokens_left(route.service, self._clock()), 1)
         self._events.emit(
             "retry_denied",
             request=forwarded.request_id,
@@ -372,12 +372,12 @@
                 forwarded.search.restart()
         return self._given_up.is_set() or forwarded.caller.caller_gone()
 
-    def _stop_reason(self, forwarded: ForwardedRequest) -> StoppedBy:
+    def _stop_reason(self, forwarded: ForwardedRequest) -> StopReason:
         if self._given_up.is_set():
-            return StoppedBy.NODE_LEAVING
+            return StopReason.NODE_LEAVING
         if not forwarded.may_send():
-            return StoppedBy.ATTEMPTS_MAX
-        return StoppedBy.CALLER_LEFT
+            return StopReason.ATTEMPTS_MAX
+        return StopReason.CALLER_LEFT
 
     def _with_retry_after(self, forwarded: ForwardedRequest, reply: Reply) -> Reply:
         """Add the time after which the caller may retry, if a retry can help."""
@@ -387,7 +387,7 @@
             return reply
         is_answered = reply.outcome is Outcome.ANSWERED
         with self._random_lock:
-            retry_after_ms = self._retries.end(
+            retry_after_ms = self._retries.record_end(
                 forwarded.route.service,
                 is_answered,
                 reply.retry_after_ms,
--- a/balsamspindle/requests/hedging.py
+++ b/balsamspindle/requests/hedging.py
@@ -7,7 +7,7 @@
 from balsamspindle.requests.attempts import AttemptSender
 from balsamspindle.requests.forwarded import (
     ForwardedRequest,
-    Rescue,
+    Hedge,
     Step,
     route_id,
 )
@@ -51,7 +51,7 @@
 
     def plan(
         self, forwarded: ForwardedRequest, selected: Selection, now_s: float
-    ) -> Rescue | None:
+    ) -> Hedge | None:
         """Return when and where a second attempt may start; None if it may not."""
         route, placement = forwarded.route, selected.placement
         if route.execution is not Execution.IDEMPOTENT:
@@ -65,23 +65,25 @@
             return None
         left_s = forwarded.deadline_s - now_s
         is_own = self._sender.is_own(placement)
-        patience_s = self._retries.patience_s(
+        hedge_delay_s = self._retries.hedge_delay_s(
             route.service, is_own, left_s, now_s, route_id(route)
         )
         # The time that the attempt waits for a slot says nothing about its backend
         # server.
-        patience_s = min(left_s, patience_s + (selected.wait_max_ms or 0.0) / 1000)
+        hedge_delay_s = min(
+            left_s, hedge_delay_s + (selected.wait_max_ms or 0.0) / 1000
+        )
         is_paid = False
-        if is_own and patience_s < left_s:
+        if is_own and hedge_delay_s < left_s:
             is_paid = self._retries.may_hedge(route.service, now_s, route.weight)
-            patience_s = patience_s if is_paid else left_s
-        return Rescue(
-            patience_s, lambda: self._choose_second_placement(forwarded), is_paid
+            hedge_delay_s = hedge_delay_s if is_paid else left_s
+        return Hedge(
+            hedge_delay_s, lambda: self._choose_second_placement(forwarded), is_paid
         )
 
-    def give_back(self, forwarded: ForwardedRequest, hedge_plan: Rescue | None) -> None:
+    def give_back(self, forwarded: ForwardedRequest, hedge: Hedge | None) -> None:
         """Return the retry paid for a second attempt that was not made."""
-        if hedge_plan is not None and hedge_plan.is_paid:
+        if hedge is not None and hedge.is_paid:
             self._retries.give_back(forwarded.route.service)
 
     def _choose_second_placement(self, forwarded: ForwardedRequest) -> Placement | None:
--- a/balsamspindle/requests/ingress.py
+++ b/balsamspindle/requests/ingress.py
@@ -14,14 +14,14 @@
 from balsamspindle.requests.admissions import Admissions
 from balsamspindle.requests.caller_terms import CallerTerms, new_request_id
 from balsamspindle.requests.closing import close_listener, close_politely
+from balsamspindle.requests.connection_refuser import ConnectionRefuser
 from balsamspindle.requests.connections import OpenConnections
 from balsamspindle.requests.content import content_id
 from balsamspindle.requests.forwarding import ForwardedRequest, Forwarder
 from balsamspindle.requests.heads import IDEMPOTENCY_KEY_HEADER, BadRequest
 from balsamspindle.requests.http import CallerRequest, HttpConnection
 from balsamspindle.requests.request_log import RequestLog, since_ms
-from balsamspindle.requests.siblings import Siblings
-from balsamspindle.requests.turning_away import TurningAway
+from balsamspindle.requests.siblings import SiblingRanks
 from balsamspindle.services.shares import ServiceShares
 from balsamspindle.settings.process import NodeSettings
 from balsamspindle.settings.tree import CurrentConfiguration
@@ -77,7 +77,7 @@
         self._names = settings.headers
         self.caller_service = settings.caller_service
         self._shares = ServiceShares(random.Random(os.urandom(8)))
-        self._siblings = Siblings(random.Random(os.urandom(8)))
+        self._sibling_ranks = SiblingRanks(random.Random(os.urandom(8)))
         self._configuration = configuration
         self._forwarder = forwarder
         self._executor = executor
@@ -90,7 +90,7 @@
         self._accepting = threading.Event()
         self._listener_closed = threading.Event()
         self._connections = OpenConnections(settings.connections_max)
-        self._turning_away = TurningAway(self._turn_away, events)
+        self._connection_refuser = ConnectionRefuser(self._answer_refused, events)
         host, _, port = settings.caller_address.partition(":")
         self._listener = socket.socket()
         self._listener.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
@@ -123,7 +123,7 @@
         # A connection that was just accepted has its first request on its way.
         self._connections.wait_for_first_requests(FIRST_REQUEST_S)
         self._connections.close_idle(first_too=True)
-        self._turning_away.shutdown()
+        self._connection_refuser.shutdown()
         self._listener_closed.set()
 
     def leave(self) -> None:
@@ -170,9 +170,9 @@
         if self._connections.admit(connection):
             submit_logged(self._executor, self._events, self._serve, connection)
         else:
-            self._turning_away.take(connection)
+            self._connection_refuser.refuse(connection)
 
-    def _turn_away(self, connection: socket.socket) -> None:
+    def _answer_refused(self, connection: socket.socket) -> None:
         self._refuse(self._open(connection), Reason.TOO_MANY_CONNECTIONS)
 
     def _serve(self, connection: socket.socket) -> None:
@@ -253,7 +253,7 @@
             self._write(caller, request_id, answer)
             return False
         self._hold()
-        match refused or self._admissions.decide(request, time.monotonic()):
+        match refused or self._admissions.admit(request, time.monotonic()):
             case Refused() as refused:
                 answer = self._problem(request, request_id, refused)
             case Admitted() as admitted:
@@ -303,7 +303,7 @@
             request.noted.get("idempotency-key"),
             caller_service=self.caller_service,
             target_s=received_s + route.target_ms / 1000 if route.target_ms else None,
-            rank_ms=self._siblings.rank_ms(route, deadline_s, received_s),
+            rank_ms=self._sibling_ranks.rank_ms(route, deadline_s, received_s),
             content=content,
             customer=admitted.name,
         )
--- a/balsamspindle/requests/link_attempts.py
+++ b/balsamspindle/requests/link_attempts.py
@@ -15,14 +15,14 @@
 from balsamspindle.protocol.outcomes import CancelCause, Execution, Outcome, Reason
 from balsamspindle.requests.attempt_ends import AttemptEnds, is_answered
 from balsamspindle.requests.claims import GateIdentity, with_claim
-from balsamspindle.requests.forwarded import ForwardedRequest, Rescue
+from balsamspindle.requests.forwarded import ForwardedRequest, Hedge
 from balsamspindle.requests.gate_links import GateLinks
 from balsamspindle.requests.links import Link
 from balsamspindle.requests.questions import Declined, Questions
+from balsamspindle.requests.reply_wait import WaitOptions, WaitResult, wait_first
 from balsamspindle.requests.retries import is_success
 from balsamspindle.requests.sent import SentAttempt
 from balsamspindle.requests.tracking import TrackedAttempt
-from balsamspindle.requests.waiting import Wait, Waited, wait_first
 from balsamspindle.timeline import EventLog
 from balsamspindle.wire import AttemptId, Dispatch, NodeRecord, Reply
 
@@ -95,7 +95,7 @@
         self._given_up = True
 
     def send(
-        self, forwarded: ForwardedRequest, placement: Placement, rescue: Rescue | None
+        self, forwarded: ForwardedRequest, placement: Placement, hedge: Hedge | None
     ) -> Reply:
         """Make one attempt, and a second one beside it if it is silent."""
         link = None
@@ -110,7 +110,7 @@
             return first
         attempts, waited, parked = [first], None, None
         try:
-            waited = self._wait_doubled(forwarded, attempts, rescue)
+            waited = self._wait_doubled(forwarded, attempts, hedge)
             parked = self._to_park(forwarded, attempts, waited)
         finally:
             ended = [sent for sent in attempts if sent is not parked]
@@ -135,16 +135,16 @@
         self,
         forwarded: ForwardedRequest,
         attempts: list[SentAttempt],
-        rescue: Rescue | None,
-    ) -> Waited | None:
+        hedge: Hedge | None,
+    ) -> WaitResult | None:
         """Wait for the reply to an attempt, with a second one if it is silent."""
-        if rescue is not None:
-            alone_until_s = self._clock() + rescue.patience_s
+        if hedge is not None:
+            alone_until_s = self._clock() + hedge.hedge_delay_s
             waited = self._wait(forwarded, attempts, alone_until_s)
             if waited or self._to_park(forwarded, attempts, waited):
                 return waited
             if self._is_just_silent(forwarded, attempts[0], alone_until_s):
-                attempts += self._open_second(forwarded, rescue)
+                attempts += self._open_second(forwarded, hedge)
         return self._wait(forwarded, attempts, forwarded.deadline_s)
 
     def _is_just_silent(
@@ -173,7 +173,7 @@
         self,
         forwarded: ForwardedRequest,
         attempts: list[SentAttempt],
-        waited: Waited | None,
+        waited: WaitResult | None,
     ) -> SentAttempt | None:
         """Return the last open attempt if its gate's node may end before it."""
         replies = {} if waited is None else waited.replies
@@ -235,7 +235,7 @@
                 heard.answer = reply
                 on_answer()
             else:
-                forwarded.beside.append(reply)
+                forwarded.parked_replies.append(reply)
 
         listener = threading.Thread(target=listen, name="left-open", daemon=True)
         with near:
@@ -246,10 +246,10 @@
                 far.close()
                 listener.join()
 
-    def _open_second(self, forwarded, rescue) -> list[SentAttempt]:
+    def _open_second(self, forwarded, hedge) -> list[SentAttempt]:
         if not forwarded.may_send():
             return []
-        placement = rescue.choose()
+        placement = hedge.choose_placement()
         if placement is None or self._is_own(placement):
             return []
         second = self._open(forwarded, placement)
@@ -325,7 +325,7 @@
         forwarded: ForwardedRequest,
         attempts: list[SentAttempt],
         until_s: float,
-    ) -> Waited | None:
+    ) -> WaitResult | None:
         caller = forwarded.caller
         wait = self._wait_terms(forwarded, until_s, caller.fileno(), caller.caller_gone)
         return wait_first({sent.link: sent.attempt_id for sent in attempts}, wait)
@@ -336,25 +336,25 @@
         until_s: float,
         descriptor: int,
         is_over: Callable[[], bool],
-    ) -> Wait:
+    ) -> WaitOptions:
         """Return how long to wait, and what ends the wait before."""
-        return Wait(
+        return WaitOptions(
             until_s,
             descriptor,
             is_over,
             on_dropped=lambda cause: self._events.emit("message_dropped", cause=cause),
             given_up=lambda: self._given_up,
-            ends_s=lambda: self._ends_s,
+            node_ends_s=lambda: self._ends_s,
             ends_at_notice=lambda: self._may_park(forwarded),
-            beside=forwarded.parked.by_link(),
-            on_beside=lambda link, reply: self._end_parked(forwarded, link, reply),
+            parked_attempts=forwarded.parked.by_link(),
+            on_parked=lambda link, reply: self._end_parked(forwarded, link, reply),
         )
 
     def _end_parked(
         self, forwarded: ForwardedRequest, link: Link, reply: Reply
     ) -> None:
         """Take a reply that does not end the request, for want of a better one."""
-        forwarded.beside.append(reply)
+        forwarded.parked_replies.append(reply)
         self._settle_parked(forwarded, {link: reply})
 
     def _settle_parked(
@@ -363,14 +363,14 @@
         """Take the replies to attempts that were left open."""
         for sent in forwarded.parked.all():
             if sent.link in replies:
-                forwarded.note_cut(replies[sent.link], sent.link.heard_s)
+                forwarded.record_cut(replies[sent.link], sent.link.heard_s)
         forwarded.parked.settle(replies, self._links.give_back)
 
     def _close(
         self,
         forwarded: ForwardedRequest,
         attempts: list[SentAttempt],
-        waited: Waited | None,
+        waited: WaitResult | None,
     ) -> None:
         """Keep the links that brought replies; leave the other attempts.
 
@@ -386,7 +386,7 @@
             sent.on_end(reply)
             if reply is not None:
                 # Before the link is another task's, which hears other replies.
-                forwarded.note_cut(reply, sent.link.heard_s)
+                forwarded.record_cut(reply, sent.link.heard_s)
                 self._links.give_back(sent.link)
             elif is_silent:
                 sent.link.close()
--- a/balsamspindle/requests/links.py
+++ b/balsamspindle/requests/links.py
@@ -14,7 +14,7 @@
 
 from balsamspindle.metrics import Hop, Metrics
 from balsamspindle.protocol.outcomes import CancelCause, Execution, Outcome, Reason
-from balsamspindle.requests.patience import Patience
+from balsamspindle.requests.peer_timeout import PeerTimeout
 from balsamspindle.timeline import EventLog
 from balsamspindle.wire import (
     AttemptId,
@@ -116,7 +116,7 @@
         """Tell whether the connection is up, as far as this end knows."""
         return bool(self._socket.poll(0, zmq.POLLOUT))
 
-    def ready(self, now_s: float, patience: Patience, execution: Execution) -> bool:
+    def ready(self, now_s: float, patience: PeerTimeout, execution: Execution) -> bool:
         """Tell whether both directions work; ask the gate unless it spoke lately.
 
         A request sent into a link that only looks open would end as
@@ -138,7 +138,7 @@
         """Wait until the link is readable or writable; False when it can't be."""
         return self._socket in self._poll(event, left_ms(give_up_s))
 
-    def _wait_patiently(self, event: int, patience: Patience) -> bool:
+    def _wait_patiently(self, event: int, patience: PeerTimeout) -> bool:
         """Wait as `_wait` does, for time in which this process runs."""
         found: dict = {}
 
@@ -281,7 +281,7 @@
         execution: Execution = Execution.NON_IDEMPOTENT,
     ) -> Link | None:
         """Return a link that works both ways and is the caller's, or None."""
-        patience = Patience(CONNECT_TIMEOUT_S, deadline_s)
+        patience = PeerTimeout(CONNECT_TIMEOUT_S, deadline_s)
         while True:
             with self._lock:
                 idle = self._idle.get(address)
--- a/balsamspindle/requests/patience.py
+++ b/balsamspindle/requests/peer_timeout.py
@@ -6,25 +6,25 @@
 
 from collections.abc import Callable
 
-__all__ = ["Patience"]
+__all__ = ["PeerTimeout"]
 
 # Time beyond this in one poll is a stall of this process, not a delay of the peer.
 POLL_STEP_S = 0.05
 
 
-class Patience:
+class PeerTimeout:
     """The time that a peer has left to reply.
 
     Parameters
     ----------
-    patience_s : float
+    timeout_s : float
         Timeout in time during which this process ran.
     deadline_s : float
         When the timeout ends in any case, on the monotonic clock.
     """
 
-    def __init__(self, patience_s: float, deadline_s: float) -> None:
-        self._left_s = patience_s
+    def __init__(self, timeout_s: float, deadline_s: float) -> None:
+        self._left_s = timeout_s
         self._deadline_s = deadline_s
 
     def wait(self, poll: Callable[[float], bool], clock: Callable[[], float]) -> bool:
--- a/balsamspindle/requests/placement_selection.py
+++ b/balsamspindle/requests/placement_selection.py
@@ -199,7 +199,7 @@
             wait_ms = self._sender.queue_hints.wait_ms(server_id, now_s)
             is_short = wait_ms is not None and wait_ms <= SHORT_QUEUE_FRACTION * left_ms
             if is_short and server_id not in excluded:
-                search.told_wait_ms.setdefault(server_id, wait_ms)
+                search.queue_wait_ms.setdefault(server_id, wait_ms)
 
     def _select_freest(self, places, excluded, wait_ms, now_s) -> Selection | None:
         placement = choose_freest(
@@ -227,7 +227,7 @@
             zone. With 0 the traffic between zones grows by a quarter under high
             load.
         """
-        told_ms = search.told_wait_ms
+        told_ms = search.queue_wait_ms
         queues = [
             (told_ms[place.backend_server.backend_server_id], handicap_ms, place)
             for places, handicap_ms in ((near, 0.0), (far, far_ms))
--- a/balsamspindle/requests/waiting.py
+++ b/balsamspindle/requests/reply_wait.py
@@ -1,4 +1,4 @@
-"""Waits for the replies to one request's attempts over links."""
+"""Waits for replies to one request's attempts over links."""
 
 import math
 import time
@@ -13,22 +13,22 @@
 from balsamspindle.requests.retries import is_success
 from balsamspindle.wire import AttemptId, Reply
 
-__all__ = ["Wait", "Waited", "wait_first"]
+__all__ = ["WaitOptions", "WaitResult", "wait_first"]
 
 # Interval at which a waiting task checks whether this node gives up or stops soon.
-LOOK_INTERVAL_MS = 100
+CHECK_INTERVAL_MS = 100
 
 
 def _never() -> bool:
     return False
 
 
-def _at_no_time() -> float:
+def _no_end() -> float:
     return math.inf
 
 
 @dataclass(frozen=True)
-class Wait:
+class WaitOptions:
     """Conditions that end a wait for replies, and what is reported during it.
 
     Attributes
@@ -45,16 +45,16 @@
         attempt.
     given_up : callable, default=never
         Returns whether this node has given up all its waits.
-    ends_s : callable, default=infinity
+    node_ends_s : callable, default=infinity
         Returns when this node stops, on the monotonic clock. It is sent to the gates,
         which then start nothing whose reply would come too late.
     ends_at_notice : callable, default=never
         Returns whether the wait ends when only one attempt is left and its gate gave
         notice that its node may stop before the attempt ends.
-    beside : mapping of Link to AttemptId, default=none
-        Parked attempts of the same request. Their success ends the wait; it does not
-        go on for them.
-    on_beside : callable, default=nothing
+    parked_attempts : mapping of Link to AttemptId, default=none
+        Parked attempts of the same request. The wait ends when one succeeds, but
+        doesn't last for their replies alone.
+    on_parked : callable, default=nothing
         Called with the link and the reply when a parked attempt ends without
         success.
     """
@@ -64,13 +64,13 @@
     caller_gone: Callable[[], bool]
     on_dropped: Callable[[str], None]
     given_up: Callable[[], bool] = _never
-    ends_s: Callable[[], float] = _at_no_time
+    node_ends_s: Callable[[], float] = _no_end
     ends_at_notice: Callable[[], bool] = _never
-    beside: Mapping[Link, AttemptId] = field(default_factory=dict)
-    on_beside: Callable[[Link, Reply], None] = lambda link, reply: None
+    parked_attempts: Mapping[Link, AttemptId] = field(default_factory=dict)
+    on_parked: Callable[[Link, Reply], None] = lambda link, reply: None
 
 
-class Waited(NamedTuple):
+class WaitResult(NamedTuple):
     """The reply that a wait ended with, and the link that it came over.
 
     Attributes
@@ -84,29 +84,31 @@
     replies: dict[Link, Reply]
 
 
-def wait_first(attempts: Mapping[Link, AttemptId], wait: Wait) -> Waited | None:
+def wait_first(
+    attempts: Mapping[Link, AttemptId], wait: WaitOptions
+) -> WaitResult | None:
     """Wait for the first answer to one request's attempts.
 
     Returns
     -------
-    Waited or None
+    WaitResult or None
         The first answer, else the last other reply. None if the wait ended without
         any: at the deadline, when the links or the caller's connection closed, when
         this node gave up, or at a gate's notice.
     """
-    waiting = {**wait.beside, **attempts}
+    waiting = {**wait.parked_attempts, **attempts}
     poller = zmq.Poller()
     poller.register(wait.caller_fd, zmq.POLLIN)
     for link in waiting:
         link.register(poller)
     last = None
     replies: dict[Link, Reply] = {}
-    is_told = False
+    is_end_sent = False
     while waiting.keys() & attempts.keys():
         # Polled past the deadline, too: a reply that has arrived counts, however long
         # this process was stalled.
         remaining_ms = left_ms(wait.deadline_s)
-        ready = dict(poller.poll(min(remaining_ms, LOOK_INTERVAL_MS)))
+        ready = dict(poller.poll(min(remaining_ms, CHECK_INTERVAL_MS)))
         for link in list(waiting):
             reply = link.take_reply(ready, waiting[link], wait.on_dropped)
             if reply is None and not link.is_over(ready):
@@ -117,18 +119,18 @@
                 continue
             replies[link] = reply
             if _ends_wait(reply, link in attempts):
-                return Waited(link, reply, replies)
+                return WaitResult(link, reply, replies)
             if link in attempts:
-                last = Waited(link, reply, replies)
+                last = WaitResult(link, reply, replies)
             else:
-                wait.on_beside(link, reply)
-        if wait.given_up() or (not ready and remaining_ms <= LOOK_INTERVAL_MS):
+                wait.on_parked(link, reply)
+        if wait.given_up() or (not ready and remaining_ms <= CHECK_INTERVAL_MS):
             return last
         if _is_last_ending(waiting, attempts) and wait.ends_at_notice():
             return last
-        if not is_told and wait.ends_s() < math.inf:
-            is_told = True
-            left_s = wait.ends_s() - time.monotonic()
+        if not is_end_sent and wait.node_ends_s() < math.inf:
+            is_end_sent = True
+            left_s = wait.node_ends_s() - time.monotonic()
             for link, attempt_id in waiting.items():
                 link.tell_ending(attempt_id, left_s)
         if wait.caller_fd in ready:
--- a/balsamspindle/requests/retries.py
+++ b/balsamspindle/requests/retries.py
@@ -167,14 +167,14 @@
         self._lock = threading.Lock()
         self._services: dict[str, _ServiceState] = {}
 
-    def begin(self, service: str, now_s: float, weight: float = 1.0) -> None:
+    def record_request(self, service: str, now_s: float, weight: float = 1.0) -> None:
         """Record a new request, which adds to the service's retry tokens."""
         with self._lock:
             state = self._state(service)
             state.heaviest.note(weight, now_s)
             state.tokens.record_request(self._budget(service), now_s)
 
-    def note_answer(
+    def record_answer(
         self, service: str, took_s: float, limit_ms: float = 0.0, route_id: int = 0
     ) -> None:
         """Record an answered attempt's latency and its gate's limit for a slow answer.
@@ -265,12 +265,12 @@
         """Return the services with requests at this ingress, sorted by name."""
         return sorted(self._services)
 
-    def left(self, service: str, now_s: float) -> float:
+    def tokens_left(self, service: str, now_s: float) -> float:
         """Return the number of retry tokens that a service has now."""
         with self._lock:
             return self._state(service).tokens.left(self._budget(service), now_s)
 
-    def patience_s(
+    def hedge_delay_s(
         self,
         service: str,
         is_own: bool,
@@ -307,13 +307,13 @@
         latest_s = left_s * self.HEDGE_LATEST_FRACTION
         if latency.high_s is None:
             return latest_s
-        patience_s = min(latest_s, latency.high_s * self.SLOW_FACTOR)
+        hedge_delay_s = min(latest_s, latency.high_s * self.SLOW_FACTOR)
         if not is_own:
-            return patience_s
-        patience_s = max(patience_s, latency.limit_s * self.SLOWEST_FACTOR)
-        return patience_s if patience_s <= left_s / 2 else left_s
+            return hedge_delay_s
+        hedge_delay_s = max(hedge_delay_s, latency.limit_s * self.SLOWEST_FACTOR)
+        return hedge_delay_s if hedge_delay_s <= left_s / 2 else left_s
 
-    def end(
+    def record_end(
         self,
         service: str,
         is_answered: bool,
--- a/balsamspindle/requests/siblings.py
+++ b/balsamspindle/requests/siblings.py
@@ -18,7 +18,7 @@
 from balsamspindle.requests.forwarded import route_id
 from balsamspindle.settings.documents import RouteDocument
 
-__all__ = ["Siblings"]
+__all__ = ["SiblingRanks"]
 
 # Calls of one request are made within 1 ms of each other; the rest allows for delays on
 # a shared CPU.
@@ -50,7 +50,7 @@
         self.grouped_fraction = 0.0
 
 
-class Siblings:
+class SiblingRanks:
     """Assigns ranks to the requests that arrive at one node; thread-safe."""
 
     def __init__(self, rng: random.Random) -> None:
--- a/balsamspindle/requests/tracking.py
+++ b/balsamspindle/requests/tracking.py
@@ -63,7 +63,7 @@
         if reply is not None and reply.reason in _SAYS_NOTHING_OF_SLOTS:
             return
         if reply is not None and reply.reason is Reason.WOULD_WAIT:
-            self._forwarded.search.told_wait_ms[self._server_id] = reply.retry_after_ms
+            self._forwarded.search.queue_wait_ms[self._server_id] = reply.retry_after_ms
             self._queue_hints.note(self._server_id, reply.retry_after_ms, now_s)
             self._free_slots.note(self._server_id, 0, now_s)
             return
--- a/balsamspindle/requests/zone_hints.py
+++ b/balsamspindle/requests/zone_hints.py
@@ -51,7 +51,7 @@
         self._lock = threading.Lock()
         self._reported_until_s: dict[str, float] = {}
 
-    def tell(
+    def share(
         self,
         node: NodeRecord,
         backend_server_id: str,
@@ -75,7 +75,7 @@
         for address in addresses:
             self._send(address, hint)
 
-    def take(self, hint: SuspectHint) -> None:
+    def receive(self, hint: SuspectHint) -> None:
         """Record a hold-out that another node of the zone shared."""
         now_s = time.monotonic()
         until_s = now_s + hint.held_out.held_out_ms / 1000
--- a/bench/retry_storm.py
+++ b/bench/retry_storm.py
@@ -77,7 +77,7 @@
         """Tell that a further attempt costs nothing."""
         return True
 
-    def patience_s(self, service, is_own, left_s, now_s, route_id=0):
+    def hedge_delay_s(self, service, is_own, left_s, now_s, route_id=0):
         """Return an equal share of the time for each attempt."""
         return left_s / 2
 
--- a/tests/test_caller_connections.py
+++ b/tests/test_caller_connections.py
@@ -5,7 +5,7 @@
 
 from testtools import TestCase
 
-from balsamspindle.requests.forwarded import StoppedBy
+from balsamspindle.requests.forwarded import StopReason
 from balsamspindle.timeline import parse_event
 from tests.caller_side import IngressFixture
 from tests.test_caller_side import GET, post
@@ -101,7 +101,7 @@
         wait_until(lambda: len(fixture.forwarder.forwarded) == 2, "one is busy")
         self.assertEqual(1, fixture.ingress.callers())
         fixture.forwarder.forwarded[1].cut_s = time.monotonic()
-        fixture.forwarder.forwarded[1].stopped_by = StoppedBy.NO_PLACE
+        fixture.forwarder.forwarded[1].stopped_by = StopReason.NO_PLACE
         fixture.ingress.stop()
         fixture.forwarder.hold.set()
         busy.read()
--- a/tests/test_ending_gates.py
+++ b/tests/test_ending_gates.py
@@ -262,7 +262,7 @@
         # attempt beside it a fifth of one when that answer came.
         took_s, asked = [], []
         policy = self.forwarder._retries
-        note = policy.note_answer
+        note = policy.record_answer
 
         def note_too(service, one_s, *rest):
             took_s.append(one_s)
@@ -275,7 +275,7 @@
             notice = (0.8, ending(dispatch)[1])
             return [notice, *((1.0, frame) for _, frame in answer(dispatch))]
 
-        self.patch(policy, "note_answer", note_too)
+        self.patch(policy, "record_answer", note_too)
         self.answers = dict.fromkeys(self.NAMES, slow_first)
         self.assertIs(Outcome.ANSWERED, self._request().outcome)
         self.assertEqual([], [one_s for one_s in took_s if one_s < 0.9])
--- a/tests/test_ending_ingresses.py
+++ b/tests/test_ending_ingresses.py
@@ -22,7 +22,7 @@
 from balsamspindle.protocol.outcomes import Execution, Outcome, Reason
 from balsamspindle.requests import links
 from balsamspindle.requests.links import LinkPool
-from balsamspindle.requests.waiting import Wait, wait_first
+from balsamspindle.requests.reply_wait import WaitOptions, wait_first
 from balsamspindle.settings.documents import RetryBudget, ServiceDocument
 from balsamspindle.settings.process import NodeSettings
 from balsamspindle.timeline import EventLog, HybridClock
@@ -120,7 +120,9 @@
         near, far = socket.socketpair()
         with near, far:
             deadline_s = time.monotonic() + PATIENCE_S
-            wait = Wait(deadline_s, near.fileno(), lambda: False, self.fail, **changes)
+            wait = WaitOptions(
+                deadline_s, near.fileno(), lambda: False, self.fail, **changes
+            )
             return wait_first({link: attempt_id}, wait)
 
 
@@ -177,7 +179,7 @@
             return ends_s
 
         with ThreadPoolExecutor(1) as executor:
-            waiting = executor.submit(self._wait, link, attempt_id, ends_s=leaves)
+            waiting = executor.submit(self._wait, link, attempt_id, node_ends_s=leaves)
             ends_s = time.monotonic() + 1.5 * USUAL_S
             reply = waiting.result(PATIENCE_S).reply
         self.assertEqual(
--- a/tests/test_health.py
+++ b/tests/test_health.py
@@ -76,8 +76,8 @@
     policy = RetryPolicy(lambda service: RetryBudget())
     for _ in range(known):
         driver.work()
-        policy.note_answer("service", 0.02, driver.health.own_limit_ms)
-    patience_ms = 1000 * policy.patience_s("service", True, 2.0, driver.now_s)
+        policy.record_answer("service", 0.02, driver.health.own_limit_ms)
+    patience_ms = 1000 * policy.hedge_delay_s("service", True, 2.0, driver.now_s)
     assert patience_ms < 2000
     hangs = {"result": WorkResult.SILENCE, "latency_ms": patience_ms}
     assert driver.requests_until(HealthPhase.HELD_OUT, **hangs) <= 3
--- a/tests/test_link_server_bound.py
+++ b/tests/test_link_server_bound.py
@@ -16,7 +16,7 @@
 from balsamspindle.backend_servers.servers import LocalBackendServers
 from balsamspindle.protocol.outcomes import Execution, Outcome, Reason
 from balsamspindle.requests.links import LinkPool
-from balsamspindle.requests.waiting import Wait, wait_first
+from balsamspindle.requests.reply_wait import WaitOptions, wait_first
 from balsamspindle.timeline import EventLog, HybridClock
 from balsamspindle.wire import AttemptId, Dispatch, Reply, checksum
 from tests.utils import free_address, wait_until
@@ -103,5 +103,5 @@
         near, far = socket.socketpair()
         with near, far:
             deadline_s = time.monotonic() + PATIENCE_S
-            wait = Wait(deadline_s, near.fileno(), lambda: False, self.fail)
+            wait = WaitOptions(deadline_s, near.fileno(), lambda: False, self.fail)
             return wait_first({link: attempt_id}, wait).reply
--- a/tests/test_links.py
+++ b/tests/test_links.py
@@ -12,7 +12,7 @@
 
 from balsamspindle.protocol.outcomes import CancelCause, Execution, Outcome, Reason
 from balsamspindle.requests import links
-from balsamspindle.requests.forwarded import StoppedBy
+from balsamspindle.requests.forwarded import StopReason
 from balsamspindle.requests.links import GateClock
 from balsamspindle.wire import (
     AttemptId,
@@ -300,9 +300,9 @@
         )
         idempotent = {"execution": Execution.IDEMPOTENT}
         ends = [
-            (2, idempotent | {"attempts_max": 1}, StoppedBy.ATTEMPTS_MAX),
-            (1, idempotent, StoppedBy.NO_PLACE),
-            (2, {}, StoppedBy.REPEAT_DENIED),
+            (2, idempotent | {"attempts_max": 1}, StopReason.ATTEMPTS_MAX),
+            (1, idempotent, StopReason.NO_PLACE),
+            (2, {}, StopReason.REPEAT_DENIED),
         ]
         for servers_count, route, expected in ends:
             ingress = self._ingress(address, servers_count)
--- a/tests/test_patience.py
+++ b/tests/test_peer_timeout.py
@@ -1,6 +1,6 @@
 """Timeouts that count only the time during which the process runs."""
 
-from balsamspindle.requests.patience import POLL_STEP_S, Patience
+from balsamspindle.requests.peer_timeout import POLL_STEP_S, PeerTimeout
 
 
 class Clock:
@@ -17,9 +17,9 @@
         self.now_s += max(step_s, self._pauses_s.pop(0) if self._pauses_s else 0.0)
         return False
 
-    def wait(self, patience_s: float, time_s: float = 60.0) -> bool:
-        patience = Patience(patience_s, self.now_s + time_s)
-        return patience.wait(self.poll, lambda: self.now_s)
+    def wait(self, timeout_s: float, time_s: float = 60.0) -> bool:
+        timeout = PeerTimeout(timeout_s, self.now_s + time_s)
+        return timeout.wait(self.poll, lambda: self.now_s)
 
 
 def test_a_stall_of_the_own_process_does_not_count_against_the_peer():
--- a/tests/test_placement_selection.py
+++ b/tests/test_placement_selection.py
@@ -80,7 +80,7 @@
             if selected.wait_max_ms is None or wait_ms <= selected.wait_max_ms:
                 return asked
             self.forwarded.tried.add(name)
-            self.forwarded.search.told_wait_ms[name] = wait_ms
+            self.forwarded.search.queue_wait_ms[name] = wait_ms
         return asked
 
     def test_the_own_zone_is_asked_first_and_a_free_slot_there_ends_the_search(self):
@@ -161,36 +161,36 @@
         # a wait may wait in another queue, but only for the rest of the half.
         self.forwarded.deadline_s = 10.0
         self.forwarded.search.step = Step.QUEUE
-        self.forwarded.search.told_wait_ms = dict.fromkeys(NEAR, 100.0)
+        self.forwarded.search.queue_wait_ms = dict.fromkeys(NEAR, 100.0)
         first = self.selector.select(self.forwarded, 0.0)
         second = self.selector.select(self.forwarded, 4.0)
         self.assertEqual((5000.0, 1000.0), (first.wait_max_ms, second.wait_max_ms))
-        self.forwarded.search.told_wait_ms = dict.fromkeys(NEAR, 100.0)
+        self.forwarded.search.queue_wait_ms = dict.fromkeys(NEAR, 100.0)
         self.assertIsNone(self.selector.select(self.forwarded, 5.0))
 
-    def test_queues_at_home_are_waited_in_for_a_bounded_time(self):
+    def test_the_wait_in_queues_of_the_own_zone_is_limited(self):
         # The gate reports 300 ms again and again, while the request has no slot
         # after 900 ms. Without a limit the request would wait there until its
         # deadline, although a gate of another zone has free slots.
         waits_ms = dict.fromkeys(NEAR, 300.0)
         self.assertEqual(3, len(self.asked(waits_ms)))
-        self.forwarded.search.told_wait_ms["near-0"] = 300.0
+        self.forwarded.search.queue_wait_ms["near-0"] = 300.0
         selected = self.selector.select(self.forwarded, 0.9)
         self.assertIn(selected.placement.backend_server.backend_server_id, FAR)
 
-    def test_a_queue_elsewhere_must_be_shorter_by_what_its_bytes_cost(self):
+    def test_a_queue_elsewhere_must_be_shorter_by_the_cost_of_its_traffic(self):
         # All gates are busy. An answer of 2.5 KB from another zone costs as much as
         # a wait of 700 ms, so that a queue there which is hardly shorter is not
         # joined.
         self.forwarded.search.step = Step.QUEUE
-        self.forwarded.search.told_wait_ms = {"near-0": 3000.0, "far-0": 2500.0}
+        self.forwarded.search.queue_wait_ms = {"near-0": 3000.0, "far-0": 2500.0}
         selected = self.selector.select(self.forwarded, 0.0)
         self.assertEqual("near-0", selected.placement.backend_server.backend_server_id)
-        self.forwarded.search.told_wait_ms = {"near-0": 3000.0, "far-0": 2000.0}
+        self.forwarded.search.queue_wait_ms = {"near-0": 3000.0, "far-0": 2000.0}
         selected = self.selector.select(self.forwarded, 0.0)
         self.assertEqual("far-0", selected.placement.backend_server.backend_server_id)
 
-    def test_short_queues_told_to_others_go_before_suspected_ones(self):
+    def test_short_queues_reported_to_other_requests_go_before_suspected_servers(self):
         # The only healthy gate reported a queue of 200 ms to other requests. A call
         # that does not ask it itself must not go to a suspected backend server, where
         # it fails, and its parent request with it, with 700 ms left.
@@ -220,7 +220,7 @@
         [(name, _)] = self.asked(dict.fromkeys(FAR, 0.0))
         self.assertIn(name, FAR)
 
-    def test_the_last_resort_is_one_with_a_single_error(self):
+    def test_the_last_resort_is_a_backend_server_with_a_single_error(self):
         # All backend servers are suspected. One that fails all requests does so
         # within a millisecond and has all slots free; one with a single error is
         # busy. Selected by free slots alone, four of five last resorts fail.
@@ -250,7 +250,7 @@
                 account.give_back(WorkEnd.ANSWERED, each_s, now_s, kind)
             now_s += 1.0
 
-    def test_long_light_work_leaves_slots_to_the_calls_that_others_wait_for(self):
+    def test_slots_are_kept_for_heavier_calls_while_long_light_requests_run(self):
         # Light requests of 1.3 s fill all slots. Heavier calls of 0.13 s, 13 per
         # second, which other requests wait for, would be late although they are first
         # in the queue: a slot becomes free only when a light request ends.
@@ -285,7 +285,7 @@
         self.assertEqual(3, account.kept_for_heavier(0.3, self.SLOTS, 10.0))
         self.assertEqual(0, account.kept_for_heavier(0.3, self.SLOTS, 60.0))
 
-    def test_who_goes_first_counts_for_how_long_others_wait(self):
+    def test_the_expected_wait_counts_slots_used_by_heavier_requests(self):
         # Heavy requests always use five of six slots, which leaves one for the light
         # ones. If a light request were told the wait for six slots, it would join a
         # queue in which it is not served in time.
@@ -336,7 +336,7 @@
         self.assertIs(Verdict.START, self.ask(queue, fresh, 1, 0.5))
         self.assertIs(Verdict.START, self.ask(queue, late, 1, 0.5))
 
-    def test_one_whose_run_was_cut_does_not_give_way_for_being_late(self):
+    def test_a_request_whose_run_was_cut_is_not_put_back_for_being_late(self):
         # A request whose run was cut when its node left is late because of that.
         # Behind all new requests it would not be served at all.
         queue = SlotQueue(10)
--- a/tests/test_retries.py
+++ b/tests/test_retries.py
@@ -101,7 +101,7 @@
 
     def test_no_attempt_begins_that_could_not_end_in_time(self):
         policy = RetryPolicy(lambda service: BUDGET)
-        policy.note_answer(SERVICE, 0.5)
+        policy.record_answer(SERVICE, 0.5)
         silent = [Reply(ATTEMPT, Outcome.UNKNOWN, Reason.SILENCE)]
         arguments = SERVICE, Execution.IDEMPOTENT, silent
         self.assertFalse(policy.may_retry(*arguments, 0.4, 0.0))
@@ -111,17 +111,17 @@
         # An attempt at the own gate is ended after this time. If it ended sooner, a
         # backend server that hangs would give no evidence and never be detected.
         policy = RetryPolicy(lambda service: BUDGET)
-        policy.note_answer(SERVICE, 0.01, limit_ms=30.0)
+        policy.record_answer(SERVICE, 0.01, limit_ms=30.0)
         near_s, far_s = (
-            policy.patience_s(SERVICE, is_own, 2.0, 0.0) for is_own in (True, False)
+            policy.hedge_delay_s(SERVICE, is_own, 2.0, 0.0) for is_own in (True, False)
         )
         self.assertGreaterEqual(near_s, 0.09)
         self.assertLess(far_s, 0.09)
         # A second attempt would not end in time: the first has all of the time.
-        self.assertEqual(0.1, policy.patience_s(SERVICE, True, 0.1, 0.0))
+        self.assertEqual(0.1, policy.hedge_delay_s(SERVICE, True, 0.1, 0.0))
         while policy.may_hedge(SERVICE, 0.0):
             pass
-        self.assertEqual(2.0, policy.patience_s(SERVICE, False, 2.0, 0.0))
+        self.assertEqual(2.0, policy.hedge_delay_s(SERVICE, False, 2.0, 0.0))
 
     def test_a_retry_paid_for_in_advance_is_made_or_given_back(self):
         # A silent attempt at the own gate is ended, to be retried elsewhere. If other
@@ -152,8 +152,8 @@
             replies.append(denial)
         self.assertEqual(1 + DENIALS_MAX, len(replies))
         # An attempt at the own gate isn't ended for a retry that may be denied.
-        self.assertEqual(2.0, policy.patience_s(SERVICE, True, 2.0, 0.0))
-        self.assertLess(policy.patience_s(SERVICE, False, 2.0, 0.0), 2.0)
+        self.assertEqual(2.0, policy.hedge_delay_s(SERVICE, True, 2.0, 0.0))
+        self.assertLess(policy.hedge_delay_s(SERVICE, False, 2.0, 0.0), 2.0)
 
     def test_the_high_latency_estimate_is_near_the_95th_percentile(self):
         rng, estimate = random.Random(5), LatencyEstimate()
--- a/tests/test_siblings.py
+++ b/tests/test_siblings.py
@@ -8,7 +8,7 @@
 
 from balsamspindle.backend_servers.queue import SlotQueue, Ticket, Verdict
 from balsamspindle.protocol.outcomes import Execution
-from balsamspindle.requests.siblings import Siblings
+from balsamspindle.requests.siblings import SiblingRanks
 from balsamspindle.settings.documents import RouteDocument
 
 GATES, SLOTS = 9, 2
@@ -40,7 +40,7 @@
     def __init__(self, seed: int, is_ranked: bool) -> None:
         self._random = random.Random(seed)
         self._is_ranked = is_ranked
-        self._siblings = Siblings(random.Random(seed))
+        self._siblings = SiblingRanks(random.Random(seed))
         self._queues = [SlotQueue(64) for _ in range(GATES)]
         self._busy = [0] * GATES
         self._waiting: list[list[_Call]] = [[] for _ in range(GATES)]
@@ -138,7 +138,7 @@
             self.assertLess(ranked.runs, 1.02 * unranked.runs)
 
     def test_calls_of_one_parent_have_one_rank(self):
-        siblings = Siblings(random.Random(1))
+        siblings = SiblingRanks(random.Random(1))
         ranks = []
         for number in range(40):
             now_s = float(number)
@@ -152,7 +152,7 @@
     def test_requests_that_arrive_alone_are_not_ranked(self):
         # A few callers' requests per second at one node, all with the same time limit:
         # fewest of them are late if served by deadline.
-        siblings, draw, now_s = Siblings(random.Random(1)), random.Random(2), 0.0
+        siblings, draw, now_s = SiblingRanks(random.Random(1)), random.Random(2), 0.0
         ranks = []
         for _ in range(500):
             now_s += draw.expovariate(2.0)
--- a/tests/test_zone_hints.py
+++ b/tests/test_zone_hints.py
@@ -30,31 +30,31 @@
             lambda: self.suspects,
         )
 
-    def tell(self, held_out_ms, now_s, zone="there"):
-        self.hints.tell(node("gate", zone), "server", HeldOut(held_out_ms, 1), now_s)
+    def share(self, held_out_ms, now_s, zone="there"):
+        self.hints.share(node("gate", zone), "server", HeldOut(held_out_ms, 1), now_s)
 
     def test_a_hold_out_in_another_zone_is_shared_once(self):
-        self.tell(500.0, 10.0)
+        self.share(500.0, 10.0)
         self.assertEqual(
             [("at-mate", SuspectHint("server", HeldOut(500.0, 1)))], self.sent
         )
-        self.tell(450.0, 10.05)
+        self.share(450.0, 10.05)
         self.assertEqual(1, len(self.sent))
-        self.tell(2000.0, 10.1)
+        self.share(2000.0, 10.1)
         self.assertEqual(2, len(self.sent))
 
     def test_hold_outs_in_the_own_zone_and_replies_without_one_are_not_shared(self):
-        self.tell(500.0, 10.0, zone="here")
-        self.tell(0.0, 10.0)
+        self.share(500.0, 10.0, zone="here")
+        self.share(0.0, 10.0)
         self.assertEqual([], self.sent)
 
     def test_a_received_hint_is_recorded_and_not_forwarded(self):
-        self.hints.take(SuspectHint("server", HeldOut(60_000.0, 1)))
+        self.hints.receive(SuspectHint("server", HeldOut(60_000.0, 1)))
         self.assertEqual({"server"}, self.suspects.at(time.monotonic()))
         self.assertEqual([], self.sent)
 
     def test_hints_are_sent_to_a_limited_number_of_nodes(self):
         for number in range(100):
             self.directory.update(node(f"mate-{number}", "here"), 0.0)
-        self.tell(500.0, 10.0)
+        self.share(500.0, 10.0)
         self.assertEqual(PEERS_MAX, len(self.sent))
