--- /dev/null
+++ b/balsamspindle/requests/admission_queries.py
@@ -0,0 +1,141 @@
+"""Queries whether a gate would admit an attempt, before the attempt is sent.
+
+Gates in other zones refuse two of three attempts that look for a free slot. An
+attempt carries its whole request, at least 0.7 KB, and traffic between zones is paid
+for by the byte. A query and its answer take 0.2 KB and a round trip. The gate
+reserves nothing: if the slot is taken by the time the attempt arrives, it is refused.
+
+Attempts with large bodies are preceded by a query within the zone, too. Gates of a
+busy service refuse three of four attempts. With bodies of 60 KB on 10 Mbit/s links,
+the refused attempts fill a quarter of each gate's link. Queries and short requests
+are then delayed by a quarter of a second, and the gate is taken for unreachable.
+"""
+
+import itertools
+import time
+from collections.abc import Callable
+from typing import NamedTuple
+
+from balsamspindle.membership.directory import Placement
+from balsamspindle.protocol.outcomes import Reason
+from balsamspindle.requests.forwarded import ForwardedRequest, Step, route_id
+from balsamspindle.requests.gate_links import GateLinks
+from balsamspindle.requests.links import Link
+from balsamspindle.timeline import EventLog
+from balsamspindle.wire import SERVES, HeldOut, NodeRecord, Question, Told
+
+__all__ = ["DeclinedAttempt", "AdmissionQueries"]
+
+# On a 10 Mbit/s link a body of this size takes as long as a query and its answer
+# within a zone, including the processing at both ends.
+LARGE_BODY_BYTES = 8 * 1024
+# Several round trips; a query costs the gate almost no work.
+QUERY_TIMEOUT_S = 0.25
+
+
+class DeclinedAttempt(NamedTuple):
+    """An attempt that was not sent, because its gate would have refused it.
+
+    Attributes
+    ----------
+    reason : Reason
+        ``UNREACHABLE`` if the gate did not answer.
+    wait_ms : float
+        Expected wait for a slot, or how long the request stays blocked as one that
+        crashes backend servers; 0 with other reasons.
+    held_out : HeldOut
+        The hold-out of the backend server, as the gate reported it.
+    """
+
+    reason: Reason
+    wait_ms: float = 0.0
+    held_out: HeldOut = SERVES
+
+
+class AdmissionQueries:
+    """Sends queries to gates, mostly in other zones."""
+
+    def __init__(
+        self,
+        own: NodeRecord,
+        links: GateLinks,
+        events: EventLog,
+        clock: Callable[[], float] = time.monotonic,
+    ) -> None:
+        self._own = own
+        self._links = links
+        self._events = events
+        self._clock = clock
+        self._numbers = itertools.count(1)
+
+    def should_query(self, forwarded: ForwardedRequest, placement: Placement) -> bool:
+        """Return whether to query the gate before the attempt is sent.
+
+        Last-resort attempts are rarely refused, and an attempt that queues is refused
+        only later. In both cases a query pays off only for a large body.
+        """
+        if len(forwarded.request.body) >= LARGE_BODY_BYTES:
+            return True
+        is_other_zone = placement.node.availability_zone != self._own.availability_zone
+        seeks_free_slot = forwarded.search.step is Step.FAR
+        return is_other_zone and seeks_free_slot and not forwarded.is_last_resort
+
+    def query(
+        self, forwarded: ForwardedRequest, placement: Placement
+    ) -> Link | DeclinedAttempt:
+        """Return the link for sending the attempt, or why it must not be sent."""
+        now_s = self._clock()
+        link = self._links.take(
+            placement, forwarded.route.execution, forwarded.deadline_s, now_s
+        )
+        if link is None:
+            return self._log_declined(
+                forwarded, placement, DeclinedAttempt(Reason.UNREACHABLE)
+            )
+        match link.ask(
+            self._build_question(forwarded, placement), now_s + QUERY_TIMEOUT_S
+        ):
+            case None:
+                link.close()
+                self._links.record_unreachable(placement, self._clock())
+                declined = DeclinedAttempt(Reason.UNREACHABLE)
+            case Told(reason=None):
+                return link
+            case Told() as told:
+                self._links.give_back(link)
+                declined = DeclinedAttempt(told.reason, told.wait_ms, told.held_out)
+        return self._log_declined(forwarded, placement, declined)
+
+    def _build_question(self, forwarded, placement) -> Question:
+        route, now_s = forwarded.route, self._clock()
+        return Question(
+            next(self._numbers),
+            route.service,
+            placement.backend_server.backend_server_id,
+            route.execution,
+            (forwarded.deadline_s - now_s) * 1000,
+            route.weight,
+            forwarded.wait_max_ms,
+            forwarded.target_left_ms(now_s),
+            route_id(route),
+            is_last_resort=forwarded.is_last_resort,
+            was_cut=forwarded.was_cut,
+            rank_ms=forwarded.rank_ms,
+            content=forwarded.content,
+            customer=forwarded.customer,
+            is_last_try=forwarded.sends + 1 >= route.attempts_max,
+        )
+
+    def _log_declined(
+        self, forwarded, placement, declined: DeclinedAttempt
+    ) -> DeclinedAttempt:
+        self._events.emit(
+            "attempt_declined",
+            request=forwarded.request_id,
+            backend_server=placement.backend_server.backend_server_id,
+            gate=placement.node.node_id,
+            cause=declined.reason,
+            wait_ms=round(declined.wait_ms) or None,
+            held_out_ms=round(declined.held_out.held_out_ms) or None,
+        )
+        return declined
--- a/balsamspindle/requests/answers.py
+++ b/balsamspindle/requests/answers.py
@@ -1,4 +1,4 @@
-"""Answers to callers, as bytes."""
+"""Encodes HTTP responses to callers."""
 
 import math
 from functools import lru_cache
@@ -12,25 +12,24 @@
 
 __all__ = ["NOT_RUN_STATUSES", "encode_answer", "encode_problem"]
 
-# Of a key in a header of its own.
+# Scheme in WWW-Authenticate: the key is sent in a header of its own.
 AUTHENTICATION_SCHEME = "ApiKey"
 _PHRASES = {status.value: status.phrase for status in HTTPStatus}
 _BODILESS_STATUSES = frozenset({204, 304})
-# Statuses that promise: the request was not run and never will be.
+# Statuses by which callers know that the request was not run and never will be.
 NOT_RUN_STATUSES = frozenset({408, 421, 429, 503})
-# Said in place of one of them when an attempt may have run after all.
+# Replaces one of these statuses when an attempt may have run.
 UNKNOWN_STATUS = 502
-# Said in place of these where nothing ran: they promise nothing, and the caller of a
-# request that must not run twice could not send it again.
+# Replaces 502 and 504 when nothing ran. With these statuses the request may have run,
+# so the caller of a non-idempotent request could not send it again.
 NOT_RUN_STATUS = 503
-_UNPROMISING_STATUSES = frozenset({502, 504})
+_AMBIGUOUS_STATUSES = frozenset({502, 504})
 
 
 @lru_cache(maxsize=8)
-def _own_headers(names: HeaderNames) -> frozenset[str]:
-    # A backend server that says "answered" or "not run" of itself would have
-    # the fleet's word on what it can't know; two lengths would split the
-    # answer.
+def _replaced_headers(names: HeaderNames) -> frozenset[str]:
+    # Backend servers must not set the outcome, which only the fleet can know. Two
+    # Content-Length headers would let the response be split.
     return HOP_BY_HOP_HEADERS | {
         "content-length",
         names.outcome.lower(),
@@ -47,9 +46,11 @@
     is_head: bool,
     names: HeaderNames = DEFAULT_HEADER_NAMES,
 ) -> bytes:
-    """Return a backend server's answer, marked as answered."""
-    own = _own_headers(names)
-    lines = [f"{name}: {value}" for name, value in headers if name.lower() not in own]
+    """Encode a backend server's response, with the outcome `answered`."""
+    replaced = _replaced_headers(names)
+    lines = [
+        f"{name}: {value}" for name, value in headers if name.lower() not in replaced
+    ]
     return _encode(
         status, lines, body, Outcome.ANSWERED, request_id, keep_alive, is_head, names
     )
@@ -67,27 +68,27 @@
     names: HeaderNames = DEFAULT_HEADER_NAMES,
     retry_after_decimals: int = 0,
 ) -> bytes:
-    """Return an answer of our own: a JSON problem and its headers.
+    """Encode a response of the fleet's own: a JSON problem and its headers.
 
     Parameters
     ----------
     detail : str, optional
-        One more sentence on this request.
+        An additional sentence about this request.
     allow : tuple of str
-        Methods that the target takes, for a 405.
+        Methods that the target supports, for a 405.
     retry_after_ms : float, default=0
-        When this caller may come back; the reason's own time when 0.
+        When this caller may retry; 0 for the default of the reason.
     retry_after_decimals : int, default=0
-        Of the header's seconds. The standard has whole seconds only, so the
-        body tells the time as well.
+        Decimal places of the Retry-After header. The standard allows only whole
+        seconds, so the body has the time in milliseconds as well.
     """
     problem = PROBLEMS[reason]
     status = problem.status
     if outcome is not Outcome.NOT_RUN and status in NOT_RUN_STATUSES:
-        # The last attempt was refused and an earlier one may have run: the
-        # refusal's status would let the caller run the request a second time.
+        # The last attempt was refused, but an earlier one may have run. The status of
+        # the refusal would allow the caller to run the request a second time.
         status = UNKNOWN_STATUS
-    if outcome is Outcome.NOT_RUN and status in _UNPROMISING_STATUSES:
+    if outcome is Outcome.NOT_RUN and status in _AMBIGUOUS_STATUSES:
         status = NOT_RUN_STATUS
     body = {
         "title": problem.sentence,
@@ -106,7 +107,7 @@
     if allow:
         lines.append(f"Allow: {', '.join(allow)}")
     if status == HTTPStatus.UNAUTHORIZED:
-        # RFC 9110, 15.5.2: a 401 names at least one way to authenticate.
+        # RFC 9110, 15.5.2: a 401 names at least one authentication scheme.
         lines.append(f"WWW-Authenticate: {AUTHENTICATION_SCHEME}")
     return _encode(
         status,
@@ -121,7 +122,7 @@
 
 
 def _seconds(duration_ms: float, decimals: int) -> str:
-    """Return a time in seconds, rounded up: nobody is asked back too early."""
+    """Format a duration in seconds, rounded up so that no caller retries early."""
     scale = 10**decimals
     return f"{math.ceil(duration_ms / 1000 * scale) / scale:.{decimals}f}"
 
--- a/balsamspindle/requests/attempt_ends.py
+++ b/balsamspindle/requests/attempt_outcomes.py
@@ -1,4 +1,4 @@
-"""How the wait for attempts over links ended, and what is said of it."""
+"""Outcomes of attempts that an ingress sent over links."""
 
 import time
 from collections.abc import Callable
@@ -12,10 +12,10 @@
 from balsamspindle.wire import Reply
 from balsamspindle.wire.replies import is_refusal
 
-__all__ = ["AttemptEnds", "is_answered"]
+__all__ = ["AttemptOutcomes", "is_answered"]
 
-# Why nobody knows what became of an attempt that was given up.
-_UNANSWERED = {
+# Causes in the log for attempts that ended without a reply.
+_UNANSWERED_CAUSES = {
     CancelCause.CALLER_LEFT: "the caller left",
     CancelCause.DEADLINE: "no reply in time",
     CancelCause.INGRESS_LEAVING: "this node is leaving",
@@ -23,13 +23,13 @@
 }
 
 
-class AttemptEnds:
-    """Tells the outcome of attempts that one ingress waited for.
+class AttemptOutcomes:
+    """Determines and logs how attempts over links ended.
 
     Parameters
     ----------
     is_given_up : callable
-        Tells whether the node stopped waiting for all replies.
+        Returns whether the node has stopped waiting for all replies.
     """
 
     def __init__(
@@ -42,20 +42,23 @@
         self._clock = clock
         self._is_given_up = is_given_up
 
-    def reply(
+    def final_reply(
         self,
         forwarded: ForwardedRequest,
         attempts: list[SentAttempt],
         waited: WaitResult | None,
     ) -> Reply:
-        """Return what came of attempts that were waited for."""
+        """Return the reply for a group of attempts at one request.
+
+        Without any reply this is an `unknown` outcome with reason `silence`.
+        """
         if waited is None:
             for sent in attempts:
-                self._note_unanswered(forwarded, sent)
+                self._log_unanswered(forwarded, sent)
             attempt_id = attempts[0].dispatch.attempt_id
             return Reply(attempt_id, Outcome.UNKNOWN, Reason.SILENCE)
         reply = waited.reply
-        # Another attempt may run or have run, unless its gate refused it.
+        # Each other attempt may be running or have run, unless its gate refused it.
         forwarded.may_have_run |= any(
             not _was_refused(waited.replies.get(sent.link))
             for sent in attempts
@@ -65,10 +68,10 @@
         note_reply(forwarded.claimant, reply)
         return reply
 
-    def why_given_up(
-        self, forwarded: ForwardedRequest, waited: WaitResult | None = None
+    def cancel_cause(
+        self, forwarded: ForwardedRequest, waited: Waited | None = None
     ) -> CancelCause:
-        """Tell why no reply is waited for any more."""
+        """Return the cause to give when the remaining attempts are cancelled."""
         if is_answered(waited):
             return CancelCause.ANSWERED_ELSEWHERE
         if forwarded.caller.caller_gone():
@@ -79,19 +82,19 @@
             return CancelCause.INGRESS_LEAVING
         return CancelCause.INGRESS_GAVE_UP
 
-    def _note_unanswered(self, forwarded: ForwardedRequest, sent: SentAttempt) -> None:
-        """Say why nobody knows what became of an attempt."""
+    def _log_unanswered(self, forwarded: ForwardedRequest, sent: SentAttempt) -> None:
+        """Log why the outcome of an attempt is unknown."""
         self._events.emit(
             "attempt_unanswered",
             request=forwarded.request_id,
             backend_server=sent.dispatch.backend_server_id,
             gate=sent.gate,
-            cause=_UNANSWERED[self.why_given_up(forwarded)],
+            cause=_UNANSWERED_CAUSES[self.cancel_cause(forwarded)],
         )
 
 
-def is_answered(waited: WaitResult | None) -> bool:
-    """Tell whether a backend server's answer ended the wait."""
+def is_answered(waited: Waited | None) -> bool:
+    """Return whether the wait ended with an answer from a backend server."""
     return waited is not None and waited.reply.outcome is Outcome.ANSWERED
 
 
--- a/balsamspindle/requests/attempts.py
+++ b/balsamspindle/requests/attempts.py
@@ -1,4 +1,4 @@
-"""One attempt of a request: at this node's gate, or over a link."""
+"""Attempts at a request: at this node's own gate, or over links to others."""
 
 import itertools
 import time
@@ -35,7 +35,14 @@
 
 
 class AttemptSender:
-    """Sends attempts and waits for their replies."""
+    """Sends attempts to gates and waits for their replies.
+
+    Parameters
+    ----------
+    on_suspect : callable, optional
+        Called with a gate's node, a backend server's id, the hold-out that the gate
+        reported in a reply and the time.
+    """
 
     def __init__(
         self,
@@ -57,48 +64,55 @@
         self._watch = CallerWatch(
             partial(gate.cancel, cause=CancelCause.OWN_CALLER_LEFT)
         )
-        self._peers = PeerEvidenceTracker()
+        self._peer_evidence = PeerEvidenceTracker()
         self._sequence = itertools.count(1)
         self.suspects = Suspects()
         self.queue_hints = QueueHints()
-        self._over_links = LinkAttempts(
-            own, self._links, events, clock, self._message, self._track, self.next_id
+        self._link_attempts = LinkAttempts(
+            own,
+            self._links,
+            events,
+            clock,
+            self._build_dispatch,
+            self._track,
+            self.next_id,
         )
 
     @property
     def link_hold_outs(self) -> HoldOuts:
-        """Nodes that this one could not reach, by id."""
+        """Nodes that this node could not reach, by id."""
         return self._links.hold_outs
 
     def next_id(self) -> AttemptId:
-        """Return an id that was never used."""
+        """Return a new attempt id."""
         return AttemptId(self._own.node_id, self._own.incarnation, next(self._sequence))
 
     def end_by(self, ends_s: float) -> None:
-        """Have gates start only what can end until then: this node is going."""
-        self._over_links.end_by(ends_s)
+        """Set when this node ends; gates start only requests that finish by then."""
+        self._link_attempts.end_by(ends_s)
 
     def give_up(self) -> None:
-        """End the waiting for all replies."""
-        self._over_links.give_up()
+        """Stop waiting for the replies to all attempts, and send no new ones."""
+        self._link_attempts.give_up()
 
     def reply_beside(self, forwarded: ForwardedRequest) -> Reply | None:
-        """Return the reply to an attempt that was left open, when all else failed.
+        """Return a reply to a parked attempt, after all other attempts failed.
 
-        Where it was cut, others may have a free slot by now.
+        Waits for it if it has not arrived. None if no attempt was parked. A run that
+        was cut may be tried again: other backend servers may have free slots by now.
         """
         if forwarded.parked_replies:
             return forwarded.parked_replies.pop()
         if forwarded.parked:
-            return self._over_links.wait_parked(forwarded)
+            return self._link_attempts.wait_parked(forwarded)
         return None
 
     def leave_parked(self, forwarded: ForwardedRequest, has_answer: bool) -> None:
-        """Cancel the attempt that was left open, if it still is."""
-        self._over_links.leave_parked(forwarded, has_answer)
+        """Cancel the parked attempt if it is still open."""
+        self._link_attempts.cancel_parked(forwarded, has_answer)
 
     def is_own(self, placement: Placement) -> bool:
-        """Tell whether a place is at this node's gate."""
+        """Return whether a placement is at this node's own gate."""
         return placement.node.node_id == self._own.node_id
 
     def send(
@@ -108,24 +122,28 @@
         wait_max_ms: float | None = None,
         hedge: Hedge | None = None,
     ) -> Reply:
-        """Make one attempt, and a second one beside it if it is silent.
+        """Make an attempt, and a second one in parallel if no reply comes.
 
         Parameters
         ----------
         wait_max_ms : float or None
-            How long it may wait for a slot at the gate.
+            How long the attempt may wait for a slot at the gate; None: until its
+            deadline.
+        rescue : Rescue or None
+            When and where to make a second attempt; None for no second attempt.
         """
         forwarded.wait_max_ms = wait_max_ms
         if self.is_own(placement):
-            reply = self._send_here(forwarded, placement, hedge)
+            reply = self._send_to_own_gate(forwarded, placement, rescue)
         else:
-            reply = self._over_links.send(forwarded, placement, hedge)
+            reply = self._link_attempts.send(forwarded, placement, rescue)
         forwarded.may_have_run |= reply.outcome is Outcome.UNKNOWN
         return reply
 
-    def _message(
+    def _build_dispatch(
         self, forwarded: ForwardedRequest, placement: Placement, deadline_s: float
     ) -> Dispatch:
+        """Count and log an attempt; return the message for it."""
         request, route = forwarded.request, forwarded.route
         server_id = placement.backend_server.backend_server_id
         is_repeat = forwarded.sends > 0
@@ -158,7 +176,7 @@
             body_checksum=checksum(request.body),
             idempotency_key=forwarded.idempotency_key,
             hlc=hlc,
-            peers=self._peers.about(route.service, server_id, self._clock()),
+            peers=self._peer_evidence.about(route.service, server_id, self._clock()),
             caller_service=forwarded.caller_service,
             is_last_resort=forwarded.is_last_resort,
             wait_max_ms=forwarded.wait_max_ms,
@@ -166,7 +184,7 @@
             route_id=route_id(route),
             is_repeat=is_repeat,
             repeated_part=self._gate.repeated_part(),
-            ingress_left_ms=self._over_links.left_ms(),
+            ingress_left_ms=self._link_attempts.left_ms(),
             was_cut=forwarded.was_cut,
             rank_ms=forwarded.rank_ms,
             content=forwarded.content,
@@ -174,33 +192,33 @@
             is_last_try=not forwarded.may_send(),
         )
 
-    def _send_here(self, forwarded, placement, hedge: Hedge | None) -> Reply:
-        # The task makes the call to the backend server itself and can't look
-        # after a second attempt meanwhile: it ends a silent one instead.
+    def _send_to_own_gate(self, forwarded, placement, rescue: Rescue | None) -> Reply:
+        # This thread makes the call to the backend server itself and cannot start a
+        # second attempt in parallel. It ends a silent attempt early instead.
         deadline_s = forwarded.deadline_s
-        if hedge is not None:
-            deadline_s = min(deadline_s, self._clock() + hedge.hedge_delay_s)
-        dispatch = self._message(forwarded, placement, deadline_s)
+        if rescue is not None:
+            deadline_s = min(deadline_s, self._clock() + rescue.patience_s)
+        dispatch = self._build_dispatch(forwarded, placement, deadline_s)
         own = GateIdentity(self._own.node_id, self._own.incarnation)
         claimed = with_claim(forwarded.claimant, dispatch, own, self._clock())
         if isinstance(claimed, Reply):
             return claimed
         tracked = self._track(forwarded, placement)
-        reply = answer = None
+        reply = parked_answer = None
         try:
             with self._watch.watching(dispatch.attempt_id, forwarded.caller):
-                reply, answer = self._handle_beside_parked(forwarded, claimed)
+                reply, parked_answer = self._handle_at_own_gate(forwarded, claimed)
         finally:
             tracked.end(reply)
-        if answer is None:
-            forwarded.record_cut(reply, self._clock())
+        if parked_answer is None:
+            forwarded.note_cut(reply, self._clock())
         note_reply(forwarded.claimant, reply)
-        return reply if answer is None or is_success(reply) else answer
+        return reply if parked_answer is None or is_success(reply) else parked_answer
 
-    def _handle_beside_parked(
+    def _handle_at_own_gate(
         self, forwarded: ForwardedRequest, dispatch: Dispatch
     ) -> tuple[Reply, Reply | None]:
-        """Run an attempt at the own gate; return the answer to one left open, too."""
+        """Return the own gate's reply, and a parked attempt's successful reply."""
         if not forwarded.parked:
             return self._gate.handle(dispatch, self._clock()), None
         cancel = partial(
@@ -208,22 +226,22 @@
             dispatch.attempt_id,
             cause=CancelCause.ANSWERED_ELSEWHERE,
         )
-        with self._over_links.listening(forwarded, cancel) as heard:
+        with self._link_attempts.listening_for_parked(forwarded, cancel) as parked:
             reply = self._gate.handle(dispatch, self._clock())
-        return reply, heard.answer
+        return reply, parked.answer
 
     def _track(self, forwarded, placement) -> TrackedAttempt:
         return TrackedAttempt(
             forwarded,
             placement,
             self._free_slots,
-            self._peers,
-            self._note_suspect,
+            self._peer_evidence,
+            self._record_suspect,
             self.queue_hints,
             self._clock,
         )
 
-    def _note_suspect(
+    def _record_suspect(
         self, placement: Placement, held_out: HeldOut, now_s: float
     ) -> None:
         server_id = placement.backend_server.backend_server_id
--- a/balsamspindle/requests/caller_terms.py
+++ b/balsamspindle/requests/caller_terms.py
@@ -1,4 +1,4 @@
-"""What callers may send to this node and how they are answered."""
+"""The HTTP interface to callers: limits, request headers and responses."""
 
 import os
 import random
@@ -15,18 +15,18 @@
 
 __all__ = ["CallerTerms", "new_request_id"]
 
-_is_request_id = re.compile(r"[A-Za-z0-9._:-]{1,128}").fullmatch
-_is_timeout = re.compile(r"[0-9]{1,9}(\.[0-9]{1,6})?").fullmatch
+_match_request_id = re.compile(r"[A-Za-z0-9._:-]{1,128}").fullmatch
+_match_timeout = re.compile(r"[0-9]{1,9}(\.[0-9]{1,6})?").fullmatch
 _request_ids = random.Random(os.urandom(32))
 
 
 def new_request_id() -> str:
-    """Return an id for a request whose caller gave none."""
+    """Return a random id for a request that came without one."""
     return f"{_request_ids.getrandbits(128):032x}"
 
 
 class CallerTerms:
-    """Limits, names and forms between this node and its callers."""
+    """Reads callers' request headers and encodes responses, as configured."""
 
     def __init__(
         self, settings: NodeSettings, configuration: CurrentConfiguration
@@ -36,7 +36,7 @@
         self._configuration = configuration
 
     def limits(self) -> HttpLimits:
-        """Return the limits in force: the fleet's, or this process's own."""
+        """Return the fleet's limits for callers, else this process's own."""
         settings, configuration = self._settings, self._configuration.get()
         limits = HttpLimits(
             body_max_bytes=settings.request_body_max_bytes,
@@ -49,42 +49,42 @@
             return limits
         return limits._replace(
             head_max_bytes=fleet.head_max_bytes,
-            # A body is held whole, several times over on its way; what this
-            # process can hold bounds what the fleet allows.
+            # A request body is kept in memory in several copies. This process's own
+            # limit, set by its memory, caps the fleet's.
             body_max_bytes=min(fleet.body_max_bytes, settings.request_body_max_bytes),
             idle_timeout_s=fleet.idle_timeout_ms / 1000,
             head_timeout_s=fleet.head_timeout_ms / 1000,
         )
 
     def request_id(self, request: CallerRequest) -> str:
-        """Return the caller's own id where it is harmless, else a new one."""
+        """Return the caller's request id if it is well-formed, else a new one."""
         given = request.noted.get(self._names.request_id.lower())
-        if given is not None and _is_request_id(given):
+        if given is not None and _match_request_id(given):
             return given
         return new_request_id()
 
     def timeout_ms(self, request: CallerRequest, route: RouteDocument) -> float:
-        """Return the shorter of the caller's and the route's time.
+        """Return the shorter of the caller's and the route's time-outs.
 
         Raises
         ------
         BadRequest
-            When the caller's time is no positive number.
+            If the caller's time-out is not a positive number.
         """
-        asked = request.noted.get(self._names.timeout_ms.lower())
-        if asked is None:
+        requested = request.noted.get(self._names.timeout_ms.lower())
+        if requested is None:
             return route.timeout_ms
-        if not _is_timeout(asked) or float(asked) == 0:
+        if not _match_timeout(requested) or float(requested) == 0:
             raise BadRequest(
                 Reason.BAD_TIMEOUT,
                 f"{self._names.timeout_ms} must be a positive number of milliseconds.",
             )
-        return min(route.timeout_ms, float(asked))
+        return min(route.timeout_ms, float(requested))
 
     def encode_reply(
         self, reply: Reply, request: CallerRequest, request_id: str, keep_alive: bool
     ) -> bytes:
-        """Return what a caller is sent for a reply."""
+        """Encode the response to a caller for a reply."""
         is_head = request.method == "HEAD"
         if reply.outcome is Outcome.ANSWERED:
             return encode_answer(
@@ -116,7 +116,7 @@
         allow: tuple[str, ...] = (),
         retry_after_ms: float = 0.0,
     ) -> bytes:
-        """Return an answer of our own; see `answers.encode_problem`."""
+        """Encode a response of the fleet's own; see `answers.encode_problem`."""
         return encode_problem(
             reason,
             outcome,
--- a/balsamspindle/requests/content.py
+++ b/balsamspindle/requests/content.py
@@ -1,4 +1,4 @@
-"""What makes two requests the same, whatever ids they have."""
+"""Identifies repeats of a request by their content."""
 
 import xxhash
 
@@ -9,17 +9,17 @@
 
 
 def content_id(request: CallerRequest, names: HeaderNames) -> int:
-    """Return a number that is the same for the repeats of a request.
+    """Return a hash that is the same for all repeats of a request.
 
-    It is over the host, method, target, the caller's credential, the digest of the
-    customer's key and the body. Ids, times and all other headers differ from one
-    repeat to the next.
+    It covers the host, the method, the target, the caller's credential, the digest
+    of the customer's key and the body. All other headers are left out, because ids
+    and times in them change from one repeat to the next.
     """
     credential = request.header(names.credential.lower()) or ""
     parts = (request.host, request.method, request.target, credential)
     if request.key_digest is not None:
         parts += (request.key_digest,)
-    # With their lengths, or two requests could share one string of bytes.
+    # Lengths keep different parts from being joined to the same string.
     head = "".join(f"{len(part)}:{part}" for part in parts)
     seed = xxhash.xxh3_64_intdigest(head.encode())
     return xxhash.xxh3_64_intdigest(request.body, seed)
--- a/balsamspindle/requests/gate_links.py
+++ b/balsamspindle/requests/gate_links.py
@@ -1,4 +1,4 @@
-"""Links to the gates of other nodes, and which of them can't be reached."""
+"""Links to the gates of other nodes, and hold-outs for unreachable gates."""
 
 from balsamspindle.membership.directory import Placement
 from balsamspindle.protocol.outcomes import Execution
@@ -8,17 +8,18 @@
 
 __all__ = ["GateLinks"]
 
-# Of a gate that could not be reached, doubled with each failure in a row.
+# Time without attempts after a gate could not be reached; doubles with each
+# consecutive failure.
 HOLD_OUT_S, HOLD_OUT_MAX_S = 0.5, 30.0
 
 
 class GateLinks:
-    """Takes links for attempts; remembers and tells which gates are out of reach.
+    """Provides links for attempts; records and logs which gates are unreachable.
 
     Attributes
     ----------
     hold_outs : HoldOuts
-        Nodes that this one could not reach, by id.
+        Nodes that this node could not reach, by id.
     """
 
     def __init__(self, links: LinkPool, events: EventLog) -> None:
@@ -33,23 +34,25 @@
         deadline_s: float,
         now_s: float,
     ) -> Link | None:
-        """Return a link that works both ways and is the caller's, or None."""
+        """Return a link that works in both directions, for exclusive use, or None."""
         link = self._links.take(placement.node.link_address, deadline_s, execution)
         if link is None:
-            self.note_unreachable(placement, now_s)
+            self.record_unreachable(placement, now_s)
             return None
         node_id = placement.node.node_id
-        away_s = self.hold_outs.note_success(node_id, now_s)
-        if away_s is not None:
-            self._events.emit("gate_reachable", gate=node_id, after_s=f"{away_s:.1f}")
+        unreachable_s = self.hold_outs.note_success(node_id, now_s)
+        if unreachable_s is not None:
+            self._events.emit(
+                "gate_reachable", gate=node_id, after_s=f"{unreachable_s:.1f}"
+            )
         return link
 
-    def note_unreachable(self, placement: Placement, now_s: float) -> None:
-        """Keep away for a while from a gate that does not answer."""
+    def record_unreachable(self, placement: Placement, now_s: float) -> None:
+        """Hold out a gate that did not answer."""
         node_id = placement.node.node_id
         if self.hold_outs.note_failure(node_id, now_s):
             self._events.emit("gate_unreachable", gate=node_id)
 
     def give_back(self, link: Link) -> None:
-        """Keep a link for the next attempt."""
+        """Return a link to the pool."""
         self._links.give_back(link)
--- a/balsamspindle/requests/link_attempts.py
+++ b/balsamspindle/requests/link_attempts.py
@@ -1,8 +1,10 @@
-"""Attempts over links: a second one beside a silent one, and one left open.
+"""Attempts sent to the gates of other nodes over links.
 
-A gate whose node is leaving says so of each attempt that it may not live to
-answer. Such an attempt is left open, or parked, while its request is tried
-elsewhere, and whichever is answered first counts.
+An attempt without a reply may get a second attempt in parallel at another gate.
+
+When a gate's node is leaving, the gate sends a notice for each attempt that may
+not finish before the node ends. Such an attempt is parked: it stays open while
+the request is sent to another gate, and the first successful answer is used.
 """
 
 import math
@@ -13,13 +15,12 @@
 
 from balsamspindle.membership.directory import Placement
 from balsamspindle.protocol.outcomes import CancelCause, Execution, Outcome, Reason
-from balsamspindle.requests.attempt_ends import AttemptEnds, is_answered
+from balsamspindle.requests.admission_queries import AdmissionQueries, DeclinedAttempt
+from balsamspindle.requests.attempt_outcomes import AttemptOutcomes, is_answered
 from balsamspindle.requests.claims import GateIdentity, with_claim
 from balsamspindle.requests.forwarded import ForwardedRequest, Hedge
 from balsamspindle.requests.gate_links import GateLinks
 from balsamspindle.requests.links import Link
-from balsamspindle.requests.questions import Declined, Questions
-from balsamspindle.requests.reply_wait import WaitOptions, WaitResult, wait_first
 from balsamspindle.requests.retries import is_success
 from balsamspindle.requests.sent import SentAttempt
 from balsamspindle.requests.tracking import TrackedAttempt
@@ -28,18 +29,13 @@
 
 __all__ = ["LinkAttempts"]
 
-# Of a leaving node's time, what its gates are not told of: a refusal that comes when
-# the time is over is of no use any more, and the caller is told `unknown`.
+# A leaving node announces its end to gates this much early. A gate's refusal that
+# arrives after the node's end is lost, and the caller gets `unknown`, not `not_run`.
 REPLY_RESERVE_S = 0.2
 
 
-class Heard:
-    """What came for an attempt that was left open, while nobody waited for it.
-
-    Attributes
-    ----------
-    answer : Reply or None
-    """
+class ParkedResult:
+    """What arrived for a parked attempt: `answer`, a successful reply, or None."""
 
     def __init__(self) -> None:
         self.answer: Reply | None = None
@@ -50,12 +46,12 @@
 
     Parameters
     ----------
-    compose : callable
-        Returns the message of an attempt at a place, with a deadline.
+    build_dispatch : callable
+        Counts an attempt at a placement; returns its message, given a deadline.
     track : callable
-        Begins to learn from an attempt at a place.
+        Starts the tracking of an attempt at a placement.
     next_id : callable
-        Returns an id that was never used.
+        Returns a new attempt id.
     """
 
     def __init__(
@@ -64,63 +60,66 @@
         links: GateLinks,
         events: EventLog,
         clock: Callable[[], float],
-        compose: Callable[[ForwardedRequest, Placement, float], Dispatch],
+        build_dispatch: Callable[[ForwardedRequest, Placement, float], Dispatch],
         track: Callable[[ForwardedRequest, Placement], TrackedAttempt],
         next_id: Callable[[], AttemptId],
     ) -> None:
         self._own = own
         self._links = links
-        self._questions = Questions(own, links, events, clock)
+        self._queries = AdmissionQueries(own, links, events, clock)
         self._events = events
         self._clock = clock
-        self._compose = compose
+        self._build_dispatch = build_dispatch
         self._track = track
         self._next_id = next_id
         self._given_up = False
-        self._ends_s = math.inf
-        self._ends = AttemptEnds(events, clock, lambda: self._given_up)
+        self._announced_end_s = math.inf
+        self._outcomes = AttemptOutcomes(events, clock, lambda: self._given_up)
 
     def end_by(self, ends_s: float) -> None:
-        """Have gates start only what can end until then: this node is going."""
-        self._ends_s = ends_s - REPLY_RESERVE_S
+        """Set when this node ends; gates start only requests that finish by then."""
+        self._announced_end_s = ends_s - REPLY_RESERVE_S
 
     def left_ms(self) -> float | None:
-        """Return the time until this node ends; None while it is not leaving."""
-        if math.isinf(self._ends_s):
+        """Return the time until this node's announced end; None if not leaving."""
+        if math.isinf(self._announced_end_s):
             return None
-        return (self._ends_s - self._clock()) * 1000
+        return (self._announced_end_s - self._clock()) * 1000
 
     def give_up(self) -> None:
-        """End the waiting for all replies."""
+        """Stop waiting for the replies to all attempts, and send no new ones."""
         self._given_up = True
 
     def send(
         self, forwarded: ForwardedRequest, placement: Placement, hedge: Hedge | None
     ) -> Reply:
-        """Make one attempt, and a second one beside it if it is silent."""
+        """Make an attempt, and a second one in parallel if no reply comes.
+
+        The reply has reason `gate_ending` if the attempt was parked.
+        """
         link = None
-        if self._questions.is_worth_it(forwarded, placement):
-            match self._questions.ask(forwarded, placement):
-                case Declined() as declined:
-                    return self._note_declined(forwarded, placement, declined)
+        if self._queries.should_query(forwarded, placement):
+            match self._queries.query(forwarded, placement):
+                case DeclinedAttempt() as declined:
+                    return self._declined_reply(forwarded, placement, declined)
                 case link:
                     pass
-        first = self._open(forwarded, placement, link)
+        first = self._start(forwarded, placement, link)
         if isinstance(first, Reply):
             return first
         attempts, waited, parked = [first], None, None
         try:
-            waited = self._wait_doubled(forwarded, attempts, hedge)
-            parked = self._to_park(forwarded, attempts, waited)
+            waited = self._wait_with_second_attempt(forwarded, attempts, rescue)
+            parked = self._find_attempt_to_park(forwarded, attempts, waited)
         finally:
             ended = [sent for sent in attempts if sent is not parked]
-            self._close(forwarded, ended, waited)
+            self._end_attempts(forwarded, ended, waited)
         if parked is None:
-            return self._ends.reply(forwarded, attempts, waited)
+            return self._outcomes.final_reply(forwarded, attempts, waited)
         return self._park(forwarded, parked)
 
     def _park(self, forwarded: ForwardedRequest, sent: SentAttempt) -> Reply:
-        """Leave an attempt open; return what makes its request go elsewhere, too."""
+        """Park an attempt; return the reply that sends its request elsewhere."""
         forwarded.parked.add(sent)
         self._events.emit(
             "attempt_left_open",
@@ -131,23 +130,23 @@
         )
         return Reply(sent.attempt_id, Outcome.UNKNOWN, Reason.GATE_ENDING)
 
-    def _wait_doubled(
+    def _wait_with_second_attempt(
         self,
         forwarded: ForwardedRequest,
         attempts: list[SentAttempt],
-        hedge: Hedge | None,
-    ) -> WaitResult | None:
-        """Wait for the reply to an attempt, with a second one if it is silent."""
-        if hedge is not None:
-            alone_until_s = self._clock() + hedge.hedge_delay_s
+        rescue: Rescue | None,
+    ) -> Waited | None:
+        """Wait for a reply; add a second attempt if none comes in `patience_s`."""
+        if rescue is not None:
+            alone_until_s = self._clock() + rescue.patience_s
             waited = self._wait(forwarded, attempts, alone_until_s)
-            if waited or self._to_park(forwarded, attempts, waited):
+            if waited or self._find_attempt_to_park(forwarded, attempts, waited):
                 return waited
-            if self._is_just_silent(forwarded, attempts[0], alone_until_s):
-                attempts += self._open_second(forwarded, hedge)
+            if self._is_silent_but_connected(forwarded, attempts[0], alone_until_s):
+                attempts += self._start_second(forwarded, rescue)
         return self._wait(forwarded, attempts, forwarded.deadline_s)
 
-    def _is_just_silent(
+    def _is_silent_but_connected(
         self, forwarded: ForwardedRequest, attempt: SentAttempt, until_s: float
     ) -> bool:
         return (
@@ -157,11 +156,11 @@
         )
 
     def _may_park(self, forwarded: ForwardedRequest) -> bool:
-        """Tell whether an attempt may be left open while others are made.
+        """Return whether an attempt may be parked while others are made.
 
-        A run at a node that is leaving is cut when that node's time is over.
-        Tried elsewhere only then, a read that runs for long has lost the whole of
-        that time, and its own node may be leaving by now.
+        A leaving node cuts its runs when its time is over. Without parking, a long
+        read is sent to another gate only after that cut; the time is lost, and the
+        ingress's own node may be leaving by then.
         """
         return (
             forwarded.route.execution is Execution.IDEMPOTENT
@@ -169,13 +168,13 @@
             and forwarded.may_send()
         )
 
-    def _to_park(
+    def _find_attempt_to_park(
         self,
         forwarded: ForwardedRequest,
         attempts: list[SentAttempt],
         waited: WaitResult | None,
     ) -> SentAttempt | None:
-        """Return the last open attempt if its gate's node may end before it."""
+        """Return the only unanswered attempt if it can and may be parked."""
         replies = {} if waited is None else waited.replies
         unanswered = [sent for sent in attempts if sent.link not in replies]
         if len(unanswered) != 1 or not unanswered[0].is_ending():
@@ -186,53 +185,53 @@
             return None
         return unanswered[0]
 
-    def leave_parked(self, forwarded: ForwardedRequest, has_answer: bool) -> None:
-        """Cancel the attempt that was left open, if it still is."""
+    def cancel_parked(self, forwarded: ForwardedRequest, has_answer: bool) -> None:
+        """Cancel the parked attempt if it is still open."""
         if has_answer:
             cause = CancelCause.ANSWERED_ELSEWHERE
         else:
-            cause = self._ends.why_given_up(forwarded)
-        forwarded.parked.give_up(cause)
+            cause = self._outcomes.cancel_cause(forwarded)
+        forwarded.parked.cancel(cause)
 
     def wait_parked(self, forwarded: ForwardedRequest) -> Reply:
-        """Wait for the attempt that was left open, as nothing else is left."""
+        """Wait for the parked attempt when no other attempt can be made."""
         attempts = forwarded.parked.all()
         waited = self._wait(forwarded, attempts, forwarded.deadline_s)
-        self._close(forwarded, [], waited)
+        self._end_attempts(forwarded, [], waited)
         if waited is None:
-            self.leave_parked(forwarded, has_answer=False)
-        return self._ends.reply(forwarded, attempts, waited)
+            self.cancel_parked(forwarded, has_answer=False)
+        return self._outcomes.final_reply(forwarded, attempts, waited)
 
     @contextmanager
-    def listening(
+    def listening_for_parked(
         self, forwarded: ForwardedRequest, on_answer: Callable[[], None]
-    ) -> Iterator[Heard]:
-        """Listen for the attempt that was left open while the task does other work.
+    ) -> Iterator[ParkedResult]:
+        """Receive the reply to the parked attempt while the caller's task works.
 
-        A reply that nobody has read is dropped when its connection ends, and the
-        gate's node is about to end.
+        The gate's node is about to end, and ZeroMQ drops replies that have not been
+        read when their connection closes.
 
         Parameters
         ----------
         on_answer : callable
-            Called in another thread when the attempt is answered with success.
+            Called in another thread when a successful reply arrives.
         """
-        heard = Heard()
+        result = ParkedResult()
         near, far = socket.socketpair()
 
         def listen() -> None:
             attempts = forwarded.parked.all()
-            # The other work is over when its end of the pair is closed.
-            wait = self._wait_terms(
+            # The task closes `far` when its work is done, which ends the wait.
+            wait = self._build_wait(
                 forwarded, forwarded.deadline_s, near.fileno(), lambda: True
             )
             waited = wait_first({sent.link: sent.attempt_id for sent in attempts}, wait)
-            self._close(forwarded, [], waited)
+            self._end_attempts(forwarded, [], waited)
             if waited is None:
                 return
-            reply = self._ends.reply(forwarded, attempts, waited)
+            reply = self._outcomes.final_reply(forwarded, attempts, waited)
             if is_success(reply):
-                heard.answer = reply
+                result.answer = reply
                 on_answer()
             else:
                 forwarded.parked_replies.append(reply)
@@ -241,18 +240,18 @@
         with near:
             listener.start()
             try:
-                yield heard
+                yield result
             finally:
                 far.close()
                 listener.join()
 
-    def _open_second(self, forwarded, hedge) -> list[SentAttempt]:
+    def _start_second(self, forwarded, rescue) -> list[SentAttempt]:
         if not forwarded.may_send():
             return []
         placement = hedge.choose_placement()
         if placement is None or self._is_own(placement):
             return []
-        second = self._open(forwarded, placement)
+        second = self._start(forwarded, placement)
         if isinstance(second, Reply):
             return []
         self._events.emit(
@@ -263,8 +262,8 @@
         )
         return [second]
 
-    def _note_declined(self, forwarded, placement, declined: Declined) -> Reply:
-        """Take a gate's word that it would refuse an attempt; nothing was sent."""
+    def _declined_reply(self, forwarded, placement, declined: DeclinedAttempt) -> Reply:
+        """Count an attempt that was not sent as tried; return a reply for it."""
         forwarded.tried.add(placement.backend_server.backend_server_id)
         forwarded.attempts += 1
         reply = Reply(
@@ -279,12 +278,12 @@
             self._track(forwarded, placement).end(reply)
         return reply
 
-    def _open(
+    def _start(
         self, forwarded, placement, link: Link | None = None
     ) -> SentAttempt | Reply:
-        """Send an attempt over a link; a reply when nothing was sent."""
+        """Send an attempt over a link; return a reply if nothing was sent."""
         node_id = placement.node.node_id
-        dispatch = self._compose(forwarded, placement, forwarded.deadline_s)
+        dispatch = self._build_dispatch(forwarded, placement, forwarded.deadline_s)
         unreachable = Reply(dispatch.attempt_id, Outcome.NOT_RUN, Reason.UNREACHABLE)
         link = link or self._links.take(
             placement, dispatch.execution, forwarded.deadline_s, self._clock()
@@ -293,9 +292,9 @@
             forwarded.sends -= 1
             return unreachable
         if self._given_up:
-            return self._stopped(forwarded, dispatch, link)
-        # The claim is made only with a link that was heard: made for a gate
-        # that is dead it would hold the key for ever.
+            return self._release_unused(forwarded, dispatch, link)
+        # Claim the key only once the gate is known to be alive: a claim for a dead
+        # gate would block the key for ever.
         gate_time_s = link.gate_clock.at(self._clock())
         claimed = with_claim(
             forwarded.claimant, dispatch, GateIdentity(*link.gate), gate_time_s
@@ -304,7 +303,7 @@
             self._links.give_back(link)
             return claimed
         if self._given_up:
-            return self._stopped(forwarded, dispatch, link)
+            return self._release_unused(forwarded, dispatch, link)
         if not link.send_dispatch(claimed, forwarded.deadline_s):
             link.close()
             forwarded.sends -= 1
@@ -312,72 +311,70 @@
         tracked = self._track(forwarded, placement)
         return SentAttempt(link, dispatch, node_id, tracked.end)
 
-    def _stopped(
+    def _release_unused(
         self, forwarded: ForwardedRequest, dispatch: Dispatch, link: Link
     ) -> Reply:
-        """Send nothing: the node gave up while the link was opened."""
+        """Release a link unused because the node gave up while it was opened."""
         self._links.give_back(link)
         forwarded.sends -= 1
         return Reply(dispatch.attempt_id, Outcome.NOT_RUN, Reason.NODE_STOPPING)
 
     def _wait(
-        self,
-        forwarded: ForwardedRequest,
-        attempts: list[SentAttempt],
-        until_s: float,
-    ) -> WaitResult | None:
+        self, forwarded: ForwardedRequest, attempts: list[SentAttempt], until_s: float
+    ) -> Waited | None:
         caller = forwarded.caller
-        wait = self._wait_terms(forwarded, until_s, caller.fileno(), caller.caller_gone)
+        wait = self._build_wait(forwarded, until_s, caller.fileno(), caller.caller_gone)
         return wait_first({sent.link: sent.attempt_id for sent in attempts}, wait)
 
-    def _wait_terms(
+    def _build_wait(
         self,
         forwarded: ForwardedRequest,
         until_s: float,
         descriptor: int,
         is_over: Callable[[], bool],
-    ) -> WaitOptions:
-        """Return how long to wait, and what ends the wait before."""
-        return WaitOptions(
+    ) -> Wait:
+        """Return a wait that checks `is_over` when `descriptor` is readable."""
+        return Wait(
             until_s,
             descriptor,
             is_over,
             on_dropped=lambda cause: self._events.emit("message_dropped", cause=cause),
             given_up=lambda: self._given_up,
-            node_ends_s=lambda: self._ends_s,
+            ends_s=lambda: self._announced_end_s,
             ends_at_notice=lambda: self._may_park(forwarded),
-            parked_attempts=forwarded.parked.by_link(),
-            on_parked=lambda link, reply: self._end_parked(forwarded, link, reply),
+            beside=forwarded.parked.by_link(),
+            on_beside=lambda link, reply: self._on_parked_reply(forwarded, link, reply),
         )
 
-    def _end_parked(
+    def _on_parked_reply(
         self, forwarded: ForwardedRequest, link: Link, reply: Reply
     ) -> None:
-        """Take a reply that does not end the request, for want of a better one."""
-        forwarded.parked_replies.append(reply)
-        self._settle_parked(forwarded, {link: reply})
+        """Keep an unsuccessful reply to a parked attempt as a fallback."""
+        forwarded.beside.append(reply)
+        self._finish_parked(forwarded, {link: reply})
 
-    def _settle_parked(
+    def _finish_parked(
         self, forwarded: ForwardedRequest, replies: Mapping[Link, Reply]
     ) -> None:
-        """Take the replies to attempts that were left open."""
+        """Remove the parked attempts that got replies."""
         for sent in forwarded.parked.all():
             if sent.link in replies:
-                forwarded.record_cut(replies[sent.link], sent.link.heard_s)
-        forwarded.parked.settle(replies, self._links.give_back)
+                forwarded.note_cut(replies[sent.link], sent.link.last_received_s)
+        forwarded.parked.finish(replies, self._links.give_back)
 
-    def _close(
+    def _end_attempts(
         self,
         forwarded: ForwardedRequest,
         attempts: list[SentAttempt],
         waited: WaitResult | None,
     ) -> None:
-        """Keep the links that brought replies; leave the other attempts.
+        """Return the links of answered attempts to the pool; end the others.
 
-        One that lost against a second attempt is not cancelled: it was silent
-        for long, and its gate learns from how long it still is. Cancelled, a
-        backend server that hangs would look well, with no work in flight. One
-        that lost against an earlier attempt, which was left open, is not silent.
+        A silent attempt is not cancelled when another one was answered, only its
+        link is closed: its gate uses the duration of the run to detect a backend
+        server that hangs. After a cancellation that server would have no work in
+        flight and would look healthy. If the answer came from a parked attempt, the
+        other attempt may be recent and not silent, so it is cancelled.
         """
         replies = {} if waited is None else waited.replies
         is_silent = is_answered(waited) and not forwarded.parked
@@ -385,14 +382,14 @@
             reply = replies.get(sent.link)
             sent.on_end(reply)
             if reply is not None:
-                # Before the link is another task's, which hears other replies.
-                forwarded.record_cut(reply, sent.link.heard_s)
+                # Read `last_received_s` before another task uses the link.
+                forwarded.note_cut(reply, sent.link.last_received_s)
                 self._links.give_back(sent.link)
             elif is_silent:
                 sent.link.close()
             else:
-                sent.give_up(self._ends.why_given_up(forwarded, waited))
-        self._settle_parked(forwarded, replies)
+                sent.cancel(self._outcomes.cancel_cause(forwarded, waited))
+        self._finish_parked(forwarded, replies)
 
     def _is_own(self, placement: Placement) -> bool:
         return placement.node.node_id == self._own.node_id
--- a/balsamspindle/requests/links.py
+++ b/balsamspindle/requests/links.py
@@ -1,8 +1,8 @@
 """Links from this node's ingress to other nodes' gates.
 
-A link is a ZeroMQ DEALER. A task takes one from the pool, is alone in using
-it, and gives it back: the pool's lock is the memory barrier that ZeroMQ asks
-for when a socket moves between threads.
+A link is a ZeroMQ DEALER socket. A task takes a link from the pool, uses it
+exclusively and gives it back. The pool's lock is the memory barrier that ZeroMQ
+requires when a socket moves between threads.
 """
 
 import math
@@ -39,42 +39,42 @@
 __all__ = ["GateClock", "Link", "LinkPool", "left_ms"]
 
 CONNECT_TIMEOUT_S = 0.25
-# A link that was silent for longer is asked again before it is used: one way
-# of the network may have been cut meanwhile. That costs a round trip, which a
-# request that may be tried again elsewhere does not need.
-HEARD_FRESH_S = {Execution.NON_IDEMPOTENT: 1.0, Execution.IDEMPOTENT: 10.0}
+# A link on which nothing was received for longer is checked before use, because one
+# direction of the network may have been cut in the meantime. The check costs a round
+# trip, so it is made less often for idempotent requests, which can be retried.
+CHECK_VALID_S = {Execution.NON_IDEMPOTENT: 1.0, Execution.IDEMPOTENT: 10.0}
 IDLE_LINKS_PER_PEER_MAX = 8
 CANCEL_LINGER_MS = 1000
-# Two clocks of quartz differ by less than this part of the time.
+# Upper bound for the relative drift between two quartz clocks.
 CLOCK_DRIFT_MAX = 0.0005
 
 
 class GateClock:
-    """A gate's monotonic clock, as the other end of a link knows it.
+    """An estimate of a gate's monotonic clock at the other end of a link.
 
-    What a gate said of its clock is old by the time that it arrives, so the
-    clock is never guessed ahead of the gate's own: a deadline given on it is
-    at most the way back of one message too early, and never too late.
+    The gate's time in a message is out of date when the message arrives, so the
+    estimate is never ahead of the gate's clock. A deadline converted with it is
+    never late, and early by at most the delay of one message from the gate.
     """
 
     def __init__(self) -> None:
         self._offset_s = float("-inf")
-        self._noted_s = 0.0
+        self._updated_s = 0.0
 
-    def note(self, gate_time_s: float, now_s: float) -> None:
-        """Take the gate's time from a message that has just come."""
-        drift_s = (now_s - self._noted_s) * CLOCK_DRIFT_MAX
+    def update(self, gate_time_s: float, now_s: float) -> None:
+        """Update the estimate from a message that was just received."""
+        drift_s = (now_s - self._updated_s) * CLOCK_DRIFT_MAX
         self._offset_s = max(gate_time_s - now_s, self._offset_s - drift_s)
-        self._noted_s = now_s
+        self._updated_s = now_s
 
     def at(self, local_s: float) -> float:
-        """Return the gate's time at a time of ours, or a little less."""
-        drift_s = max(0.0, local_s - self._noted_s) * CLOCK_DRIFT_MAX
+        """Convert a local time to the gate's time, or slightly less."""
+        drift_s = max(0.0, local_s - self._updated_s) * CLOCK_DRIFT_MAX
         return local_s + self._offset_s - drift_s
 
 
 class Link:
-    """One connection to one peer's gate."""
+    """One connection to a peer's gate, for one attempt at a time."""
 
     def __init__(
         self,
@@ -87,42 +87,43 @@
         self._metrics = metrics
         self._sent_s = 0.0
         self.gate_clock = GateClock()
-        # Who answers here, by its own word; known once the link was `ready`.
+        # Node id and incarnation from the gate's greeting; known after `ready`.
         self.gate: tuple[str, int] = ("", 0)
-        self._heard_s = float("-inf")
+        self._last_received_s = float("-inf")
         self._gate_deadline_s: float | None = None
-        self._knows_end = False
-        # The attempt that the gate's node may not live to answer.
-        self._ending: AttemptId | None = None
+        self._ending_sent = False
+        # The attempt that the gate's node may not be able to answer before it ends.
+        self._ending_attempt_id: AttemptId | None = None
         self._socket = context.socket(zmq.DEALER)
         self._socket.setsockopt(zmq.LINGER, 0)
-        # Without IMMEDIATE a message to an absent peer waits in a queue and
-        # is delivered when the peer comes up, long after we called it not
-        # run. Without a reconnect no message outlives its connection.
+        # IMMEDIATE: otherwise a message to an absent peer is queued and delivered
+        # when the peer comes up, after the request was reported as not run.
+        # No reconnects: no message outlives its connection.
         self._socket.setsockopt(zmq.IMMEDIATE, 1)
         self._socket.setsockopt(zmq.RECONNECT_IVL, -1)
-        self._closed = self._socket.get_monitor_socket(
+        self._disconnect_monitor = self._socket.get_monitor_socket(
             zmq.EVENT_DISCONNECTED | zmq.EVENT_CLOSED
         )
         protect_connection(self._socket, keys)
         self._socket.connect(f"tcp://{address}")
 
     @property
-    def heard_s(self) -> float:
-        """When the gate was last heard, on the monotonic clock."""
-        return self._heard_s
+    def last_received_s(self) -> float:
+        """When the gate's last message arrived, on the monotonic clock."""
+        return self._last_received_s
 
     def connected(self) -> bool:
-        """Tell whether the connection is up, as far as this end knows."""
+        """Return whether the connection is up, as far as this end can tell."""
         return bool(self._socket.poll(0, zmq.POLLOUT))
 
-    def ready(self, now_s: float, patience: PeerTimeout, execution: Execution) -> bool:
-        """Tell whether both directions work; ask the gate unless it spoke lately.
+    def ready(self, now_s: float, patience: Patience, execution: Execution) -> bool:
+        """Return whether both directions work.
 
-        A request sent into a link that only looks open would end as
-        'unknown'; found here, it is proven not run.
+        Exchanges a greeting with the gate unless a message came recently. A request
+        sent over a link that only looks open would end as `unknown`. If the check
+        fails, the request is known not to have run.
         """
-        if now_s - self._heard_s < HEARD_FRESH_S[execution]:
+        if now_s - self._last_received_s < CHECK_VALID_S[execution]:
             return self.connected()
         if not self._wait_patiently(zmq.POLLOUT, patience) or not self._send(Greet()):
             return False
@@ -130,54 +131,54 @@
             match decode_link(self._socket.recv()):
                 case Greeting(node_id, incarnation, gate_time_s):
                     self.gate = (node_id, incarnation)
-                    self._hear(gate_time_s)
+                    self._record_received(gate_time_s)
                     return True
         return False
 
     def _wait(self, event: int, give_up_s: float) -> bool:
-        """Wait until the link is readable or writable; False when it can't be."""
+        """Wait for an event; False on a time-out or when the connection ended."""
         return self._socket in self._poll(event, left_ms(give_up_s))
 
-    def _wait_patiently(self, event: int, patience: PeerTimeout) -> bool:
-        """Wait as `_wait` does, for time in which this process runs."""
-        found: dict = {}
+    def _wait_patiently(self, event: int, patience: Patience) -> bool:
+        """Wait as `_wait` does, not counting time in which this process was stopped."""
+        events: dict = {}
 
         def poll(step_s: float) -> bool:
-            found.update(self._poll(event, math.ceil(step_s * 1000)))
-            return bool(found)
+            events.update(self._poll(event, math.ceil(step_s * 1000)))
+            return bool(events)
 
         patience.wait(poll, time.monotonic)
-        return self._socket in found
+        return self._socket in events
 
     def _poll(self, event: int, timeout_ms: int) -> dict:
         poller = zmq.Poller()
         poller.register(self._socket, event)
-        poller.register(self._closed, zmq.POLLIN)
+        poller.register(self._disconnect_monitor, zmq.POLLIN)
         return dict(poller.poll(timeout_ms))
 
     def ask(
         self, question: Question | LimitQuestion, give_up_s: float
     ) -> Told | LimitTold | None:
-        """Ask the node something; None when no answer came."""
+        """Send a question and return its answer; None if no answer came in time."""
         if not self._send(question):
             return None
         while self._wait(zmq.POLLIN, give_up_s):
             match decode_link(self._socket.recv()):
                 case Told() | LimitTold() as told if told.number == question.number:
-                    self._hear(told.gate_time_s)
+                    self._record_received(told.gate_time_s)
                     return told
         return None
 
     def tell(self, message: LinkMessage) -> None:
-        """Send what needs no answer."""
+        """Send a message that needs no answer."""
         self._send(message)
 
     def send_dispatch(self, dispatch: Dispatch, deadline_s: float) -> bool:
-        """Send an attempt; False when nothing was handed to a connection."""
+        """Send an attempt; False if there was no connection to send it over."""
         now_s = time.monotonic()
         self._sent_s = now_s
         self._gate_deadline_s = self.gate_clock.at(deadline_s)
-        self._knows_end = dispatch.ingress_left_ms is not None
+        self._ending_sent = dispatch.ingress_left_ms is not None
         message = msgspec.structs.replace(
             dispatch,
             remaining_ms=(deadline_s - now_s) * 1000,
@@ -186,49 +187,49 @@
         return self._send(message)
 
     def is_ending(self, attempt_id: AttemptId) -> bool:
-        """Tell whether the gate's node may end before an attempt there does."""
-        return self._ending == attempt_id
+        """Return whether the gate announced that the attempt may outlast its node."""
+        return self._ending_attempt_id == attempt_id
 
     def tell_ending(self, attempt_id: AttemptId, left_s: float) -> None:
-        """Tell the gate that this node ends after a time, unless it knows."""
-        if self._knows_end:
+        """Tell the gate once that this node ends in `left_s`."""
+        if self._ending_sent:
             return
-        self._knows_end = True
+        self._ending_sent = True
         self._send(IngressEnding(attempt_id, left_s * 1000))
 
-    def give_up(self, attempt_id: AttemptId, hlc: int, cause: CancelCause) -> None:
-        """Cancel the attempt and end the connection, when that is out."""
+    def cancel(self, attempt_id: AttemptId, hlc: int, cause: CancelCause) -> None:
+        """Cancel the attempt and close the link once the cancellation is sent."""
         self._send(Cancel(attempt_id, hlc, self._gate_deadline_s, cause))
         self._socket.setsockopt(zmq.LINGER, CANCEL_LINGER_MS)
         self.close()
 
     def close(self) -> None:
-        """End the connection."""
+        """Close the link's sockets."""
         self._socket.disable_monitor()
-        self._closed.close(0)
+        self._disconnect_monitor.close(0)
         self._socket.close()
 
     def register(self, poller: zmq.Poller) -> None:
-        """Let a poller watch for replies and for the connection's end."""
+        """Register the link's replies and its disconnection with a poller."""
         poller.register(self._socket, zmq.POLLIN)
-        poller.register(self._closed, zmq.POLLIN)
+        poller.register(self._disconnect_monitor, zmq.POLLIN)
 
     def unregister(self, poller: zmq.Poller) -> None:
-        """Undo `register`."""
+        """Remove the link from a poller."""
         poller.unregister(self._socket)
-        poller.unregister(self._closed)
+        poller.unregister(self._disconnect_monitor)
 
     def take_reply(self, ready, attempt_id, on_dropped) -> Reply | None:
-        """Return the attempt's own reply if a poller found it."""
+        """Read a message if the poller reports one; return it if it is the reply."""
         if self._socket not in ready:
             return None
         return self._matching_reply(attempt_id, on_dropped)
 
     def is_over(self, ready) -> bool:
-        """Tell whether the connection ended and nothing is left to read."""
-        if self._closed not in ready or self._socket in ready:
+        """Return whether the connection ended and all replies were read."""
+        if self._disconnect_monitor not in ready or self._socket in ready:
             return False
-        # A reply may have come between the poller's look at it and this one.
+        # A reply may have arrived after the poller checked the socket.
         return not self._socket.poll(0)
 
     def _send(self, message: LinkMessage) -> bool:
@@ -238,32 +239,31 @@
             return False
         return True
 
-    def _hear(self, gate_time_s: float) -> None:
-        self._heard_s = time.monotonic()
-        self.gate_clock.note(gate_time_s, self._heard_s)
+    def _record_received(self, gate_time_s: float) -> None:
+        self._last_received_s = time.monotonic()
+        self.gate_clock.update(gate_time_s, self._last_received_s)
 
     def _matching_reply(self, attempt_id, on_dropped) -> Reply | None:
         match decode_link(self._socket.recv()):
             case Reply() as reply:
                 if reply.attempt_id == attempt_id:
-                    self._hear(reply.gate_time_s)
-                    self._metrics.record(Hop.LINK, self._heard_s - self._sent_s)
-                    return _checked(reply)
-                # The reply of an attempt that was given up, on a link that
-                # serves another one now. Taken for ours it would be a
-                # stranger's answer.
-                on_dropped("a reply that nobody waits for")
+                    self._record_received(reply.gate_time_s)
+                    self._metrics.record(Hop.LINK, self._last_received_s - self._sent_s)
+                    return _verify_checksum(reply)
+                # A late reply to an earlier attempt over this link. It must not be
+                # passed to the present caller, whose answer it is not.
+                on_dropped("reply to another attempt")
             case GateEnding(ending_id):
-                self._ending = ending_id
+                self._ending_attempt_id = ending_id
             case WireError(message):
                 on_dropped(message)
             case _:
-                on_dropped("not a reply")
+                on_dropped("message is not a reply")
         return None
 
 
 class LinkPool:
-    """Idle links to all peers."""
+    """A pool of idle links to all peers."""
 
     def __init__(
         self, context: zmq.Context, events: EventLog, keys: FleetKeys | None = None
@@ -280,8 +280,8 @@
         deadline_s: float,
         execution: Execution = Execution.NON_IDEMPOTENT,
     ) -> Link | None:
-        """Return a link that works both ways and is the caller's, or None."""
-        patience = PeerTimeout(CONNECT_TIMEOUT_S, deadline_s)
+        """Return a link that works in both directions, for exclusive use, or None."""
+        patience = Patience(CONNECT_TIMEOUT_S, deadline_s)
         while True:
             with self._lock:
                 idle = self._idle.get(address)
@@ -292,7 +292,8 @@
             )
             if link.ready(time.monotonic(), patience, execution):
                 return link
-            # One that is open but silent speaks for all links to this peer.
+            # A link that is open but gets no reply means that the others to this
+            # peer do not work either.
             is_silent = link.connected()
             link.close()
             if is_new or is_silent:
@@ -306,7 +307,7 @@
             link.close()
 
     def give_back(self, link: Link) -> None:
-        """Keep a link for the next attempt."""
+        """Keep a link for reuse, or close it if enough are idle."""
         with self._lock:
             idle = self._idle.setdefault(link.address, [])
             if len(idle) < IDLE_LINKS_PER_PEER_MAX:
@@ -320,10 +321,11 @@
             self._close_idle(address)
 
 
-def _checked(reply: Reply) -> Reply:
-    """Return a reply, or what is left of one whose body was damaged on its way.
+def _verify_checksum(reply: Reply) -> Reply:
+    """Return a reply, or an `unknown` one if its body was damaged in transit.
 
-    Before anybody acts on it: a damaged success would end another run that is well.
+    This precedes all use of the reply: a damaged success would otherwise end another
+    attempt that is still running.
     """
     if reply.outcome is not Outcome.ANSWERED:
         return reply
@@ -333,5 +335,5 @@
 
 
 def left_ms(deadline_s: float) -> int:
-    """Return the time until then, rounded up so that no poll ends early."""
+    """Return the time until a deadline, rounded up so that no poll ends early."""
     return max(0, int((deadline_s - time.monotonic()) * 1000) + 1)
--- a/balsamspindle/requests/sent.py
+++ b/balsamspindle/requests/sent.py
@@ -1,4 +1,4 @@
-"""Attempts that are on their way over links, and those left open meanwhile."""
+"""Attempts in flight over links, and those that are parked."""
 
 from collections.abc import Callable, Mapping
 from dataclasses import dataclass
@@ -12,14 +12,14 @@
 
 @dataclass(frozen=True, eq=False)
 class SentAttempt:
-    """An attempt that is on its way over a link.
+    """An attempt in flight over a link.
 
     Attributes
     ----------
     gate : str
         Id of the gate's node.
     on_end : callable
-        Told the attempt's reply; None when none came.
+        Called with the attempt's reply; with None if none came.
     """
 
     link: Link
@@ -32,20 +32,20 @@
         """The attempt's id."""
         return self.dispatch.attempt_id
 
-    def give_up(self, cause: CancelCause) -> None:
-        """Cancel the attempt; its reply is not waited for any more."""
-        self.link.give_up(self.attempt_id, self.dispatch.hlc, cause)
+    def cancel(self, cause: CancelCause) -> None:
+        """Cancel the attempt and close its link."""
+        self.link.cancel(self.attempt_id, self.dispatch.hlc, cause)
 
     def is_ending(self) -> bool:
-        """Tell whether the gate's node may end before the attempt does."""
+        """Return whether the gate announced that its node may end first."""
         return self.link.is_ending(self.attempt_id)
 
 
 class ParkedAttempts:
-    """One request's attempts at gates whose nodes may end before they do.
+    """One request's attempts at gates whose nodes may end before the attempts do.
 
-    They are left open while the request is tried elsewhere: whichever answers
-    first is the one that counts.
+    They stay open while the request is sent to other gates. The first successful
+    answer is used.
     """
 
     def __init__(self) -> None:
@@ -55,30 +55,30 @@
         return bool(self._sent)
 
     def add(self, sent: SentAttempt) -> None:
-        """Leave an attempt open."""
+        """Park an attempt."""
         self._sent.append(sent)
 
     def all(self) -> list[SentAttempt]:
-        """Return the attempts that are open."""
+        """Return a copy of the list of parked attempts."""
         return list(self._sent)
 
     def by_link(self) -> dict[Link, AttemptId]:
-        """Return the links to listen on, and whose replies count there."""
+        """Return the id of each parked attempt by its link."""
         return {sent.link: sent.attempt_id for sent in self._sent}
 
-    def settle(
+    def finish(
         self, replies: Mapping[Link, Reply], give_back: Callable[[Link], None]
     ) -> None:
-        """Take the replies that came, and give their links back."""
+        """Remove the attempts that got replies, and give their links back."""
         for sent in self.all():
             if sent.link in replies:
                 self._sent.remove(sent)
                 sent.on_end(replies[sent.link])
                 give_back(sent.link)
 
-    def give_up(self, cause: CancelCause) -> None:
-        """Cancel what is still open."""
+    def cancel(self, cause: CancelCause) -> None:
+        """Cancel all parked attempts."""
         for sent in self._sent:
             sent.on_end(None)
-            sent.give_up(cause)
+            sent.cancel(cause)
         self._sent.clear()
--- a/balsamspindle/requests/tracking.py
+++ b/balsamspindle/requests/tracking.py
@@ -1,4 +1,4 @@
-"""What one attempt in flight teaches its ingress."""
+"""Updates an ingress's views of backend servers from its attempts."""
 
 from collections.abc import Callable
 
@@ -12,24 +12,30 @@
 from balsamspindle.wire import HeldOut, Reply
 from balsamspindle.wire.replies import is_refusal
 
-__all__ = ["AVOID_S", "TrackedAttempt"]
+__all__ = ["AVOID_AFTER_FAILURE_S", "TrackedAttempt"]
 
-# How long others go first after a failure; longer would keep a sick backend
-# server from the work by which its gate finds it out.
-AVOID_S = 0.25
-_SAYS_NOTHING_OF_SLOTS = frozenset({Reason.SUSPECTED, Reason.RETRY_BUDGET})
+# How long a backend server counts as busy after a failure. A longer time would
+# deprive its gate of the requests by which it detects a sick backend server.
+AVOID_AFTER_FAILURE_S = 0.25
+_REASONS_WITHOUT_SLOT_COUNT = frozenset({Reason.SUSPECTED, Reason.RETRY_BUDGET})
 
 
 class TrackedAttempt:
-    """One attempt in flight, in this ingress's local views."""
+    """One attempt in flight, as counted in its ingress's local views.
+
+    Parameters
+    ----------
+    record_suspect : callable
+        Called with the hold-out in the reply, even if the reply reports none.
+    """
 
     def __init__(
         self,
         forwarded: ForwardedRequest,
         placement: Placement,
         free_slots: FreeSlotViews,
-        peers: PeerEvidenceTracker,
-        note_suspect: Callable[[Placement, HeldOut, float], None],
+        peer_evidence: PeerEvidenceTracker,
+        record_suspect: Callable[[Placement, HeldOut, float], None],
         queue_hints: QueueHints,
         clock: Callable[[], float],
     ) -> None:
@@ -38,29 +44,36 @@
         self._placement: Placement = placement
         self._server_id = server_id = placement.backend_server.backend_server_id
         self._free_slots: FreeSlotViews = free_slots
-        self._peers: PeerEvidenceTracker = peers
-        self._note_suspect = note_suspect
+        self._peer_evidence: PeerEvidenceTracker = peer_evidence
+        self._record_suspect = record_suspect
         self._queue_hints: QueueHints = queue_hints
         self._clock = clock
         self._started_s = clock()
         free_slots.started(server_id)
-        peers.started(self._service, server_id, self._started_s)
+        peer_evidence.started(self._service, server_id, self._started_s)
 
     def end(self, reply: Reply | None) -> None:
-        """Take the end; None when no reply came.
+        """Record how the attempt ended.
+
+        After a failure this ingress prefers other backend servers for
+        `AVOID_AFTER_FAILURE_S`. The one that failed still gets requests when all
+        others are busy, so that one failure costs no capacity.
 
-        After a failure others go first for a moment, at this ingress alone:
-        it still gets work when all others are busy, so that no capacity is
-        lost to one failure.
+        Parameters
+        ----------
+        reply : Reply or None
+            None if no reply came.
         """
         now_s = self._clock()
-        self._peers.ended(self._service, self._server_id, self._started_s, reply, now_s)
+        self._peer_evidence.ended(
+            self._service, self._server_id, self._started_s, reply, now_s
+        )
         self._free_slots.ended(self._server_id)
         if reply is not None:
-            self._note_suspect(self._placement, reply.held_out, now_s)
+            self._record_suspect(self._placement, reply.held_out, now_s)
             if is_refusal(reply):
                 self._forwarded.sends -= 1
-        if reply is not None and reply.reason in _SAYS_NOTHING_OF_SLOTS:
+        if reply is not None and reply.reason in _REASONS_WITHOUT_SLOT_COUNT:
             return
         if reply is not None and reply.reason is Reason.WOULD_WAIT:
             self._forwarded.search.queue_wait_ms[self._server_id] = reply.retry_after_ms
@@ -70,7 +83,7 @@
         failed = reply is None or reply.outcome is Outcome.UNKNOWN or is_shed(reply)
         if failed:
             self._free_slots.note(
-                self._server_id, 0, now_s - FREE_SLOTS_TTL_S + AVOID_S
+                self._server_id, 0, now_s - FREE_SLOTS_TTL_S + AVOID_AFTER_FAILURE_S
             )
         else:
             self._free_slots.note(self._server_id, reply.free_slots, now_s)
--- a/tests/test_asking.py
+++ b/tests/test_asking.py
@@ -1,4 +1,4 @@
-"""Gates in other zones are asked before a request's bytes are sent there."""
+"""Queries to gates before large requests or requests to other zones are sent."""
 
 import io
 import socket
@@ -42,8 +42,8 @@
 OWN = NodeRecord("own", 1, 1, "r", "here", "-", "-", "alive")
 
 
-class AskedGateTests(TestCase):
-    """One ingress; one gate in another zone, one more in the own zone."""
+class AdmissionQueryTests(TestCase):
+    """One ingress, a gate in its own zone and a gate in another zone."""
 
     def setUp(self):
         super().setUp()
@@ -69,7 +69,7 @@
             self.events,
         )
 
-    def request(self, timeout_s=5.0, body=b"") -> Reply:
+    def _request(self, timeout_s=5.0, body=b"") -> Reply:
         route = RouteDocument(SERVICE, Execution.NON_IDEMPOTENT, target_ms=2000.0)
         near, far = socket.socketpair()
         with near, far:
@@ -83,7 +83,7 @@
                 )
             )
 
-    def refuse_here(self):
+    def _refuse_in_own_zone(self):
         def would_wait(dispatch):
             reply = Reply(
                 dispatch.attempt_id,
@@ -96,62 +96,62 @@
         self.gates["here"]._answer = would_wait
 
     def test_a_gate_at_home_is_sent_the_request_at_once(self):
-        self.assertIs(Outcome.ANSWERED, self.request().outcome)
+        self.assertIs(Outcome.ANSWERED, self._request().outcome)
         self.assertEqual([], self.gates["here"].questions)
 
     def test_a_gate_at_home_that_is_busy_is_not_sent_a_large_body(self):
-        # Photos of 60 KB went to three or four busy gates each, and were refused
-        # there. On links of 10 Mbit/s they held up the short calls of all others,
-        # whose callers were told that the gates could not be reached.
+        # Without a query a body of 60 KB is sent to three or four busy gates, which
+        # refuse it. On links of 10 Mbit/s this delays other callers' short requests,
+        # which are then refused because the gates seem unreachable.
         self.gates["here"].declines = Reason.WOULD_WAIT
-        reply = self.request(body=b"x" * 60_000)
+        reply = self._request(body=b"x" * 60_000)
         self.assertIs(Outcome.ANSWERED, reply.outcome)
         self.assertEqual([], self.gates["here"].dispatches)
         [dispatch] = self.gates["there"].dispatches
         self.assertEqual(60_000, len(dispatch.body))
 
     def test_a_gate_at_home_that_is_free_gets_a_large_body(self):
-        self.assertIs(Outcome.ANSWERED, self.request(body=b"x" * 60_000).outcome)
+        self.assertIs(Outcome.ANSWERED, self._request(body=b"x" * 60_000).outcome)
         self.assertEqual(1, len(self.gates["here"].questions))
         self.assertEqual(1, len(self.gates["here"].dispatches))
 
     def test_a_far_gate_that_would_take_it_gets_it(self):
-        self.refuse_here()
-        self.assertIs(Outcome.ANSWERED, self.request().outcome)
+        self._refuse_in_own_zone()
+        self.assertIs(Outcome.ANSWERED, self._request().outcome)
         [question] = self.gates["there"].questions
         self.assertEqual("server-there", question.backend_server_id)
         self.assertEqual(1, len(self.gates["there"].dispatches))
 
     def test_a_far_gate_that_would_refuse_it_is_not_sent_its_bytes(self):
-        # Two of three such attempts were refused, each with the whole request
-        # sent between zones. The one question serves the last step, too: it
-        # queues where the wait was shortest.
-        self.refuse_here()
+        # Without a query two of three such attempts are refused after the whole
+        # request was sent between zones. The answer to the query is used again in
+        # the last step, which queues the request where the wait is shortest.
+        self._refuse_in_own_zone()
         self.gates["there"].declines = Reason.WOULD_WAIT
-        self.assertIs(Outcome.ANSWERED, self.request().outcome)
+        self.assertIs(Outcome.ANSWERED, self._request().outcome)
         self.assertEqual(1, len(self.gates["there"].questions))
         [dispatch] = self.gates["there"].dispatches
-        # In that queue it waits for half of its time, not to its end.
+        # The request may wait in that queue for half of its remaining time.
         half_ms = dispatch.remaining_ms / 2
         self.assertAlmostEqual(half_ms, dispatch.wait_max_ms, delta=0.02 * half_ms)
         self.events.flush()
         self.assertIn("event=attempt_declined", self.log.getvalue())
 
     def test_a_far_gate_that_is_silent_was_sent_nothing(self):
-        # The link is up and the gate does not answer: stopped, or cut off one
-        # way. Nothing was sent, so a request that must not run twice may go
-        # elsewhere, and nobody is asked there again for a while.
-        self.refuse_here()
+        # The link is up, but the gate does not answer: it is stopped, or one direction
+        # is cut. No request was sent, so a non-idempotent one may go elsewhere. The
+        # gate is held out for a while.
+        self._refuse_in_own_zone()
         self.gates["there"].declines = SILENT
-        reply = self.request(timeout_s=1.0)
+        reply = self._request(timeout_s=1.0)
         self.assertIs(Outcome.NOT_RUN, reply.outcome)
         self.assertEqual([], self.gates["there"].dispatches)
         held = self.forwarder._sender.link_hold_outs
         self.assertTrue(held.is_held("gate-there", time.monotonic()))
 
 
-class AnswerTests(TestCase):
-    """What the gate tells changes nothing at the gate."""
+class AdmissionAnswerTests(TestCase):
+    """A gate's answers to queries, which reserve nothing."""
 
     def setUp(self):
         super().setUp()
@@ -163,15 +163,15 @@
             self.servers, BackendServerClient(1000), events, admission=self.admission
         )
 
-    def told(self, **changes):
+    def _query_gate(self, **changes):
         question = Question(7, SERVICE, "s", Execution.IDEMPOTENT, 5000.0, 1.0)
         question = msgspec.structs.replace(question, **changes)
         return self.gate.would_take(question, time.monotonic())
 
     def test_a_free_slot_is_told_and_not_taken(self):
         for _ in range(3):
-            told = self.told(wait_max_ms=0.0)
-            self.assertEqual((7, None), (told.number, told.reason))
+            reply = self._query_gate(wait_max_ms=0.0)
+            self.assertEqual((7, None), (reply.number, reply.reason))
         self.assertEqual(0, self.admission.in_flight())
 
     def test_a_busy_one_tells_its_queue(self):
@@ -190,15 +190,15 @@
             checksum(b""),
         )
         self.admission.admit(dispatch, CancelToken(), time.monotonic() + 5.0)
-        told = self.told(wait_max_ms=0.0)
-        self.assertIs(Reason.WOULD_WAIT, told.reason)
-        self.assertGreater(told.wait_ms, 0)
-        self.assertIsNone(self.told(wait_max_ms=60_000.0).reason)
+        reply = self._query_gate(wait_max_ms=0.0)
+        self.assertIs(Reason.WOULD_WAIT, reply.reason)
+        self.assertGreater(reply.wait_ms, 0)
+        self.assertIsNone(self._query_gate(wait_max_ms=60_000.0).reason)
         self.assertEqual(0, self.admission.waiting())
 
     def test_an_unknown_backend_server_is_told(self):
-        told = self.told(backend_server_id="gone")
-        self.assertIs(Reason.NO_BACKEND_SERVER, told.reason)
+        reply = self._query_gate(backend_server_id="gone")
+        self.assertIs(Reason.NO_BACKEND_SERVER, reply.reason)
 
     def test_nobody_who_waits_is_shed_for_a_question(self):
         queue = SlotQueue(1)
--- a/tests/test_ending_gates.py
+++ b/tests/test_ending_gates.py
@@ -1,4 +1,4 @@
-"""Reads at gates whose nodes are leaving: tried elsewhere before they are cut."""
+"""Idempotent requests at leaving gates are tried elsewhere before they are cut."""
 
 import threading
 import time
@@ -30,18 +30,18 @@
 
 
 def ending(dispatch) -> tuple[float, bytes]:
-    """Return a gate's word that its node may end before an attempt does."""
+    """Return a gate's notice that its node may end before an attempt does."""
     return 0.0, encode(GateEnding(dispatch.attempt_id))
 
 
 def cut(dispatch, delay_s: float) -> tuple[float, bytes]:
-    """Return the reply for a run that its gate's node cut."""
+    """Return the reply to an attempt whose run the leaving node cut."""
     reply = Reply(dispatch.attempt_id, Outcome.UNKNOWN, Reason.CANCELLED)
     return delay_s, encode(reply)
 
 
 def damaged(dispatch, delay_s: float, status: int) -> tuple[float, bytes]:
-    """Return an answer whose body changed on its way."""
+    """Return an answer whose body was damaged in transit."""
     reply = Reply(
         dispatch.attempt_id,
         Outcome.ANSWERED,
@@ -60,11 +60,11 @@
 class EndingGateCase(TwoGateCase):
     def setUp(self):
         super().setUp()
-        # A gate that takes longer than usual to greet is no part of these stories.
+        # Slow greetings on a busy machine must not affect these tests.
         self.patch(links, "CONNECT_TIMEOUT_S", PATIENCE_S)
 
     def _request_at(self, name: str, **changes) -> Reply:
-        """Send requests until one begins at a gate; return its reply."""
+        """Send requests until one is sent to a gate; return its reply."""
         while True:
             seen = len(self.gates[name].dispatches)
             reply = self._request(**changes)
@@ -73,19 +73,19 @@
 
 
 class EndingGateTests(EndingGateCase):
-    # A read runs at a backend server whose node was told to leave. The node cuts
-    # the run when its own time is over. An ingress that looks for another place
-    # only then has lost seconds, and may be leaving itself by now.
+    # An idempotent request runs at a backend server whose node is leaving. The node
+    # cuts the run when its own time is over. An ingress that tries another gate only
+    # then has lost seconds, and may be leaving itself by that time.
 
     def test_a_read_is_tried_elsewhere_before_its_gate_ends(self):
         self.answers["a"] = lambda dispatch: [ending(dispatch)]
         reply = self._request_at("a")
         self.assertEqual((Outcome.ANSWERED, BODY), (reply.outcome, reply.body))
-        # The slot at the gate that leaves is free for its last work.
+        # The cancellation frees the slot at the leaving gate for its last requests.
         wait_until(lambda: self.gates["a"].cancels, "the first attempt is cancelled")
 
     def test_the_first_run_still_counts_if_it_ends_in_time(self):
-        # The second place refuses: what was left open is all that is left.
+        # The second gate refuses, so only the parked attempt can still be answered.
         self.answers = {
             "a": lambda dispatch: [
                 ending(dispatch),
@@ -98,8 +98,8 @@
         self.assertEqual([], self.gates["a"].cancels)
 
     def test_a_run_that_is_cut_after_all_is_tried_elsewhere_again(self):
-        # All others were busy when the gate told of its end; they are not any
-        # more when the run is cut.
+        # The other gate is busy when the first one announces its end, but no longer
+        # when the run is cut.
         self.answers = {
             "a": lambda dispatch: [ending(dispatch), cut(dispatch, 0.5)],
             "b": refusal,
@@ -109,13 +109,13 @@
         self.assertEqual((Outcome.ANSWERED, BODY), (reply.outcome, reply.body))
 
     def test_a_cut_beside_another_attempt_is_tried_elsewhere_again(self):
-        # The first run is cut while the request waits at another gate, which then
-        # refuses: by now nobody is left to wait for, and there are free slots.
-        asked = []
+        # The first run is cut while the request is queued at another gate, which then
+        # refuses it. By then no attempt is open, and there are free slots again.
+        attempts = []
 
         def refuses_once(dispatch):
-            asked.append(dispatch)
-            if dispatch.was_cut and sum(one.was_cut for one in asked) == 1:
+            attempts.append(dispatch)
+            if dispatch.was_cut and sum(one.was_cut for one in attempts) == 1:
                 return [(0.6, frame) for _, frame in refusal(dispatch)]
             return answer(dispatch)
 
@@ -127,8 +127,8 @@
         self.assertEqual((Outcome.ANSWERED, BODY), (reply.outcome, reply.body))
 
     def test_a_run_that_was_cut_counts_once(self):
-        # The route allows two backend servers: a run that was left open and cut is
-        # one of them, not both.
+        # The route allows two attempts. A run that was parked and then cut counts as
+        # one of them, not as both.
         self.answers = {
             "a": lambda dispatch: [ending(dispatch), cut(dispatch, 0.5)],
             "b": refusal,
@@ -154,8 +154,8 @@
         self.assertLess(dispatch.ingress_left_ms, PATIENCE_S * 1000 - reserve_ms)
 
     def test_runs_that_one_gates_end_cuts_need_no_retries(self):
-        # Several reads run at a gate that leaves, more than the service has retries:
-        # the budget is for requests that failed.
+        # More requests run at a leaving gate than the service's retry budget covers.
+        # The budget is only for requests that failed.
         budget = RetryBudget(fraction=0.0, per_s_min=0.0)
         self.forwarder._retries = RetryPolicy(lambda service: budget)
         self.answers["a"] = lambda dispatch: [ending(dispatch), cut(dispatch, 0.3)]
@@ -184,9 +184,9 @@
     NAMES = ("a", "b", "c")
 
     def test_a_cut_does_not_end_the_run_beside_it(self):
-        # The caller is told an error while its request runs elsewhere, and well:
-        # the reply of the run that was cut is taken for the other one's when that
-        # one has been silent for a third of the time.
+        # Guards against an error for the caller while its request runs elsewhere and
+        # will be answered. The reply of the cut run must not be taken for the reply of
+        # the second attempt when that one is silent for a third of the time.
         self.answers = {
             "a": lambda dispatch: [ending(dispatch), cut(dispatch, 0.2)],
             "b": lambda dispatch: [(1.6, frame) for _, frame in answer(dispatch)],
@@ -196,8 +196,8 @@
         self.assertEqual((Outcome.ANSWERED, BODY), (reply.outcome, reply.body))
 
     def test_an_error_of_the_first_run_does_not_end_the_second(self):
-        # The caller is told the first run's error while its request runs elsewhere,
-        # where it will be answered.
+        # Guards against the first run's error for the caller while its request runs
+        # elsewhere and will be answered.
         self.answers = {
             "a": lambda dispatch: [
                 ending(dispatch),
@@ -240,13 +240,13 @@
         self.assertEqual((Outcome.ANSWERED, BODY), (reply.outcome, reply.body))
 
     def test_an_error_that_is_not_retried_is_told(self):
-        # Where errors are told to callers, one is told: a cut beside it is no reason
-        # for a third run.
-        asked = []
+        # An error that is not retried goes to the caller. A parallel run that was cut
+        # is no reason for a third run.
+        attempts = []
 
         def act(dispatch):
-            asked.append(dispatch)
-            match len(asked):
+            attempts.append(dispatch)
+            match len(attempts):
                 case 1:
                     return [ending(dispatch), cut(dispatch, 0.5)]
                 case 2:
@@ -255,48 +255,51 @@
 
         self.answers = dict.fromkeys(self.NAMES, act)
         self.assertEqual(500, self._request().status)
-        self.assertEqual(2, len(asked))
+        self.assertEqual(2, len(attempts))
 
     def test_the_first_runs_answer_does_not_count_as_quick(self):
-        # Hedges follow how long answers take. The first run's took a second, and the
-        # attempt beside it a fifth of one when that answer came.
-        took_s, asked = [], []
+        # Second attempts start after a time that depends on the latency of answers.
+        # The first run takes a second. Its answer arrives a fifth of a second after
+        # the second attempt was sent, which must not be recorded as the latency.
+        latencies_s, attempts = [], []
         policy = self.forwarder._retries
         note = policy.record_answer
 
-        def note_too(service, one_s, *rest):
-            took_s.append(one_s)
-            note(service, one_s, *rest)
+        def record_latency(service, latency_s, *rest):
+            latencies_s.append(latency_s)
+            note(service, latency_s, *rest)
 
         def slow_first(dispatch):
-            asked.append(dispatch)
-            if len(asked) > 1:
+            attempts.append(dispatch)
+            if len(attempts) > 1:
                 return [(5.0, frame) for _, frame in answer(dispatch)]
             notice = (0.8, ending(dispatch)[1])
             return [notice, *((1.0, frame) for _, frame in answer(dispatch))]
 
-        self.patch(policy, "record_answer", note_too)
+        self.patch(policy, "note_answer", record_latency)
         self.answers = dict.fromkeys(self.NAMES, slow_first)
         self.assertIs(Outcome.ANSWERED, self._request().outcome)
-        self.assertEqual([], [one_s for one_s in took_s if one_s < 0.9])
+        self.assertEqual(
+            [], [latency_s for latency_s in latencies_s if latency_s < 0.9]
+        )
 
     def test_a_second_gate_that_ends_is_left_open_in_its_turn(self):
-        # Restarts follow each other: the run beside the first one is at a gate
-        # that is told to leave, too, when the first one has been cut.
+        # Nodes are restarted one after the other: when the first run has been cut, the
+        # gate of the second one announces its end, too.
         self.answers = {
             "a": lambda dispatch: [ending(dispatch), cut(dispatch, 0.2)],
         }
-        self._let_answer_late("b", "c")
+        self._let_second_attempt_answer("b", "c")
         reply = self._request_at("a", attempts_max=3)
         self.assertEqual((Outcome.ANSWERED, BODY), (reply.outcome, reply.body))
 
-    def _let_answer_late(self, *names: str) -> None:
-        """Let the second of some gates that is asked answer at once."""
-        asked = []
+    def _let_second_attempt_answer(self, *names: str) -> None:
+        """Let the first attempt at these gates get a notice, the second an answer."""
+        attempts = []
 
         def second_answers(dispatch):
-            asked.append(dispatch)
-            if len(asked) > 1:
+            attempts.append(dispatch)
+            if len(attempts) > 1:
                 return answer(dispatch)
             return [(0.5, encode(GateEnding(dispatch.attempt_id)))]
 
@@ -307,10 +310,10 @@
     NAMES = ("a",)
 
     def test_an_answer_counts_that_comes_while_the_own_gate_runs_the_request(self):
-        # The caller waits on, or is told an error, though its request was answered.
-        # The run at the gate that leaves ends in time, while the request runs at
-        # the ingress's own gate as well and hangs there. Nobody reads the answer,
-        # and it is dropped with the connection when the other node ends.
+        # Guards against a caller that waits on or gets an error although its request
+        # was answered. The run at the leaving gate ends in time, while the request
+        # also runs at the ingress's own gate and hangs there. If the answer is not
+        # read, it is dropped with the connection when the leaving node ends.
         server = RawServer(lambda number: (None, False))
         self.addCleanup(server.close)
         self.servers.announce(
@@ -334,10 +337,10 @@
 
 class GivenUpTests(TwoGateCase):
     def test_nothing_is_sent_after_the_node_gave_up(self):
-        # The caller's connection ends without an answer. Its request had been
-        # refused everywhere and paused before it searched again, when the node
-        # gave up what was left; it was sent once more after that, and the node
-        # ended its callers' connections before the reply.
+        # Guards against a caller's connection that closes without an answer. All
+        # gates refuse the request, and the node gives up its requests during the
+        # pause before the next search. If the request is sent again after that, the
+        # node closes its callers' connections before the reply arrives.
         def suspected(dispatch):
             reply = Reply(dispatch.attempt_id, Outcome.NOT_RUN, Reason.SUSPECTED)
             return [(0.0, encode(reply))]
--- a/tests/test_ending_ingresses.py
+++ b/tests/test_ending_ingresses.py
@@ -1,4 +1,4 @@
-"""Attempts of nodes that are leaving: refused, as not run, before they are cut."""
+"""Attempts that cannot finish before a leaving node ends are refused as not run."""
 
 import io
 import math
@@ -40,9 +40,9 @@
 
 
 class EndingIngressTests(TestCase):
-    # A request waits in a gate's queue while the node that took it is leaving. It
-    # gets a slot in the last moment, runs, and is cut when that node gives up: its
-    # caller is told that nobody knows, where `not_run` was true until then.
+    # A request waits in a gate's queue while the node that received it is leaving. If
+    # it gets a slot at the last moment, it runs and is cut when that node gives up.
+    # Its caller is told `unknown`, although `not_run` was true until the slot came.
 
     def setUp(self):
         super().setUp()
@@ -65,7 +65,7 @@
         token = CancelToken()
         with ThreadPoolExecutor(1) as executor:
             waiting = executor.submit(self._admit, token)
-            wait_until(self.admission.waiting, "one waits")
+            wait_until(self.admission.waiting, "the request waits")
             token.end_by(time.monotonic() + 1.5 * USUAL_S)
             with self.servers.changed:
                 self.servers.changed.notify_all()
@@ -73,8 +73,9 @@
         self.admission.release(running, WorkEnd.ANSWERED)
 
     def test_a_read_starts_only_if_it_is_likely_to_end(self):
-        # Half of all reads last longer than their mean. Cut, a read's caller hears
-        # an error at the end of its node; refused, it comes back while there is time.
+        # About half of all reads take longer than the mean. The caller of a read that
+        # is cut gets an error when the node ends. After a refusal there is still time
+        # to try again.
         token = CancelToken()
         token.end_by(time.monotonic() + 2.5 * USUAL_S)
         admitted = self._admit(token, Execution.IDEMPOTENT)
@@ -104,7 +105,7 @@
 
 
 class LinkCase(TestCase):
-    """The ingress's end of links to one gate."""
+    """Helpers for the ingress's end of links to one gate."""
 
     def setUp(self):
         super().setUp()
@@ -127,7 +128,7 @@
 
 
 class LinkServerTests(LinkCase):
-    """A link server with a real gate, and the ingress's end of a link."""
+    """A link server with a real gate, and links from an ingress to it."""
 
     def setUp(self):
         super().setUp()
@@ -185,22 +186,22 @@
         self.assertEqual(
             (Outcome.NOT_RUN, Reason.NODE_STOPPING), (reply.outcome, reply.reason)
         )
-        # What runs goes on.
+        # The running attempt is not affected.
         self.assertEqual(1, self.gate.in_flight())
         self.assertEqual(1, len(self.backend.requests))
         first.close()
         link.close()
 
     def test_the_word_of_an_end_waits_for_its_attempt(self):
-        # All threads of the gate are busy: the attempt has not begun when its
-        # ingress says that it ends.
+        # All threads of the gate are busy, so the attempt has not started when the
+        # notice of its ingress's end arrives.
         busy = threading.Event()
         self.addCleanup(busy.set)
         for _ in range(2):
             self.executor.submit(busy.wait, PATIENCE_S)
         link, attempt_id = self._send(1)
         link.tell_ending(attempt_id, 0.5 * USUAL_S)
-        wait_until(lambda: self.server._ends_s, "the word has come")
+        wait_until(lambda: self.server._ends_s, "the notice has arrived")
         busy.set()
         reply = self._wait(link, attempt_id).reply
         self.assertEqual(
@@ -209,8 +210,8 @@
         self.assertEqual([], self.backend.requests)
 
     def test_the_word_of_an_end_is_kept_past_that_end(self):
-        # As before; the ingress's end has passed when a thread is free. Started
-        # then, it would be cut at once, where `not_run` is true.
+        # All threads of the gate are busy until after the ingress's end. An attempt
+        # started then would be cut at once, although `not_run` was true before.
         busy = threading.Event()
         self.addCleanup(busy.set)
         for _ in range(2):
@@ -228,10 +229,9 @@
 
 class StoppingNodeTests(LinkCase):
     def test_an_attempt_that_comes_as_the_node_stops_is_told_not_run(self):
-        # The caller of a request that must not run twice is told that nobody
-        # knows. Its attempt came in the milliseconds in which the gate's threads
-        # had ended and its link was still open: the node could neither run nor
-        # refuse it, and ended with an error.
+        # Guards against `unknown` for the caller of a non-idempotent request. When an
+        # attempt arrives after the gate's threads have ended but before its link is
+        # closed, the node must still refuse it and not fail with an error.
         backend = RawServer(lambda number: (None, False))
         self.addCleanup(backend.close)
         self.address = free_address()
--- a/tests/test_links.py
+++ b/tests/test_links.py
@@ -1,4 +1,4 @@
-"""Attempts over links: whole and own answers, and the truth about the rest."""
+"""Attempts over links: complete answers to the right request, correct outcomes."""
 
 import random
 import socket
@@ -27,12 +27,12 @@
 from tests.utils import free_address, wait_until
 
 SEED = 20_261
-# One call that never lets go of the interpreter.
-STAND_STILL_STEPS = 20_000_000
+# Steps of one call that does not release the interpreter lock.
+STALL_STEPS = 20_000_000
 
 
 class EarlierCancel(msgspec.Struct, array_like=True, tag="cancel", frozen=True):
-    """A cancellation as releases read it that know of no cause."""
+    """A cancellation as earlier releases decode it, without a cause."""
 
     attempt_id: AttemptId
     hlc: int = 0
@@ -40,8 +40,9 @@
 
 
 class CancelCauseTests(TestCase):
-    # Two releases meet during a roll-out. A cancellation that one of them can't
-    # read is dropped, and the backend server goes on working for nobody.
+    # During a roll-out two releases exchange messages. A cancellation that one of
+    # them cannot decode is dropped, and the backend server keeps working on a
+    # request whose answer is not used.
 
     def setUp(self):
         super().setUp()
@@ -65,9 +66,9 @@
             self.assertIs(CancelCause.INGRESS_GAVE_UP, read.cause)
 
 
-def _stand_still() -> None:
-    """Keep all other threads of this process from running for some half a second."""
-    sum(range(STAND_STILL_STEPS))
+def _stall_process() -> None:
+    """Block all other threads of this process for about half a second."""
+    sum(range(STALL_STEPS))
 
 
 class LinkTests(TestCase):
@@ -89,9 +90,9 @@
         return gate, relay, self._ingress(relay.address)
 
     def test_each_of_thousands_of_requests_gets_its_own_whole_answer(self):
-        # Replies come late, in any order, twice, damaged, or with the ids of
-        # other attempts, on links that were used before and will be again. A
-        # mix-up would hand one caller's contract to another.
+        # Replies arrive late, in any order, twice, damaged or with the ids of other
+        # attempts, over links that are reused. If they were mixed up, one caller
+        # would get another caller's answer.
         rng = random.Random(SEED)
         earlier: list[bytes] = []
 
@@ -117,11 +118,11 @@
                 return [(0, answer_frame(dispatch, body=half))]
             first = [noise[kind]] if kind in noise else []
             delay_s = rng.random() * 0.02 if kind == "late" else 0
-            # The noise comes before the answer as well as after it.
+            # The noise is sent both before and after the answer.
             return [*first, (delay_s, own), *first]
 
-        # 16 tasks open links at once: on a busy machine a greeting may take
-        # longer than a caller would wait, and its request be `not_run`.
+        # 16 tasks open links at once. On a busy machine a greeting may take longer
+        # than the time-out for connecting, and the request would be `not_run`.
         self.patch(links, "CONNECT_TIMEOUT_S", 10.0)
         _, address = self._gate(answer)
         ingress = self._ingress(address)
@@ -137,7 +138,7 @@
                     (Outcome.UNKNOWN, Reason.BROKEN_ANSWER),
                     (reply.outcome, reply.reason),
                 )
-        # Two of nine kinds are damaged.
+        # Two of the nine kinds of answers are damaged.
         self.assertTrue(500 < counts[Outcome.UNKNOWN] < 850, counts)
 
     def test_an_answer_without_a_checksum_is_not_trusted(self):
@@ -148,8 +149,8 @@
         self.assertEqual(Outcome.UNKNOWN, reply.outcome)
 
     def test_a_gate_that_dies_with_the_request_leaves_it_unknown_at_once(self):
-        # The gate took the request and its process ends. Whether it ran
-        # nobody can tell; the caller hears so long before the deadline.
+        # The gate's process ends after it received the request. The request may or
+        # may not have run; the caller is told so long before the deadline.
         gate, address = self._gate(lambda dispatch: [])
         ingress = self._ingress(address)
         with ThreadPoolExecutor(1) as executor:
@@ -160,8 +161,9 @@
         self.assertEqual(1, len(gate.dispatches))
 
     def test_nothing_waits_for_a_gate_that_comes_later(self):
-        # Nobody listens: the caller hears 'not run' and signs elsewhere. A
-        # queued message would be delivered to whoever listens there next.
+        # No process listens at the address: the caller is told `not_run` and may
+        # send the request again. A queued message would be delivered to the next
+        # process that listens there, and the request would run a second time.
         address = free_address()
         ingress = self._ingress(address)
         reply = ingress.request()
@@ -186,16 +188,15 @@
         self.assertEqual([b"new"], [d.body for d in replacement.dispatches])
 
     def test_into_a_one_way_cut_nothing_is_sent(self):
-        # One direction is cut while a link is idle, and its connection stays
-        # open. Requests would vanish, or run with their answers lost: each an
-        # 'unknown'. The link is asked first, so that the caller hears 'not
-        # run', truthfully.
-        self.patch(links, "HEARD_FRESH_S", dict.fromkeys(Execution, 0.0))
+        # One direction is cut while a link is idle, and its connection stays open.
+        # Requests or their answers would be lost, with the outcome `unknown`. The
+        # link is checked before the request is sent, so the outcome is `not_run`.
+        self.patch(links, "CHECK_VALID_S", dict.fromkeys(Execution, 0.0))
         for direction in ("forward", "backward"):
             gate, relay, ingress = self._relayed()
             self.assertEqual(Outcome.ANSWERED, ingress.request().outcome)
             setattr(relay, direction, Flow.DROP)
-            # On the idle link, then on a new one.
+            # Over the idle link, then over a new one.
             for _ in range(2):
                 reply = ingress.request()
                 self.assertEqual(Outcome.NOT_RUN, reply.outcome, direction)
@@ -205,7 +206,7 @@
         for direction in ("forward", "backward"):
             gate, relay, ingress = self._relayed()
             self.assertEqual(Outcome.ANSWERED, ingress.request().outcome)
-            # Heard just now: the link is trusted, and wrongly so.
+            # The link is not checked again right after a reply.
             setattr(relay, direction, Flow.DROP)
             reply = ingress.request(timeout_s=0.3)
             self.assertEqual(Outcome.UNKNOWN, reply.outcome, direction)
@@ -213,12 +214,13 @@
             self.assertEqual(ran, len(gate.dispatches))
 
     def test_a_link_gets_its_time_though_this_process_stood_still(self):
-        # Guards against 'not run' for a gate that answered while nobody here ran.
+        # Guards against `not_run` when the gate answered in time, but a pause of this
+        # process delayed the reading of its answer.
         gate, _, ingress = self._relayed()
-        stopped = threading.Thread(target=_stand_still)
-        stopped.start()
+        stall = threading.Thread(target=_stall_process)
+        stall.start()
         reply = ingress.request()
-        stopped.join()
+        stall.join()
         self.assertEqual(Outcome.ANSWERED, reply.outcome)
         self.assertEqual(1, len(gate.dispatches))
 
@@ -244,9 +246,8 @@
         self.assertEqual(dispatch.gate_deadline_s, cancel.gate_deadline_s)
 
     def test_a_cancellation_tells_why_the_request_was_given_up(self):
-        # The gate cuts the run in each case. Told apart only at the ingress, the
-        # gate's log would say the same of an impatient caller and of a node that
-        # leaves.
+        # The gate cuts the run in each case. Without the cause in the message, the
+        # gate's log would not distinguish a caller that left from a leaving node.
         gate, address = self._gate(lambda dispatch: [])
         causes = [
             (CancelCause.CALLER_LEFT, self._leave),
@@ -271,29 +272,29 @@
         wait_until(lambda: len(messages) == count, f"{count} messages")
 
     def test_a_request_remembers_when_it_heard_that_its_run_was_cut(self):
-        # The first run is cut, the second one is answered late: the time between
-        # is what the caller waited after the cut. A refusal cuts no run.
+        # The first attempt is refused, which cuts no run. The run of the second one is
+        # cut, and the third one is answered. `cut_s` is the time of the second reply.
         ends = [
             {"outcome": Outcome.NOT_RUN, "reason": Reason.DRAINING},
             {"outcome": Outcome.UNKNOWN, "reason": Reason.CANCELLED},
             {},
         ]
-        heard_s = []
+        received_s = []
 
         def answer(dispatch):
-            heard_s.append(time.monotonic())
+            received_s.append(time.monotonic())
             return [(0, answer_frame(dispatch, **ends[len(gate.dispatches) - 1]))]
 
         gate, address = self._gate(answer)
         ingress = self._ingress(address, servers_count=3)
         reply = ingress.request(execution=Execution.IDEMPOTENT)
         self.assertEqual((3, Outcome.ANSWERED), (len(gate.dispatches), reply.outcome))
-        self.assertTrue(heard_s[1] <= ingress.forwarded.cut_s <= heard_s[2])
+        self.assertTrue(received_s[1] <= ingress.forwarded.cut_s <= received_s[2])
 
     def test_a_request_whose_run_was_cut_tells_why_it_was_not_sent_elsewhere(self):
-        # Its run is cut long before its deadline, and its caller gets 'unknown'
-        # at once: the route allows one attempt, or there is no other backend
-        # server, or it must not run twice.
+        # The run is cut long before the deadline, and the caller gets `unknown` at
+        # once: the route allows one attempt, or there is no other backend server, or
+        # the request must not run twice.
         cut = {"outcome": Outcome.UNKNOWN, "reason": Reason.CANCELLED}
         gate, address = self._gate(
             lambda dispatch: [(0, answer_frame(dispatch, **cut))]
@@ -311,8 +312,8 @@
         self.assertEqual(len(ends), len(gate.dispatches))
 
     def test_not_run_after_an_attempt_that_may_have_run_is_unknown(self):
-        # An idempotent request is lost at one backend server and refused at
-        # the next. The last reply says 'not run', of its own attempt only.
+        # An idempotent request is lost at one backend server and refused at the next.
+        # The `not_run` of the last reply is true of the last attempt only.
         ends = [Outcome.UNKNOWN, Outcome.NOT_RUN]
 
         def answer(dispatch):
@@ -326,8 +327,9 @@
         self.assertEqual(Outcome.UNKNOWN, reply.outcome)
 
     def test_a_deadline_on_the_gates_clock_is_never_late(self):
-        # Seeded clocks that start apart and drift, messages that take their
-        # time: the deadline given to the gate is never after the true one.
+        # The gate's clock has an offset and a drift, and messages are delayed, all at
+        # random from a seed. A deadline converted to the gate's clock is never later
+        # than the true one.
         rng = random.Random(SEED)
         for _ in range(50):
             start_s = rng.uniform(-1e6, 1e6)
@@ -337,8 +339,8 @@
             for _ in range(50):
                 now_s += rng.choice([0.01, 1, 600])
                 one_way_s = rng.expovariate(100)
-                said_s = start_s + (now_s - one_way_s - begin_s) * rate
-                clock.note(said_s, now_s)
+                gate_time_s = start_s + (now_s - one_way_s - begin_s) * rate
+                clock.update(gate_time_s, now_s)
                 for later_s in (0, 2, 60):
                     true_s = start_s + (now_s + later_s - begin_s) * rate
                     early_s = true_s - clock.at(now_s + later_s)
--- a/tests/test_own_answers.py
+++ b/tests/test_own_answers.py
@@ -1,4 +1,4 @@
-"""Each caller gets the whole answer to its own request, through processes."""
+"""Each caller gets the complete answer to its own request, across processes."""
 
 import http.client
 import json
@@ -32,9 +32,9 @@
 
 class OwnAnswerTests(TestCase):
     def test_interleaved_requests_get_their_own_whole_answers(self):
-        # Twelve callers keep their connections, through three nodes to three
-        # backend servers, of which two answer every third request late: on
-        # each link and connection answers of all sizes follow each other.
+        # Twelve callers with keep-alive connections send requests through three nodes
+        # to three backend servers. Two of these answer every third request late, so
+        # answers of all sizes are interleaved on each link and connection.
         fleet = start_fleet(self, SETTINGS)
         nodes = [fleet.start_node(f"node-{n}", "zone-1") for n in range(3)]
         servers = [
@@ -54,7 +54,7 @@
         self.assertEqual({server.name for server in servers}, set(served))
 
     def _call_many(self, address: str, number: int) -> list[str]:
-        """Make requests on one connection; return who served them."""
+        """Send requests on one connection; return the servers that answered them."""
         rng = random.Random(SEED + number)
         connection = http.client.HTTPConnection(address, timeout=90)
         served = []
--- a/tests/test_own_problems.py
+++ b/tests/test_own_problems.py
@@ -1,4 +1,4 @@
-"""What callers are told where no backend server answered."""
+"""Statuses of responses when no backend server answered."""
 
 from testtools import TestCase
 
@@ -12,8 +12,8 @@
 
 class ProblemTests(TestCase):
     def test_a_request_that_did_not_run_is_never_told_otherwise(self):
-        # The time of a non-idempotent request ended before it was sent. Told 504,
-        # which promises nothing, its caller could not send it again.
+        # The deadline of a non-idempotent request passed before the request was sent.
+        # After a 504 it may have run, so its caller could not send it again.
         for reason in (Reason.DEADLINE, Reason.SILENCE, Reason.DAMAGED):
             self.assertEqual(503, status_of(reason, Outcome.NOT_RUN))
         self.assertEqual(404, status_of(Reason.NO_ROUTE, Outcome.NOT_RUN))
--- a/tests/test_two_gates.py
+++ b/tests/test_two_gates.py
@@ -1,4 +1,4 @@
-"""One ingress between two gates: second attempts, refusals, last resorts."""
+"""One ingress and two gates: second attempts, refusals and last resorts."""
 
 import threading
 import time
@@ -17,20 +17,20 @@
 
 class TwoGateTests(TwoGateCase):
     def test_the_caller_of_a_silent_backend_server_is_rescued(self):
-        # One backend server hangs. Without a second attempt beside the first
-        # its callers wait for their whole time and are told 'unknown'.
+        # One backend server hangs. Without a second attempt in parallel its callers
+        # wait until their deadline and are told `unknown`.
         self.answers["a"] = lambda dispatch: []
         replies = [self._request() for _ in range(6)]
         self.assertEqual([BODY] * 6, [reply.body for reply in replies])
-        # Not cancelled: its gate has to see how long it stays silent.
+        # The silent attempt is not cancelled: its duration lets the gate detect that
+        # the backend server hangs.
         silent = self.gates["a"]
         self.assertTrue(silent.dispatches)
         self.assertEqual([], silent.cancels)
 
     def test_a_second_attempt_beside_a_silent_one_counts(self):
-        # The route allows two backend servers. One hangs, the second attempt
-        # beside it fails: a third one would run the request where its
-        # operator allowed two.
+        # The route allows two attempts. The first one hangs, and the second one in
+        # parallel fails. A third one would exceed the operator's limit.
         self.answers = {
             "a": lambda dispatch: [],
             "b": lambda dispatch: answer(dispatch, status=503),
@@ -44,9 +44,9 @@
         self.assertEqual(1, self._dispatches() - seen)
 
     def test_a_gate_is_told_of_a_repeat_and_another_may_grant_it(self):
-        # The first gate's backend server fails; the second gate has no repeat
-        # left to grant, and tells so without running it. The caller gets the
-        # error that it has, and what a gate refused is no run.
+        # The first gate's backend server fails. The second gate has no retry left to
+        # grant and refuses the repeat without running it. The caller gets the first
+        # error, because the refused attempt is not a run.
         def denies(dispatch):
             denial = Reply(dispatch.attempt_id, Outcome.NOT_RUN, Reason.RETRY_BUDGET)
             if dispatch.is_repeat:
@@ -66,9 +66,9 @@
         self.assertEqual([False, True], sorted(repeats))
 
     def test_two_attempts_that_gates_refused_are_told_as_not_run(self):
-        # The first attempt waits at a gate, a second one goes beside it, and
-        # both gates refuse. Nothing ran: told 'unknown', the caller of a
-        # request that must not run twice could not send it again.
+        # The first attempt waits at a gate, a second one is sent in parallel, and
+        # both gates refuse. Nothing ran. With `unknown` the caller of a non-idempotent
+        # request could not send it again.
         def late_refusal(dispatch):
             refusal = Reply(dispatch.attempt_id, Outcome.NOT_RUN, Reason.CANCELLED)
             return [(1.2, encode(refusal))]
@@ -79,15 +79,15 @@
         self.assertEqual(2, self._dispatches())
 
     def test_a_suspected_backend_server_is_the_last_resort(self):
-        # Both gates refuse because their backend servers look sick. Sent at
-        # once all the same, four of five such attempts fail, and a request
-        # that must not run twice is lost; a moment later one of them is well
-        # again and takes it.
-        asked = []
+        # Both gates refuse because their backend servers are suspected. If the request
+        # were sent as a last resort at once, four of five such attempts would fail,
+        # and a non-idempotent request would be lost. A moment later one of the
+        # backend servers has recovered and takes the request.
+        last_resort_flags = []
 
         def recovers(dispatch):
-            asked.append(dispatch.is_last_resort)
-            if len(asked) > 4:
+            last_resort_flags.append(dispatch.is_last_resort)
+            if len(last_resort_flags) > 4:
                 return answer(dispatch)
             refusal = Reply(dispatch.attempt_id, Outcome.NOT_RUN, Reason.SUSPECTED)
             return [(0.0, encode(refusal))]
@@ -95,7 +95,7 @@
         self.answers = {"a": recovers, "b": recovers}
         reply = self._request(Execution.NON_IDEMPOTENT, timeout_s=10.0)
         self.assertIs(Outcome.ANSWERED, reply.outcome)
-        self.assertEqual([False] * 5, asked)
+        self.assertEqual([False] * 5, last_resort_flags)
 
     def test_one_that_stays_suspected_takes_what_nobody_else_does(self):
         def sick(dispatch):
@@ -137,8 +137,8 @@
         self.assertEqual((Outcome.ANSWERED, 503), (reply.outcome, reply.status))
 
     def test_an_answer_stands_when_the_second_attempt_has_none(self):
-        # The backend server ran the request and answered 503; another gate is
-        # busy. 'Not run' would be a lie.
+        # The backend server ran the request and answered 503, and the other gate is
+        # busy. Its `not_run` must not replace the answer, as the request did run.
         def busy(dispatch):
             refusal = Reply(dispatch.attempt_id, Outcome.NOT_RUN, Reason.NO_FREE_SLOT)
             return [(0.0, encode(refusal))]
@@ -149,7 +149,7 @@
             self.assertEqual((Outcome.ANSWERED, 503), (reply.outcome, reply.status))
 
     def test_a_gate_that_can_not_be_reached_is_asked_once_in_a_while(self):
-        # Each request to a cut-off node would wait for the link in vain.
+        # Without a hold-out each request would wait for a link to the unreachable node.
         self.gates["a"].close()
         self.gates["a"].close = lambda: None
         replies = [self._request(Execution.NON_IDEMPOTENT) for _ in range(20)]
