--- a/tests/test_asking.py
+++ b/tests/test_admission_queries.py
@@ -95,11 +95,11 @@
 
         self.gates["here"]._answer = would_wait
 
-    def test_a_gate_at_home_is_sent_the_request_at_once(self):
+    def test_a_gate_in_the_own_zone_gets_the_request_without_a_query(self):
         self.assertIs(Outcome.ANSWERED, self._request().outcome)
         self.assertEqual([], self.gates["here"].questions)
 
-    def test_a_gate_at_home_that_is_busy_is_not_sent_a_large_body(self):
+    def test_a_busy_gate_in_the_own_zone_is_not_sent_a_large_body(self):
         # Without a query a body of 60 KB is sent to three or four busy gates, which
         # refuse it. On links of 10 Mbit/s this delays other callers' short requests,
         # which are then refused because the gates seem unreachable.
@@ -110,19 +110,19 @@
         [dispatch] = self.gates["there"].dispatches
         self.assertEqual(60_000, len(dispatch.body))
 
-    def test_a_gate_at_home_that_is_free_gets_a_large_body(self):
+    def test_a_free_gate_in_the_own_zone_gets_a_large_body(self):
         self.assertIs(Outcome.ANSWERED, self._request(body=b"x" * 60_000).outcome)
         self.assertEqual(1, len(self.gates["here"].questions))
         self.assertEqual(1, len(self.gates["here"].dispatches))
 
-    def test_a_far_gate_that_would_take_it_gets_it(self):
+    def test_a_gate_in_another_zone_gets_a_request_that_it_admits(self):
         self._refuse_in_own_zone()
         self.assertIs(Outcome.ANSWERED, self._request().outcome)
         [question] = self.gates["there"].questions
         self.assertEqual("server-there", question.backend_server_id)
         self.assertEqual(1, len(self.gates["there"].dispatches))
 
-    def test_a_far_gate_that_would_refuse_it_is_not_sent_its_bytes(self):
+    def test_a_gate_in_another_zone_is_not_sent_a_request_that_it_declines(self):
         # Without a query two of three such attempts are refused after the whole
         # request was sent between zones. The answer to the query is used again in
         # the last step, which queues the request where the wait is shortest.
@@ -137,7 +137,7 @@
         self.events.flush()
         self.assertIn("event=attempt_declined", self.log.getvalue())
 
-    def test_a_far_gate_that_is_silent_was_sent_nothing(self):
+    def test_a_gate_in_another_zone_is_sent_nothing_if_it_does_not_reply(self):
         # The link is up, but the gate does not answer: it is stopped, or one direction
         # is cut. No request was sent, so a non-idempotent one may go elsewhere. The
         # gate is held out for a while.
@@ -168,13 +168,13 @@
         question = msgspec.structs.replace(question, **changes)
         return self.gate.would_take(question, time.monotonic())
 
-    def test_a_free_slot_is_told_and_not_taken(self):
+    def test_a_query_reports_a_free_slot_without_taking_it(self):
         for _ in range(3):
             reply = self._query_gate(wait_max_ms=0.0)
             self.assertEqual((7, None), (reply.number, reply.reason))
         self.assertEqual(0, self.admission.in_flight())
 
-    def test_a_busy_one_tells_its_queue(self):
+    def test_a_query_reports_the_wait_in_the_queue(self):
         dispatch = Dispatch(
             AttemptId("own", 1, 1),
             "id",
@@ -196,11 +196,11 @@
         self.assertIsNone(self._query_gate(wait_max_ms=60_000.0).reason)
         self.assertEqual(0, self.admission.waiting())
 
-    def test_an_unknown_backend_server_is_told(self):
+    def test_a_query_reports_an_unknown_backend_server(self):
         reply = self._query_gate(backend_server_id="gone")
         self.assertIs(Reason.NO_BACKEND_SERVER, reply.reason)
 
-    def test_nobody_who_waits_is_shed_for_a_question(self):
+    def test_a_query_sheds_no_waiting_request(self):
         queue = SlotQueue(1)
         waits = Ticket("s", 0.3, 100.0)
         self.assertIs(Verdict.WAIT, queue.ask(waits, 0, 1, 1.0, 0.0))
--- a/tests/test_ending_gates.py
+++ b/tests/test_ending_gates.py
@@ -84,7 +84,7 @@
         # The cancellation frees the slot at the leaving gate for its last requests.
         wait_until(lambda: self.gates["a"].cancels, "the first attempt is cancelled")
 
-    def test_the_first_run_still_counts_if_it_ends_in_time(self):
+    def test_the_parked_run_is_used_if_it_ends_in_time(self):
         # The second gate refuses, so only the parked attempt can still be answered.
         self.answers = {
             "a": lambda dispatch: [
@@ -97,7 +97,7 @@
         self.assertEqual((Outcome.ANSWERED, BODY), (reply.outcome, reply.body))
         self.assertEqual([], self.gates["a"].cancels)
 
-    def test_a_run_that_is_cut_after_all_is_tried_elsewhere_again(self):
+    def test_a_parked_run_that_is_cut_is_retried_elsewhere(self):
         # The other gate is busy when the first one announces its end, but no longer
         # when the run is cut.
         self.answers = {
@@ -108,7 +108,7 @@
         reply = self._request_at("a")
         self.assertEqual((Outcome.ANSWERED, BODY), (reply.outcome, reply.body))
 
-    def test_a_cut_beside_another_attempt_is_tried_elsewhere_again(self):
+    def test_a_cut_during_a_parallel_attempt_is_retried_elsewhere(self):
         # The first run is cut while the request is queued at another gate, which then
         # refuses it. By then no attempt is open, and there are free slots again.
         attempts = []
@@ -137,7 +137,7 @@
         reply = self._request_at("a", attempts_max=2)
         self.assertEqual((Outcome.ANSWERED, BODY), (reply.outcome, reply.body))
 
-    def test_a_gate_that_is_too_slow_for_a_leaving_ingress_is_not_the_last(self):
+    def test_a_refusal_for_a_leaving_ingress_is_retried_elsewhere(self):
         def too_slow(dispatch):
             reply = Reply(dispatch.attempt_id, Outcome.NOT_RUN, Reason.NODE_STOPPING)
             return [(0.0, encode(reply))]
@@ -146,14 +146,14 @@
         reply = self._request_at("a")
         self.assertEqual((Outcome.ANSWERED, BODY), (reply.outcome, reply.body))
 
-    def test_gates_are_told_of_an_end_that_leaves_time_for_their_refusal(self):
+    def test_the_announced_end_leaves_time_for_refusals(self):
         self.forwarder.end_by(time.monotonic() + PATIENCE_S)
         self.assertEqual(Outcome.ANSWERED, self._request().outcome)
         [dispatch] = [one for gate in self.gates.values() for one in gate.dispatches]
         reserve_ms = REPLY_RESERVE_S * 1000
         self.assertLess(dispatch.ingress_left_ms, PATIENCE_S * 1000 - reserve_ms)
 
-    def test_runs_that_one_gates_end_cuts_need_no_retries(self):
+    def test_runs_cut_by_a_leaving_gate_use_no_retry_budget(self):
         # More requests run at a leaving gate than the service's retry budget covers.
         # The budget is only for requests that failed.
         budget = RetryBudget(fraction=0.0, per_s_min=0.0)
@@ -163,7 +163,7 @@
             reply = self._request_at("a")
             self.assertEqual((Outcome.ANSWERED, BODY), (reply.outcome, reply.body))
 
-    def test_no_other_place_is_tried_where_the_route_allows_one(self):
+    def test_no_other_gate_is_tried_if_the_route_allows_one_attempt(self):
         self.answers["a"] = lambda dispatch: [ending(dispatch), cut(dispatch, 0.2)]
         self.answers["b"] = lambda dispatch: [ending(dispatch), cut(dispatch, 0.2)]
         seen = self._dispatches()
@@ -171,7 +171,7 @@
         self.assertEqual(Outcome.UNKNOWN, reply.outcome)
         self.assertEqual(1, self._dispatches() - seen)
 
-    def test_what_must_not_run_twice_is_not_tried_elsewhere(self):
+    def test_a_non_idempotent_request_is_not_tried_elsewhere(self):
         self.answers["a"] = lambda dispatch: [ending(dispatch), cut(dispatch, 0.2)]
         self.answers["b"] = lambda dispatch: [ending(dispatch), cut(dispatch, 0.2)]
         seen = self._dispatches()
@@ -183,7 +183,7 @@
 class ThreeGateTests(EndingGateCase):
     NAMES = ("a", "b", "c")
 
-    def test_a_cut_does_not_end_the_run_beside_it(self):
+    def test_a_cut_does_not_end_the_parallel_run(self):
         # Guards against an error for the caller while its request runs elsewhere and
         # will be answered. The reply of the cut run must not be taken for the reply of
         # the second attempt when that one is silent for a third of the time.
@@ -209,7 +209,7 @@
         reply = self._request_at("a", attempts_max=2)
         self.assertEqual((200, BODY), (reply.status, reply.body))
 
-    def test_an_error_of_the_first_run_is_told_where_nothing_better_comes(self):
+    def test_an_error_of_the_first_run_is_returned_if_the_second_is_cut(self):
         self.answers = {
             "a": lambda dispatch: [
                 ending(dispatch),
@@ -221,7 +221,7 @@
         reply = self._request_at("a", attempts_max=2)
         self.assertEqual((Outcome.ANSWERED, 500), (reply.outcome, reply.status))
 
-    def test_a_damaged_error_is_not_told(self):
+    def test_a_damaged_error_is_not_returned(self):
         self.answers = {
             "a": lambda dispatch: [ending(dispatch), damaged(dispatch, 0.2, 500)],
             "b": lambda dispatch: [cut(dispatch, 0.6)],
@@ -230,7 +230,7 @@
         reply = self._request_at("a", attempts_max=2)
         self.assertIs(Outcome.UNKNOWN, reply.outcome)
 
-    def test_a_damaged_answer_does_not_end_the_run_beside_it(self):
+    def test_a_damaged_answer_does_not_end_the_parallel_run(self):
         self.answers = {
             "a": lambda dispatch: [ending(dispatch), damaged(dispatch, 0.2, 200)],
             "b": lambda dispatch: [(0.6, frame) for _, frame in answer(dispatch)],
@@ -239,7 +239,7 @@
         reply = self._request_at("a", attempts_max=2)
         self.assertEqual((Outcome.ANSWERED, BODY), (reply.outcome, reply.body))
 
-    def test_an_error_that_is_not_retried_is_told(self):
+    def test_an_error_that_is_not_retried_is_returned(self):
         # An error that is not retried goes to the caller. A parallel run that was cut
         # is no reason for a third run.
         attempts = []
@@ -257,7 +257,7 @@
         self.assertEqual(500, self._request().status)
         self.assertEqual(2, len(attempts))
 
-    def test_the_first_runs_answer_does_not_count_as_quick(self):
+    def test_the_parked_runs_latency_is_recorded_in_full(self):
         # Second attempts start after a time that depends on the latency of answers.
         # The first run takes a second. Its answer arrives a fifth of a second after
         # the second attempt was sent, which must not be recorded as the latency.
@@ -283,7 +283,7 @@
             [], [latency_s for latency_s in latencies_s if latency_s < 0.9]
         )
 
-    def test_a_second_gate_that_ends_is_left_open_in_its_turn(self):
+    def test_an_attempt_at_a_second_ending_gate_is_parked_too(self):
         # Nodes are restarted one after the other: when the first run has been cut, the
         # gate of the second one announces its end, too.
         self.answers = {
@@ -309,7 +309,7 @@
 class OwnGateTests(EndingGateCase):
     NAMES = ("a",)
 
-    def test_an_answer_counts_that_comes_while_the_own_gate_runs_the_request(self):
+    def test_an_answer_that_arrives_during_a_run_at_the_own_gate_is_used(self):
         # Guards against a caller that waits on or gets an error although its request
         # was answered. The run at the leaving gate ends in time, while the request
         # also runs at the ingress's own gate and hangs there. If the answer is not
@@ -357,7 +357,7 @@
         self.assertEqual(Outcome.NOT_RUN, reply.outcome)
         self.assertEqual(sent, self._dispatches())
 
-    def test_nothing_is_sent_over_a_link_that_was_opened_meanwhile(self):
+    def test_nothing_is_sent_over_a_link_opened_while_the_node_gave_up(self):
         take = self.links.take
 
         def give_up_meanwhile(*arguments):
--- a/tests/test_ending_ingresses.py
+++ b/tests/test_ending_ingresses.py
@@ -59,7 +59,7 @@
         dispatch = msgspec.structs.replace(attempt(1), execution=execution)
         return self.admission.admit(dispatch, token, time.monotonic() + 60.0)
 
-    def test_one_that_waits_is_told_not_run_while_that_is_true(self):
+    def test_a_waiting_request_is_refused_as_not_run(self):
         running = self._admit(CancelToken())
         self.assertIsInstance(running, Admitted)
         token = CancelToken()
@@ -72,7 +72,7 @@
             self.assertEqual(Reason.NODE_STOPPING, waiting.result(5).reason)
         self.admission.release(running, WorkEnd.ANSWERED)
 
-    def test_a_read_starts_only_if_it_is_likely_to_end(self):
+    def test_a_read_starts_only_if_it_is_likely_to_finish(self):
         # About half of all reads take longer than the mean. The caller of a read that
         # is cut gets an error when the node ends. After a refusal there is still time
         # to try again.
@@ -157,7 +157,7 @@
         self.addCleanup(self.server.stop)
         self.addCleanup(self.gate.give_up)
 
-    def test_a_leaving_gate_tells_of_runs_that_it_may_not_live_to_answer(self):
+    def test_a_leaving_gate_sends_notice_of_runs_that_it_may_not_answer(self):
         link, attempt_id = self._send(1)
         wait_until(lambda: self.backend.requests, "it runs")
         self.gate.end_by(time.monotonic() + 60.0)
@@ -169,7 +169,7 @@
         self.assertTrue(link.is_ending(attempt_id))
         link.close()
 
-    def test_a_leaving_ingress_takes_back_what_waits_at_a_gate(self):
+    def test_waiting_attempts_of_a_leaving_ingress_are_refused(self):
         first, _ = self._send(1)
         wait_until(lambda: self.backend.requests, "it runs")
         link, attempt_id = self._send(2)
@@ -192,7 +192,7 @@
         first.close()
         link.close()
 
-    def test_the_word_of_an_end_waits_for_its_attempt(self):
+    def test_an_ending_notice_is_kept_until_its_attempt_starts(self):
         # All threads of the gate are busy, so the attempt has not started when the
         # notice of its ingress's end arrives.
         busy = threading.Event()
@@ -209,7 +209,7 @@
         )
         self.assertEqual([], self.backend.requests)
 
-    def test_the_word_of_an_end_is_kept_past_that_end(self):
+    def test_an_ending_notice_is_kept_after_the_ingress_ended(self):
         # All threads of the gate are busy until after the ingress's end. An attempt
         # started then would be cut at once, although `not_run` was true before.
         busy = threading.Event()
@@ -228,7 +228,7 @@
 
 
 class StoppingNodeTests(LinkCase):
-    def test_an_attempt_that_comes_as_the_node_stops_is_told_not_run(self):
+    def test_an_attempt_that_arrives_as_the_node_stops_is_not_run(self):
         # Guards against `unknown` for the caller of a non-idempotent request. When an
         # attempt arrives after the gate's threads have ended but before its link is
         # closed, the node must still refuse it and not fail with an error.
--- a/tests/test_links.py
+++ b/tests/test_links.py
@@ -53,12 +53,12 @@
             cancel = Cancel(self.attempt_id, 3, 4.5, cause)
             self.assertEqual(cancel, decode_link(encode(cancel)))
 
-    def test_an_earlier_release_passes_over_the_cause(self):
+    def test_an_earlier_release_ignores_the_cause(self):
         frame = encode(Cancel(self.attempt_id, 3, 4.5, CancelCause.DEADLINE))
         read = msgspec.msgpack.decode(frame[1:], type=EarlierCancel)
         self.assertEqual(EarlierCancel(self.attempt_id, 3, 4.5), read)
 
-    def test_one_without_a_cause_or_with_a_later_releases_cause_still_cancels(self):
+    def test_a_cancellation_without_a_known_cause_still_cancels(self):
         for fields in ([], ["of a later release"], ["of a later release", "more"]):
             read = decode_link(encode(["cancel", self.attempt_id, 3, 4.5, *fields]))
             self.assertNotIsInstance(read, WireError)
@@ -89,7 +89,7 @@
         self.addCleanup(relay.close)
         return gate, relay, self._ingress(relay.address)
 
-    def test_each_of_thousands_of_requests_gets_its_own_whole_answer(self):
+    def test_each_of_thousands_of_requests_gets_its_own_complete_answer(self):
         # Replies arrive late, in any order, twice, damaged or with the ids of other
         # attempts, over links that are reused. If they were mixed up, one caller
         # would get another caller's answer.
@@ -160,7 +160,7 @@
             self.assertEqual(Outcome.UNKNOWN, result.result(60).outcome)
         self.assertEqual(1, len(gate.dispatches))
 
-    def test_nothing_waits_for_a_gate_that_comes_later(self):
+    def test_no_request_is_queued_for_an_absent_gate(self):
         # No process listens at the address: the caller is told `not_run` and may
         # send the request again. A queued message would be delivered to the next
         # process that listens there, and the request would run a second time.
@@ -187,7 +187,7 @@
         self.assertEqual(Outcome.ANSWERED, ingress.request(b"new").outcome)
         self.assertEqual([b"new"], [d.body for d in replacement.dispatches])
 
-    def test_into_a_one_way_cut_nothing_is_sent(self):
+    def test_nothing_is_sent_after_a_one_way_cut(self):
         # One direction is cut while a link is idle, and its connection stays open.
         # Requests or their answers would be lost, with the outcome `unknown`. The
         # link is checked before the request is sent, so the outcome is `not_run`.
@@ -202,7 +202,7 @@
                 self.assertEqual(Outcome.NOT_RUN, reply.outcome, direction)
             self.assertEqual(1, len(gate.dispatches))
 
-    def test_a_cut_while_the_request_is_away_is_unknown(self):
+    def test_a_cut_during_a_request_gives_unknown(self):
         for direction in ("forward", "backward"):
             gate, relay, ingress = self._relayed()
             self.assertEqual(Outcome.ANSWERED, ingress.request().outcome)
@@ -213,7 +213,7 @@
             ran = 1 if direction == "forward" else 2
             self.assertEqual(ran, len(gate.dispatches))
 
-    def test_a_link_gets_its_time_though_this_process_stood_still(self):
+    def test_a_link_gets_its_full_timeout_after_a_process_pause(self):
         # Guards against `not_run` when the gate answered in time, but a pause of this
         # process delayed the reading of its answer.
         gate, _, ingress = self._relayed()
@@ -224,7 +224,7 @@
         self.assertEqual(Outcome.ANSWERED, reply.outcome)
         self.assertEqual(1, len(gate.dispatches))
 
-    def test_a_reset_connection_is_unknown_and_never_sent_again(self):
+    def test_a_request_on_a_reset_connection_is_unknown_and_not_resent(self):
         gate, relay, ingress = self._relayed()
         gate._answer = lambda dispatch: []
         with ThreadPoolExecutor(1) as executor:
@@ -271,7 +271,7 @@
     def _wait_for(self, messages: list, count: int) -> None:
         wait_until(lambda: len(messages) == count, f"{count} messages")
 
-    def test_a_request_remembers_when_it_heard_that_its_run_was_cut(self):
+    def test_a_request_records_when_its_run_was_cut(self):
         # The first attempt is refused, which cuts no run. The run of the second one is
         # cut, and the third one is answered. `cut_s` is the time of the second reply.
         ends = [
@@ -291,7 +291,7 @@
         self.assertEqual((3, Outcome.ANSWERED), (len(gate.dispatches), reply.outcome))
         self.assertTrue(received_s[1] <= ingress.forwarded.cut_s <= received_s[2])
 
-    def test_a_request_whose_run_was_cut_tells_why_it_was_not_sent_elsewhere(self):
+    def test_a_request_whose_run_was_cut_records_why_it_was_not_retried(self):
         # The run is cut long before the deadline, and the caller gets `unknown` at
         # once: the route allows one attempt, or there is no other backend server, or
         # the request must not run twice.
--- a/tests/test_own_problems.py
+++ b/tests/test_problem_responses.py
@@ -11,14 +11,14 @@
 
 
 class ProblemTests(TestCase):
-    def test_a_request_that_did_not_run_is_never_told_otherwise(self):
+    def test_a_request_that_did_not_run_gets_a_not_run_status(self):
         # The deadline of a non-idempotent request passed before the request was sent.
         # After a 504 it may have run, so its caller could not send it again.
         for reason in (Reason.DEADLINE, Reason.SILENCE, Reason.DAMAGED):
             self.assertEqual(503, status_of(reason, Outcome.NOT_RUN))
         self.assertEqual(404, status_of(Reason.NO_ROUTE, Outcome.NOT_RUN))
 
-    def test_one_that_may_have_run_gets_no_promise(self):
+    def test_a_request_that_may_have_run_gets_no_not_run_status(self):
         for reason in Reason:
             if reason in (Reason.NO_ROUTE, Reason.METHOD_NOT_ALLOWED):
                 continue
--- a/tests/test_two_gates.py
+++ b/tests/test_two_gates.py
@@ -16,7 +16,7 @@
 
 
 class TwoGateTests(TwoGateCase):
-    def test_the_caller_of_a_silent_backend_server_is_rescued(self):
+    def test_a_second_attempt_answers_for_a_silent_backend_server(self):
         # One backend server hangs. Without a second attempt in parallel its callers
         # wait until their deadline and are told `unknown`.
         self.answers["a"] = lambda dispatch: []
@@ -28,7 +28,7 @@
         self.assertTrue(silent.dispatches)
         self.assertEqual([], silent.cancels)
 
-    def test_a_second_attempt_beside_a_silent_one_counts(self):
+    def test_a_second_attempt_counts_towards_attempts_max(self):
         # The route allows two attempts. The first one hangs, and the second one in
         # parallel fails. A third one would exceed the operator's limit.
         self.answers = {
@@ -43,7 +43,7 @@
         self._request(attempts_max=1, timeout_s=0.3)
         self.assertEqual(1, self._dispatches() - seen)
 
-    def test_a_gate_is_told_of_a_repeat_and_another_may_grant_it(self):
+    def test_a_repeat_is_marked_and_a_gate_may_refuse_it(self):
         # The first gate's backend server fails. The second gate has no retry left to
         # grant and refuses the repeat without running it. The caller gets the first
         # error, because the refused attempt is not a run.
@@ -65,7 +65,7 @@
         ]
         self.assertEqual([False, True], sorted(repeats))
 
-    def test_two_attempts_that_gates_refused_are_told_as_not_run(self):
+    def test_two_refused_attempts_are_not_run(self):
         # The first attempt waits at a gate, a second one is sent in parallel, and
         # both gates refuse. Nothing ran. With `unknown` the caller of a non-idempotent
         # request could not send it again.
@@ -97,7 +97,7 @@
         self.assertIs(Outcome.ANSWERED, reply.outcome)
         self.assertEqual([False] * 5, last_resort_flags)
 
-    def test_one_that_stays_suspected_takes_what_nobody_else_does(self):
+    def test_a_backend_server_that_stays_suspected_takes_last_resorts(self):
         def sick(dispatch):
             if dispatch.is_last_resort:
                 return answer(dispatch)
@@ -129,14 +129,14 @@
         self.assertEqual(Outcome.UNKNOWN, reply.outcome)
         self.assertEqual(1, self._dispatches())
 
-    def test_a_503_goes_elsewhere_and_stands_when_all_say_so(self):
+    def test_a_503_is_retried_elsewhere_and_returned_if_all_send_it(self):
         self.answers["a"] = lambda dispatch: answer(dispatch, status=503)
         self.assertEqual([200] * 4, [self._request().status for _ in range(4)])
         self.answers["b"] = self.answers["a"]
         reply = self._request()
         self.assertEqual((Outcome.ANSWERED, 503), (reply.outcome, reply.status))
 
-    def test_an_answer_stands_when_the_second_attempt_has_none(self):
+    def test_an_answer_is_kept_when_the_second_attempt_is_refused(self):
         # The backend server ran the request and answered 503, and the other gate is
         # busy. Its `not_run` must not replace the answer, as the request did run.
         def busy(dispatch):
@@ -148,7 +148,7 @@
             reply = self._request()
             self.assertEqual((Outcome.ANSWERED, 503), (reply.outcome, reply.status))
 
-    def test_a_gate_that_can_not_be_reached_is_asked_once_in_a_while(self):
+    def test_an_unreachable_gate_is_held_out(self):
         # Without a hold-out each request would wait for a link to the unreachable node.
         self.gates["a"].close()
         self.gates["a"].close = lambda: None
