--- a/balsamspindle/requests/attempts.py
+++ b/balsamspindle/requests/attempts.py
@@ -226,9 +226,9 @@
             dispatch.attempt_id,
             cause=CancelCause.ANSWERED_ELSEWHERE,
         )
-        with self._link_attempts.listening_for_parked(forwarded, cancel) as parked:
+        with self._link_attempts.listening_for_parked(forwarded, cancel) as result:
             reply = self._gate.handle(dispatch, self._clock())
-        return reply, parked.answer
+        return reply, result.answer
 
     def _track(self, forwarded, placement) -> TrackedAttempt:
         return TrackedAttempt(
--- a/balsamspindle/requests/links.py
+++ b/balsamspindle/requests/links.py
@@ -87,7 +87,7 @@
         self._metrics = metrics
         self._sent_s = 0.0
         self.gate_clock = GateClock()
-        # Node id and incarnation from the gate's greeting; known after `ready`.
+        # Node id and incarnation from the gate's greeting; known after `check_ready`.
         self.gate: tuple[str, int] = ("", 0)
         self._last_received_s = float("-inf")
         self._gate_deadline_s: float | None = None
@@ -116,7 +116,9 @@
         """Return whether the connection is up, as far as this end can tell."""
         return bool(self._socket.poll(0, zmq.POLLOUT))
 
-    def ready(self, now_s: float, patience: Patience, execution: Execution) -> bool:
+    def check_ready(
+        self, now_s: float, patience: Patience, execution: Execution
+    ) -> bool:
         """Return whether both directions work.
 
         Exchanges a greeting with the gate unless a message came recently. A request
@@ -290,7 +292,7 @@
             link = link or Link(
                 self._context, address, self._keys, self._events.metrics
             )
-            if link.ready(time.monotonic(), patience, execution):
+            if link.check_ready(time.monotonic(), patience, execution):
                 return link
             # A link that is open but gets no reply means that the others to this
             # peer do not work either.
