--- a/balsamspindle/requests/attempt_outcomes.py
+++ b/balsamspindle/requests/attempt_outcomes.py
@@ -69,7 +69,7 @@
         return reply
 
     def cancel_cause(
-        self, forwarded: ForwardedRequest, waited: Waited | None = None
+        self, forwarded: ForwardedRequest, waited: WaitResult | None = None
     ) -> CancelCause:
         """Return the cause to give when the remaining attempts are cancelled."""
         if is_answered(waited):
@@ -93,7 +93,7 @@
         )
 
 
-def is_answered(waited: Waited | None) -> bool:
+def is_answered(waited: WaitResult | None) -> bool:
     """Return whether the wait ended with an answer from a backend server."""
     return waited is not None and waited.reply.outcome is Outcome.ANSWERED
 
--- a/balsamspindle/requests/attempts.py
+++ b/balsamspindle/requests/attempts.py
@@ -129,14 +129,14 @@
         wait_max_ms : float or None
             How long the attempt may wait for a slot at the gate; None: until its
             deadline.
-        rescue : Rescue or None
+        hedge : Hedge or None
             When and where to make a second attempt; None for no second attempt.
         """
         forwarded.wait_max_ms = wait_max_ms
         if self.is_own(placement):
-            reply = self._send_to_own_gate(forwarded, placement, rescue)
+            reply = self._send_to_own_gate(forwarded, placement, hedge)
         else:
-            reply = self._link_attempts.send(forwarded, placement, rescue)
+            reply = self._link_attempts.send(forwarded, placement, hedge)
         forwarded.may_have_run |= reply.outcome is Outcome.UNKNOWN
         return reply
 
@@ -192,12 +192,12 @@
             is_last_try=not forwarded.may_send(),
         )
 
-    def _send_to_own_gate(self, forwarded, placement, rescue: Rescue | None) -> Reply:
+    def _send_to_own_gate(self, forwarded, placement, hedge: Hedge | None) -> Reply:
         # This thread makes the call to the backend server itself and cannot start a
         # second attempt in parallel. It ends a silent attempt early instead.
         deadline_s = forwarded.deadline_s
-        if rescue is not None:
-            deadline_s = min(deadline_s, self._clock() + rescue.patience_s)
+        if hedge is not None:
+            deadline_s = min(deadline_s, self._clock() + hedge.hedge_delay_s)
         dispatch = self._build_dispatch(forwarded, placement, deadline_s)
         own = GateIdentity(self._own.node_id, self._own.incarnation)
         claimed = with_claim(forwarded.claimant, dispatch, own, self._clock())
@@ -211,7 +211,7 @@
         finally:
             tracked.end(reply)
         if parked_answer is None:
-            forwarded.note_cut(reply, self._clock())
+            forwarded.record_cut(reply, self._clock())
         note_reply(forwarded.claimant, reply)
         return reply if parked_answer is None or is_success(reply) else parked_answer
 
--- a/balsamspindle/requests/link_attempts.py
+++ b/balsamspindle/requests/link_attempts.py
@@ -21,6 +21,7 @@
 from balsamspindle.requests.forwarded import ForwardedRequest, Hedge
 from balsamspindle.requests.gate_links import GateLinks
 from balsamspindle.requests.links import Link
+from balsamspindle.requests.reply_wait import WaitOptions, WaitResult, wait_first
 from balsamspindle.requests.retries import is_success
 from balsamspindle.requests.sent import SentAttempt
 from balsamspindle.requests.tracking import TrackedAttempt
@@ -109,7 +110,7 @@
             return first
         attempts, waited, parked = [first], None, None
         try:
-            waited = self._wait_with_second_attempt(forwarded, attempts, rescue)
+            waited = self._wait_hedged(forwarded, attempts, hedge)
             parked = self._find_attempt_to_park(forwarded, attempts, waited)
         finally:
             ended = [sent for sent in attempts if sent is not parked]
@@ -130,20 +131,20 @@
         )
         return Reply(sent.attempt_id, Outcome.UNKNOWN, Reason.GATE_ENDING)
 
-    def _wait_with_second_attempt(
+    def _wait_hedged(
         self,
         forwarded: ForwardedRequest,
         attempts: list[SentAttempt],
-        rescue: Rescue | None,
-    ) -> Waited | None:
-        """Wait for a reply; add a second attempt if none comes in `patience_s`."""
-        if rescue is not None:
-            alone_until_s = self._clock() + rescue.patience_s
+        hedge: Hedge | None,
+    ) -> WaitResult | None:
+        """Wait for a reply; add a second attempt if none comes in `hedge_delay_s`."""
+        if hedge is not None:
+            alone_until_s = self._clock() + hedge.hedge_delay_s
             waited = self._wait(forwarded, attempts, alone_until_s)
             if waited or self._find_attempt_to_park(forwarded, attempts, waited):
                 return waited
             if self._is_silent_but_connected(forwarded, attempts[0], alone_until_s):
-                attempts += self._start_second(forwarded, rescue)
+                attempts += self._start_hedge(forwarded, hedge)
         return self._wait(forwarded, attempts, forwarded.deadline_s)
 
     def _is_silent_but_connected(
@@ -245,7 +246,7 @@
                 far.close()
                 listener.join()
 
-    def _start_second(self, forwarded, rescue) -> list[SentAttempt]:
+    def _start_hedge(self, forwarded, hedge) -> list[SentAttempt]:
         if not forwarded.may_send():
             return []
         placement = hedge.choose_placement()
@@ -321,7 +322,7 @@
 
     def _wait(
         self, forwarded: ForwardedRequest, attempts: list[SentAttempt], until_s: float
-    ) -> Waited | None:
+    ) -> WaitResult | None:
         caller = forwarded.caller
         wait = self._build_wait(forwarded, until_s, caller.fileno(), caller.caller_gone)
         return wait_first({sent.link: sent.attempt_id for sent in attempts}, wait)
@@ -332,25 +333,23 @@
         until_s: float,
         descriptor: int,
         is_over: Callable[[], bool],
-    ) -> Wait:
+    ) -> WaitOptions:
         """Return a wait that checks `is_over` when `descriptor` is readable."""
-        return Wait(
+        return WaitOptions(
             until_s,
             descriptor,
             is_over,
             on_dropped=lambda cause: self._events.emit("message_dropped", cause=cause),
             given_up=lambda: self._given_up,
-            ends_s=lambda: self._announced_end_s,
+            node_ends_s=lambda: self._announced_end_s,
             ends_at_notice=lambda: self._may_park(forwarded),
-            beside=forwarded.parked.by_link(),
-            on_beside=lambda link, reply: self._on_parked_reply(forwarded, link, reply),
+            parked_attempts=forwarded.parked.by_link(),
+            on_parked=lambda link, reply: self._on_parked(forwarded, link, reply),
         )
 
-    def _on_parked_reply(
-        self, forwarded: ForwardedRequest, link: Link, reply: Reply
-    ) -> None:
+    def _on_parked(self, forwarded: ForwardedRequest, link: Link, reply: Reply) -> None:
         """Keep an unsuccessful reply to a parked attempt as a fallback."""
-        forwarded.beside.append(reply)
+        forwarded.parked_replies.append(reply)
         self._finish_parked(forwarded, {link: reply})
 
     def _finish_parked(
@@ -359,7 +358,7 @@
         """Remove the parked attempts that got replies."""
         for sent in forwarded.parked.all():
             if sent.link in replies:
-                forwarded.note_cut(replies[sent.link], sent.link.last_received_s)
+                forwarded.record_cut(replies[sent.link], sent.link.last_received_s)
         forwarded.parked.finish(replies, self._links.give_back)
 
     def _end_attempts(
@@ -383,7 +382,7 @@
             sent.on_end(reply)
             if reply is not None:
                 # Read `last_received_s` before another task uses the link.
-                forwarded.note_cut(reply, sent.link.last_received_s)
+                forwarded.record_cut(reply, sent.link.last_received_s)
                 self._links.give_back(sent.link)
             elif is_silent:
                 sent.link.close()
--- a/balsamspindle/requests/links.py
+++ b/balsamspindle/requests/links.py
@@ -117,7 +117,7 @@
         return bool(self._socket.poll(0, zmq.POLLOUT))
 
     def check_ready(
-        self, now_s: float, patience: Patience, execution: Execution
+        self, now_s: float, timeout: PeerTimeout, execution: Execution
     ) -> bool:
         """Return whether both directions work.
 
@@ -127,9 +127,9 @@
         """
         if now_s - self._last_received_s < CHECK_VALID_S[execution]:
             return self.connected()
-        if not self._wait_patiently(zmq.POLLOUT, patience) or not self._send(Greet()):
+        if not self._wait_for_peer(zmq.POLLOUT, timeout) or not self._send(Greet()):
             return False
-        while self._wait_patiently(zmq.POLLIN, patience):
+        while self._wait_for_peer(zmq.POLLIN, timeout):
             match decode_link(self._socket.recv()):
                 case Greeting(node_id, incarnation, gate_time_s):
                     self.gate = (node_id, incarnation)
@@ -141,7 +141,7 @@
         """Wait for an event; False on a time-out or when the connection ended."""
         return self._socket in self._poll(event, left_ms(give_up_s))
 
-    def _wait_patiently(self, event: int, patience: Patience) -> bool:
+    def _wait_for_peer(self, event: int, timeout: PeerTimeout) -> bool:
         """Wait as `_wait` does, not counting time in which this process was stopped."""
         events: dict = {}
 
@@ -149,7 +149,7 @@
             events.update(self._poll(event, math.ceil(step_s * 1000)))
             return bool(events)
 
-        patience.wait(poll, time.monotonic)
+        timeout.wait(poll, time.monotonic)
         return self._socket in events
 
     def _poll(self, event: int, timeout_ms: int) -> dict:
@@ -283,7 +283,7 @@
         execution: Execution = Execution.NON_IDEMPOTENT,
     ) -> Link | None:
         """Return a link that works in both directions, for exclusive use, or None."""
-        patience = Patience(CONNECT_TIMEOUT_S, deadline_s)
+        timeout = PeerTimeout(CONNECT_TIMEOUT_S, deadline_s)
         while True:
             with self._lock:
                 idle = self._idle.get(address)
@@ -292,7 +292,7 @@
             link = link or Link(
                 self._context, address, self._keys, self._events.metrics
             )
-            if link.check_ready(time.monotonic(), patience, execution):
+            if link.check_ready(time.monotonic(), timeout, execution):
                 return link
             # A link that is open but gets no reply means that the others to this
             # peer do not work either.
--- a/tests/test_ending_gates.py
+++ b/tests/test_ending_gates.py
@@ -276,7 +276,7 @@
             notice = (0.8, ending(dispatch)[1])
             return [notice, *((1.0, frame) for _, frame in answer(dispatch))]
 
-        self.patch(policy, "note_answer", record_latency)
+        self.patch(policy, "record_answer", record_latency)
         self.answers = dict.fromkeys(self.NAMES, slow_first)
         self.assertIs(Outcome.ANSWERED, self._request().outcome)
         self.assertEqual(
