--- a/balsamspindle/node/customer_side.py
+++ b/balsamspindle/node/customer_side.py
@@ -45,20 +45,20 @@
         if told is None:
             link.close()
         else:
-            self._links.give_back(link)
+            self._links.release(link)
         return told
 
     def tell(self, node: NodeRecord, message: LimitReturn) -> None:
         """See `balsamspindle.customers.limits.LimitLinks`."""
         link = self._take(node)
         if link is not None:
-            link.tell(message)
-            self._links.give_back(link)
+            link.send(message)
+            self._links.release(link)
 
     def _take(self, node: NodeRecord) -> Link | None:
         # One more question does no harm, so an idle link need not be asked first.
         deadline_s = time.monotonic() + ASK_TIMEOUT_S
-        return self._links.take(node.link_address, deadline_s, Execution.IDEMPOTENT)
+        return self._links.acquire(node.link_address, deadline_s, Execution.IDEMPOTENT)
 
 
 class CustomerSide:
--- a/balsamspindle/requests/admission_queries.py
+++ b/balsamspindle/requests/admission_queries.py
@@ -85,7 +85,7 @@
     ) -> Link | DeclinedAttempt:
         """Return the link for sending the attempt, or why it must not be sent."""
         now_s = self._clock()
-        link = self._links.take(
+        link = self._links.acquire(
             placement, forwarded.route.execution, forwarded.deadline_s, now_s
         )
         if link is None:
@@ -102,7 +102,7 @@
             case Told(reason=None):
                 return link
             case Told() as told:
-                self._links.give_back(link)
+                self._links.release(link)
                 declined = DeclinedAttempt(told.reason, told.wait_ms, told.held_out)
         return self._log_declined(forwarded, placement, declined)
 
--- a/balsamspindle/requests/attempt_outcomes.py
+++ b/balsamspindle/requests/attempt_outcomes.py
@@ -7,7 +7,7 @@
 from balsamspindle.requests.claims import note_reply
 from balsamspindle.requests.forwarded import ForwardedRequest
 from balsamspindle.requests.reply_wait import WaitResult
-from balsamspindle.requests.sent import SentAttempt
+from balsamspindle.requests.sent_attempts import SentAttempt
 from balsamspindle.timeline import EventLog
 from balsamspindle.wire import Reply
 from balsamspindle.wire.replies import is_refusal
--- a/balsamspindle/requests/attempts.py
+++ b/balsamspindle/requests/attempts.py
@@ -95,7 +95,7 @@
         """Stop waiting for the replies to all attempts, and send no new ones."""
         self._link_attempts.give_up()
 
-    def reply_beside(self, forwarded: ForwardedRequest) -> Reply | None:
+    def parked_reply(self, forwarded: ForwardedRequest) -> Reply | None:
         """Return a reply to a parked attempt, after all other attempts failed.
 
         Waits for it if it has not arrived. None if no attempt was parked. A run that
@@ -107,7 +107,7 @@
             return self._link_attempts.wait_parked(forwarded)
         return None
 
-    def leave_parked(self, forwarded: ForwardedRequest, has_answer: bool) -> None:
+    def cancel_parked(self, forwarded: ForwardedRequest, has_answer: bool) -> None:
         """Cancel the parked attempt if it is still open."""
         self._link_attempts.cancel_parked(forwarded, has_answer)
 
--- a/balsamspindle/requests/caller_terms.py
+++ b/balsamspindle/requests/caller_protocol.py
@@ -13,7 +13,7 @@
 from balsamspindle.settings.tree import CurrentConfiguration
 from balsamspindle.wire import Reply
 
-__all__ = ["CallerTerms", "new_request_id"]
+__all__ = ["CallerProtocol", "new_request_id"]
 
 _match_request_id = re.compile(r"[A-Za-z0-9._:-]{1,128}").fullmatch
 _match_timeout = re.compile(r"[0-9]{1,9}(\.[0-9]{1,6})?").fullmatch
@@ -25,7 +25,7 @@
     return f"{_request_ids.getrandbits(128):032x}"
 
 
-class CallerTerms:
+class CallerProtocol:
     """Reads callers' request headers and encodes responses, as configured."""
 
     def __init__(
--- a/balsamspindle/requests/forwarded.py
+++ b/balsamspindle/requests/forwarded.py
@@ -10,7 +10,7 @@
 from balsamspindle.protocol.outcomes import Outcome, Reason
 from balsamspindle.requests.claims import KeyClaimant
 from balsamspindle.requests.http import CallerRequest, HttpConnection
-from balsamspindle.requests.sent import ParkedAttempts
+from balsamspindle.requests.sent_attempts import ParkedAttempts
 from balsamspindle.settings.documents import RouteDocument
 from balsamspindle.wire import Reply
 
--- a/balsamspindle/requests/forwarding.py
+++ b/balsamspindle/requests/forwarding.py
@@ -129,7 +129,7 @@
             reply = self._make_attempts(forwarded)
         finally:
             has_answer = reply is not None and reply.outcome is Outcome.ANSWERED
-            self._sender.leave_parked(forwarded, has_answer)
+            self._sender.cancel_parked(forwarded, has_answer)
         if forwarded.claimant is not None:
             reply = forwarded.claimant.final(reply)
         if reply.outcome is Outcome.NOT_RUN and forwarded.may_have_run:
@@ -153,7 +153,7 @@
             self._try_gates(forwarded, replies)
             if not replies or self._retries.is_final(service, replies[-1]):
                 break
-            reply = self._sender.reply_beside(forwarded)
+            reply = self._sender.parked_reply(forwarded)
             if reply is None:
                 break
             replies.append(reply)
--- a/balsamspindle/requests/gate_links.py
+++ b/balsamspindle/requests/gate_links.py
@@ -27,7 +27,7 @@
         self._events = events
         self.hold_outs = HoldOuts(HOLD_OUT_S, HOLD_OUT_MAX_S)
 
-    def take(
+    def acquire(
         self,
         placement: Placement,
         execution: Execution,
@@ -35,7 +35,7 @@
         now_s: float,
     ) -> Link | None:
         """Return a link that works in both directions, for exclusive use, or None."""
-        link = self._links.take(placement.node.link_address, deadline_s, execution)
+        link = self._links.acquire(placement.node.link_address, deadline_s, execution)
         if link is None:
             self.record_unreachable(placement, now_s)
             return None
@@ -53,6 +53,6 @@
         if self.hold_outs.note_failure(node_id, now_s):
             self._events.emit("gate_unreachable", gate=node_id)
 
-    def give_back(self, link: Link) -> None:
+    def release(self, link: Link) -> None:
         """Return a link to the pool."""
-        self._links.give_back(link)
+        self._links.release(link)
--- a/balsamspindle/requests/ingress.py
+++ b/balsamspindle/requests/ingress.py
@@ -12,7 +12,7 @@
 from balsamspindle.metrics import Hop
 from balsamspindle.protocol.outcomes import Outcome, Reason
 from balsamspindle.requests.admissions import Admissions
-from balsamspindle.requests.caller_terms import CallerTerms, new_request_id
+from balsamspindle.requests.caller_protocol import CallerProtocol, new_request_id
 from balsamspindle.requests.closing import close_listener, close_politely
 from balsamspindle.requests.connection_refuser import ConnectionRefuser
 from balsamspindle.requests.connections import OpenConnections
@@ -73,7 +73,7 @@
         self._admissions = Admissions(configuration, customers)
         self._on_failure = on_failure
         self._settings = settings
-        self._terms = CallerTerms(settings, configuration)
+        self._caller_protocol = CallerProtocol(settings, configuration)
         self._names = settings.headers
         self.caller_service = settings.caller_service
         self._shares = ServiceShares(random.Random(os.urandom(8)))
@@ -187,7 +187,7 @@
             self._connections.left(connection)
 
     def _open(self, connection: socket.socket) -> HttpConnection:
-        return HttpConnection(connection, self._terms.limits(), self._names)
+        return HttpConnection(connection, self._caller_protocol.limits(), self._names)
 
     def _serve_requests(self, caller: HttpConnection, connection) -> None:
         keep_alive = True
@@ -242,7 +242,7 @@
             On its head, before its body came.
         """
         received_s = time.monotonic()
-        request_id = self._terms.request_id(request)
+        request_id = self._caller_protocol.request_id(request)
         content = content_id(request, self._names)
         self._log.received(request_id, request, content)
         if self._is_too_late():
@@ -285,7 +285,7 @@
     ) -> bytes:
         route = admitted.route
         try:
-            timeout_ms = self._terms.timeout_ms(request, route)
+            timeout_ms = self._caller_protocol.timeout_ms(request, route)
         except BadRequest as error:
             self._admissions.give_back(admitted)
             refused = Refused(error.reason)
@@ -329,7 +329,7 @@
             customer=admitted.name or None,
         )
         self._events.metrics.count_outcome(route.service, reply.outcome.value)
-        return self._terms.encode_reply(
+        return self._caller_protocol.encode_reply(
             reply, request, request_id, self._settle_keep_alive(request)
         )
 
@@ -338,7 +338,7 @@
     ) -> bytes:
         reason, retry_after_ms, customer, allow = refused
         self._log.ended(request_id, Outcome.NOT_RUN, reason, customer=customer or None)
-        return self._terms.encode_problem(
+        return self._caller_protocol.encode_problem(
             reason,
             Outcome.NOT_RUN,
             request_id,
@@ -353,7 +353,7 @@
         """Answer what is no request, and end the connection."""
         request_id = new_request_id()
         self._log.ended(request_id, Outcome.NOT_RUN, reason)
-        answer = self._terms.encode_problem(
+        answer = self._caller_protocol.encode_problem(
             reason,
             Outcome.NOT_RUN,
             request_id,
--- a/balsamspindle/requests/link_attempts.py
+++ b/balsamspindle/requests/link_attempts.py
@@ -23,7 +23,7 @@
 from balsamspindle.requests.links import Link
 from balsamspindle.requests.reply_wait import WaitOptions, WaitResult, wait_first
 from balsamspindle.requests.retries import is_success
-from balsamspindle.requests.sent import SentAttempt
+from balsamspindle.requests.sent_attempts import SentAttempt
 from balsamspindle.requests.tracking import TrackedAttempt
 from balsamspindle.timeline import EventLog
 from balsamspindle.wire import AttemptId, Dispatch, NodeRecord, Reply
@@ -286,7 +286,7 @@
         node_id = placement.node.node_id
         dispatch = self._build_dispatch(forwarded, placement, forwarded.deadline_s)
         unreachable = Reply(dispatch.attempt_id, Outcome.NOT_RUN, Reason.UNREACHABLE)
-        link = link or self._links.take(
+        link = link or self._links.acquire(
             placement, dispatch.execution, forwarded.deadline_s, self._clock()
         )
         if link is None:
@@ -301,7 +301,7 @@
             forwarded.claimant, dispatch, GateIdentity(*link.gate), gate_time_s
         )
         if isinstance(claimed, Reply):
-            self._links.give_back(link)
+            self._links.release(link)
             return claimed
         if self._given_up:
             return self._release_unused(forwarded, dispatch, link)
@@ -316,7 +316,7 @@
         self, forwarded: ForwardedRequest, dispatch: Dispatch, link: Link
     ) -> Reply:
         """Release a link unused because the node gave up while it was opened."""
-        self._links.give_back(link)
+        self._links.release(link)
         forwarded.sends -= 1
         return Reply(dispatch.attempt_id, Outcome.NOT_RUN, Reason.NODE_STOPPING)
 
@@ -359,7 +359,7 @@
         for sent in forwarded.parked.all():
             if sent.link in replies:
                 forwarded.record_cut(replies[sent.link], sent.link.last_received_s)
-        forwarded.parked.finish(replies, self._links.give_back)
+        forwarded.parked.finish(replies, self._links.release)
 
     def _end_attempts(
         self,
@@ -383,7 +383,7 @@
             if reply is not None:
                 # Read `last_received_s` before another task uses the link.
                 forwarded.record_cut(reply, sent.link.last_received_s)
-                self._links.give_back(sent.link)
+                self._links.release(sent.link)
             elif is_silent:
                 sent.link.close()
             else:
--- a/balsamspindle/requests/links.py
+++ b/balsamspindle/requests/links.py
@@ -36,7 +36,7 @@
 from balsamspindle.wire.limit_messages import LimitQuestion, LimitTold
 from balsamspindle.wire.security import FleetKeys, protect_connection
 
-__all__ = ["GateClock", "Link", "LinkPool", "left_ms"]
+__all__ = ["GateClock", "Link", "LinkPool", "poll_timeout_ms"]
 
 CONNECT_TIMEOUT_S = 0.25
 # A link on which nothing was received for longer is checked before use, because one
@@ -139,7 +139,7 @@
 
     def _wait(self, event: int, give_up_s: float) -> bool:
         """Wait for an event; False on a time-out or when the connection ended."""
-        return self._socket in self._poll(event, left_ms(give_up_s))
+        return self._socket in self._poll(event, poll_timeout_ms(give_up_s))
 
     def _wait_for_peer(self, event: int, timeout: PeerTimeout) -> bool:
         """Wait as `_wait` does, not counting time in which this process was stopped."""
@@ -171,7 +171,7 @@
                     return told
         return None
 
-    def tell(self, message: LinkMessage) -> None:
+    def send(self, message: LinkMessage) -> None:
         """Send a message that needs no answer."""
         self._send(message)
 
@@ -192,7 +192,7 @@
         """Return whether the gate announced that the attempt may outlast its node."""
         return self._ending_attempt_id == attempt_id
 
-    def tell_ending(self, attempt_id: AttemptId, left_s: float) -> None:
+    def notify_ending(self, attempt_id: AttemptId, left_s: float) -> None:
         """Tell the gate once that this node ends in `left_s`."""
         if self._ending_sent:
             return
@@ -221,13 +221,13 @@
         poller.unregister(self._socket)
         poller.unregister(self._disconnect_monitor)
 
-    def take_reply(self, ready, attempt_id, on_dropped) -> Reply | None:
+    def receive_reply(self, ready, attempt_id, on_dropped) -> Reply | None:
         """Read a message if the poller reports one; return it if it is the reply."""
         if self._socket not in ready:
             return None
         return self._matching_reply(attempt_id, on_dropped)
 
-    def is_over(self, ready) -> bool:
+    def is_disconnected(self, ready) -> bool:
         """Return whether the connection ended and all replies were read."""
         if self._disconnect_monitor not in ready or self._socket in ready:
             return False
@@ -276,7 +276,7 @@
         self._lock = threading.Lock()
         self._idle: dict[str, list[Link]] = {}
 
-    def take(
+    def acquire(
         self,
         address: str,
         deadline_s: float,
@@ -308,7 +308,7 @@
         for link in links:
             link.close()
 
-    def give_back(self, link: Link) -> None:
+    def release(self, link: Link) -> None:
         """Keep a link for reuse, or close it if enough are idle."""
         with self._lock:
             idle = self._idle.setdefault(link.address, [])
@@ -336,6 +336,6 @@
     return Reply(reply.attempt_id, Outcome.UNKNOWN, Reason.BROKEN_ANSWER, hlc=reply.hlc)
 
 
-def left_ms(deadline_s: float) -> int:
+def poll_timeout_ms(deadline_s: float) -> int:
     """Return the time until a deadline, rounded up so that no poll ends early."""
     return max(0, int((deadline_s - time.monotonic()) * 1000) + 1)
--- a/balsamspindle/requests/reply_wait.py
+++ b/balsamspindle/requests/reply_wait.py
@@ -9,7 +9,7 @@
 import zmq
 
 from balsamspindle.protocol.outcomes import Outcome
-from balsamspindle.requests.links import Link, left_ms
+from balsamspindle.requests.links import Link, poll_timeout_ms
 from balsamspindle.requests.retries import is_success
 from balsamspindle.wire import AttemptId, Reply
 
@@ -107,11 +107,11 @@
     while waiting.keys() & attempts.keys():
         # Polled past the deadline, too: a reply that has arrived counts, however long
         # this process was stalled.
-        remaining_ms = left_ms(wait.deadline_s)
+        remaining_ms = poll_timeout_ms(wait.deadline_s)
         ready = dict(poller.poll(min(remaining_ms, CHECK_INTERVAL_MS)))
         for link in list(waiting):
-            reply = link.take_reply(ready, waiting[link], wait.on_dropped)
-            if reply is None and not link.is_over(ready):
+            reply = link.receive_reply(ready, waiting[link], wait.on_dropped)
+            if reply is None and not link.is_disconnected(ready):
                 continue
             del waiting[link]
             link.unregister(poller)
@@ -132,7 +132,7 @@
             is_end_sent = True
             left_s = wait.node_ends_s() - time.monotonic()
             for link, attempt_id in waiting.items():
-                link.tell_ending(attempt_id, left_s)
+                link.notify_ending(attempt_id, left_s)
         if wait.caller_fd in ready:
             if wait.caller_gone():
                 return last
--- a/balsamspindle/requests/retries.py
+++ b/balsamspindle/requests/retries.py
@@ -13,8 +13,8 @@
 from balsamspindle.backend_servers.heaviest_weight import HeaviestWeight
 from balsamspindle.protocol.outcomes import Execution, Outcome, Reason
 from balsamspindle.requests.latency_estimate import LatencyEstimate
+from balsamspindle.requests.retry_after import RetryAfterEstimator
 from balsamspindle.requests.retry_tokens import RetryTokens
-from balsamspindle.requests.return_times import ReturnTimes
 from balsamspindle.settings.documents import ATTEMPTS_MAX, RetryBudget
 from balsamspindle.wire import Reply
 from balsamspindle.wire.replies import is_refusal
@@ -132,7 +132,7 @@
     def __init__(self) -> None:
         self.tokens = RetryTokens()
         self.latencies: dict[int, LatencyEstimate] = {}
-        self.returns = ReturnTimes()
+        self.returns = RetryAfterEstimator()
         self.heaviest = HeaviestWeight()
 
     def latency(self, route_id: int) -> LatencyEstimate:
@@ -332,7 +332,7 @@
         """
         with self._lock:
             returns = self._state(service).returns
-            returns.note(is_answered, now_s)
+            returns.record(is_answered, now_s)
             return 0.0 if is_answered else returns.suggest_ms(earliest_ms, rng)
 
     def _state(self, service: str) -> _ServiceState:
--- a/balsamspindle/requests/return_times.py
+++ b/balsamspindle/requests/retry_after.py
@@ -3,14 +3,14 @@
 import math
 import random
 
-__all__ = ["ReturnTimes"]
+__all__ = ["RetryAfterEstimator"]
 
 # Time constant of the decaying counts.
 WINDOW_S = 10.0
 RETURN_MIN_S, RETURN_MAX_S = 2.0, 60.0
 
 
-class ReturnTimes:
+class RetryAfterEstimator:
     """Suggests when callers whose requests were not answered should retry.
 
     The retries are spread over the time in which the service, at its present rate
@@ -23,7 +23,7 @@
         self._unanswered = 0.0
         self._updated_s = 0.0
 
-    def note(self, is_answered: bool, now_s: float) -> None:
+    def record(self, is_answered: bool, now_s: float) -> None:
         """Count one request that ended, answered or not."""
         elapsed_s = max(0.0, now_s - self._updated_s)
         self._updated_s = max(now_s, self._updated_s)
--- a/balsamspindle/requests/sent.py
+++ b/balsamspindle/requests/sent_attempts.py
@@ -67,14 +67,14 @@
         return {sent.link: sent.attempt_id for sent in self._sent}
 
     def finish(
-        self, replies: Mapping[Link, Reply], give_back: Callable[[Link], None]
+        self, replies: Mapping[Link, Reply], release: Callable[[Link], None]
     ) -> None:
         """Remove the attempts that got replies, and give their links back."""
         for sent in self.all():
             if sent.link in replies:
                 self._sent.remove(sent)
                 sent.on_end(replies[sent.link])
-                give_back(sent.link)
+                release(sent.link)
 
     def cancel(self, cause: CancelCause) -> None:
         """Cancel all parked attempts."""
--- a/tests/test_ending_gates.py
+++ b/tests/test_ending_gates.py
@@ -358,14 +358,14 @@
         self.assertEqual(sent, self._dispatches())
 
     def test_nothing_is_sent_over_a_link_opened_while_the_node_gave_up(self):
-        take = self.links.take
+        acquire = self.links.acquire
 
         def give_up_meanwhile(*arguments):
-            link = take(*arguments)
+            link = acquire(*arguments)
             self.forwarder.give_up()
             return link
 
-        self.patch(self.links, "take", give_up_meanwhile)
+        self.patch(self.links, "acquire", give_up_meanwhile)
         reply = self._request(execution=Execution.NON_IDEMPOTENT)
         self.assertEqual(
             (Outcome.NOT_RUN, Reason.NODE_STOPPING), (reply.outcome, reply.reason)
--- a/tests/test_ending_ingresses.py
+++ b/tests/test_ending_ingresses.py
@@ -113,7 +113,7 @@
 
     def _send(self, number: int):
         deadline_s = time.monotonic() + PATIENCE_S
-        link = self.links.take(self.address, deadline_s)
+        link = self.links.acquire(self.address, deadline_s)
         self.assertTrue(link.send_dispatch(attempt(number), deadline_s))
         return link, attempt(number).attempt_id
 
@@ -200,7 +200,7 @@
         for _ in range(2):
             self.executor.submit(busy.wait, PATIENCE_S)
         link, attempt_id = self._send(1)
-        link.tell_ending(attempt_id, 0.5 * USUAL_S)
+        link.notify_ending(attempt_id, 0.5 * USUAL_S)
         wait_until(lambda: self.server._ends_s, "the notice has arrived")
         busy.set()
         reply = self._wait(link, attempt_id).reply
@@ -217,7 +217,7 @@
         for _ in range(2):
             self.executor.submit(busy.wait, PATIENCE_S)
         link, attempt_id = self._send(1)
-        link.tell_ending(attempt_id, 0.1)
+        link.notify_ending(attempt_id, 0.1)
         time.sleep(0.5)
         busy.set()
         reply = self._wait(link, attempt_id).reply
--- a/tests/test_link_server_bound.py
+++ b/tests/test_link_server_bound.py
@@ -81,7 +81,7 @@
 
     def _send(self, links, address, number):
         deadline_s = time.monotonic() + PATIENCE_S
-        link = links.take(address, deadline_s)
+        link = links.acquire(address, deadline_s)
         dispatch = Dispatch(
             AttemptId("own", 1, number),
             "id",
--- a/tests/test_retries.py
+++ b/tests/test_retries.py
@@ -10,8 +10,8 @@
 from balsamspindle.protocol.outcomes import Execution, Outcome, Reason
 from balsamspindle.requests.latency_estimate import LatencyEstimate
 from balsamspindle.requests.retries import DENIALS_MAX, RetryPolicy
+from balsamspindle.requests.retry_after import RetryAfterEstimator
 from balsamspindle.requests.retry_tokens import FLOOR_BURST_S, RetryTokens
-from balsamspindle.requests.return_times import ReturnTimes
 from balsamspindle.services.free_slots import FreeSlotViews
 from balsamspindle.services.holdouts import KEPT_MAX, HoldOuts
 from balsamspindle.settings.documents import RetryBudget
@@ -168,11 +168,11 @@
     def test_retry_times_are_spread_over_the_time_needed_to_serve_all_callers(self):
         # A service that answers 20 requests per second gives up 400 at once. If all
         # callers were told the same time, all of them would retry at once again.
-        times, rng = ReturnTimes(), random.Random(3)
+        times, rng = RetryAfterEstimator(), random.Random(3)
         for number in range(200):
-            times.note(True, number * 0.05)
+            times.record(True, number * 0.05)
         for _ in range(400):
-            times.note(False, 10.0)
+            times.record(False, 10.0)
         suggested = [times.suggest_ms(0.0, rng) for _ in range(400)]
         per_s = [
             sum(int(ms // 1000) == second for ms in suggested) for second in range(60)
@@ -181,8 +181,8 @@
         self.assertGreater(max(suggested), 20_000)
 
     def test_without_load_the_retry_time_is_short(self):
-        times = ReturnTimes()
-        times.note(False, 0.0)
+        times = RetryAfterEstimator()
+        times.record(False, 0.0)
         suggested = times.suggest_ms(500.0, random.Random(3))
         self.assertTrue(500 <= suggested <= 2500)
 
