--- a/balsamspindle/backend_servers/gate.py
+++ b/balsamspindle/backend_servers/gate.py
@@ -1,10 +1,10 @@
 """The gate: sole authority over the backend servers beside this node.
 
-Refusing, dispatching and cancelling an attempt are steps under one lock, so
-that an attempt is either refused or dispatched, never both, and a cancelled
-one is never dispatched. An attempt passes, in this order: its id (once only),
-its idempotency key (once over all gates, with its claim), its body's
-checksum, a slot, and right before the request goes out its deadline again.
+An attempt is refused, dispatched or cancelled under one lock. It is therefore either
+refused or dispatched, never both, and never dispatched after it was cancelled. The
+checks are made in this order: the attempt's id (handled once only), its idempotency
+key (run once across all gates, with its claim), its body's checksum, a slot, and its
+deadline again just before the request is sent.
 """
 
 import time
@@ -61,8 +61,8 @@
 
 __all__ = ["Gate"]
 
-# How long a cancellation without a deadline holds.
-CANCEL_MEMORY_S = 60.0
+# How long a cancellation without a deadline is remembered.
+CANCELLATION_TTL_S = 60.0
 
 
 class Gate:
@@ -72,15 +72,17 @@
     ----------
     admission : Admission, default=one with the services' default settings
     names : HeaderNames
-        By which backend servers are told of a request and tell of it.
+        Headers that carry data about a request to and from backend servers.
     on_misdirected : callable
-        Told the id of a backend server whose address is another one's now.
+        Called with the id of a backend server whose address now belongs to another
+        backend server.
     failed_calls : FailedCalls, default=none failed
-        Of the backend servers beside this node.
-    grants : RetryGrants, default=all are paid for by the nodes that send them
-    crash_book : CrashBook, default=one of its own
-        What is known of requests that crash backend servers.
-    crash_watch : CrashWatch, default=one that tells that book alone
+        Failed calls made by the backend servers beside this node.
+    grants : RetryGrants, default=grants all repeats
+        The default leaves it to the sending nodes to limit repeats.
+    crash_book : CrashBook, default=an empty one
+        Records of requests that crash backend servers.
+    crash_watch : CrashWatch, default=one that reports to `crash_book` alone
     """
 
     def __init__(
@@ -118,21 +120,24 @@
         )
 
     def leave(self) -> None:
-        """Refuse all new attempts: this node is going."""
+        """Refuse all new and waiting attempts from now on, as this node is leaving."""
         self._admission.leave()
 
     def end_by(self, ends_s: float) -> None:
-        """Start only what can end until then: this node is going."""
+        """Set when this node ends; start only attempts that can finish before."""
         self._admission.end_by(ends_s)
 
     def give_up(self) -> None:
-        """End the waiting and running attempts with what is known of them."""
+        """Cancel all waiting and running attempts, as this node ends now."""
         with self._servers.changed:
             self._attempts.cancel_all(CancelCause.NODE_LEAVING)
             self._servers.changed.notify_all()
 
     def refuse_busy(self, dispatch: Dispatch, received_s: float) -> Reply | None:
-        """Refuse an attempt that there is no worker for; see `handle`."""
+        """Refuse an attempt because too many others wait for a worker thread.
+
+        None for a duplicate, as in `handle`.
+        """
         begin = self._begin(
             dispatch, CancelToken(), attempt_deadline_s(dispatch, received_s)
         )
@@ -147,11 +152,11 @@
         return self._ledger.begin_era(version_min, after_s, now_s)
 
     def in_flight(self) -> int:
-        """Return the attempts dispatched and not yet ended."""
+        """Return how many attempts hold a slot."""
         return self._admission.in_flight()
 
     def waiting(self) -> int:
-        """Return the attempts that wait for a slot."""
+        """Return how many attempts wait for a slot."""
         return self._admission.waiting()
 
     def cancel(
@@ -160,42 +165,42 @@
         gate_deadline_s: float | None = None,
         cause: CancelCause = CancelCause.INGRESS_GAVE_UP,
     ) -> None:
-        """Take an attempt back, also one whose message has not come yet.
+        """Cancel an attempt, even if its message has not arrived yet.
 
-        Before its request goes out the attempt is refused; after that its
-        backend server sees the connection end.
+        Before its request is sent the attempt is refused. After that the connection to
+        its backend server is closed.
         """
         now_s = time.monotonic()
         with self._servers.changed:
             self._attempts.cancel(
-                attempt_id, gate_deadline_s or now_s + CANCEL_MEMORY_S, now_s, cause
+                attempt_id, gate_deadline_s or now_s + CANCELLATION_TTL_S, now_s, cause
             )
             self._servers.changed.notify_all()
 
     def ingress_ends(self, attempt_id: AttemptId, ends_s: float) -> bool:
-        """Take the word that the node which made an attempt ends then."""
+        """Record when the ingress of an attempt ends; False if it is unknown."""
         with self._servers.changed:
             is_known = self._attempts.end_by(attempt_id, ends_s)
             self._servers.changed.notify_all()
         return is_known
 
     def outlasting(self, now_s: float) -> list[AttemptId]:
-        """Return the attempts that run and may not end before this node does."""
+        """Return the running attempts that may not finish before this node ends."""
         return self._admission.outlasting(now_s)
 
     def handle(self, dispatch: Dispatch, received_s: float) -> Reply | None:
-        """Run one attempt to its end.
+        """Handle one attempt until it is refused or its run has ended.
 
         Parameters
         ----------
         received_s : float
-            When the message came in, on the monotonic clock.
+            When the message arrived, on the monotonic clock.
 
         Returns
         -------
         Reply or None
-            None for a second message of an attempt: the first one's reply
-            stands, and another could contradict it.
+            None for a duplicate message of an attempt: a second reply could
+            contradict the first.
         """
         token = CancelToken()
         token.end_by(ingress_ends_s(dispatch, received_s))
@@ -212,7 +217,7 @@
         return self._handle_keyed(dispatch, token, deadline_s)
 
     def would_take(self, question: Question, received_s: float) -> Told:
-        """Tell whether an attempt would be taken now; nothing is kept for it."""
+        """Return whether an attempt would be accepted now; no slot is reserved."""
         held_out = self._observer.held_out(question.backend_server_id, received_s)
         told = Told(question.number, held_out=held_out, gate_time_s=received_s)
         standing = self._crash_book.standing(question.content, received_s)
@@ -220,7 +225,7 @@
             return msgspec.structs.replace(
                 told, reason=Reason.CRASHES_SERVERS, wait_ms=standing.blocked_ms
             )
-        if not self._is_welcome(question):
+        if not self._health_admits(question):
             return msgspec.structs.replace(told, reason=Reason.SUSPECTED)
         deadline_s = received_s + question.remaining_ms / 1000
         match self._admission.preview(question, deadline_s):
@@ -235,19 +240,21 @@
             )
         if begin is Begin.DUPLICATE:
             self._events.emit(
-                "attempt_dropped", request=dispatch.request_id, cause="it came twice"
+                "attempt_dropped",
+                request=dispatch.request_id,
+                cause="duplicate message of an attempt",
             )
         return begin
 
     def _handle_keyed(self, dispatch, token, deadline_s) -> Reply:
-        """Run an attempt whose key must run once over all gates."""
+        """Handle an attempt whose idempotency key must run once across all gates."""
         match self._ledger.begin(dispatch, time.monotonic()):
             case KeyRefused(outcome, reason):
                 return self._refuse(dispatch, reason, outcome)
             case Earlier(reply):
                 self._events.emit("answer_repeated", request=dispatch.request_id)
                 return msgspec.structs.replace(reply, attempt_id=dispatch.attempt_id)
-        # Should our own code fail, the key has to stay taken.
+        # If an exception is raised below, this reply keeps the key claimed.
         reply = Reply(dispatch.attempt_id, Outcome.UNKNOWN, Reason.BROKEN_ANSWER)
         try:
             reply = self._handle_new(dispatch, token, deadline_s)
@@ -262,12 +269,12 @@
         standing = self._crash_book.standing(dispatch.content, received_s)
         if standing.blocked_ms:
             return self._refuse_blocked(dispatch, standing.blocked_ms)
-        if not self._is_welcome(dispatch):
+        if not self._health_admits(dispatch):
             return self._refuse(dispatch, Reason.SUSPECTED)
         service, weight = dispatch.service, dispatch.weight
-        # A request that seems to crash backend servers is lost with nothing but
-        # its own fault: others' retries are not spent on it.
-        if dispatch.is_repeat and not self._grants.take(
+        # A request suspected of crashing backend servers fails by its own fault, so
+        # it must not use up the repeats of others.
+        if dispatch.is_repeat and not self._grants.try_grant(
             service,
             weight,
             received_s,
@@ -279,11 +286,11 @@
         if not is_refusal(reply):
             if not dispatch.is_repeat:
                 may_repeat = dispatch.execution is Execution.IDEMPOTENT
-                self._grants.note_first(
+                self._grants.record_first_attempt(
                     service, weight, received_s, may_repeat, dispatch.repeated_part
                 )
         elif dispatch.is_repeat:
-            self._grants.give_back(service)
+            self._grants.return_grant(service)
         return reply
 
     def _handle_granted(self, dispatch, token, deadline_s, received_s) -> Reply:
@@ -296,9 +303,9 @@
                 )
                 return msgspec.structs.replace(reply, retry_after_ms=retry_after_ms)
             case Admitted() as admitted:
-                # Those that waited for a slot while the backend server fell
-                # sick would all be lost on it, one after the other.
-                if not self._is_welcome(dispatch):
+                # Check the health again. If the backend server became unhealthy while
+                # attempts waited for a slot, they would all fail there one by one.
+                if not self._health_admits(dispatch):
                     self._admission.release(admitted, WorkEnd.DONE)
                     return self._refuse(dispatch, Reason.SUSPECTED)
                 return self._run_admitted(
@@ -308,10 +315,10 @@
     def _run_admitted(
         self, dispatch, admitted: Admitted, token, deadline_s, received_s
     ) -> Reply:
-        """Run an attempt that has a slot, unless it is known to crash servers.
+        """Run an attempt that has a slot, unless its request crashes backend servers.
 
-        Copies of a request wait for slots while another one crashes a backend
-        server: what is known is looked at again when one has its slot.
+        That is checked again here, because copies of a request may wait for slots
+        while another copy crashes a backend server.
         """
         standing = self._crash_book.standing(dispatch.content, time.monotonic())
         if standing.blocked_ms:
@@ -321,11 +328,11 @@
         if standing.is_suspect and not self._suspect_runs.begin(server_id, content):
             self._admission.release(admitted, WorkEnd.DONE)
             return self._refuse(dispatch, Reason.WOULD_WAIT)
-        self._grants.started(dispatch.is_repeat)
+        self._grants.run_started(dispatch.is_repeat)
         try:
             return self._runner.run(dispatch, admitted, token, deadline_s, received_s)
         finally:
-            self._grants.ended(dispatch.is_repeat)
+            self._grants.run_ended(dispatch.is_repeat)
             if standing.is_suspect:
                 self._suspect_runs.end(server_id, content)
 
@@ -334,11 +341,11 @@
         return msgspec.structs.replace(reply, retry_after_ms=blocked_ms)
 
     def repeated_part(self) -> float:
-        """Return the part of the runs beside this node that are repeats."""
+        """Return the fraction of this node's present runs that are repeats."""
         return self._grants.repeated_part()
 
-    def _is_welcome(self, dispatch: Dispatch | Question) -> bool:
-        """Tell whether a suspected backend server may get this attempt."""
+    def _health_admits(self, dispatch: Dispatch | Question) -> bool:
+        """Return whether the backend server's health allows this attempt."""
         return dispatch.is_last_resort or self._observer.admits(
             dispatch.backend_server_id,
             dispatch.execution,
--- a/balsamspindle/backend_servers/retry_grants.py
+++ b/balsamspindle/backend_servers/retry_grants.py
@@ -1,16 +1,18 @@
-"""Retries of a service, granted by its gates.
-
-Where a fleet may repeat a number of a service's requests whatever their rate, each
-part of that number must be held by somebody. Held by the nodes that callers use, it
-falls into as many parts as there are nodes, less than two retries each in a fleet of
-35, most of them where nobody needs one while others are refused theirs. The gates of
-a service are a few, every repeat arrives at one of them, and one that has none left
-sends it to the next.
-
-A run that is a repeat makes its calls again, and these are repeats at the service that
-is called, though each is a request of its own. No one can tell them from others, but
-the node beside the backend server that calls knows which part of its runs are
-repeats. Told that part with each request, a gate counts what it expects.
+"""Retry budget of a service, granted by the service's gates.
+
+A repeat is a retry of a request that reached a backend server before, or may have.
+
+A service's retry budget includes a fixed number that does not depend on the request
+rate, and each node that grants retries needs a share of it. Shared among all nodes that
+callers use, the shares are too small: less than two retries each in a fleet of 35, most
+of them unused at nodes that need none while other nodes refuse retries. A service has
+only a few gates, every repeat arrives at one of them, and a gate whose share is used up
+refuses the repeat, which then goes to the next gate.
+
+A run that is a repeat also makes its own calls to other services again. At those
+services the calls are repeats, but they look like new requests. The node beside the
+calling backend server knows which fraction of its runs are repeats and sends it with
+each request. The gate of the called service counts that fraction as a repeat.
 """
 
 import threading
@@ -22,12 +24,12 @@
 
 __all__ = ["RetryGrants"]
 
-# Of a service's repeats, those that last resorts leave to others.
-KEPT_FROM_LAST_RESORTS_PART = 0.5
+# Fraction of a service's repeats that last-resort attempts leave to other attempts.
+RESERVED_FROM_LAST_RESORTS_FRACTION = 0.5
 
 
-class _Service:
-    """What was granted of one service's retries."""
+class _ServiceState:
+    """Retry window and heaviest recent weight of one service."""
 
     def __init__(self) -> None:
         self.window = RetryWindow()
@@ -35,23 +37,23 @@
 
 
 class RetryGrants:
-    """The repeats that one gate may let through; safe from all threads.
+    """Grants repeats at one gate within the retry budget; thread-safe.
 
     Parameters
     ----------
     budget : callable
-        Returns the retry budget of a service at a time, with this gate's part
-        of what the whole fleet may spend.
+        Returns the retry budget of a service at a given time, with this gate's share
+        of the fleet's fixed number of retries.
     """
 
     def __init__(self, budget: Callable[[str, float], RetryBudget]) -> None:
         self._budget = budget
         self._lock = threading.Lock()
-        self._services: dict[str, _Service] = {}
+        self._services: dict[str, _ServiceState] = {}
         self._running = 0
-        self._repeats = 0
+        self._running_repeats = 0
 
-    def note_first(
+    def record_first_attempt(
         self,
         service: str,
         weight: float,
@@ -64,38 +66,41 @@
         Parameters
         ----------
         may_repeat : bool
-            Whether it can use a repeat. Nothing is kept for heavier requests that
-            must not run twice: half of all grants stayed unused for filings, while
-            67 lookups in a quarter of a minute were refused a repeat.
+            Whether the request may be repeated. No repeats are reserved for heavier
+            requests that must not run twice. Otherwise half of all grants can stay
+            unused while lighter requests are refused a repeat, for example 67 of
+            them within 15 s.
         repeated_part : float
-            How likely it is the call of a run that is a repeat.
+            Probability that the request is a call made by a run that is a repeat.
         """
         with self._lock:
-            state = self._of(service)
+            state = self._state(service)
             if may_repeat:
                 state.heaviest.note(weight, now_s)
-            state.window.note_request(self._budget(service, now_s), now_s)
+            state.window.record_request(self._budget(service, now_s), now_s)
             if repeated_part:
-                state.window.note_retries(repeated_part, now_s)
+                state.window.record_retries(repeated_part, now_s)
 
-    def started(self, is_repeat: bool) -> None:
-        """Count a run that begins beside this node."""
+    def run_started(self, is_repeat: bool) -> None:
+        """Count the start of a run at a backend server beside this node."""
         with self._lock:
             self._running += 1
-            self._repeats += is_repeat
+            self._running_repeats += is_repeat
 
-    def ended(self, is_repeat: bool) -> None:
-        """Count a run's end."""
+    def run_ended(self, is_repeat: bool) -> None:
+        """Count the end of a run at a backend server beside this node."""
         with self._lock:
             self._running -= 1
-            self._repeats -= is_repeat
+            self._running_repeats -= is_repeat
 
     def repeated_part(self) -> float:
-        """Return the part of the runs beside this node that are repeats."""
+        """Return the fraction of this node's present runs that are repeats."""
         with self._lock:
-            return self._repeats / self._running if self._repeats else 0.0
+            return (
+                self._running_repeats / self._running if self._running_repeats else 0.0
+            )
 
-    def take(
+    def try_grant(
         self,
         service: str,
         weight: float,
@@ -103,49 +108,53 @@
         is_last_resort: bool = False,
         was_cut: bool = False,
     ) -> bool:
-        """Grant a repeat, or return False.
+        """Grant a repeat and return True, or return False if none is left for it.
 
         Parameters
         ----------
         is_last_resort : bool
-            It goes to a suspected backend server. Seven of ten such runs fail, and
-            the repeats that they take would serve others at healthy ones: these
-            have half of all for themselves.
+            Whether the attempt goes to a suspected backend server. About 70% of such
+            runs fail, while their repeats could succeed at healthy backend servers.
+            Half of all repeats are therefore reserved for other attempts.
         was_cut : bool
-            An earlier run of it was lost with a node that left. Nothing is kept
-            from it for heavier requests: they have failed by themselves, and it
-            would have been answered.
+            Whether an earlier run of the request was lost with a node that left. It
+            may use the repeats reserved for heavier requests: these failed at their
+            backend servers, while this one would have been answered.
         """
         budget = self._budget(service, now_s)
         if not budget.fleet_per_s_min:
-            # The node that sends it has paid for it.
+            # The budget has no share for gates: the sending node counts its repeats.
             return True
         with self._lock:
-            state = self._of(service)
+            state = self._state(service)
             state.heaviest.note(weight, now_s)
-            kept_part = 0.0 if was_cut else state.heaviest.kept_part(weight)
+            reserved_fraction = 0.0 if was_cut else state.heaviest.kept_part(weight)
             if is_last_resort:
-                kept_part = max(kept_part, KEPT_FROM_LAST_RESORTS_PART)
-            return state.window.take(budget, now_s, kept_part)
+                reserved_fraction = max(
+                    reserved_fraction, RESERVED_FROM_LAST_RESORTS_FRACTION
+                )
+            return state.window.try_spend(budget, now_s, reserved_fraction)
 
-    def give_back(self, service: str) -> None:
-        """Return a repeat that was granted and did not run.
+    def return_grant(self, service: str) -> None:
+        """Take back the grant of a repeat that did not run.
 
-        Kept, a window that counts runs would be used up in an overload, when
-        each repeat finds a busy gate, without one run.
+        Otherwise an overload would use up the budget without a single run, because
+        each granted repeat is then refused by a busy gate.
         """
         with self._lock:
-            self._of(service).window.give_back()
+            self._state(service).window.refund()
 
     def services(self) -> list[str]:
-        """Return the services that had requests here."""
+        """Return the services that had requests at this gate."""
         with self._lock:
             return sorted(self._services)
 
     def left(self, service: str, now_s: float) -> float:
-        """Return how many repeats could be granted now."""
+        """Return how many repeats could be granted now; negative after too many."""
         with self._lock:
-            return self._of(service).window.left(self._budget(service, now_s), now_s)
+            return self._state(service).window.remaining(
+                self._budget(service, now_s), now_s
+            )
 
-    def _of(self, service: str) -> _Service:
-        return self._services.setdefault(service, _Service())
+    def _state(self, service: str) -> _ServiceState:
+        return self._services.setdefault(service, _ServiceState())
--- a/balsamspindle/backend_servers/retry_window.py
+++ b/balsamspindle/backend_servers/retry_window.py
@@ -1,10 +1,10 @@
-"""The retries of a service within any window of time: a gate's part.
+"""Sliding-window limit on the retries of one service at one gate.
 
-Where all nodes together may repeat a fraction of a service's requests and a
-fixed number besides, over any ten seconds, each gate keeps to that fraction of
-the requests that it sees and its part of the number. Whatever the others do, the sums
-hold. A bucket that fills with time would have to keep half of its part back,
-for it may be full when a window begins and filled again until it ends.
+Over any ten seconds, all nodes together may retry a fraction of a service's requests
+plus a fixed number. Each gate limits itself to that fraction of the requests that it
+sees, plus its share of the fixed number, so the total stays within the limit
+whatever the other gates do. A token bucket could use only half of its share: it may be
+full at the start of a window and be refilled before the window ends.
 """
 
 from collections import deque
@@ -14,16 +14,16 @@
 __all__ = ["WINDOW_S", "RetryWindow"]
 
 WINDOW_S = 10.0
-# Times are kept in steps: retries count for one step longer and requests for
-# one less, so that the rounding is on the safe side.
+# Events are counted in steps of this length. Retries count for one step longer than
+# the window and requests for one step less, so that rounding never allows more.
 STEP_S = 0.5
 
 
-class _Counts:
-    """Events of the last steps."""
+class _WindowedCount:
+    """Number of events within the last `retention_s` seconds."""
 
-    def __init__(self, kept_s: float) -> None:
-        self._kept_s = kept_s
+    def __init__(self, retention_s: float) -> None:
+        self._retention_s = retention_s
         self._steps: deque[list[float]] = deque()
         self.total = 0.0
 
@@ -34,62 +34,64 @@
         self._steps[-1][1] += count
         self.total += count
 
-    def forget_old(self, now_s: float) -> None:
-        while self._steps and self._steps[0][0] < now_s - self._kept_s:
+    def discard_old(self, now_s: float) -> None:
+        while self._steps and self._steps[0][0] < now_s - self._retention_s:
             self.total -= self._steps.popleft()[1]
 
 
 class RetryWindow:
-    """The retries that one gate may grant now."""
+    """The retries that one gate may grant now for one service."""
 
     def __init__(self) -> None:
-        self._requests = _Counts(WINDOW_S - STEP_S)
-        self._retries = _Counts(WINDOW_S + STEP_S)
+        self._requests = _WindowedCount(WINDOW_S - STEP_S)
+        self._retries = _WindowedCount(WINDOW_S + STEP_S)
         self._now_s = 0.0
 
-    def note_request(self, budget: RetryBudget, now_s: float) -> None:
+    def record_request(self, budget: RetryBudget, now_s: float) -> None:
         """Count a request."""
-        self._pass_time(now_s)
+        self._advance(now_s)
         self._requests.add(1, self._now_s)
 
-    def left(self, budget: RetryBudget, now_s: float) -> float:
-        """Return how many retries could be made."""
-        self._pass_time(now_s)
+    def remaining(self, budget: RetryBudget, now_s: float) -> float:
+        """Return how many more retries are allowed; negative after too many."""
+        self._advance(now_s)
         return self._allowed(budget) - self._retries.total
 
     def available(self, budget: RetryBudget, now_s: float) -> bool:
-        """Tell whether a retry could be made."""
-        return self.left(budget, now_s) >= 1
+        """Return whether at least one more retry is allowed."""
+        return self.remaining(budget, now_s) >= 1
 
-    def take(self, budget: RetryBudget, now_s: float, kept_part: float = 0.0) -> bool:
-        """Take a retry, or return False.
+    def try_spend(
+        self, budget: RetryBudget, now_s: float, reserved_fraction: float = 0.0
+    ) -> bool:
+        """Count a retry and return True, or return False if it is not allowed.
 
         Parameters
         ----------
-        kept_part : float
-            Of all that are allowed, those that must be left.
+        reserved_fraction : float
+            Fraction of the window's allowed retries that must remain afterwards.
         """
-        kept = kept_part * self._allowed(budget)
-        if self.left(budget, now_s) < 1 + kept:
+        reserved = reserved_fraction * self._allowed(budget)
+        if self.remaining(budget, now_s) < 1 + reserved:
             return False
         self._retries.add(1, self._now_s)
         return True
 
-    def note_retries(self, count: float, now_s: float) -> None:
-        """Count retries that nobody asked for; there may be less than none left."""
-        self._pass_time(now_s)
+    def record_retries(self, count: float, now_s: float) -> None:
+        """Count retries made without `try_spend`; the remainder may become negative."""
+        self._advance(now_s)
         self._retries.add(count, self._now_s)
 
-    def give_back(self) -> None:
-        """Return a retry that was taken and not made."""
+    def refund(self) -> None:
+        """Undo a `try_spend` whose retry was not made."""
         self._retries.add(-1, self._now_s)
 
     def _allowed(self, budget: RetryBudget) -> float:
-        """Return the retries that the window's requests allow, made ones included."""
+        """Return the retries allowed in this window, those already made included."""
         by_requests = budget.fraction * self._requests.total
         return by_requests + budget.fleet_per_s_min * WINDOW_S
 
-    def _pass_time(self, now_s: float) -> None:
+    def _advance(self, now_s: float) -> None:
         self._now_s = max(self._now_s, now_s)
-        self._requests.forget_old(self._now_s)
-        self._retries.forget_old(self._now_s)
+        self._requests.discard_old(self._now_s)
+        self._retries.discard_old(self._now_s)
--- a/tests/test_gate.py
+++ b/tests/test_gate.py
@@ -1,4 +1,4 @@
-"""The gate: refused, dispatched or cancelled, and one of them only."""
+"""The gate: each attempt is refused, dispatched or cancelled, and runs at most once."""
 
 import io
 import time
@@ -30,7 +30,7 @@
 
 
 class Observer(NoObserver):
-    """Keeps the evidence that the gate reports."""
+    """Records the evidence that the gate reports."""
 
     def __init__(self):
         self.started_ids, self.results = [], []
@@ -105,9 +105,9 @@
         self.assertIsNone(self._handle(self._dispatch()))
         self.assertEqual(1, len(self.server.requests))
 
-    def test_a_repeat_that_is_refused_after_all_leaves_the_next_one_its_grant(self):
-        # One repeat is left to grant. The gate grants it and refuses it for
-        # another cause, so that it is still there for the next.
+    def test_a_granted_repeat_that_is_refused_leaves_its_grant_to_the_next(self):
+        # The budget allows one more repeat. The gate grants it but then refuses the
+        # attempt for another reason, so the next repeat must still be granted.
         budget = RetryBudget(fraction=0.0, fleet_per_s_min=0.1)
         self.gate._grants = RetryGrants(lambda *_: budget)
         away = self._dispatch(1, is_repeat=True, backend_server_id="elsewhere")
@@ -120,10 +120,10 @@
         self.assertEqual(2, len(self.server.requests))
 
     def test_a_refused_attempt_never_runs_later(self):
-        # The gate said 'not run'; the same message comes again, when there
-        # would be a slot. Running it would make that answer a lie.
-        draining = self._dispatch(backend_server_id="elsewhere")
-        self.assertEqual(Outcome.NOT_RUN, self._handle(draining).outcome)
+        # The gate replied 'not run', and the same message arrives again when a slot
+        # is free. If it ran now, that reply would be false.
+        refused = self._dispatch(backend_server_id="elsewhere")
+        self.assertEqual(Outcome.NOT_RUN, self._handle(refused).outcome)
         self.assertIsNone(self._handle(self._dispatch()))
         busy = self.gate.refuse_busy(self._dispatch(2), time.monotonic())
         self.assertEqual(Outcome.NOT_RUN, busy.outcome)
@@ -138,8 +138,8 @@
         self.assertEqual([], self.server.requests)
 
     def test_a_cancellation_ends_waiting_and_running_attempts(self):
-        # The first attempt hangs in the only slot, the second one waits. Both
-        # are given up: the second never ran, of the first nobody knows, and
+        # The first attempt hangs in the only slot, the second one waits. Both are
+        # cancelled: the second did not run, the outcome of the first is unknown, and
         # its backend server sees the connection end.
         self._hang()
         with ThreadPoolExecutor(2) as executor:
@@ -155,10 +155,10 @@
             self.assertEqual(Outcome.UNKNOWN, running.result().outcome)
         self.assertEqual([WorkResult.CANCELLED], self.observer.results)
 
-    def test_a_cut_run_is_told_with_its_cause_and_how_long_it_ran(self):
-        # All callers get 'unknown', and the backend server sees its connection
-        # end each time. An engineer has to tell a caller that left from a node
-        # that leaves and from a backend server that started anew.
+    def test_a_cut_run_is_logged_with_its_cause_and_duration(self):
+        # In each case the caller gets 'unknown' and the backend server sees its
+        # connection end. Only the log shows whether the caller left, the node is
+        # leaving or the backend server was restarted.
         self._hang()
         ends = {
             "ingress_gave_up": lambda attempt_id: self.gate.cancel(attempt_id),
@@ -185,7 +185,7 @@
         self.assertLessEqual(sum(ran_ms), took_ms + len(ran_ms))
         self.assertEqual(dict.fromkeys(ends, 1), self.log.metrics.report().cuts)
 
-    def test_a_run_that_was_not_cut_has_no_cause_of_a_cut(self):
+    def test_a_run_that_was_not_cut_is_logged_without_cut_by(self):
         self._handle(self._dispatch(1))
         self.gate.cancel(self._dispatch(1).attempt_id)
         self._hang()
@@ -197,9 +197,9 @@
             self.assertIn("ran_ms", event)
         self.assertEqual({}, self.log.metrics.report().cuts)
 
-    def test_an_attempt_that_waited_for_a_leaving_node_is_told_as_such(self):
-        # The node's time for its orderly end is over. One attempt holds the only
-        # slot, another one waits for it: neither is left without a line.
+    def test_attempts_that_a_leaving_node_cancels_are_logged_as_such(self):
+        # The time for the node's orderly end is over. One attempt holds the only slot
+        # and another one waits for it; each must get an event in the log.
         self._hang()
         with ThreadPoolExecutor(2) as executor:
             executor.submit(self._handle, self._dispatch(1, remaining_ms=60_000.0))
@@ -208,14 +208,15 @@
             wait_until(self.gate.waiting, "one waits")
             self.gate.give_up()
         names = ("attempt_ended", "attempt_refused")
-        told = [self._logged(name) for name in names]
-        self.assertEqual([1, 1], list(map(len, told)))
-        cuts = [event["cut_by"] for events in told for event in events]
+        logged = [self._logged(name) for name in names]
+        self.assertEqual([1, 1], list(map(len, logged)))
+        cuts = [event["cut_by"] for events in logged for event in events]
         self.assertEqual(["node_leaving"] * 2, cuts)
 
     def test_a_message_that_waited_while_the_gate_was_stopped_is_too_late(self):
-        # Its duration starts when it is read and looks fresh; its end on the
-        # gate's clock has passed, and the caller was told so.
+        # The remaining duration counts from when the message is read, so it looks
+        # sufficient. The deadline on the gate's clock has passed, and the caller was
+        # told so.
         late = self._dispatch(gate_deadline_s=time.monotonic() - 0.01)
         self.assertEqual((Outcome.NOT_RUN, Reason.DEADLINE), self._ended(late))
         self.assertEqual([], self.server.requests)
@@ -225,7 +226,7 @@
         self.assertEqual((Outcome.NOT_RUN, Reason.DAMAGED), self._ended(damaged))
         self.assertEqual([], self.server.requests)
 
-    def test_work_is_reported_as_evidence(self):
+    def test_ends_of_runs_are_reported_as_evidence_of_health(self):
         ends = [
             (length_answer(b""), WorkResult.ANSWERED),
             (length_answer(b"").replace(b"200", b"503"), WorkResult.SHED),
@@ -249,11 +250,11 @@
         self.assertEqual(b"1", second.body)
         self.assertEqual((first.body, first.status), (second.body, second.status))
         self.assertEqual(AttemptId("ingress", 1, 2), second.attempt_id)
-        # The same key of another service is another key.
+        # Keys are separate for each service.
         other = self._handle(self._keyed(3, service="crew/offers"))
         self.assertEqual(b"2", other.body)
 
-    def test_a_resend_is_unknown_while_the_first_one_runs_or_was_lost(self):
+    def test_a_resend_is_unknown_while_the_first_run_goes_on_or_if_it_was_lost(self):
         self._hang()
         with ThreadPoolExecutor(1) as executor:
             first = executor.submit(self._handle, self._keyed(1, remaining_ms=500.0))
@@ -281,7 +282,7 @@
     def test_a_key_claimed_for_another_gate_or_incarnation_never_runs(self):
         now_s = time.monotonic()
         claims = [None, Claim("other", INCARNATION, 1, now_s)]
-        # The node was replaced: what its predecessor ran it does not know.
+        # The node was replaced and does not know what its predecessor has run.
         claims.append(Claim(NODE, INCARNATION - 1, 1, now_s))
         for sequence, claim in enumerate(claims):
             self.assertEqual(
@@ -290,9 +291,9 @@
             )
         self.assertEqual([], self.server.requests)
 
-    def test_a_claim_under_which_not_run_was_said_is_void(self):
-        # The gate said 'not run', so the claim may have moved to another
-        # gate. A slower resend under the old claim must not run here.
+    def test_a_claim_is_void_after_a_reply_of_not_run(self):
+        # The gate replied 'not run', so the claim may have moved to another gate. A
+        # delayed resend under the old claim must not run here.
         refused = self._keyed(1, backend_server_id="elsewhere")
         self.assertEqual(Outcome.NOT_RUN, self._handle(refused).outcome)
         self.assertEqual(
@@ -334,9 +335,9 @@
         )
     )
     def test_an_attempt_begins_once_and_never_after_its_cancellation(self, steps):
-        # Messages and cancellations in any order, repeated, over a time in
-        # which deadlines pass: after its deadline the gate refuses an attempt
-        # whatever the table says.
+        # Messages and cancellations arrive in any order and repeatedly while deadlines
+        # pass. The gate refuses an attempt after its deadline whatever the table
+        # returns, so the check ends some time after the deadline.
         table, now_s, begun, cancelled = AttemptTable(), 0.0, set(), set()
         for step, number, wait_s in steps:
             now_s += wait_s
