--- a/balsamspindle/backend_servers/admission.py
+++ b/balsamspindle/backend_servers/admission.py
@@ -1,6 +1,6 @@
-"""Which attempts get a slot: the gate's one place where that is decided.
+"""Admission control: decides which attempts get a slot at a backend server.
 
-All of it is under the lock of the node's backend servers.
+All decisions are made under the lock of the node's backend servers.
 """
 
 import math
@@ -24,23 +24,23 @@
 __all__ = ["Admission", "Admitted", "Refused"]
 
 CAPACITY_STEPS = 4
-# Of its slots, what a backend server gets that says it is cold: work takes
-# about twice as long there, so that half of it is done in the usual time.
-COLD_PART = 0.5
-# A waiting attempt asks again at each change, and after this time: the slots
-# of a cold backend server grow without one.
-ASK_AGAIN_S = 0.5
-WAIT_MIN_S = 0.005
-# An attempt at a leaving node, or of one, is started only if so many times its route's
-# mean time is left: of work that varies like callers' does, few last longer than twice
-# the mean, and half longer than the mean, reads too: what is cut had better be refused,
-# so that its caller comes back in time.
+# Fraction of its slots that a backend server gets while it reports to be cold. Work
+# takes about twice as long there, so half of the work is done in the usual time.
+COLD_SLOTS_FRACTION = 0.5
+# A waiting attempt asks again after each change and after this time, because the slots
+# of a cold backend server increase without a change that would wake it.
+RECHECK_INTERVAL_S = 0.5
+RECHECK_MIN_S = 0.005
+# If the gate's or the ingress's node is leaving, an attempt is started only if this
+# many times the mean service time of its route is left. Half of all requests, reads
+# too, take longer than the mean, but few take longer than twice the mean. Refusing an
+# attempt is better than cutting its run, because its caller can then retry in time.
 LAST_START_FACTOR = 2.0
 
 
 @dataclass(frozen=True)
 class Admitted:
-    """An attempt has a slot; give it back by `Admission.release`."""
+    """An attempt that holds a slot until `Admission.release`."""
 
     server: LocalBackendServer
     started_s: float
@@ -51,7 +51,7 @@
 
 @dataclass(frozen=True)
 class Refused:
-    """An attempt was not dispatched and never will be."""
+    """A refusal: the attempt was not dispatched and never will be."""
 
     reason: Reason
     retry_after_ms: float = 0.0
@@ -62,12 +62,12 @@
 
 
 class Admission:
-    """Slots, waiting and refusals for the backend servers of one node.
+    """Admits, queues and refuses attempts for the backend servers of one node.
 
     Parameters
     ----------
-    service_document : callable, default=the defaults
-        Returns the settings in force of a service.
+    service_document : callable, default=the default settings
+        Returns the settings in force for a service.
     """
 
     def __init__(
@@ -79,61 +79,64 @@
         self._service_document = service_document
         self._queues: dict[str, SlotQueue] = {}
         self._leaving = False
-        self._ends_s = math.inf
+        self._node_ends_s = math.inf
         self._running: set[Admitted] = set()
 
     def leave(self) -> None:
-        """Refuse all new attempts: this node is going."""
+        """Refuse all new and waiting attempts from now on, as this node is leaving."""
         with self._servers.changed:
             self._leaving = True
             self._servers.changed.notify_all()
 
     def end_by(self, ends_s: float) -> None:
-        """Start no more attempts than can end until then: this node is going.
+        """Set when this node ends; start only attempts that can finish before.
 
-        What runs at that time is cut. An attempt that waited here for seconds
-        and got a slot in the last one would be lost; refused, it goes elsewhere.
+        Runs are cut when the node ends. An attempt that gets a slot just before that
+        would be lost; if refused, it can go to another gate.
         """
         with self._servers.changed:
-            self._ends_s = ends_s
+            self._node_ends_s = ends_s
             self._servers.changed.notify_all()
 
     def in_flight(self) -> int:
-        """Return the attempts admitted and not yet ended."""
+        """Return how many attempts hold a slot."""
         with self._servers.changed:
             return len(self._running)
 
     def outlasting(self, now_s: float) -> list[AttemptId]:
-        """Return the attempts that run and may not end before this node does.
+        """Return the running attempts that may not finish before this node ends.
 
-        They are those that would not be started any more, and those of which
-        nobody knows how long they take.
+        These are the ones that would not be started any more, and those whose service
+        time is unknown.
         """
-        if math.isinf(self._ends_s):
+        if math.isinf(self._node_ends_s):
             return []
         with self._servers.changed:
             return [
                 admitted.attempt_id
                 for admitted in self._running
                 if self._may_outlast(admitted.server, admitted.kind, now_s)
-                or not _usual_s(admitted.server, admitted.kind)
+                or not _expected_run_s(admitted.server, admitted.kind)
             ]
 
     def _may_outlast(
         self, server: LocalBackendServer, kind: WorkKind, now_s: float
     ) -> bool:
-        """Tell whether work that began now could last longer than this node."""
-        return now_s + LAST_START_FACTOR * _usual_s(server, kind) >= self._ends_s
+        """Return whether work started now could last longer than this node."""
+        return (
+            now_s + LAST_START_FACTOR * _expected_run_s(server, kind)
+            >= self._node_ends_s
+        )
 
     def waiting(self) -> int:
-        """Return the attempts that wait for a slot."""
+        """Return how many attempts wait for a slot."""
         with self._servers.changed:
             return sum(map(len, self._queues.values()))
 
     def admit(
         self, dispatch: Dispatch, token: CancelToken, deadline_s: float
     ) -> Admitted | Refused:
-        """Wait for a slot and take it, all under the lock."""
+        """Wait for a slot and occupy it, or refuse the attempt."""
         ticket = _ticket(dispatch, deadline_s, time.monotonic())
         with self._servers.changed:
             queue = self._queue(dispatch.service)
@@ -143,8 +146,8 @@
                     decision = self._decide(dispatch, token, queue, ticket, now_s)
                     if decision is not None:
                         return decision
-                    starts_by_s = self._starts_by_s(dispatch, token)
-                    wait_s = self._wait_s(ticket, starts_by_s, now_s)
+                    latest_start_s = self._latest_start_s(dispatch, token)
+                    wait_s = self._recheck_wait_s(ticket, latest_start_s, now_s)
                     self._servers.changed.wait(wait_s)
             finally:
                 queue.withdraw(ticket)
@@ -157,22 +160,27 @@
         queue.queue_max = self._service_document(service).queue_max
         return queue
 
-    def _starts_by_s(self, dispatch: Dispatch, token: CancelToken) -> float:
-        """Return until when an attempt may start, for its ingress to see its end."""
+    def _latest_start_s(self, dispatch: Dispatch, token: CancelToken) -> float:
+        """Return until when an attempt may start to finish before its ingress ends."""
         server = self._servers.get(dispatch.backend_server_id)
         kind = WorkKind(dispatch.weight, dispatch.route_id)
-        return token.ends_s - LAST_START_FACTOR * _usual_s(server, kind)
+        return token.ends_s - LAST_START_FACTOR * _expected_run_s(server, kind)
 
-    def _wait_s(self, ticket: Ticket, starts_by_s: float, now_s: float) -> float:
-        """Return after which time a waiting attempt asks again by itself."""
+    def _recheck_wait_s(
+        self, ticket: Ticket, latest_start_s: float, now_s: float
+    ) -> float:
+        """Return for how long a waiting attempt waits before it asks again unwoken."""
         account = self._servers.get(ticket.backend_server_id).account
-        # Then it could not be finished any more after one that runs now.
+        # After this time it could not be finished in time, even if it started as soon
+        # as an attempt that is now running has ended.
         last_chance_s = ticket.deadline_s - 2 * account.service_time_s
-        until_s = min(last_chance_s, account.next_change_s(), now_s + ASK_AGAIN_S)
-        until_s = min(until_s, starts_by_s)
+        until_s = min(
+            last_chance_s, account.next_hold_end_s(), now_s + RECHECK_INTERVAL_S
+        )
+        until_s = min(until_s, latest_start_s)
         if ticket.wait_max_s is not None:
             until_s = min(until_s, now_s + ticket.wait_max_s)
-        return max(until_s - now_s, WAIT_MIN_S)
+        return max(until_s - now_s, RECHECK_MIN_S)
 
     def _decide(
         self,
@@ -182,55 +190,70 @@
         ticket: Ticket,
         now_s: float,
     ) -> Admitted | Refused | None:
-        """Admit or refuse an attempt; None lets it wait for a slot."""
+        """Admit or refuse an attempt; None if it has to wait for a slot."""
         if token.cancelled:
             return Refused(Reason.CANCELLED)
-        match self._room(dispatch, ticket, now_s):
+        match self._availability(dispatch, ticket, now_s):
             case Refused() as refused:
                 return refused
-            case _Room() as room:
+            case _Availability() as availability:
                 pass
-        if now_s >= self._starts_by_s(dispatch, token):
+        if now_s >= self._latest_start_s(dispatch, token):
             return Refused(Reason.NODE_STOPPING)
         verdict = queue.ask(
-            ticket, room.free_slots, room.pace_slots, room.service_time_s, now_s
+            ticket,
+            availability.free_slots,
+            availability.pace_slots,
+            availability.service_time_s,
+            now_s,
         )
         match verdict:
             case Verdict.WAIT:
                 return None
             case Verdict.START:
-                room.server.account.take(room.kind)
-                room.server.in_flight += 1
-                room.server.running.add(token)
+                availability.server.account.take(availability.kind)
+                availability.server.in_flight += 1
+                availability.server.running.add(token)
                 admitted = Admitted(
-                    room.server, now_s, room.kind, token, dispatch.attempt_id
+                    availability.server,
+                    now_s,
+                    availability.kind,
+                    token,
+                    dispatch.attempt_id,
                 )
                 self._running.add(admitted)
                 return admitted
-        return _refusal(verdict, queue, ticket, room)
+        return _refusal(verdict, queue, ticket, availability)
 
     def preview(self, question: Question, deadline_s: float) -> Refused | None:
-        """Tell why an attempt would be refused now; None when it would not be."""
+        """Return why an attempt would be refused now, None if it would be accepted.
+
+        The attempt is not enqueued, and no slot is reserved for it.
+        """
         with self._servers.changed:
             now_s = time.monotonic()
             ticket = _ticket(question, deadline_s, now_s)
-            match self._room(question, ticket, now_s):
+            match self._availability(question, ticket, now_s):
                 case Refused() as refused:
                     return refused
-                case _Room() as room:
+                case _Availability() as availability:
                     pass
             queue = self._queue(question.service)
             verdict = queue.would(
-                ticket, room.free_slots, room.pace_slots, room.service_time_s, now_s
+                ticket,
+                availability.free_slots,
+                availability.pace_slots,
+                availability.service_time_s,
+                now_s,
             )
             if verdict in (Verdict.START, Verdict.WAIT):
                 return None
-            return _refusal(verdict, queue, ticket, room)
+            return _refusal(verdict, queue, ticket, availability)
 
-    def _room(
+    def _availability(
         self, dispatch: Dispatch | Question, ticket: Ticket, now_s: float
-    ) -> "_Room | Refused":
-        """Return what a backend server has left for a request, if it takes any."""
+    ) -> "_Availability | Refused":
+        """Return the slots available to a request, or why its server accepts none."""
         server = self._servers.get(dispatch.backend_server_id)
         if server is None:
             return Refused(Reason.NO_BACKEND_SERVER)
@@ -246,29 +269,36 @@
         free = account.free(slots, now_s)
         free -= account.kept_for_heavier(kind.weight, slots, now_s)
         pace_slots = account.pace_slots(kind.weight, slots, now_s)
-        return _Room(server, kind, free, slots, pace_slots)
+        return _Availability(server, kind, free, slots, pace_slots)
 
     def _slots(self, server: LocalBackendServer, now_s: float) -> int:
-        """Return the slots that a backend server may use now."""
+        """Return how many slots a backend server may use now."""
         announcement = server.announcement
         document = self._service_document(announcement.service)
         slots = ramped_slots(
             announcement.slots, now_s - server.started_s, document.cold_start_s
         )
         if now_s < server.cold_until_s:
-            slots = min(slots, max(1, int(announcement.slots * COLD_PART)))
+            slots = min(slots, max(1, int(announcement.slots * COLD_SLOTS_FRACTION)))
         return slots
 
     def capacity(self, server: LocalBackendServer, now_s: float) -> float:
-        """Return the part of its slots that a backend server may use now.
+        """Return the fraction of its slots that a backend server may use now.
 
-        In quarters, so that the fleet hears of a cold start in few steps.
+        Rounded down to quarters, at least one, so that a cold start causes only a few
+        updates to the fleet.
         """
         part = self._slots(server, now_s) / server.announcement.slots
         return max(1, int(part * CAPACITY_STEPS)) / CAPACITY_STEPS
 
     def release(self, admitted: Admitted, end: WorkEnd) -> int:
-        """Give the slot back; return the free ones, below 0 those who wait."""
+        """Free the slot of an attempt.
+
+        Returns
+        -------
+        int
+            Free slots of the backend server minus the attempts that wait for them.
+        """
         server = admitted.server
         with self._servers.changed:
             now_s = time.monotonic()
@@ -283,15 +313,17 @@
             return server.account.free(self._slots(server, now_s), now_s) - waiting
 
 
-class _Room(NamedTuple):
-    """What a backend server has left for one kind of request.
+class _Availability(NamedTuple):
+    """Slots of a backend server that are available to one kind of request.
 
     Attributes
     ----------
     free_slots : int
-        Without those that are kept for heavier requests; may be below 0.
+        Without those reserved for heavier requests; may be negative.
+    slots : int
+        All slots that the backend server may use now.
     pace_slots : float
-        Those that heavier requests leave to it, on average.
+        Slots that heavier requests leave free on average.
     """
 
     server: LocalBackendServer
@@ -302,21 +334,21 @@
 
     @property
     def service_time_s(self) -> float:
-        """Mean time of its answered requests."""
+        """Mean service time of the backend server; 0 when unknown."""
         return self.server.account.service_time_s
 
 
-def _usual_s(server: LocalBackendServer, kind: WorkKind) -> float:
-    """Return how long work of a kind usually takes there; 0 when unknown."""
+def _expected_run_s(server: LocalBackendServer, kind: WorkKind) -> float:
+    """Return the mean service time of a kind of request; 0 when unknown."""
     return server.account.own_time_s(kind) or server.account.service_time_s
 
 
 def _refusal(
-    verdict: Verdict, queue: SlotQueue, ticket: Ticket, room: _Room
+    verdict: Verdict, queue: SlotQueue, ticket: Ticket, availability: _Availability
 ) -> Refused:
     if verdict is Verdict.TOO_LONG:
         return Refused(Reason.WOULD_WAIT, ticket.expected_wait_s * 1000)
-    busy_ms = _busy_ms(len(queue), room.slots, room.service_time_s)
+    busy_ms = _busy_ms(len(queue), availability.slots, availability.service_time_s)
     return Refused(Reason.NO_FREE_SLOT, busy_ms)
 
 
@@ -335,5 +367,5 @@
 
 
 def _busy_ms(waiting: int, slots: int, service_time_s: float) -> float:
-    """Return the time in which the queue's present work is done."""
+    """Return the estimated time in which the attempts that wait now are done."""
     return (waiting / max(1, slots) + 1) * service_time_s * 1000
--- a/balsamspindle/backend_servers/customer_turns.py
+++ b/balsamspindle/backend_servers/customer_turns.py
@@ -1,47 +1,58 @@
-"""Turns of the customers whose requests wait in one queue.
+"""Fair turns for the customers whose requests wait in one queue.
 
-Load: one customer with many times the requests of all others, in a queue that does
-not get empty. Start-time fair queueing: each waiting request has a turn, one later
-than its customer's request before it and no earlier than the turn that is served
-now. So a customer waits behind its own requests, and what another has at the same
-time does not put it back.
+One customer may send many times the requests of all others to a queue that never
+becomes empty. This is start-time fair queueing: each waiting request gets a turn
+number, one higher than the previous request of its customer and not lower than the
+turn being served. A customer therefore waits behind its own requests only, not
+behind the backlog of another customer.
 """
 
 from collections import Counter
 
 __all__ = ["CustomerTurns"]
 
-CUSTOMERS_KEPT = 1000
+CUSTOMERS_PRUNE_LIMIT = 1000
 
 
 class CustomerTurns:
-    """The turns of one queue, while anybody waits in it."""
+    """Turn numbers of one queue; valid until the queue becomes empty."""
 
     def __init__(self) -> None:
-        self._served = 0
-        self._next: Counter[str] = Counter()
-
-    def next(self, customer: str) -> int:
-        """Return the turn that a customer's next request has."""
-        return max(self._served, self._next[customer]) if customer else self._served
+        self._current_turn = 0
+        self._next_turns: Counter[str] = Counter()
+
+    def next_turn(self, customer: str) -> int:
+        """Return the turn for a customer's next request.
+
+        Requests without a customer get the turn being served.
+        """
+        return (
+            max(self._current_turn, self._next_turns[customer])
+            if customer
+            else self._current_turn
+        )
 
-    def take(self, customer: str) -> None:
-        """Give a customer's request its turn."""
+    def assign_turn(self, customer: str) -> None:
+        """Use up the customer's next turn: one of its requests enters the queue."""
         if customer:
-            self._next[customer] = self.next(customer) + 1
-        if len(self._next) > CUSTOMERS_KEPT:
-            self._forget_served()
-
-    def advance(self, turn: int) -> None:
-        """Note that a request of this turn starts."""
-        self._served = max(self._served, turn)
-
-    def clear(self) -> None:
-        """Begin anew: nobody waits."""
-        self._served = 0
-        self._next.clear()
-
-    def _forget_served(self) -> None:
-        self._next = Counter(
-            {one: turn for one, turn in self._next.items() if turn > self._served}
+            self._next_turns[customer] = self.next_turn(customer) + 1
+        if len(self._next_turns) > CUSTOMERS_PRUNE_LIMIT:
+            self._discard_served()
+
+    def advance_to(self, turn: int) -> None:
+        """Record that a request with this turn starts."""
+        self._current_turn = max(self._current_turn, turn)
+
+    def reset(self) -> None:
+        """Restart at turn 0; called when the queue becomes empty."""
+        self._current_turn = 0
+        self._next_turns.clear()
+
+    def _discard_served(self) -> None:
+        self._next_turns = Counter(
+            {
+                customer: turn
+                for customer, turn in self._next_turns.items()
+                if turn > self._current_turn
+            }
         )
--- a/balsamspindle/backend_servers/queue.py
+++ b/balsamspindle/backend_servers/queue.py
@@ -1,8 +1,8 @@
 """The short queue of attempts that wait for a slot at one gate.
 
-One queue for each service. It decides who starts, who waits, who is shed; the
-waiting itself is done by the tasks of the attempts, which ask again at each
-change. All of it is under the gate's lock.
+There is one queue per service. It decides which attempts start, wait or are shed. The
+waiting itself is done by the threads that handle the attempts; they ask again after
+each change. All calls are made under the gate's lock.
 """
 
 from collections import Counter
@@ -16,41 +16,42 @@
 __all__ = ["Order", "SlotQueue", "Ticket", "Verdict"]
 
 
-# Work takes longer than its mean so often that an answer is in time, most of
-# the time, only if so many times the mean is left.
+# Service times vary, so an answer is likely to be in time only if at least this many
+# times the mean service time is left.
 IN_TIME_FACTOR = 1.5
-# Until a backend server has answered once.
-FIRST_SERVICE_TIME_S = 0.1
-# One that waited so many times as long as it may goes elsewhere; each such
-# move costs its place in a queue.
-WAITED_FACTOR = 1.3
+# Assumed until the backend server has answered once.
+DEFAULT_SERVICE_TIME_S = 0.1
+# A waiting attempt is refused after this many times its permitted wait, so that it can
+# go to another gate. Above 1 because each such move costs its place in a queue.
+WAIT_OVERRUN_FACTOR = 1.3
 
 
 class Order(StrEnum):
-    """Who starts first among attempts of the same weight."""
+    """Which attempt starts first if weight, turn and target are the same."""
 
     FIFO = "fifo"
     LIFO = "lifo"
 
 
 class Verdict(StrEnum):
-    """What an attempt is told when it asks for a slot."""
+    """The queue's decision on an attempt that requests a slot."""
 
     START = "start"
     WAIT = "wait"
-    # The queue was full, and no lighter attempt waited.
+    # The queue is full of attempts that take precedence, or a later attempt has taken
+    # the place of this one.
     SHED = "shed"
-    # It could not be finished in its time any more.
+    # It could not be finished before its deadline any more.
     TOO_LATE = "too_late"
-    # It would wait, or has waited, for longer than it may.
+    # It would wait, or has waited, longer than its `wait_max_s` permits.
     TOO_LONG = "too_long"
 
 
-_DIRECTIONS = {Order.FIFO: 1, Order.LIFO: -1}
+_SEQUENCE_SIGNS = {Order.FIFO: 1, Order.LIFO: -1}
 
 
-class Key(NamedTuple):
-    """A ticket's place in the order of starts."""
+class OrderKey(NamedTuple):
+    """Sort key of a waiting ticket: the smallest starts first."""
 
     lightness: float
     turn: int
@@ -60,44 +61,44 @@
 
 @dataclass(eq=False)
 class Ticket:
-    """One attempt that wants a slot.
+    """One attempt that requests a slot.
 
     Attributes
     ----------
     weight : float
-        Of its route; the lightest is shed first.
+        Weight of its route; the lightest is shed first.
     deadline_s : float
         When its caller stops waiting.
     is_shed : bool
-        Set when a heavier attempt took its place.
-    key : Key or None
-        Its place in the order of starts, while it waits.
+        Set when another attempt has taken its place in a full queue.
+    key : OrderKey or None
+        Its place in the order of starts; None unless it waits.
     wait_max_s : float or None
-        How long it may wait; None until its deadline.
+        How long it may wait; None means until its deadline.
     target_s : float or None
-        Until when its answer has its full worth.
-    entered_s : float
+        Latency target: an answer after this time is worth less to its caller.
+    enqueued_s : float
         When it began to wait.
     expected_wait_s : float
-        As estimated when it asked last.
+        Wait as estimated by the last decision.
     own_time_s : float
-        How long requests of its route take; 0 when unknown.
+        Mean service time of its route; 0 when unknown.
     was_cut : bool
-        An earlier run of it was lost with a node that left.
+        Whether an earlier run of it was lost with a node that left.
     rank_s : float
-        By how much it is put back behind others that are due at the same time.
+        Added to its target, to sort it behind other attempts due at the same time.
     customer : str
-        Who asks; empty when it is nobody's request.
+        Customer that sent the request; empty when there is none.
     """
 
     backend_server_id: str
     weight: float
     deadline_s: float
     is_shed: bool = False
-    key: Key | None = None
+    key: OrderKey | None = None
     wait_max_s: float | None = None
     target_s: float | None = None
-    entered_s: float = 0.0
+    enqueued_s: float = 0.0
     expected_wait_s: float = 0.0
     own_time_s: float = 0.0
     was_cut: bool = False
@@ -106,18 +107,19 @@
 
 
 class SlotQueue:
-    """Attempts of one service, heaviest first, within a weight by `order`.
+    """Priority queue of one service's attempts.
 
-    The heaviest starts first, so that an attempt which can't be finished in
-    time was never held up by lighter ones. Within a weight customers take turns:
-    one that sends many requests waits behind itself, not the others behind it.
+    The heaviest attempt starts first, so lighter attempts never make it miss its
+    deadline. Among attempts of the same weight customers take turns, so a customer with
+    many requests delays its own requests only. Among those of the same turn the
+    earliest target starts first, then `order` decides.
 
     Parameters
     ----------
     queue_max : int
-        Attempts that may wait.
+        Maximum number of waiting attempts.
     on_change : callable, default=nothing
-        Called when those who wait have to ask again.
+        Called when the waiting attempts have to ask again.
     """
 
     def __init__(
@@ -129,7 +131,7 @@
         self.queue_max = queue_max
         self._order = order
         self._on_change = on_change
-        # In the order of arrival.
+        # In order of arrival.
         self._waiting: list[Ticket] = []
         self._turns = CustomerTurns()
         self._sequence = 0
@@ -145,24 +147,24 @@
         service_time_s: float,
         now_s: float,
     ) -> Verdict:
-        """Decide on an attempt, at its arrival and again at each change.
+        """Decide on an attempt, at its arrival and again after each change.
 
-        After any verdict but ``WAIT`` the attempt is out of the queue.
+        After any verdict other than ``WAIT`` the attempt is not in the queue.
 
         Parameters
         ----------
         free_slots : int
-            Of the ticket's backend server, now.
+            Free slots of the ticket's backend server.
         pace_slots : float
-            Slots by which the tickets of this weight are served.
+            Slots that heavier requests leave for this ticket's weight on average.
         service_time_s : float
-            Time that the backend server takes for a request; 0 when unknown.
+            Mean service time of the backend server; 0 when unknown.
         """
         verdict = self._judge(ticket, free_slots, pace_slots, service_time_s, now_s)
         if verdict is Verdict.WAIT:
-            verdict = self._enter(ticket, now_s)
+            verdict = self._enqueue(ticket, now_s)
         if verdict is Verdict.START and ticket.key is not None:
-            self._turns.advance(ticket.key.turn)
+            self._turns.advance_to(ticket.key.turn)
         if verdict is not Verdict.WAIT:
             self.withdraw(ticket)
         return verdict
@@ -175,92 +177,109 @@
         service_time_s: float,
         now_s: float,
     ) -> Verdict:
-        """Tell what an attempt that came now would be told; nobody is shed for it."""
+        """Return the verdict for a ticket that is not to be enqueued.
+
+        Unlike `ask` it leaves the queue as it is and sheds no other attempt.
+        """
         verdict = self._judge(ticket, free_slots, pace_slots, service_time_s, now_s)
         if verdict is Verdict.WAIT and len(self._waiting) >= self.queue_max:
             return Verdict.SHED
         return verdict
 
     def waiting_for(self, backend_server_id: str) -> int:
-        """Return the attempts that wait for one backend server."""
+        """Return how many attempts wait for one backend server."""
         return sum(
             ticket.backend_server_id == backend_server_id for ticket in self._waiting
         )
 
     def withdraw(self, ticket: Ticket) -> None:
-        """Take an attempt out of the queue, if it is in it."""
+        """Remove an attempt from the queue, if it is in the queue."""
         if ticket.key is not None:
             ticket.key = None
             if not ticket.is_shed:
                 self._waiting.remove(ticket)
                 self._on_change()
             if not self._waiting:
-                self._turns.clear()
+                self._turns.reset()
 
     def _judge(self, ticket, free_slots, pace_slots, service_time_s, now_s) -> Verdict:
         if now_s >= ticket.deadline_s:
             return Verdict.TOO_LATE
         if ticket.is_shed:
             return Verdict.SHED
-        ahead, rivals = self._rivals(ticket, now_s)
-        wait_s = _wait_s(ahead, free_slots, pace_slots, service_time_s)
+        ahead, competing = self._competing(ticket, now_s)
+        wait_s = _expected_wait_s(ahead, free_slots, pace_slots, service_time_s)
         own_time_s = ticket.own_time_s or service_time_s
         ends_s = now_s + wait_s + own_time_s
-        # The service time is an estimate, and only attempts that run correct
-        # it. Without rivals one starts whatever the estimate says: else one
-        # that was too high once would refuse all attempts for ever.
+        # The service time is an estimate that only completed attempts can correct.
+        # Without competing attempts one starts whatever the estimate says; otherwise
+        # an estimate that is far too high would refuse all attempts for good.
         has_slot = ahead < free_slots
-        if ends_s > ticket.deadline_s and (rivals or not has_slot):
+        if ends_s > ticket.deadline_s and (competing or not has_slot):
             return Verdict.TOO_LATE
         if has_slot:
             return Verdict.START
         ticket.expected_wait_s = wait_s or (
-            _wait_s(ahead, free_slots, pace_slots, FIRST_SERVICE_TIME_S)
+            _expected_wait_s(ahead, free_slots, pace_slots, DEFAULT_SERVICE_TIME_S)
         )
         if _waits_too_long(ticket, now_s):
             return Verdict.TOO_LONG
         return Verdict.WAIT
 
-    def _rivals(self, ticket: Ticket, now_s: float) -> tuple[int, int]:
-        """Return who waits for the same backend server: before it, and all."""
-        key = _order_now(ticket, ticket.key or self._next_key(ticket), now_s)
-        ahead = rivals = 0
+    def _competing(self, ticket: Ticket, now_s: float) -> tuple[int, int]:
+        """Count the other attempts that wait for the same backend server.
+
+        Returns
+        -------
+        tuple of int
+            Those that start before the ticket, and all of them.
+        """
+        key = _current_order(ticket, ticket.key or self._next_key(ticket), now_s)
+        ahead = competing = 0
         for other in self._waiting:
             if other.backend_server_id != ticket.backend_server_id:
                 continue
             if other is not ticket:
-                rivals += 1
-                ahead += _order_now(other, other.key, now_s) < key
-        return ahead, rivals
+                competing += 1
+                ahead += _current_order(other, other.key, now_s) < key
+        return ahead, competing
 
-    def _next_key(self, ticket: Ticket) -> Key:
-        """Return the place of a ticket: heavier ones first, by turns, by target.
+    def _next_key(self, ticket: Ticket) -> OrderKey:
+        """Return a ticket's key: heaviest first, then by turn, target and arrival.
 
-        A short request whose answer is due soon goes before a long one that
-        has time; two without a target go by their arrival.
+        Because of the target, a short request whose answer is due soon starts before
+        a long one that has time. Tickets without a target sort by arrival.
         """
         sequence = self._sequence + 1
         target_s = 0.0 if ticket.target_s is None else ticket.target_s + ticket.rank_s
-        turn = self._turns.next(ticket.customer)
-        return Key(-ticket.weight, turn, target_s, sequence * _DIRECTIONS[self._order])
+        turn = self._turns.next_turn(ticket.customer)
+        return OrderKey(
+            -ticket.weight, turn, target_s, sequence * _SEQUENCE_SIGNS[self._order]
+        )
 
-    def _enter(self, ticket: Ticket, now_s: float) -> Verdict:
+    def _enqueue(self, ticket: Ticket, now_s: float) -> Verdict:
         if ticket.key is not None:
             return Verdict.WAIT
-        if len(self._waiting) >= self.queue_max and not self._make_room(ticket):
+        if len(self._waiting) >= self.queue_max and not self._shed_for(ticket):
             return Verdict.SHED
         ticket.key = self._next_key(ticket)
-        self._turns.take(ticket.customer)
-        ticket.entered_s = now_s
+        self._turns.assign_turn(ticket.customer)
+        ticket.enqueued_s = now_s
         self._sequence += 1
         self._waiting.append(ticket)
         return Verdict.WAIT
 
-    def _make_room(self, ticket: Ticket) -> bool:
-        """Shed the newest of the lightest, if it is lighter than the ticket.
+    def _shed_for(self, ticket: Ticket) -> bool:
+        """Shed one of the lightest waiting attempts in favour of the ticket.
+
+        It is the newest one of the customer with the most attempts of that weight. It
+        has to be lighter than the ticket, or, at the same weight, its customer must
+        have more attempts waiting than the ticket's customer would have.
 
-        Among the lightest goes one of the customer that has the most of them, also
-        for a ticket of their weight, if that one's customer has fewer.
+        Returns
+        -------
+        bool
+            False if none was shed.
         """
         if not self._waiting:
             return False
@@ -282,42 +301,43 @@
         return True
 
 
-def _order_now(
-    ticket: Ticket, key: Key, now_s: float
+def _current_order(
+    ticket: Ticket, key: OrderKey, now_s: float
 ) -> tuple[float, bool, int, float, int]:
-    """Return a ticket's place at this moment.
+    """Return a ticket's sort key at this moment; late tickets go behind others.
 
-    Under an overload those due first would be served first, each of them just
-    too late: with three quarters of the slots that all need, no answer at all
-    would come in time. So one whose answer comes late in any case lets those
-    of its weight go first that can still be in time.
+    Under overload, serving the earliest target first makes each answer just too late:
+    with three quarters of the slots that all attempts need, no answer would be in time.
+    So an attempt whose answer will be late in any case goes behind those of its weight
+    that can still meet their target.
     """
     weight, turn, target_s, sequence = key
     return weight, _is_late(ticket, now_s), turn, target_s, sequence
 
 
 def _is_late(ticket: Ticket, now_s: float) -> bool:
-    # One whose run was cut is late because of that. Behind all that come new it
-    # would not be served at all, and it had its turn already.
+    # An attempt whose earlier run was cut is late for that reason, and had its turn
+    # already. Behind all new attempts it would not be served at all.
     if ticket.target_s is None or ticket.was_cut:
         return False
-    # Ranked requests are of no use without their siblings, in time or not. Put behind
-    # new ones when late, the calls of one request would be late at one gate and not at
-    # another.
+    # Ranked attempts are calls made for one request, which needs all of their answers,
+    # late or not. If they went behind new attempts when late, those calls would be late
+    # at one gate and not at another.
     if ticket.rank_s:
         return False
     return now_s + IN_TIME_FACTOR * ticket.own_time_s > ticket.target_s
 
 
-def _wait_s(
+def _expected_wait_s(
     ahead: int, free_slots: int, pace_slots: float, service_time_s: float
 ) -> float:
-    """Return after which time a slot is likely to be free for a ticket.
+    """Return the expected time until a slot is free for a ticket.
 
-    Busy slots end one after the other, `pace_slots` of them in a service time.
+    It assumes that within one service time `pace_slots` busy slots become free, evenly
+    spread over that time.
     """
-    before = ahead - free_slots + 1
-    return max(0, before) * service_time_s / pace_slots
+    slots_needed = ahead - free_slots + 1
+    return max(0, slots_needed) * service_time_s / pace_slots
 
 
 def _waits_too_long(ticket: Ticket, now_s: float) -> bool:
@@ -325,5 +345,5 @@
         return False
     if ticket.key is None:
         return ticket.expected_wait_s > ticket.wait_max_s
-    # The estimate that it entered by was wrong: another gate may be better.
-    return now_s - ticket.entered_s > WAITED_FACTOR * ticket.wait_max_s
+    # The estimate made when it was enqueued was too low; another gate may be better.
+    return now_s - ticket.enqueued_s > WAIT_OVERRUN_FACTOR * ticket.wait_max_s
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -1,4 +1,4 @@
-"""Slots, waiting and refusals at a gate with many attempts at once."""
+"""Admission control at a gate with many attempts at once."""
 
 import itertools
 import math
@@ -39,14 +39,14 @@
         self.admission = Admission(self.servers, lambda service: self.document)
         self.numbers = itertools.count()
 
-    def _admit(self, weight=LIGHT, patience_s=30.0) -> Admitted | Refused:
+    def _admit(self, weight=LIGHT, timeout_s=30.0) -> Admitted | Refused:
         dispatch = Dispatch(
             AttemptId("ingress", 1, next(self.numbers)),
             "id",
             SERVICE,
             "server",
             Execution.IDEMPOTENT,
-            patience_s * 1000,
+            timeout_s * 1000,
             weight,
             "GET",
             "/",
@@ -54,10 +54,10 @@
             b"",
             0,
         )
-        deadline_s = time.monotonic() + patience_s
+        deadline_s = time.monotonic() + timeout_s
         return self.admission.admit(dispatch, CancelToken(), deadline_s)
 
-    def test_attempts_at_once_never_exceed_the_slots_and_all_are_told(self):
+    def test_running_attempts_never_exceed_the_slots_and_all_get_an_outcome(self):
         running, running_max, outcomes = Counter(), [], Counter()
         lock = threading.Lock()
 
@@ -82,16 +82,16 @@
         self.assertEqual({"answered", Reason.NO_FREE_SLOT}, set(outcomes))
         self.assertEqual(0, self.admission.in_flight())
 
-    def test_a_drain_refuses_those_who_wait(self):
+    def test_a_drain_refuses_waiting_attempts(self):
         admitted = [self._admit() for _ in range(SLOTS)]
         with ThreadPoolExecutor(QUEUE_MAX) as executor:
             waiting = [executor.submit(self._admit) for _ in range(QUEUE_MAX)]
             wait_until(lambda: self.admission.waiting() == QUEUE_MAX, "all wait")
             self.servers.drain("server")
-            told = {future.result().reason for future in waiting}
-        self.assertEqual({Reason.DRAINING}, told)
-        for one in admitted:
-            self.admission.release(one, WorkEnd.ANSWERED)
+            reasons = {future.result().reason for future in waiting}
+        self.assertEqual({Reason.DRAINING}, reasons)
+        for attempt in admitted:
+            self.admission.release(attempt, WorkEnd.ANSWERED)
 
     def test_a_heavier_attempt_takes_the_place_of_one_that_waits(self):
         for _ in range(SLOTS):
@@ -105,20 +105,19 @@
             self.assertEqual(Reason.DEADLINE, heavy.result().reason)
 
     def test_a_timed_out_attempt_keeps_its_slot_for_a_while(self):
-        # The backend server hangs. Each time-out would hand it one more
-        # request, until it had any number of them at once.
+        # The backend server hangs. If each time-out freed a slot at once, the backend
+        # server would get more and more requests at the same time.
         admitted = [self._admit() for _ in range(SLOTS)]
-        for one in admitted:
-            self.admission.release(one, WorkEnd.IN_DOUBT)
-        refused = self._admit(patience_s=0.02)
+        for attempt in admitted:
+            self.admission.release(attempt, WorkEnd.IN_DOUBT)
+        refused = self._admit(timeout_s=0.02)
         self.assertEqual(Reason.DEADLINE, refused.reason)
         self.assertIsInstance(self._admit(), Admitted)
 
     def test_a_leaving_node_starts_only_what_it_can_end(self):
-        # A node was told to leave and has five seconds. An attempt of another
-        # node waited in its queue for four of them, got a slot, ran, and was cut
-        # when the time was over: its caller was told that nobody knows. Refused
-        # as not run, it goes to another gate.
+        # A leaving node cuts the runs that are left when its time is over. An attempt
+        # that gets a slot shortly before would be cut, and its outcome would be
+        # unknown. If it is refused as not run, it can go to another gate.
         server = self.servers.get("server")
         server.account.give_back(WorkEnd.ANSWERED, 1.0, time.monotonic())
         server.account.take()
@@ -127,7 +126,7 @@
         self.assertIsInstance(admitted, Admitted)
         self.admission.end_by(time.monotonic() + 1.5)
         self.assertEqual(Reason.DRAINING, self._admit().reason)
-        # One that waits is told at once, and not when a slot is free.
+        # A waiting attempt is refused at once, not only when a slot becomes free.
         self.admission.end_by(math.inf)
         admitted = [admitted, *(self._admit() for _ in range(SLOTS - 1))]
         with ThreadPoolExecutor(1) as executor:
@@ -135,12 +134,12 @@
             wait_until(self.admission.waiting, "one waits")
             self.admission.end_by(time.monotonic() + 1.5)
             self.assertEqual(Reason.DRAINING, waiting.result(5).reason)
-        for one in admitted:
-            self.admission.release(one, WorkEnd.ANSWERED)
+        for attempt in admitted:
+            self.admission.release(attempt, WorkEnd.ANSWERED)
 
-    def test_a_silent_backend_server_with_work_gets_no_more(self):
-        # It left without a word, or is cut off from its node; one request
-        # in it never ends.
+    def test_a_silent_backend_server_with_running_work_gets_no_more(self):
+        # The backend server stopped without notice or is cut off from its node, and
+        # one of its requests never ends.
         now_s = time.monotonic()
         admitted = self._admit()
         later_s = now_s + ANNOUNCEMENT_TTL_S + 1
@@ -155,12 +154,12 @@
     def test_a_cold_backend_server_starts_with_one_attempt(self):
         self.document = ServiceDocument(cold_start_s=3600)
         self.assertIsInstance(self._admit(), Admitted)
-        self.assertEqual(Reason.DEADLINE, self._admit(patience_s=0.02).reason)
+        self.assertEqual(Reason.DEADLINE, self._admit(timeout_s=0.02).reason)
         server = self.servers.all()[0]
         started_s = server.started_s
         capacities = [
             self.admission.capacity(server, started_s + age_s)
-            # The sum of two times is rounded: exactly 3600 may come out less.
+            # Not exactly 3600: the floating-point sum may be rounded down.
             for age_s in (0, 2500, 3600.001)
         ]
         self.assertEqual([0.25, 0.5, 1.0], capacities)
--- a/tests/test_queue.py
+++ b/tests/test_queue.py
@@ -1,4 +1,4 @@
-"""Who gets a slot, who waits and who is shed."""
+"""The slot queue: which attempts start, which wait and which are shed."""
 
 from hypothesis import given, settings
 from hypothesis import strategies as st
@@ -14,7 +14,7 @@
 
 
 class GateModel:
-    """A queue with its slots, asked again by all that wait at each change."""
+    """A slot queue with two backend servers; tickets ask again after each change."""
 
     def __init__(self, order=Order.FIFO, queue_max=QUEUE_MAX, slots=SLOTS):
         self.queue = SlotQueue(queue_max, order)
@@ -109,7 +109,7 @@
         self.assertEqual(len(model.waiting), len(model.queue))
         for ticket in model.waiting:
             self.assertGreater(ticket.deadline_s, model.now_s)
-            # A slot stands empty only when nobody waits for it.
+            # A slot is free only if no attempt waits for it.
             self.assertLessEqual(model.free(ticket.backend_server_id), 0)
         for ticket in shed:
             lighter = [other for other in model.waiting if other.weight < ticket.weight]
@@ -126,7 +126,7 @@
         self.assertEqual([new], model.shed)
         self.assertIs(Verdict.SHED, model.arrive(light))
 
-    def test_a_request_that_can_not_be_finished_in_time_is_told_at_once(self):
+    def test_a_request_that_can_not_be_finished_in_time_is_refused_at_once(self):
         model = GateModel(slots=1)
         model.accounts["a"].service_time_s = SERVICE_TIME_S
         self.assertIs(Verdict.START, model.arrive(Ticket("a", 1.0, 100.0)))
@@ -134,8 +134,8 @@
         self.assertIs(Verdict.WAIT, model.arrive(Ticket("a", 1.0, 2.1)))
 
     def test_an_estimate_that_is_far_too_high_does_not_stop_the_work(self):
-        # A backend server hung once and the mean service time is an hour. An
-        # attempt that finds a free slot and no rivals starts none the less.
+        # A backend server hung for a while, so its mean service time is an hour. An
+        # attempt that finds a free slot and no competing attempts starts nevertheless.
         model = GateModel()
         model.accounts["a"].service_time_s = 3600.0
         self.assertIs(Verdict.START, model.arrive(Ticket("a", 1.0, 2.0)))
@@ -145,7 +145,7 @@
         account.take()
         account.give_back(WorkEnd.IN_DOUBT, ran_s=2.0, now_s=10.0)
         self.assertEqual(0, account.free(1, 11.9))
-        self.assertEqual(12.0, account.next_change_s())
+        self.assertEqual(12.0, account.next_hold_end_s())
         self.assertEqual(1, account.free(1, 12.0))
 
     def test_a_cold_backend_server_gets_its_slots_step_by_step(self):
@@ -157,23 +157,23 @@
 
 
 class OverloadTests(TestCase):
-    # Twice the load that a backend server can take. A queue without limits
-    # works through requests whose callers are gone, and answers few in time.
+    # Twice the load that a backend server can handle. An unlimited queue processes
+    # requests whose callers have stopped waiting, and answers few in time.
 
-    def test_what_is_worth_most_is_answered_and_little_work_is_wasted(self):
-        ours = run_overload(PLANS["fifo"], seed=0)
-        plain = run_overload(PLANS["plain queue"], seed=0)
-        self.assertGreaterEqual(ours.heavy, 0.99)
-        self.assertGreaterEqual(ours.weighted, 0.72)
-        self.assertLessEqual(ours.wasted, 0.05)
-        self.assertLessEqual(ours.told_s, 0.4)
-        self.assertLessEqual(plain.weighted, 0.2)
+    def test_the_heaviest_requests_are_answered_and_little_work_is_wasted(self):
+        limited = run_overload(PLANS["fifo"], seed=0)
+        unlimited = run_overload(PLANS["plain queue"], seed=0)
+        self.assertGreaterEqual(limited.heavy, 0.99)
+        self.assertGreaterEqual(limited.weighted, 0.72)
+        self.assertLessEqual(limited.wasted, 0.05)
+        self.assertLessEqual(limited.told_s, 0.4)
+        self.assertLessEqual(unlimited.weighted, 0.2)
 
 
 class CustomersTurnsTests(TestCase):
-    """One customer with many requests, others with a few, at a busy gate."""
+    """One customer with many requests and others with few, at a busy gate."""
 
-    def _started(self, model, count):
+    def _next_customers(self, model, count):
         names = []
         for _ in range(count):
             model.pass_time(0.1)
@@ -182,7 +182,8 @@
         return names
 
     def test_a_customer_with_many_requests_waits_behind_itself(self):
-        # Guards against one queue for all: who sends ten times as much gets it all.
+        # Guards against a common queue, where a customer that sends ten times as many
+        # requests gets all slots.
         model = GateModel(slots=1, queue_max=40)
         model.arrive(Ticket("a", 1.0, 1e6))
         for number in range(20):
@@ -192,19 +193,20 @@
             for name in ("anna", "ben"):
                 target_s = 2e5 + round_number
                 model.arrive(Ticket("a", 1.0, 1e6, target_s=target_s, customer=name))
-            names += self._started(model, 3)
+            names += self._next_customers(model, 3)
         self.assertEqual((5, 5, 5), tuple(map(names.count, ("hot", "anna", "ben"))))
 
-    def test_customers_with_one_request_each_go_by_their_target(self):
+    def test_customers_with_one_request_each_start_in_order_of_their_targets(self):
         model = GateModel(slots=1, queue_max=9)
         model.arrive(Ticket("a", 1.0, 1e6))
         for target_s, name in ((300, "c"), (100, "a"), (200, "b")):
             target_s += 1e5
             model.arrive(Ticket("a", 1.0, 1e6, target_s=target_s, customer=name))
-        self.assertEqual(["a", "b", "c"], self._started(model, 3))
+        self.assertEqual(["a", "b", "c"], self._next_customers(model, 3))
 
-    def test_a_full_queue_sheds_one_of_who_has_most_in_it(self):
-        # Guards against a queue that one customer keeps full.
+    def test_a_full_queue_sheds_a_request_of_the_customer_with_most_in_it(self):
+        # Guards against one customer keeping the queue full, so that the requests of
+        # all others are shed.
         model = GateModel(slots=1, queue_max=3)
         model.arrive(Ticket("a", 1.0, 1e6))
         for name in ("hot", "hot", "hot"):
