--- a/balsamspindle/backend_servers/client.py
+++ b/balsamspindle/backend_servers/client.py
@@ -1,4 +1,4 @@
-"""One HTTP call to a backend server, whole or not at all."""
+"""HTTP client for backend servers; it returns complete answers only."""
 
 import os
 import socket
@@ -24,9 +24,10 @@
 CONNECT_TIMEOUT_MS = 1000
 IDLE_HANDLES_MAX = 512
 
-# Headers that libcurl adds of itself where the caller sent none: a body
-# without a type would arrive as a web form.
-_NOT_INVENTED = (
+# Headers that libcurl adds when the caller did not send them. It would, for example,
+# declare a body without a content type as a web form. A name without a value keeps
+# libcurl from adding the header.
+_SUPPRESSED_HEADERS = (
     "Accept:",
     "Accept-Encoding:",
     "Content-Type:",
@@ -35,13 +36,13 @@
 )
 
 _BODY_METHODS = frozenset({"POST", "PUT", "PATCH"})
-# What came is no answer at all: stray bytes in the connection.
-_NO_ANSWER_CODES = {pycurl.E_UNSUPPORTED_PROTOCOL, pycurl.E_FTP_WEIRD_SERVER_REPLY}
+# The bytes received are not an HTTP answer: stray data in the connection.
+_NOT_HTTP_CODES = {pycurl.E_UNSUPPORTED_PROTOCOL, pycurl.E_FTP_WEIRD_SERVER_REPLY}
 _FAILURE_REASONS = {pycurl.E_OPERATION_TIMEDOUT: Reason.SILENCE}
 
 
 class BackendServerClient:
-    """Calls backend servers; safe to use from many threads.
+    """Calls backend servers; thread-safe.
 
     Parameters
     ----------
@@ -72,7 +73,7 @@
         token: CancelToken | None = None,
         request_id: str = "",
     ) -> BackendAnswer | BackendFailure:
-        """Make one call and wait for its end.
+        """Make one call and wait for its result.
 
         Parameters
         ----------
@@ -81,33 +82,35 @@
         timeout_ms : float
             For the whole call.
         token : CancelToken, default=None
-            Ends the call from another thread.
+            Cancels the call from another thread.
         request_id : str, default=""
-            To tell the answer from one to another request.
+            Identifies the answer if backend servers echo the request id.
         """
         deadline_s = time.monotonic() + timeout_ms / 1000
         token = token or CancelToken()
         request = _Request(address, method, target, headers, body, request_id)
-        handle = self._pool.take(address, execution)
+        handle = self._pool.acquire(address, execution)
         result = self._perform(handle, request, timeout_ms, token)
         if _is_foreign(result):
-            # The next request on this connection would get this one's answer.
+            # Otherwise the next request on this connection would receive this
+            # request's answer.
             handle.close()
             if execution is not Execution.IDEMPOTENT or not handle.was_reused():
                 return result
-            # A second answer to an earlier request, or bytes that are none,
-            # came first, while the backend server was at work on this one.
-            # That says nothing of it, and its caller would lose a request.
+            # The reused connection still held a second answer to an earlier request,
+            # or other stray bytes. They say nothing about this request, which the
+            # backend server is working on, and it would fail for no fault of its own.
+            # It is idempotent, so send it again on a new connection.
             handle = _Handle(execution)
             left_ms = (deadline_s - time.monotonic()) * 1000
             result = self._perform(handle, request, left_ms, token)
-        self._pool.give_back(address, execution, handle)
+        self._pool.release(address, execution, handle)
         return result
 
     def _perform(
         self, handle: "_Handle", request: "_Request", timeout_ms: float, token
     ) -> BackendAnswer | BackendFailure:
-        """Make one call with a handle, on whatever connection that has."""
+        """Make one call with a handle, on its open connection or a new one."""
         deadline_s = time.monotonic() + timeout_ms / 1000
         reader = AnswerReader(
             self._answer_body_max_bytes,
@@ -117,17 +120,17 @@
         )
         left_ms = max(1, int(timeout_ms))
         handle.curl.setopt(pycurl.URL, f"http://{request.address}/")
-        # Not a part of the URL: there `@` in it would choose another host.
+        # Set apart from the URL, where an `@` in the target would change the host.
         handle.curl.setopt(pycurl.REQUEST_TARGET, request.target.encode("latin-1"))
         handle.curl.setopt(pycurl.TIMEOUT_MS, left_ms)
         handle.curl.setopt(
             pycurl.HTTPHEADER,
             [
                 *_header_lines(request.headers, self._names),
-                # What is left of the caller's time, so that the backend server
-                # need not work on what nobody waits for any more.
+                # The remaining time, so that the backend server can stop working on
+                # a request whose caller has stopped waiting.
                 f"{self._names.timeout_ms}: {left_ms}",
-                *_NOT_INVENTED,
+                *_SUPPRESSED_HEADERS,
             ],
         )
         _set_method(handle.curl, request.method, request.body)
@@ -135,7 +138,7 @@
 
 
 class _Request(NamedTuple):
-    """What a backend server is sent."""
+    """The request that a backend server is sent."""
 
     address: str
     method: str
@@ -146,7 +149,7 @@
 
 
 class _Call:
-    """One call: its limits, what it sent and what it received."""
+    """State of one call: its deadline, whether it was sent, and its answer so far."""
 
     def __init__(self, token, deadline_s, reader):
         self.token: CancelToken = token
@@ -156,11 +159,11 @@
         self.too_late = False
 
     def may_send(self, connection: socket.socket | None) -> bool:
-        """Decide, on a connection that is up, whether the request goes out.
+        """Decide, once connected, whether to send the request.
 
-        The process may have been stopped since the attempt was admitted, or
-        while it connected. Without this second look a request would run long
-        after its caller was told the end.
+        The process may have been suspended since the attempt was admitted, or while
+        it connected. Without this second check the request could run long after its
+        caller was told that it timed out.
         """
         if not self.token.attach(connection):
             return False
@@ -170,11 +173,11 @@
         self.sent = True
         return True
 
-    def _ended_before_sending(self) -> bool:
-        """Tell whether the time ran out while it still connected.
+    def _timed_out_before_sending(self) -> bool:
+        """Return whether the deadline passed while still connecting.
 
-        That says nothing of the backend server: taken for unreachable, each
-        request that came with little time left would count against it.
+        That says nothing about the backend server. If it were taken for unreachable,
+        each request with little time left would count against its health.
         """
         return not self.sent and time.monotonic() >= self.deadline_s
 
@@ -183,19 +186,19 @@
             reason = Reason.CANCELLED
         elif self.reader.too_large:
             reason = Reason.ANSWER_TOO_LARGE
-        elif self.too_late or self._ended_before_sending():
+        elif self.too_late or self._timed_out_before_sending():
             reason = Reason.DEADLINE
         elif not self.sent:
             reason = Reason.UNREACHABLE
         else:
             reason = _FAILURE_REASONS.get(code, Reason.BROKEN_ANSWER)
-        is_foreign = reason is Reason.BROKEN_ANSWER and code in _NO_ANSWER_CODES
+        is_foreign = reason is Reason.BROKEN_ANSWER and code in _NOT_HTTP_CODES
         cut_by = self.token.cause if reason is Reason.CANCELLED else None
         return BackendFailure(reason, self.sent, message, is_foreign, cut_by)
 
 
 class _Handle:
-    """A curl handle with at most one connection, whose socket is known."""
+    """A curl handle with at most one connection and access to its socket."""
 
     def __init__(self, execution: Execution) -> None:
         self.curl = pycurl.Curl()
@@ -204,14 +207,14 @@
         self._call: _Call | None = None
         self._set_options()
         if execution is Execution.NON_IDEMPOTENT:
-            # When a reused connection turns out dead, libcurl sends the
-            # request again on a fresh one by itself: the backend server
-            # would run it twice. It does so for reused connections only.
+            # When a reused connection turns out to be dead, libcurl sends the request
+            # again on a new one by itself, and the backend server could run it twice.
+            # It does so for reused connections only.
             self.curl.setopt(pycurl.FRESH_CONNECT, 1)
             self.curl.setopt(pycurl.FORBID_REUSE, 1)
 
     def perform(self, call: _Call, method: str) -> BackendAnswer | BackendFailure:
-        """Make the call that the handle is set up for."""
+        """Make the call for which the handle's options are set."""
         self._call = call
         self.curl.setopt(pycurl.WRITEFUNCTION, call.reader.on_body)
         self.curl.setopt(pycurl.HEADERFUNCTION, call.reader.on_header)
@@ -226,7 +229,7 @@
         return call.reader.answer(self.curl.getinfo(pycurl.RESPONSE_CODE), method)
 
     def was_reused(self) -> bool:
-        """Tell whether the last call went over a connection of an earlier one."""
+        """Return whether the last call reused the connection of an earlier call."""
         return self._was_reused
 
     def close(self) -> None:
@@ -257,8 +260,8 @@
         return connection
 
     def _on_close(self, descriptor: int) -> int:
-        # libcurl has a duplicate of our descriptor; both must close before
-        # the backend server sees the end of the connection.
+        # libcurl has a duplicate of our descriptor; the backend server sees the end
+        # of the connection only after both are closed.
         os.close(descriptor)
         if self._connection is not None:
             self._connection.close()
@@ -272,11 +275,12 @@
 
 
 class _HandlePool:
-    """Idle handles; the pool's lock is the barrier when threads change.
+    """Idle handles, shared by all threads.
 
-    A gate's slots bound the handles in use, and thereby the connections that
-    a backend server holds for us. A cache for each thread would open one
-    connection for each pair of thread and backend server.
+    The pool's lock is also the memory barrier when a handle passes from one thread to
+    another. The gate's slots limit the handles in use, and thereby the connections
+    that a backend server has to hold. A cache per thread would open a connection for
+    each pair of thread and backend server.
     """
 
     def __init__(self) -> None:
@@ -284,7 +288,7 @@
         self._idle: OrderedDict[str, list[_Handle]] = OrderedDict()
         self._count = 0
 
-    def take(self, address: str, execution: Execution) -> _Handle:
+    def acquire(self, address: str, execution: Execution) -> _Handle:
         key = _pool_key(address, execution)
         with self._lock:
             idle = self._idle.get(key)
@@ -293,18 +297,21 @@
                 return idle.pop()
         return _Handle(execution)
 
-    def give_back(self, address: str, execution: Execution, handle: _Handle) -> None:
+    def release(self, address: str, execution: Execution, handle: _Handle) -> None:
         key = _pool_key(address, execution)
         with self._lock:
             self._idle.setdefault(key, []).append(handle)
             self._idle.move_to_end(key)
             self._count += 1
-            surplus = self._take_surplus()
+            surplus = self._pop_surplus()
         if surplus is not None:
             surplus.close()
 
-    def _take_surplus(self) -> _Handle | None:
-        """Return a handle of the longest unused address, above the bound."""
+    def _pop_surplus(self) -> _Handle | None:
+        """Remove and return a handle of the least recently used address.
+
+        None while the pool holds at most `IDLE_HANDLES_MAX` handles.
+        """
         if self._count <= IDLE_HANDLES_MAX:
             return None
         while True:
@@ -320,7 +327,10 @@
 
 
 def _pool_key(address: str, execution: Execution) -> str:
-    """Return where a handle belongs; one without a connection fits all."""
+    """Return the pool key of a handle.
+
+    Handles for non-idempotent requests keep no connection and fit every address.
+    """
     return address if execution is Execution.IDEMPOTENT else ""
 
 
@@ -328,7 +338,7 @@
     curl.setopt(pycurl.NOBODY, 0)
     if body or method in _BODY_METHODS:
         curl.setopt(pycurl.POST, 1)
-        # Not COPYPOSTFIELDS: pycurl takes no NUL byte there.
+        # Not COPYPOSTFIELDS: pycurl rejects bodies with a NUL byte there.
         curl.setopt(pycurl.POSTFIELDS, body)
     else:
         curl.setopt(pycurl.HTTPGET, 1)
--- a/balsamspindle/backend_servers/refusals.py
+++ b/balsamspindle/backend_servers/refusals.py
@@ -1,8 +1,9 @@
-"""What a backend server's refusal proves.
+"""Interprets refusals of backend servers: was the request not run?
 
-Where backend servers mark what they did not run, the mark is a proof and
-nothing else is: one that fails may answer 503 to work that it has done.
-Without such a mark in a deployment, its refusals are passed on as answers.
+If the deployment has a header by which backend servers mark requests that they did
+not run, only that header counts as proof: a failing backend server may answer 503 to
+a request that it has already run. Without such a header, refusals are passed on as
+answers.
 """
 
 from http import HTTPStatus
@@ -18,52 +19,61 @@
     "read_result",
 ]
 
-# Statuses that tell a caller that its request was not run.
-_PROMISES = frozenset({408, 421, 429, 503})
+# Statuses from which a caller concludes that its request was not run.
+_NOT_RUN_STATUSES = frozenset({408, 421, 429, 503})
 
 
 def is_misdirected(answer: BackendAnswer, names: HeaderNames) -> bool:
-    """Tell whether another backend server than the one meant refused."""
+    """Return whether the request reached a different backend server than intended."""
     is_421 = answer.status == HTTPStatus.MISDIRECTED_REQUEST
     return is_421 and bool(names.expected_backend_server)
 
 
 def proves_not_run(answer: BackendAnswer, names: HeaderNames) -> bool:
-    """Tell whether the backend server says that it did not run the request."""
+    """Return whether the backend server states that it did not run the request."""
     if not names.not_run or answer.status < HTTPStatus.BAD_REQUEST:
         return False
     return answer.header(names.not_run) is not None
 
 
 def is_unproven_refusal(answer: BackendAnswer, names: HeaderNames) -> bool:
-    """Tell whether passing the answer on would promise what nobody proved."""
-    return bool(names.not_run) and answer.status in _PROMISES
+    """Return whether the status implies "not run" to a caller without proof of it.
+
+    Call it only for answers for which `proves_not_run` is false.
+    """
+    return bool(names.not_run) and answer.status in _NOT_RUN_STATUSES
 
 
 def read_result(
     result: BackendAnswer | BackendFailure, has_ended: bool, names: HeaderNames
 ) -> BackendAnswer | BackendFailure:
-    """Return a call's end, with a refusal taken for what it proves.
+    """Return a call's result, with a refusal replaced by the failure that it means.
 
     Parameters
     ----------
     has_ended : bool
-        The backend server has started anew since the call began.
+        The backend server was restarted after the call began.
     """
     match result:
         case BackendFailure(Reason.CANCELLED) if has_ended:
             return result._replace(
                 reason=Reason.BROKEN_ANSWER,
-                message="the backend server started anew",
+                message="the backend server was restarted during the call",
             )
         case BackendAnswer() if is_misdirected(result, names):
             return BackendFailure(
-                Reason.NO_BACKEND_SERVER, False, "another one has the address"
+                Reason.NO_BACKEND_SERVER,
+                False,
+                "a different backend server uses the address now",
             )
         case BackendAnswer() if proves_not_run(result, names):
-            return BackendFailure(Reason.SHED, False, "it refused the request")
+            return BackendFailure(
+                Reason.SHED, False, "the backend server refused the request"
+            )
         case BackendAnswer() if is_unproven_refusal(result, names):
             return BackendFailure(
-                Reason.UNPROVEN_REFUSAL, True, f"it answered {result.status}"
+                Reason.UNPROVEN_REFUSAL,
+                True,
+                f"status {result.status} without proof that the request was not run",
             )
     return result
--- a/tests/test_backend_client.py
+++ b/tests/test_backend_client.py
@@ -1,4 +1,4 @@
-"""Calls to a backend server: sent once, told truthfully, taken whole."""
+"""Calls to a backend server: sent once, reported correctly, accepted only complete."""
 
 import os
 import socket
@@ -25,8 +25,9 @@
 WHOLE = length_answer(b"whole")
 HEAD_200 = b"HTTP/1.1 200 OK\r\n"
 
-# What a backend server sends before it closes, and the reason that the gate
-# gives. Each is a fragment, or can't be told from one.
+# The bytes that a backend server sends before it closes the connection, and the
+# reason that the client reports. Each is incomplete, or can't be distinguished from an
+# incomplete answer.
 BROKEN_ANSWERS = {
     "no bytes": (b"", Reason.BROKEN_ANSWER),
     "a head only": (HEAD_200, Reason.BROKEN_ANSWER),
@@ -74,7 +75,7 @@
 
 
 class _ResettingServer:
-    """Sends one answer and resets its connection."""
+    """Sends one answer and then resets the connection."""
 
     def __init__(self, answer: bytes) -> None:
         self._answer = answer
@@ -89,7 +90,7 @@
         connection, _ = self._listener.accept()
         connection.recv(65536)
         connection.sendall(self._answer)
-        # Read by the client before the reset throws it away.
+        # Let the client read the answer before the reset discards it.
         time.sleep(0.2)
         option = struct.pack("ii", 1, 0)
         connection.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, option)
@@ -118,10 +119,10 @@
         return self.client.call(address, execution=execution, **arguments)
 
     def test_a_reused_connection_that_dies_never_repeats_a_non_idempotent_post(self):
-        # The backend server answers one POST, then reads the next one on the
-        # same connection, runs it and dies before it answers. libcurl takes
-        # that for a stale connection and sends the POST again by itself: one
-        # signature would be executed twice, and nobody would see an error.
+        # The backend server answers one POST, reads the next one on the same
+        # connection, runs it and dies before it answers. libcurl takes that for a
+        # stale connection and sends the POST again by itself. One signature would be
+        # executed twice, without any error.
         server = self._server(
             lambda number: (WHOLE, True) if number == 1 else (b"", False)
         )
@@ -130,10 +131,10 @@
         self.assertEqual((Reason.BROKEN_ANSWER, True), failure[:2])
         self.assertEqual(2, len(server.requests))
 
-    def test_an_idempotent_request_that_was_resent_is_not_called_unsent(self):
-        # A reused connection dies with the request on it, the backend server
-        # stops listening, and libcurl's own second try is refused. The last
-        # error says "could not connect", but the first try may have run.
+    def test_an_idempotent_request_that_was_resent_is_not_reported_as_unsent(self):
+        # A reused connection dies after the request was sent on it, the backend server
+        # stops listening, and the connection for libcurl's own second try is refused.
+        # The error is "could not connect", but the first try may have run.
         server = self._server(lambda number: (WHOLE, True))
         self.assertEqual(200, self._call(server.address, Execution.IDEMPOTENT).status)
 
@@ -146,7 +147,7 @@
         self.assertEqual(2, len(server.requests))
         self.assertTrue(failure.sent, failure)
 
-    def test_a_broken_answer_is_never_taken_for_whole(self):
+    def test_a_broken_answer_is_never_accepted(self):
         for name, (sent, reason) in BROKEN_ANSWERS.items():
             server = self._server(lambda number, sent=sent: (sent, False))
             for execution in Execution:
@@ -154,16 +155,16 @@
                 self.assertIsInstance(failure, BackendFailure, name)
                 self.assertEqual((reason, True), failure[:2], name)
 
-    def test_whole_answers_are_taken_whole(self):
+    def test_complete_answers_are_accepted(self):
         for name, sent in WHOLE_ANSWERS.items():
             server = self._server(lambda number, sent=sent: (sent, True))
             for execution in Execution:
                 answer = self._call(server.address, execution)
                 self.assertEqual(BackendAnswer(200, [], b"whole"), answer, name)
 
-    def test_an_answer_that_nobody_asked_for_is_not_the_next_ones(self):
-        # The backend server sends two answers to one request. On a connection
-        # that is used again the second one would be the next caller's.
+    def test_an_unexpected_second_answer_is_not_given_to_the_next_request(self):
+        # The backend server sends two answers to one request. On a reused connection
+        # the second one would be taken for the answer to the next request.
         stray = WHOLE + length_answer(b"stray")
         server = self._server(
             lambda number: (stray, True) if number == 1 else (WHOLE, True)
@@ -181,7 +182,7 @@
             )
             self.assertEqual((200, b""), (answer.status, answer.body))
 
-    def test_headers_of_one_connection_stop_here(self):
+    def test_hop_by_hop_headers_are_not_passed_on(self):
         answer = length_answer(
             b"whole",
             b"Connection: X-Hop\r\nX-Hop: 1\r\nX-Kept: 2\r\n"
@@ -194,9 +195,10 @@
         self.assertNotIn(b"X-Mine", server.requests[0])
         self.assertIn(b"X-Too: 2", server.requests[0])
 
-    def test_a_target_goes_out_as_it_is_and_never_chooses_the_host(self):
-        # Put into a URL, `@` makes the backend server's address a user name
-        # and what follows the host, dots are folded and `#` cuts the rest.
+    def test_a_target_is_sent_unchanged_and_never_changes_the_host(self):
+        # In a URL, an `@` in the target would turn the backend server's address into a
+        # user name and the text after it into the host. Dot segments would be removed,
+        # and a `#` would cut off the rest.
         server = self._server(lambda number: (WHOLE, True))
         other = self._server(lambda number: (WHOLE, True))
         targets = [f"@{other.address}/", "/a/../b/./c?x=1#y", "//a", "*", "/\xe9"]
@@ -218,22 +220,22 @@
         self.assertEqual((Reason.SILENCE, True), silent[:2])
 
     def test_time_that_ends_while_it_connects_is_no_fault_of_the_backend_server(self):
-        # The backend server's queue of new connections is full and the
-        # request has little time left: it ends unsent, for want of time.
-        # Told as unreachable, it would count as evidence of sickness.
+        # The backend server's listen backlog is full and the request has little time
+        # left, so it times out unsent. Reported as unreachable, it would count against
+        # the backend server's health.
         with socket.create_server(("127.0.0.1", 0), backlog=0) as listener:
             address = listener.getsockname()
-            waiting = [socket.socket() for _ in range(4)]
-            for one in waiting:
-                self.addCleanup(one.close)
-                one.setblocking(False)
-                one.connect_ex(address)
+            clients = [socket.socket() for _ in range(4)]
+            for client in clients:
+                self.addCleanup(client.close)
+                client.setblocking(False)
+                client.connect_ex(address)
             failure = self._call(f"127.0.0.1:{address[1]}", timeout_ms=150)
         self.assertEqual((Reason.DEADLINE, False), failure[:2])
 
     def test_a_cancelled_call_ends_the_backend_servers_connection_at_once(self):
-        # Without the shutdown libcurl looks at its callback once a second:
-        # the backend server would go on working for nobody meanwhile.
+        # libcurl calls its progress callback only about once a second. Without the
+        # shutdown of the socket, the backend server would keep working meanwhile.
         server = self._server(lambda number: (None, False))
         for number, execution in enumerate(Execution, 1):
             token = CancelToken()
@@ -243,7 +245,7 @@
                 )
                 wait_until(partial(_has_requests, server, number), "it is sent")
                 token.cancel(CancelCause.NODE_LEAVING)
-                # A later one changes nothing: this one has cut the call.
+                # A second cancellation does not change the cause.
                 token.cancel(CancelCause.CALLER_LEFT)
                 self.assertEqual((Reason.CANCELLED, True), call.result()[:2])
                 self.assertIs(CancelCause.NODE_LEAVING, call.result().cut_by)
@@ -262,9 +264,9 @@
         self._call(server.address, timeout_ms=1234.9)
         self.assertIn(b"X-Request-Timeout-Ms: 1234\r\n", server.requests[0])
 
-    def test_a_request_goes_out_with_the_callers_headers_and_no_others(self):
-        # Without a content type of the caller's, libcurl says that a body is
-        # a web form, and a backend server parses a signature as one.
+    def test_a_request_is_sent_with_the_callers_headers_and_no_others(self):
+        # If the caller sends no content type, libcurl declares the body as a web form,
+        # and a backend server would parse a signature as one.
         server = self._server(lambda number: (WHOLE, True))
         self._call(server.address, headers=[("X-A", "1")])
         self._call(server.address, headers=[("Content-Type", "text/x")])
@@ -277,9 +279,9 @@
         self.assertIn(b"Content-Type: text/x\r\n", server.requests[1])
 
     def test_a_body_with_any_byte_arrives_as_it_is(self):
-        # A caller signs with a body that holds a NUL byte. libcurl's Python
-        # binding refuses such a body in one of its two options; the attempt's
-        # task then ended with an error and the caller waited for nothing.
+        # One of libcurl's two options for the body rejects a NUL byte in its Python
+        # binding. With it, such an attempt would fail with an exception and its caller
+        # would wait for an answer in vain.
         body = bytes(range(256))
         for execution in Execution:
             server = self._server(lambda number: (WHOLE, True))
@@ -289,9 +291,9 @@
             self.assertTrue(server.requests[0].endswith(body))
 
     def test_an_answer_to_another_request_is_not_passed_on(self):
-        # A backend server sends an answer twice, the second one late: it lies
-        # in the connection when the next request goes out on it, whose caller
-        # would read a stranger's data. The echoed request id tells.
+        # A backend server sends an answer twice, and the second one is still unread in
+        # the connection when the next request is sent on it. That request's caller
+        # would read data of another caller. The echoed request id shows the mismatch.
         names = HeaderNames(echoes_request_id=True, signature="X-Signature")
         client = BackendServerClient(BODY_MAX_BYTES, names)
         heads = {
@@ -317,11 +319,10 @@
             self.assertEqual(expected, result[0], head)
 
     def test_a_late_second_answer_costs_the_next_request_nothing(self):
-        # A backend server answers a request twice. The second answer lies in
-        # the kept connection when the next request goes out on it, and is read
-        # as that one's: the backend server's work on it was broken off, and its
-        # caller was told that the answer was not whole. It is sent once more,
-        # on a connection of its own; what must not run twice has one anyway.
+        # A backend server answers a request twice. The second answer is still unread in
+        # the connection when the next request is sent on it, and is not accepted for
+        # that request. The request must not fail: it is sent once more, on a new
+        # connection. Requests that must not run twice never reuse a connection.
         names = HeaderNames(echoes_request_id=True)
         one = length_answer(b"one", b"X-Request-Id: r1\r\n")
         two = length_answer(b"two", b"X-Request-Id: r2\r\n")
@@ -348,19 +349,19 @@
             self.assertEqual(3, len(server.requests))
 
     def test_an_answer_without_a_length_is_whole_only_after_an_orderly_end(self):
-        # Where backend servers send answers that end with their connection,
-        # one whose connection is reset half way must not look like a whole
-        # one; where they don't, such an answer is never taken for whole.
+        # If backend servers may end an answer by closing the connection, an answer
+        # whose connection is reset must not be taken for complete. By default an answer
+        # without a length is never accepted.
         answer = b"HTTP/1.1 200 OK\r\n\r\nwhole"
-        patient = BackendServerClient(BODY_MAX_BYTES, takes_unframed=True)
+        lenient = BackendServerClient(BODY_MAX_BYTES, takes_unframed=True)
         ended = self._server(lambda number: (answer, False))
         arguments = ("GET", "/", [], b"", Execution.IDEMPOTENT, 3000)
-        self.assertEqual(b"whole", patient.call(ended.address, *arguments).body)
+        self.assertEqual(b"whole", lenient.call(ended.address, *arguments).body)
         strict = self.client.call(ended.address, *arguments)
         self.assertEqual(Reason.BROKEN_ANSWER, strict.reason)
         reset = _ResettingServer(answer)
         self.addCleanup(reset.close)
-        broken = patient.call(reset.address, *arguments)
+        broken = lenient.call(reset.address, *arguments)
         self.assertEqual((Reason.BROKEN_ANSWER, True), broken[:2])
 
     def test_ended_calls_keep_no_descriptors(self):
