--- a/balsamspindle/backend_servers/admission.py
+++ b/balsamspindle/backend_servers/admission.py
@@ -82,7 +82,7 @@
         self._node_ends_s = math.inf
         self._running: set[Admitted] = set()
 
-    def leave(self) -> None:
+    def refuse_new_attempts(self) -> None:
         """Refuse all new and waiting attempts from now on, as this node is leaving."""
         with self._servers.changed:
             self._leaving = True
@@ -103,7 +103,7 @@
         with self._servers.changed:
             return len(self._running)
 
-    def outlasting(self, now_s: float) -> list[AttemptId]:
+    def outlasting_attempts(self, now_s: float) -> list[AttemptId]:
         """Return the running attempts that may not finish before this node ends.
 
         These are the ones that would not be started any more, and those whose service
@@ -200,10 +200,10 @@
                 pass
         if now_s >= self._latest_start_s(dispatch, token):
             return Refused(Reason.NODE_STOPPING)
-        verdict = queue.ask(
+        verdict = queue.request_slot(
             ticket,
             availability.free_slots,
-            availability.pace_slots,
+            availability.effective_slots,
             availability.service_time_s,
             now_s,
         )
@@ -211,7 +211,7 @@
             case Verdict.WAIT:
                 return None
             case Verdict.START:
-                availability.server.account.take(availability.kind)
+                availability.server.account.acquire(availability.kind)
                 availability.server.in_flight += 1
                 availability.server.running.add(token)
                 admitted = Admitted(
@@ -239,10 +239,10 @@
                 case _Availability() as availability:
                     pass
             queue = self._queue(question.service)
-            verdict = queue.would(
+            verdict = queue.preview(
                 ticket,
                 availability.free_slots,
-                availability.pace_slots,
+                availability.effective_slots,
                 availability.service_time_s,
                 now_s,
             )
@@ -263,13 +263,13 @@
             return Refused(Reason.DEADLINE)
         account, slots = server.account, self._slots(server, now_s)
         kind = WorkKind(dispatch.weight, dispatch.route_id)
-        ticket.own_time_s = account.own_time_s(kind)
+        ticket.route_time_s = account.route_time_s(kind)
         if self._may_outlast(server, kind, now_s):
             return Refused(Reason.DRAINING)
         free = account.free(slots, now_s)
-        free -= account.kept_for_heavier(kind.weight, slots, now_s)
-        pace_slots = account.pace_slots(kind.weight, slots, now_s)
-        return _Availability(server, kind, free, slots, pace_slots)
+        free -= account.reserved_for_heavier(kind.weight, slots, now_s)
+        effective_slots = account.effective_slots(kind.weight, slots, now_s)
+        return _Availability(server, kind, free, slots, effective_slots)
 
     def _slots(self, server: LocalBackendServer, now_s: float) -> int:
         """Return how many slots a backend server may use now."""
@@ -306,7 +306,7 @@
             server.running.discard(admitted.token)
             self._running.discard(admitted)
             ran_s = now_s - admitted.started_s
-            server.account.give_back(end, ran_s, now_s, admitted.kind)
+            server.account.release(end, ran_s, now_s, admitted.kind)
             self._servers.changed.notify_all()
             queue = self._queue(server.announcement.service)
             waiting = queue.waiting_for(server.backend_server_id)
@@ -322,7 +322,7 @@
         Without those reserved for heavier requests; may be negative.
     slots : int
         All slots that the backend server may use now.
-    pace_slots : float
+    effective_slots : float
         Slots that heavier requests leave free on average.
     """
 
@@ -330,7 +330,7 @@
     kind: WorkKind
     free_slots: int
     slots: int
-    pace_slots: float
+    effective_slots: float
 
     @property
     def service_time_s(self) -> float:
@@ -340,13 +340,13 @@
 
 def _expected_run_s(server: LocalBackendServer, kind: WorkKind) -> float:
     """Return the mean service time of a kind of request; 0 when unknown."""
-    return server.account.own_time_s(kind) or server.account.service_time_s
+    return server.account.route_time_s(kind) or server.account.service_time_s
 
 
 def _refusal(
     verdict: Verdict, queue: SlotQueue, ticket: Ticket, availability: _Availability
 ) -> Refused:
-    if verdict is Verdict.TOO_LONG:
+    if verdict is Verdict.WAIT_TOO_LONG:
         return Refused(Reason.WOULD_WAIT, ticket.expected_wait_s * 1000)
     busy_ms = _busy_ms(len(queue), availability.slots, availability.service_time_s)
     return Refused(Reason.NO_FREE_SLOT, busy_ms)
--- a/balsamspindle/backend_servers/gate.py
+++ b/balsamspindle/backend_servers/gate.py
@@ -119,15 +119,15 @@
             crash_watch or CrashWatch(events, self._crash_book),
         )
 
-    def leave(self) -> None:
+    def refuse_new_attempts(self) -> None:
         """Refuse all new and waiting attempts from now on, as this node is leaving."""
-        self._admission.leave()
+        self._admission.refuse_new_attempts()
 
     def end_by(self, ends_s: float) -> None:
         """Set when this node ends; start only attempts that can finish before."""
         self._admission.end_by(ends_s)
 
-    def give_up(self) -> None:
+    def cancel_all(self) -> None:
         """Cancel all waiting and running attempts, as this node ends now."""
         with self._servers.changed:
             self._attempts.cancel_all(CancelCause.NODE_LEAVING)
@@ -177,16 +177,16 @@
             )
             self._servers.changed.notify_all()
 
-    def ingress_ends(self, attempt_id: AttemptId, ends_s: float) -> bool:
+    def set_ingress_end(self, attempt_id: AttemptId, ends_s: float) -> bool:
         """Record when the ingress of an attempt ends; False if it is unknown."""
         with self._servers.changed:
             is_known = self._attempts.end_by(attempt_id, ends_s)
             self._servers.changed.notify_all()
         return is_known
 
-    def outlasting(self, now_s: float) -> list[AttemptId]:
+    def outlasting_attempts(self, now_s: float) -> list[AttemptId]:
         """Return the running attempts that may not finish before this node ends."""
-        return self._admission.outlasting(now_s)
+        return self._admission.outlasting_attempts(now_s)
 
     def handle(self, dispatch: Dispatch, received_s: float) -> Reply | None:
         """Handle one attempt until it is refused or its run has ended.
@@ -216,7 +216,7 @@
             return self._handle_new(dispatch, token, deadline_s)
         return self._handle_keyed(dispatch, token, deadline_s)
 
-    def would_take(self, question: Question, received_s: float) -> Told:
+    def preview(self, question: Question, received_s: float) -> Told:
         """Return whether an attempt would be accepted now; no slot is reserved."""
         held_out = self._observer.held_out(question.backend_server_id, received_s)
         told = Told(question.number, held_out=held_out, gate_time_s=received_s)
--- a/balsamspindle/backend_servers/link_server.py
+++ b/balsamspindle/backend_servers/link_server.py
@@ -145,7 +145,7 @@
         another place when most of a caller's time is gone, and its own node may
         be about to leave as well.
         """
-        for attempt_id in self._gate.outlasting(now_s):
+        for attempt_id in self._gate.outlasting_attempts(now_s):
             peer = self._peers.pop(attempt_id, None)
             if peer is not None:
                 self._router.send_multipart([peer, encode(GateEnding(attempt_id))])
@@ -158,7 +158,7 @@
         """
         for attempt_id, ends_s in list(self._ends_s.items()):
             is_over = now_s >= ends_s + MEMORY_S
-            if self._gate.ingress_ends(attempt_id, ends_s) or is_over:
+            if self._gate.set_ingress_end(attempt_id, ends_s) or is_over:
                 del self._ends_s[attempt_id]
 
     def _take_all(self) -> None:
@@ -187,7 +187,7 @@
             case IngressEnding(attempt_id, left_ms):
                 self._ends_s[attempt_id] = time.monotonic() + left_ms / 1000
             case Question() as question:
-                told = self._gate.would_take(question, time.monotonic())
+                told = self._gate.preview(question, time.monotonic())
                 self._router.send_multipart([peer, encode(told)])
             case Greet():
                 greeting = Greeting(
--- a/balsamspindle/backend_servers/queue.py
+++ b/balsamspindle/backend_servers/queue.py
@@ -44,7 +44,7 @@
     # It could not be finished before its deadline any more.
     TOO_LATE = "too_late"
     # It would wait, or has waited, longer than its `wait_max_s` permits.
-    TOO_LONG = "too_long"
+    WAIT_TOO_LONG = "too_long"
 
 
 _SEQUENCE_SIGNS = {Order.FIFO: 1, Order.LIFO: -1}
@@ -81,7 +81,7 @@
         When it began to wait.
     expected_wait_s : float
         Wait as estimated by the last decision.
-    own_time_s : float
+    route_time_s : float
         Mean service time of its route; 0 when unknown.
     was_cut : bool
         Whether an earlier run of it was lost with a node that left.
@@ -100,7 +100,7 @@
     target_s: float | None = None
     enqueued_s: float = 0.0
     expected_wait_s: float = 0.0
-    own_time_s: float = 0.0
+    route_time_s: float = 0.0
     was_cut: bool = False
     rank_s: float = 0.0
     customer: str = ""
@@ -139,11 +139,11 @@
     def __len__(self) -> int:
         return len(self._waiting)
 
-    def ask(
+    def request_slot(
         self,
         ticket: Ticket,
         free_slots: int,
-        pace_slots: float,
+        effective_slots: float,
         service_time_s: float,
         now_s: float,
     ) -> Verdict:
@@ -155,12 +155,14 @@
         ----------
         free_slots : int
             Free slots of the ticket's backend server.
-        pace_slots : float
+        effective_slots : float
             Slots that heavier requests leave for this ticket's weight on average.
         service_time_s : float
             Mean service time of the backend server; 0 when unknown.
         """
-        verdict = self._judge(ticket, free_slots, pace_slots, service_time_s, now_s)
+        verdict = self._judge(
+            ticket, free_slots, effective_slots, service_time_s, now_s
+        )
         if verdict is Verdict.WAIT:
             verdict = self._enqueue(ticket, now_s)
         if verdict is Verdict.START and ticket.key is not None:
@@ -169,19 +171,21 @@
             self.withdraw(ticket)
         return verdict
 
-    def would(
+    def preview(
         self,
         ticket: Ticket,
         free_slots: int,
-        pace_slots: float,
+        effective_slots: float,
         service_time_s: float,
         now_s: float,
     ) -> Verdict:
         """Return the verdict for a ticket that is not to be enqueued.
 
-        Unlike `ask` it leaves the queue as it is and sheds no other attempt.
+        Unlike `request_slot` it leaves the queue as it is and sheds no other attempt.
         """
-        verdict = self._judge(ticket, free_slots, pace_slots, service_time_s, now_s)
+        verdict = self._judge(
+            ticket, free_slots, effective_slots, service_time_s, now_s
+        )
         if verdict is Verdict.WAIT and len(self._waiting) >= self.queue_max:
             return Verdict.SHED
         return verdict
@@ -202,15 +206,17 @@
             if not self._waiting:
                 self._turns.reset()
 
-    def _judge(self, ticket, free_slots, pace_slots, service_time_s, now_s) -> Verdict:
+    def _judge(
+        self, ticket, free_slots, effective_slots, service_time_s, now_s
+    ) -> Verdict:
         if now_s >= ticket.deadline_s:
             return Verdict.TOO_LATE
         if ticket.is_shed:
             return Verdict.SHED
         ahead, competing = self._competing(ticket, now_s)
-        wait_s = _expected_wait_s(ahead, free_slots, pace_slots, service_time_s)
-        own_time_s = ticket.own_time_s or service_time_s
-        ends_s = now_s + wait_s + own_time_s
+        wait_s = _expected_wait_s(ahead, free_slots, effective_slots, service_time_s)
+        run_time_s = ticket.route_time_s or service_time_s
+        ends_s = now_s + wait_s + run_time_s
         # The service time is an estimate that only completed attempts can correct.
         # Without competing attempts one starts whatever the estimate says; otherwise
         # an estimate that is far too high would refuse all attempts for good.
@@ -220,10 +226,10 @@
         if has_slot:
             return Verdict.START
         ticket.expected_wait_s = wait_s or (
-            _expected_wait_s(ahead, free_slots, pace_slots, DEFAULT_SERVICE_TIME_S)
+            _expected_wait_s(ahead, free_slots, effective_slots, DEFAULT_SERVICE_TIME_S)
         )
         if _waits_too_long(ticket, now_s):
-            return Verdict.TOO_LONG
+            return Verdict.WAIT_TOO_LONG
         return Verdict.WAIT
 
     def _competing(self, ticket: Ticket, now_s: float) -> tuple[int, int]:
@@ -325,19 +331,19 @@
     # at one gate and not at another.
     if ticket.rank_s:
         return False
-    return now_s + IN_TIME_FACTOR * ticket.own_time_s > ticket.target_s
+    return now_s + IN_TIME_FACTOR * ticket.route_time_s > ticket.target_s
 
 
 def _expected_wait_s(
-    ahead: int, free_slots: int, pace_slots: float, service_time_s: float
+    ahead: int, free_slots: int, effective_slots: float, service_time_s: float
 ) -> float:
     """Return the expected time until a slot is free for a ticket.
 
-    It assumes that within one service time `pace_slots` busy slots become free, evenly
-    spread over that time.
+    It assumes that `effective_slots` busy slots become free within one service time,
+    evenly spread over that time.
     """
     slots_needed = ahead - free_slots + 1
-    return max(0, slots_needed) * service_time_s / pace_slots
+    return max(0, slots_needed) * service_time_s / effective_slots
 
 
 def _waits_too_long(ticket: Ticket, now_s: float) -> bool:
--- a/balsamspindle/backend_servers/refusals.py
+++ b/balsamspindle/backend_servers/refusals.py
@@ -16,7 +16,7 @@
     "is_misdirected",
     "is_unproven_refusal",
     "proves_not_run",
-    "read_result",
+    "classify_result",
 ]
 
 # Statuses from which a caller concludes that its request was not run.
@@ -44,7 +44,7 @@
     return bool(names.not_run) and answer.status in _NOT_RUN_STATUSES
 
 
-def read_result(
+def classify_result(
     result: BackendAnswer | BackendFailure, has_ended: bool, names: HeaderNames
 ) -> BackendAnswer | BackendFailure:
     """Return a call's result, with a refusal replaced by the failure that it means.
--- a/balsamspindle/backend_servers/retry_grants.py
+++ b/balsamspindle/backend_servers/retry_grants.py
@@ -149,7 +149,7 @@
         with self._lock:
             return sorted(self._services)
 
-    def left(self, service: str, now_s: float) -> float:
+    def remaining(self, service: str, now_s: float) -> float:
         """Return how many repeats could be granted now; negative after too many."""
         with self._lock:
             return self._state(service).window.remaining(
--- a/balsamspindle/backend_servers/runner.py
+++ b/balsamspindle/backend_servers/runner.py
@@ -18,7 +18,7 @@
 from balsamspindle.backend_servers.dispatches import told_headers
 from balsamspindle.backend_servers.evidence import HealthObserver, WorkResult
 from balsamspindle.backend_servers.failed_calls import FailedCalls
-from balsamspindle.backend_servers.refusals import is_misdirected, read_result
+from balsamspindle.backend_servers.refusals import classify_result, is_misdirected
 from balsamspindle.backend_servers.servers import LocalBackendServer
 from balsamspindle.backend_servers.work_ends import (
     call_outcome,
@@ -126,7 +126,7 @@
         """Take an answer that refuses for what it proves."""
         if isinstance(result, BackendAnswer) and is_misdirected(result, self._names):
             self._on_misdirected(server.backend_server_id)
-        return read_result(result, server.has_ended, self._names)
+        return classify_result(result, server.has_ended, self._names)
 
     def _reply(self, dispatch, result, free_slots, judgement, ran_s: float) -> Reply:
         outcome, reason = call_outcome(result)
--- a/balsamspindle/backend_servers/slots.py
+++ b/balsamspindle/backend_servers/slots.py
@@ -19,7 +19,7 @@
 LOAD_ROUNDING = 0.7
 # The average load is off by a few tenths of a slot, so at least this much is always
 # assumed to be left.
-PACE_SLOTS_MIN = 0.25
+EFFECTIVE_SLOTS_MIN = 0.25
 HOLD_MIN_S = 0.1
 HOLD_MAX_S = 5.0
 
@@ -111,7 +111,7 @@
         self._held_until_s = [end for end in self._held_until_s if end > now_s]
         return slots - self._running - len(self._held_until_s)
 
-    def kept_for_heavier(self, weight: float, slots: int, now_s: float) -> int:
+    def reserved_for_heavier(self, weight: float, slots: int, now_s: float) -> int:
         """Return how many free slots a request must leave to heavier requests.
 
         Otherwise long light requests can occupy all slots. Short heavy requests, on
@@ -126,25 +126,25 @@
         )
         return max(0, min(reserved, slots // 2) - running)
 
-    def pace_slots(self, weight: float, slots: int, now_s: float) -> float:
+    def effective_slots(self, weight: float, slots: int, now_s: float) -> float:
         """Return how many slots requests heavier than `weight` leave free on average.
 
         Heavier requests that arrive later are served first, too. An estimate from the
         present queue alone would let a light request wait at a gate whose slots are
         always occupied by heavier ones, until its time is over.
         """
-        return max(PACE_SLOTS_MIN, slots - self._loads.heavier_than(weight, now_s))
+        return max(EFFECTIVE_SLOTS_MIN, slots - self._loads.heavier_than(weight, now_s))
 
-    def own_time_s(self, kind: WorkKind) -> float:
+    def route_time_s(self, kind: WorkKind) -> float:
         """Return the mean service time of the kind's route; 0 when unknown."""
         return self._route_time_s.get(kind.route_id, 0.0)
 
-    def take(self, kind: WorkKind = DEFAULT_KIND) -> None:
+    def acquire(self, kind: WorkKind = DEFAULT_KIND) -> None:
         """Occupy one slot for an attempt."""
         self._running += 1
         self._running_by_weight[kind.weight] += 1
 
-    def give_back(
+    def release(
         self,
         end: WorkEnd,
         ran_s: float,
--- a/balsamspindle/node/gauges.py
+++ b/balsamspindle/node/gauges.py
@@ -142,6 +142,6 @@
             yield Gauge(
                 "balsamspindle_retry_grants_left",
                 "Retries that this node's gate could grant now, where gates do.",
-                self._grants.left(service, now_s),
+                self._grants.remaining(service, now_s),
                 {"service": service},
             )
--- a/balsamspindle/node/orderly_end.py
+++ b/balsamspindle/node/orderly_end.py
@@ -58,7 +58,7 @@
         time.sleep(self._settings.ready_notice_s)
         self._ingress.stop()
         _wait_until(self._ingress.ended, time.monotonic() + GATE_OPEN_S)
-        self._gate.leave()
+        self._gate.refuse_new_attempts()
         if not _wait_until(self._idle, give_up_s):
             self._give_up()
         # A peer that has not heard yet gets a refusal, which proves that its
@@ -96,7 +96,7 @@
         )
         # In this order: what is cut here must not be sent elsewhere any more.
         self._forwarder.give_up()
-        self._gate.give_up()
+        self._gate.cancel_all()
         _wait_until(self._idle, time.monotonic() + LAST_ANSWERS_S)
         # What is left are connections whose callers do not read.
         self._ingress.cut()
--- a/bench/queue_overload.py
+++ b/bench/queue_overload.py
@@ -126,7 +126,7 @@
 
     def _ask(self, request: _Request, now_s: float) -> None:
         known_s = SERVICE_TIME_S if self._plan.knows_service_time else 0.0
-        verdict = self._queue.ask(request, self._free, SLOTS, known_s, now_s)
+        verdict = self._queue.request_slot(request, self._free, SLOTS, known_s, now_s)
         if verdict is Verdict.WAIT:
             self._waiting.append(request)
         elif verdict is Verdict.START:
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -119,8 +119,8 @@
         # that gets a slot shortly before would be cut, and its outcome would be
         # unknown. If it is refused as not run, it can go to another gate.
         server = self.servers.get("server")
-        server.account.give_back(WorkEnd.ANSWERED, 1.0, time.monotonic())
-        server.account.take()
+        server.account.release(WorkEnd.ANSWERED, 1.0, time.monotonic())
+        server.account.acquire()
         self.admission.end_by(time.monotonic() + 60.0)
         admitted = self._admit()
         self.assertIsInstance(admitted, Admitted)
--- a/tests/test_admission_queries.py
+++ b/tests/test_admission_queries.py
@@ -166,7 +166,7 @@
     def _query_gate(self, **changes):
         question = Question(7, SERVICE, "s", Execution.IDEMPOTENT, 5000.0, 1.0)
         question = msgspec.structs.replace(question, **changes)
-        return self.gate.would_take(question, time.monotonic())
+        return self.gate.preview(question, time.monotonic())
 
     def test_a_query_reports_a_free_slot_without_taking_it(self):
         for _ in range(3):
@@ -203,7 +203,7 @@
     def test_a_query_sheds_no_waiting_request(self):
         queue = SlotQueue(1)
         waits = Ticket("s", 0.3, 100.0)
-        self.assertIs(Verdict.WAIT, queue.ask(waits, 0, 1, 1.0, 0.0))
+        self.assertIs(Verdict.WAIT, queue.request_slot(waits, 0, 1, 1.0, 0.0))
         heavier = Ticket("s", 0.5, 100.0)
-        self.assertIs(Verdict.SHED, queue.would(heavier, 0, 1, 1.0, 0.0))
-        self.assertIs(Verdict.WAIT, queue.ask(waits, 0, 1, 1.0, 0.1))
+        self.assertIs(Verdict.SHED, queue.preview(heavier, 0, 1, 1.0, 0.0))
+        self.assertIs(Verdict.WAIT, queue.request_slot(waits, 0, 1, 1.0, 0.1))
--- a/tests/test_crash_watch.py
+++ b/tests/test_crash_watch.py
@@ -293,7 +293,7 @@
         question = Question(
             1, SERVICE, "server", Execution.IDEMPOTENT, 5000.0, 1.0, content=CAUSE
         )
-        told = self.gate.would_take(question, time.monotonic())
+        told = self.gate.preview(question, time.monotonic())
         self.assertEqual(Reason.CRASHES_SERVERS, told.reason)
 
     def test_two_suspected_requests_do_not_run_together(self):
--- a/tests/test_ending_ingresses.py
+++ b/tests/test_ending_ingresses.py
@@ -52,8 +52,8 @@
         )
         self.admission = Admission(self.servers)
         account = self.servers.get("server").account
-        account.give_back(WorkEnd.ANSWERED, USUAL_S, time.monotonic())
-        account.take()
+        account.release(WorkEnd.ANSWERED, USUAL_S, time.monotonic())
+        account.acquire()
 
     def _admit(self, token: CancelToken, execution=Execution.NON_IDEMPOTENT):
         dispatch = msgspec.structs.replace(attempt(1), execution=execution)
@@ -139,8 +139,8 @@
             "server", Announcement(SERVICE, self.backend.address, 1, "1"), 0.0
         )
         account = self.servers.get("server").account
-        account.take()
-        account.give_back(WorkEnd.ANSWERED, USUAL_S, time.monotonic())
+        account.acquire()
+        account.release(WorkEnd.ANSWERED, USUAL_S, time.monotonic())
         self.events = EventLog("gate", 1, HybridClock(), io.StringIO())
         self.gate = Gate(self.servers, BackendServerClient(1000), self.events)
         self.context, self.address = zmq.Context(), free_address()
@@ -155,13 +155,13 @@
         self.addCleanup(self.executor.shutdown)
         self.addCleanup(task.join)
         self.addCleanup(self.server.stop)
-        self.addCleanup(self.gate.give_up)
+        self.addCleanup(self.gate.cancel_all)
 
     def test_a_leaving_gate_sends_notice_of_runs_that_it_may_not_answer(self):
         link, attempt_id = self._send(1)
         wait_until(lambda: self.backend.requests, "it runs")
         self.gate.end_by(time.monotonic() + 60.0)
-        self.assertEqual([], self.gate.outlasting(time.monotonic()))
+        self.assertEqual([], self.gate.outlasting_attempts(time.monotonic()))
         self.gate.end_by(time.monotonic() + 1.5 * USUAL_S)
         started_s = time.monotonic()
         self.assertIsNone(self._wait(link, attempt_id, ends_at_notice=lambda: True))
@@ -253,11 +253,11 @@
                 executor.submit(task)
             first = self._send(1)
             wait_until(lambda: backend.requests, "it runs")
-            side.gate.leave()
+            side.gate.refuse_new_attempts()
             side.stop()
             reply = self._wait(*self._send(2)).reply
             self.assertEqual(
                 (Outcome.NOT_RUN, Reason.DRAINING), (reply.outcome, reply.reason)
             )
-            side.gate.give_up()
+            side.gate.cancel_all()
             self.assertEqual(Outcome.UNKNOWN, self._wait(*first).reply.outcome)
--- a/tests/test_gate.py
+++ b/tests/test_gate.py
@@ -166,7 +166,7 @@
                 attempt_id, cause=CancelCause.CALLER_LEFT
             ),
             "server_restarted": lambda attempt_id: self._announce("2"),
-            "node_leaving": lambda attempt_id: self.gate.give_up(),
+            "node_leaving": lambda attempt_id: self.gate.cancel_all(),
         }
         began_s = time.monotonic()
         with ThreadPoolExecutor(1) as executor:
@@ -206,7 +206,7 @@
             self._seen(1)
             executor.submit(self._handle, self._dispatch(2, remaining_ms=60_000.0))
             wait_until(self.gate.waiting, "one waits")
-            self.gate.give_up()
+            self.gate.cancel_all()
         names = ("attempt_ended", "attempt_refused")
         logged = [self._logged(name) for name in names]
         self.assertEqual([1, 1], list(map(len, logged)))
--- a/tests/test_lifetimes.py
+++ b/tests/test_lifetimes.py
@@ -144,7 +144,7 @@
         (server,) = self.servers.all()
         token = CancelToken()
         server.running.add(token)
-        server.account.take()
+        server.account.acquire()
         self.announce("one", 2, 0.5, born_ms=1000)
         self.assertFalse(token.cancelled)
         self.announce("one", 1, 1.0, born_ms=2000)
--- a/tests/test_overload.py
+++ b/tests/test_overload.py
@@ -72,7 +72,7 @@
             now_s + TIME_S,
             wait_max_s=None if part is None else part * TIME_S,
             target_s=now_s + TARGET_S,
-            own_time_s=WORK_S,
+            route_time_s=WORK_S,
         )
         request = _Request(kind, ticket, now_s)
         self.requests.append(request)
@@ -80,18 +80,20 @@
 
     def _ask(self, request: _Request, now_s: float) -> None:
         account, weight = self._account, request.kind.weight
-        pace_slots = account.pace_slots(weight, SLOTS, now_s)
+        effective_slots = account.effective_slots(weight, SLOTS, now_s)
         if self._wait_part is None:
-            pace_slots = SLOTS
+            effective_slots = SLOTS
         free = account.free(SLOTS, now_s)
-        verdict = self._queue.ask(request.ticket, free, pace_slots, WORK_S, now_s)
+        verdict = self._queue.request_slot(
+            request.ticket, free, effective_slots, WORK_S, now_s
+        )
         if verdict is Verdict.WAIT:
             return
         self._waiting.remove(request)
         if verdict is not Verdict.START:
             request.refused_after_s = max(STEP_S, now_s - request.arrived_s)
             return
-        account.take(request.kind)
+        account.acquire(request.kind)
         request.ends_s = now_s + WORK_S
         request.was_served = True
         self._running.append(request)
@@ -99,7 +101,7 @@
     def _end_work(self, now_s: float) -> None:
         for request in [one for one in self._running if one.ends_s <= now_s]:
             self._running.remove(request)
-            self._account.give_back(WorkEnd.ANSWERED, WORK_S, now_s, request.kind)
+            self._account.release(WorkEnd.ANSWERED, WORK_S, now_s, request.kind)
 
 
 class OverloadTests(TestCase):
--- a/tests/test_placement_selection.py
+++ b/tests/test_placement_selection.py
@@ -246,8 +246,8 @@
         now_s = 0.0
         while now_s < until_s:
             for _ in range(count):
-                account.take(kind)
-                account.give_back(WorkEnd.ANSWERED, each_s, now_s, kind)
+                account.acquire(kind)
+                account.release(WorkEnd.ANSWERED, each_s, now_s, kind)
             now_s += 1.0
 
     def test_slots_are_kept_for_heavier_calls_while_long_light_requests_run(self):
@@ -256,14 +256,14 @@
         # in the queue: a slot becomes free only when a light request ends.
         account = SlotAccount()
         self.work(account, self.HEAVY, 13, 0.13, 10.0)
-        kept = account.kept_for_heavier(self.LIGHT.weight, self.SLOTS, 10.0)
+        kept = account.reserved_for_heavier(self.LIGHT.weight, self.SLOTS, 10.0)
         self.assertEqual(2, kept)
-        account.take(self.HEAVY)
+        account.acquire(self.HEAVY)
         self.assertEqual(
-            1, account.kept_for_heavier(self.LIGHT.weight, self.SLOTS, 10.0)
+            1, account.reserved_for_heavier(self.LIGHT.weight, self.SLOTS, 10.0)
         )
         self.assertEqual(
-            0, account.kept_for_heavier(self.HEAVY.weight, self.SLOTS, 10.0)
+            0, account.reserved_for_heavier(self.HEAVY.weight, self.SLOTS, 10.0)
         )
 
     def test_no_slot_is_kept_for_heavy_work_that_uses_a_fifth_of_it(self):
@@ -273,17 +273,17 @@
         account = SlotAccount()
         now_s = 0.0
         while now_s < 16.0:
-            account.take(self.HEAVY)
-            account.give_back(WorkEnd.ANSWERED, 0.33, now_s, self.HEAVY)
+            account.acquire(self.HEAVY)
+            account.release(WorkEnd.ANSWERED, 0.33, now_s, self.HEAVY)
             now_s += 1.6
-        self.assertEqual(0, account.kept_for_heavier(self.LIGHT.weight, 3, 16.0))
+        self.assertEqual(0, account.reserved_for_heavier(self.LIGHT.weight, 3, 16.0))
 
     def test_at_most_half_of_the_slots_are_kept_and_none_without_heavier_work(self):
         account = SlotAccount()
-        self.assertEqual(0, account.kept_for_heavier(0.3, self.SLOTS, 0.0))
+        self.assertEqual(0, account.reserved_for_heavier(0.3, self.SLOTS, 0.0))
         self.work(account, self.HEAVY, 40, 0.5, 10.0)
-        self.assertEqual(3, account.kept_for_heavier(0.3, self.SLOTS, 10.0))
-        self.assertEqual(0, account.kept_for_heavier(0.3, self.SLOTS, 60.0))
+        self.assertEqual(3, account.reserved_for_heavier(0.3, self.SLOTS, 10.0))
+        self.assertEqual(0, account.reserved_for_heavier(0.3, self.SLOTS, 60.0))
 
     def test_the_expected_wait_counts_slots_used_by_heavier_requests(self):
         # Heavy requests always use five of six slots, which leaves one for the light
@@ -292,20 +292,22 @@
         account = SlotAccount()
         self.work(account, self.HEAVY, 10, 0.5, 10.0)
         light, heavy = self.LIGHT.weight, self.HEAVY.weight
-        self.assertAlmostEqual(1, account.pace_slots(light, self.SLOTS, 10.0), delta=1)
-        self.assertEqual(6, account.pace_slots(heavy, self.SLOTS, 10.0))
+        self.assertAlmostEqual(
+            1, account.effective_slots(light, self.SLOTS, 10.0), delta=1
+        )
+        self.assertEqual(6, account.effective_slots(heavy, self.SLOTS, 10.0))
 
     def test_each_route_has_its_own_mean_duration(self):
         account = SlotAccount()
         self.work(account, self.HEAVY, 5, 0.1, 5.0)
         self.work(account, self.LIGHT, 5, 1.0, 5.0)
-        self.assertAlmostEqual(0.1, account.own_time_s(self.HEAVY), 2)
-        self.assertAlmostEqual(1.0, account.own_time_s(self.LIGHT), 2)
+        self.assertAlmostEqual(0.1, account.route_time_s(self.HEAVY), 2)
+        self.assertAlmostEqual(1.0, account.route_time_s(self.LIGHT), 2)
 
 
 class QueueWaitTests(TestCase):
     def ask(self, queue, ticket, free, now_s=0.0):
-        return queue.ask(ticket, free, 2, 1.0, now_s)
+        return queue.request_slot(ticket, free, 2, 1.0, now_s)
 
     def ticket(self, **changes):
         return Ticket("s", changes.pop("weight", 1.0), 100.0, **changes)
@@ -313,14 +315,14 @@
     def test_a_request_that_may_not_wait_is_refused_with_the_expected_wait(self):
         queue = SlotQueue(10)
         hasty = self.ticket(wait_max_s=0.0)
-        self.assertIs(Verdict.TOO_LONG, self.ask(queue, hasty, 0))
+        self.assertIs(Verdict.WAIT_TOO_LONG, self.ask(queue, hasty, 0))
         self.assertEqual(0.5, hasty.expected_wait_s)
         self.assertIs(Verdict.START, self.ask(queue, self.ticket(wait_max_s=0.0), 1))
         patient = self.ticket(wait_max_s=0.6)
         self.assertIs(Verdict.WAIT, self.ask(queue, patient, 0))
         # The wait is longer than estimated: the request is refused, to try elsewhere.
         self.assertIs(Verdict.WAIT, self.ask(queue, patient, 0, 0.7))
-        self.assertIs(Verdict.TOO_LONG, self.ask(queue, patient, 0, 0.9))
+        self.assertIs(Verdict.WAIT_TOO_LONG, self.ask(queue, patient, 0, 0.9))
         self.assertEqual(0, len(queue))
 
     def test_requests_that_can_be_in_time_go_before_late_ones(self):
@@ -328,8 +330,8 @@
         # times are all just too late. If one that is late in any case goes last, the
         # others are in time.
         queue = SlotQueue(10)
-        late = self.ticket(target_s=1.0, own_time_s=0.5)
-        fresh = self.ticket(target_s=3.0, own_time_s=0.5)
+        late = self.ticket(target_s=1.0, route_time_s=0.5)
+        fresh = self.ticket(target_s=3.0, route_time_s=0.5)
         for ticket in (late, fresh):
             self.assertIs(Verdict.WAIT, self.ask(queue, ticket, 0, 0.0))
         self.assertIs(Verdict.WAIT, self.ask(queue, late, 1, 0.5))
@@ -340,8 +342,8 @@
         # A request whose run was cut when its node left is late because of that.
         # Behind all new requests it would not be served at all.
         queue = SlotQueue(10)
-        cut = self.ticket(target_s=1.0, own_time_s=0.5, was_cut=True)
-        fresh = self.ticket(target_s=3.0, own_time_s=0.5)
+        cut = self.ticket(target_s=1.0, route_time_s=0.5, was_cut=True)
+        fresh = self.ticket(target_s=3.0, route_time_s=0.5)
         for ticket in (fresh, cut):
             self.assertIs(Verdict.WAIT, self.ask(queue, ticket, 0, 2.0))
         self.assertIs(Verdict.WAIT, self.ask(queue, fresh, 1, 2.0))
@@ -349,8 +351,8 @@
 
     def test_a_heavier_request_that_is_late_still_goes_first(self):
         queue = SlotQueue(10)
-        heavy = self.ticket(target_s=0.1, own_time_s=0.5, weight=2.0)
-        light = self.ticket(target_s=5.0, own_time_s=0.5)
+        heavy = self.ticket(target_s=0.1, route_time_s=0.5, weight=2.0)
+        light = self.ticket(target_s=5.0, route_time_s=0.5)
         for ticket in (light, heavy):
             self.assertIs(Verdict.WAIT, self.ask(queue, ticket, 0))
         self.assertIs(Verdict.WAIT, self.ask(queue, light, 1))
@@ -360,7 +362,7 @@
         # The request takes 0.1 s and has 1 s left; others take 1 s each. By the mean
         # duration it would be refused although it can be served in time.
         queue = SlotQueue(10)
-        short = Ticket("s", 1.0, 1.0, own_time_s=0.1)
+        short = Ticket("s", 1.0, 1.0, route_time_s=0.1)
         self.assertIs(Verdict.WAIT, self.ask(queue, short, 0))
         self.assertIs(Verdict.TOO_LATE, self.ask(queue, Ticket("s", 1.0, 1.0), 0))
 
--- a/tests/test_queue.py
+++ b/tests/test_queue.py
@@ -35,7 +35,7 @@
         self.running.remove(ticket)
         account = self.accounts[ticket.backend_server_id]
         end = WorkEnd.ANSWERED if is_answered else WorkEnd.IN_DOUBT
-        account.give_back(end, SERVICE_TIME_S, self.now_s)
+        account.release(end, SERVICE_TIME_S, self.now_s)
         self._wake()
 
     def pass_time(self, duration_s: float) -> None:
@@ -53,12 +53,12 @@
     def _ask(self, ticket: Ticket) -> Verdict:
         server = ticket.backend_server_id
         account = self.accounts[server]
-        verdict = self.queue.ask(
+        verdict = self.queue.request_slot(
             ticket, self.free(server), self.slots, account.service_time_s, self.now_s
         )
         match verdict:
             case Verdict.START:
-                account.take()
+                account.acquire()
                 self.running.append(ticket)
             case Verdict.WAIT:
                 self.waiting.append(ticket)
@@ -142,8 +142,8 @@
 
     def test_a_slot_is_held_for_as_long_again_after_a_time_out(self):
         account = SlotAccount()
-        account.take()
-        account.give_back(WorkEnd.IN_DOUBT, ran_s=2.0, now_s=10.0)
+        account.acquire()
+        account.release(WorkEnd.IN_DOUBT, ran_s=2.0, now_s=10.0)
         self.assertEqual(0, account.free(1, 11.9))
         self.assertEqual(12.0, account.next_hold_end_s())
         self.assertEqual(1, account.free(1, 12.0))
--- a/tests/test_siblings.py
+++ b/tests/test_siblings.py
@@ -89,7 +89,7 @@
             call.deadline_s,
             wait_max_s=WAIT_MAX_S,
             target_s=target_s,
-            own_time_s=WORK_S,
+            route_time_s=WORK_S,
             rank_s=call.rank_s,
         )
         self._ask(now_s, call)
@@ -101,7 +101,7 @@
             self._queues[gate].withdraw(call.ticket)
             return
         free = SLOTS - self._busy[gate]
-        match self._queues[gate].ask(call.ticket, free, SLOTS, WORK_S, now_s):
+        match self._queues[gate].request_slot(call.ticket, free, SLOTS, WORK_S, now_s):
             case Verdict.START:
                 self._busy[gate] += 1
                 self.runs += 1
