--- a/balsamspindle/requests/retries.py
+++ b/balsamspindle/requests/retries.py
@@ -80,9 +80,9 @@
 
 
 def is_success(reply: Reply) -> bool:
-    """Return whether a reply is an answer without an error status of 500 or more.
+    """Return whether a reply is an answer with a status below 500 other than 429.
 
-    Only such a reply counts for the latency estimate.
+    Only the latency of such an answer counts for the estimate.
     """
     is_answer = reply.outcome is Outcome.ANSWERED and not is_shed(reply)
     return is_answer and reply.status < ERROR_STATUS_MIN
