--- a/balsamspindle/requests/caller_watch.py
+++ b/balsamspindle/requests/caller_watch.py
@@ -1,9 +1,9 @@
-"""Notices that a caller left while this node's own gate works for it.
+"""Detects that a caller left while this node's own gate runs its request.
 
-Over a link the task that serves the caller waits and can look at the caller's
-connection meanwhile. At the gate of the same process that task makes the call
-to the backend server itself, so that no other thread stands on the path; this
-one looks in its place.
+When the gate is on another node, the task that serves the caller waits for the link
+and checks the caller's connection meanwhile. When the gate is in the same process,
+that task calls the backend server itself, so that the call passes through no other
+thread. A separate thread then checks the connections of all such callers.
 """
 
 import threading
@@ -16,7 +16,7 @@
 
 __all__ = ["CallerWatch"]
 
-WATCH_INTERVAL_S = 0.05
+CHECK_INTERVAL_S = 0.05
 
 
 class CallerWatch:
@@ -25,7 +25,7 @@
     Parameters
     ----------
     cancel : callable
-        Cancels one attempt of a caller that left.
+        Called with the id of each attempt whose caller left.
     """
 
     def __init__(self, cancel: Callable[[AttemptId], None]) -> None:
@@ -36,7 +36,7 @@
 
     @contextmanager
     def watching(self, attempt_id: AttemptId, caller: HttpConnection) -> Iterator[None]:
-        """Watch a caller while the attempt runs."""
+        """Check the caller's connection for as long as the context is open."""
         with self._changed:
             if not self._callers:
                 self._changed.notify()
@@ -51,13 +51,13 @@
         while True:
             with self._changed:
                 self._changed.wait_for(lambda: self._callers)
-            # Most attempts are over before the first look: they cost nothing.
-            time.sleep(WATCH_INTERVAL_S)
-            self._look()
+            # Most attempts end before their first check, and so need none.
+            time.sleep(CHECK_INTERVAL_S)
+            self._cancel_if_gone()
 
-    def _look(self) -> None:
-        # Under the lock, so that no attempt ends meanwhile and its connection
-        # is not closed and its descriptor not another connection's.
+    def _cancel_if_gone(self) -> None:
+        # The lock keeps attempts from ending during the checks. Otherwise a connection
+        # could be closed and its descriptor reused by another connection.
         with self._changed:
             gone = [
                 attempt_id
--- a/balsamspindle/requests/claim_eras.py
+++ b/balsamspindle/requests/claim_eras.py
@@ -1,10 +1,10 @@
-"""When a key without a claim in the store was surely never claimed.
+"""Decides when a key without a claim in the store is known to be unclaimed.
 
-A store that comes back from an older copy has lost the claims of its last seconds. In
-the new era a claim that is missing proves nothing until each process that may have
-held one has written its claims again and said so. Processes that ended before they
-could do that leave the rest in doubt: as long as callers may send such keys again,
-no key without a claim is run.
+A store restored from an older copy has lost the claims of its last seconds and starts
+a new era. In that era a missing claim proves nothing until every process that may have
+held claims has written them again and confirmed it; then the era is settled. If such
+a process ended before it confirmed, keys without a claim are not run until callers
+can no longer resend the keys of the lost claims.
 """
 
 import threading
@@ -23,33 +23,34 @@
     "Holder",
 ]
 
-# A store that has never come back from a copy; 0 is one that tells no era.
+# Era of a store that was never restored from a copy; 0 if the store reports no era.
 FIRST_ERA = 1
-# The age of the oldest copy that a store may come back from.
+# Age of the oldest copy from which a store may be restored.
 COPY_AGE_MAX_S = 60.0
-# How long after its start a process knows all others of its fleet.
+# Time after its start until a process knows all other processes of the fleet.
 FLEET_KNOWN_AFTER_S = 5.0
-# Processes that are cut off from their peers, and not from the store, write their
-# claims again within this time without being waited for.
+# An era is settled this long after it began at the earliest. Processes that are cut
+# off from their peers but not from the store may be missing from the processes that
+# have to confirm; they write their claims again within this time.
 RESTORE_MIN_S = 1.0
-# How long a request waits for the claims to be written again before it is given up.
+# Time after the start of an era during which requests wait for it to be settled.
 RESTORE_WAIT_S = 2.0
 
 
 class Holder(NamedTuple):
-    """One process that may hold claims: as a gate, or as the ingress that made them."""
+    """A process that may hold claims, as a gate or as the ingress that wrote them."""
 
     node_id: str
     incarnation: int
 
 
 class Confirmation(msgspec.Struct, frozen=True):
-    """A process's word that its claims are in the store.
+    """A stored row by which a process confirms that its claims are in the store.
 
     Attributes
     ----------
     era : int
-        Of the store in which they are.
+        Era of the store in which the claims were written.
     """
 
     incarnation: int
@@ -57,14 +58,15 @@
 
 
 class ClaimEras:
-    """In which eras of the store all claims are known; safe from all threads.
+    """Tracks the eras of the store in which all claims are known; thread-safe.
 
     Parameters
     ----------
     resend_max_s : float
-        How long claims of processes that are gone are in doubt.
+        Time for which callers may resend a key, and for which the claims of processes
+        that have ended are therefore in doubt.
     on_wanted : callable
-        Told an era in which a request waits for claims to be written again.
+        Called with an era when a request waits for its claims to be written again.
     """
 
     def __init__(
@@ -79,31 +81,35 @@
         self._first_seen_s: float | None = None
         self._era = 0
         self._era_began_s = 0.0
-        self._settled = FIRST_ERA
-        # None where this process does not know who held claims.
+        self._newest_settled_era = FIRST_ERA
+        # Processes that have to confirm the era; None if this process doesn't know.
         self._required: set[Holder] | None = set()
 
-    def note_holders(
+    def record_holders(
         self, holders: Iterable[Holder], answered_s: float, now_s: float
     ) -> None:
-        """Take the processes of the fleet that run now.
+        """Record which processes of the fleet are running now.
+
+        Processes that ended before the oldest copy that may be restored are removed.
 
         Parameters
         ----------
         answered_s : float
-            When the store last answered in the present era: if it has come back
-            since, its copy is at most so much older.
+            Time of the store's last answer in the current era. If the store has been
+            restored since, its copy may be up to `COPY_AGE_MAX_S` older than this.
         """
         with self._changed:
             if self._first_seen_s is None:
                 self._first_seen_s = now_s
             self._seen_s.update(dict.fromkeys(holders, now_s))
             oldest_s = min(now_s, answered_s) - COPY_AGE_MAX_S
-            for holder in [one for one, s in self._seen_s.items() if s < oldest_s]:
-                del self._seen_s[holder]
+            for ended in [
+                holder for holder, seen_s in self._seen_s.items() if seen_s < oldest_s
+            ]:
+                del self._seen_s[ended]
 
     def begin(self, era: int, now_s: float) -> bool:
-        """Take the era that the store is in; tell whether it is new here."""
+        """Begin an era of the store; return False if it is not newer than the last."""
         with self._changed:
             if era <= self._era:
                 return False
@@ -113,19 +119,23 @@
             return True
 
     def is_settled(self, era: int) -> bool:
-        """Tell whether a claim that is missing in an era was never made."""
-        return era <= self._settled
+        """Return whether a claim that is missing in an era was never made."""
+        return era <= self._newest_settled_era
 
     def settle(self, era: int) -> None:
-        """Take that all claims are written again in an era, or no longer resent."""
+        """Record that in an era no missing claim is in doubt any more.
+
+        All claims were written again, or callers can no longer resend their keys.
+        """
         with self._changed:
-            self._settled = max(self._settled, era)
+            self._newest_settled_era = max(self._newest_settled_era, era)
             self._changed.notify_all()
 
-    def wait_settled(self, era: int, now_s: float, give_up_s: float) -> bool:
-        """Wait while claims are being written again; tell whether all of them are.
+    def wait_until_settled(self, era: int, now_s: float, give_up_s: float) -> bool:
+        """Wait while claims are being written again; return whether the era is settled.
 
-        Who asks later is told at once: a process is missing that may not come back.
+        The wait ends at `give_up_s` or `RESTORE_WAIT_S` after the era began. A later
+        call does not wait: the missing process may never return.
         """
         self._on_wanted(era)
         with self._changed:
@@ -134,8 +144,10 @@
                 lambda: self.is_settled(era), max(0.0, until_s - now_s)
             )
 
-    def missing(self, confirmed: Mapping[str, Confirmation]) -> set[Holder] | None:
-        """Return the processes that have not confirmed the era; None: not known."""
+    def missing_holders(
+        self, confirmed: Mapping[str, Confirmation]
+    ) -> set[Holder] | None:
+        """Return the processes that have not confirmed the era; None if not known."""
         with self._changed:
             if self._required is None:
                 return None
@@ -145,20 +157,23 @@
                 if not _confirms(confirmed.get(holder.node_id), holder, self._era)
             }
 
-    def may_settle(self, missing: set[Holder] | None, now_s: float) -> bool:
-        """Tell whether a claim that is not in the store was never made.
+    def can_settle(self, missing: set[Holder] | None, now_s: float) -> bool:
+        """Return whether the current era may be settled.
 
         Parameters
         ----------
         missing : set of Holder or None
-            As `missing` returned it.
+            Result of `missing_holders`.
         """
         if missing == set():
             return now_s - self._era_began_s >= RESTORE_MIN_S
         return now_s - self._era_began_s >= self._resend_max_s
 
     def _holders_before(self, now_s: float) -> set[Holder] | None:
-        """Return who may hold claims that an era which begins now has lost."""
+        """Return the processes that may hold claims lost in an era that begins now.
+
+        None if this process can't know all of them.
+        """
         if self._era == 0 or self._first_seen_s is None:
             return None
         if now_s - self._first_seen_s < FLEET_KNOWN_AFTER_S:
@@ -168,12 +183,13 @@
         return None if self._required is None else self._required | set(self._seen_s)
 
 
-def _confirms(word: Confirmation | None, holder: Holder, era: int) -> bool:
-    """Tell whether a word is that of a process which ran when the era began.
+def _confirms(confirmation: Confirmation | None, holder: Holder, era: int) -> bool:
+    """Return whether a confirmation is from a process that ran when the era began.
 
-    Peers may know it by a higher incarnation than its own, with which it has outbid
-    old news of itself. A later process of the node has a higher one than both.
+    Peers may know that process by a higher incarnation than its own, since a process
+    raises its incarnation to refute outdated reports about itself. A later process of
+    the same node has an incarnation that is higher than both.
     """
-    if word is None or word.era < era:
+    if confirmation is None or confirmation.era < era:
         return False
-    return word.incarnation <= holder.incarnation
+    return confirmation.incarnation <= holder.incarnation
--- a/balsamspindle/requests/claim_restorer.py
+++ b/balsamspindle/requests/claim_restorer.py
@@ -1,11 +1,11 @@
-"""Writes the claims of this process again when the store comes back from a copy.
+"""Writes the claims of this process again after the store was restored from a copy.
 
-A gate knows the keys that it ran, and an ingress the claims that it made. Both write
-them again, then confirm so in a row of their own. When the confirmations of all are
-there, one process says that the era is settled: a key without a claim has none.
+A gate knows the keys that it ran, and an ingress the claims that it wrote. Both write
+them again, then confirm it in a row per node. Once all confirmations are there, one
+process marks the era as settled: from then on a key without a claim is unclaimed.
 
-Processes that have nothing to write wait until a request with a key comes anywhere: a
-fleet whose callers send no keys makes no calls.
+A process without claims to write does nothing until a request with a key arrives at
+any node, so a fleet whose callers send no keys makes no calls to the store.
 """
 
 import math
@@ -28,8 +28,8 @@
 )
 from balsamspindle.requests.claims import (
     CLAIMS_TABLE,
-    MadeClaim,
     StoredClaim,
+    WrittenClaim,
     claim_key,
 )
 from balsamspindle.tables import Check, Conflict, Put, Row, TableService, Transaction
@@ -39,25 +39,26 @@
 __all__ = ["CLAIM_ERAS_TABLE", "ClaimRestorer"]
 
 CLAIM_ERAS_TABLE = "claim-eras"
-# No name of a node begins so.
+# Key of the row that marks an era as settled. Node ids do not begin with "_", so it
+# can't collide with the row of a node.
 SETTLED_KEY = "_settled"
-ROWS_PER_WRITE = 50
-# Whose rows differ from what was read is read and written again.
-WRITES_PER_BATCH_MAX = 8
-# How long until a process hears of an era that no call of its own has shown.
-IDLE_WAIT_S = 1.0
-LOOK_FIRST_S, LOOK_MAX_S = 0.1, 10.0
-# The incarnation of no process: a gate tells that such a key may have run.
+CLAIMS_PER_BATCH = 50
+# Tries per batch. A try fails if rows changed since their versions were read.
+BATCH_ATTEMPTS_MAX = 8
+# Interval of checks for an era that no call of this process has revealed.
+IDLE_INTERVAL_S = 1.0
+RETRY_DELAY_MIN_S, RETRY_DELAY_MAX_S = 0.1, 10.0
+# Belongs to no process: under a claim with it a gate replies that the key may have run.
 NO_INCARNATION = 0
 
 
-class _Restored(NamedTuple):
+class _ClaimRewrite(NamedTuple):
     """A claim to be written again.
 
     Attributes
     ----------
     overrides : bool
-        It stands whatever the row says: the key ran here.
+        Whether the claim replaces another claim in its row, because the key ran here.
     """
 
     key: str
@@ -66,7 +67,7 @@
 
 
 class ClaimRestorer:
-    """The task that follows the eras of the store.
+    """Task that writes claims again and settles each new era of the store.
 
     Parameters
     ----------
@@ -75,9 +76,9 @@
     take_made : callable
         See `ClaimBook.take_made`.
     fleet : callable
-        Returns the processes of the fleet that run now.
+        Returns the processes of the fleet that are running now.
     is_isolated : callable
-        Tells whether no peer answers this node.
+        Returns whether no peer answers this node.
     """
 
     def __init__(
@@ -86,7 +87,7 @@
         own: Holder,
         eras: ClaimEras,
         begin_era: Callable[[int, float, float], list[HeldKey]],
-        take_made: Callable[[float, float], list[MadeClaim]],
+        take_made: Callable[[float, float], list[WrittenClaim]],
         fleet: Callable[[], Iterable[Holder]],
         is_isolated: Callable[[], bool],
         events: EventLog,
@@ -102,119 +103,131 @@
         self._random = random.Random(f"{own.node_id}/{own.incarnation}/claims")
         self._changed = threading.Event()
         self._stopped = False
-        self._era = self._confirmed_era = self._wanted_era = 0
-        # Claims to write in this era; None before they are known.
-        self._due: list[_Restored] | None = None
+        self._era = self._confirmed_era = self._requested_era = 0
+        # Claims to write in this era; None until they have been collected.
+        self._to_rewrite: list[_ClaimRewrite] | None = None
         self._answered_s = -math.inf
-        # The time of the oldest claim that may be gone.
+        # Claims written after this time may be lost.
         self._lost_after_s = math.inf
-        self._told_missing: set[Holder] = set()
+        self._reported_missing: set[Holder] = set()
 
     def run(self) -> None:
-        """Follow the eras until `stop` is called."""
-        look_s = LOOK_FIRST_S
+        """Restore claims in each new era until `stop` is called."""
+        retry_delay_s = RETRY_DELAY_MIN_S
         while not self._stopped:
             now_s = time.monotonic()
             if self.step(now_s):
-                look_s = LOOK_FIRST_S
-                self._changed.wait(IDLE_WAIT_S)
+                retry_delay_s = RETRY_DELAY_MIN_S
+                self._changed.wait(IDLE_INTERVAL_S)
             else:
-                self._changed.wait(look_s * self._random.uniform(0.5, 1.5))
-                look_s = min(2 * look_s, LOOK_MAX_S)
+                self._changed.wait(retry_delay_s * self._random.uniform(0.5, 1.5))
+                retry_delay_s = min(2 * retry_delay_s, RETRY_DELAY_MAX_S)
             if self._changed.is_set():
-                look_s = LOOK_FIRST_S
+                retry_delay_s = RETRY_DELAY_MIN_S
                 self._changed.clear()
 
     def stop(self) -> None:
-        """End `run` soon."""
+        """Make `run` return after its current step."""
         self._stopped = True
         self._changed.set()
 
     def hurry(self) -> None:
-        """Take that the store may be in another era."""
+        """Make `run` check the era of the store now."""
         self._changed.set()
 
     def want(self, era: int) -> None:
-        """Take that callers wait for the claims of an era."""
-        self._wanted_era = max(self._wanted_era, era)
+        """Record that requests wait for an era to be settled."""
+        self._requested_era = max(self._requested_era, era)
         self._changed.set()
 
     def step(self, now_s: float) -> bool:
-        """Do what is due; tell whether to wait for another era, or for callers."""
+        """Restore claims as far as possible now.
+
+        Returns
+        -------
+        bool
+            True if nothing is left to do until a new era begins or a request waits;
+            False if the step has to be tried again.
+        """
         era = self._tables.era
-        self._note_era(era, now_s)
-        self._note_fleet(now_s)
+        self._update_era(era, now_s)
+        self._record_fleet(now_s)
         if self._eras.is_settled(era) and self._confirmed_era >= era:
             return True
-        if self._due is None:
-            self._due = self._gather(era, now_s)
-        if not self._due and self._wanted_era < era:
+        if self._to_rewrite is None:
+            self._to_rewrite = self._collect_claims(era, now_s)
+        if not self._to_rewrite and self._requested_era < era:
             return True
-        if self._confirmed_era < era and not self._restore(self._due, era):
+        if self._confirmed_era < era and not self._write_and_confirm(
+            self._to_rewrite, era
+        ):
             return False
-        return self._eras.is_settled(era) or self._look(era, now_s)
+        return self._eras.is_settled(era) or self._check_settled(era, now_s)
 
-    def _note_era(self, era: int, now_s: float) -> None:
+    def _update_era(self, era: int, now_s: float) -> None:
         self._eras.begin(era, now_s)
         if era > self._era:
-            # When the store last answered it was still in the era before.
+            # At its last answer the store was still in the previous era.
             oldest_s = self._answered_s - COPY_AGE_MAX_S
             self._lost_after_s = min(self._lost_after_s, oldest_s)
-            self._era, self._due = era, None
+            self._era, self._to_rewrite = era, None
         if era <= FIRST_ERA:
-            self._note_confirmed(era)
+            self._set_confirmed(era)
 
-    def _note_confirmed(self, era: int) -> None:
+    def _set_confirmed(self, era: int) -> None:
         self._confirmed_era = era
         self._lost_after_s = math.inf
 
-    def _note_fleet(self, now_s: float) -> None:
+    def _record_fleet(self, now_s: float) -> None:
         self._answered_s = self._tables.answered_s
-        # One that is cut off knows of fewer processes than there are.
+        # An isolated process does not see all processes of the fleet.
         answered_s = -math.inf if self._is_isolated() else self._answered_s
-        self._eras.note_holders([self._own, *self._fleet()], answered_s, now_s)
+        self._eras.record_holders([self._own, *self._fleet()], answered_s, now_s)
 
-    def _gather(self, era: int, now_s: float) -> list[_Restored]:
+    def _collect_claims(self, era: int, now_s: float) -> list[_ClaimRewrite]:
         """Return the claims of this process that the store may have lost."""
         after_s = self._lost_after_s
-        held = self._begin_era(packed_version(era, 0), after_s, now_s)
-        claims = [self._ran_here(one) for one in held]
+        held_keys = self._begin_era(packed_version(era, 0), after_s, now_s)
+        claims = [self._rewrite_after_run(held_key) for held_key in held_keys]
         known = {claim.key for claim in claims}
         claims += [
-            _without_gate(made)
-            for made in self._take_made(after_s, now_s)
-            if made.key not in known
+            _rewrite_without_run(written_claim)
+            for written_claim in self._take_made(after_s, now_s)
+            if written_claim.key not in known
         ]
-        # The last one of a key: an earlier one was moved.
+        # Only the last claim of each key counts: earlier ones were moved.
         return list({claim.key: claim for claim in claims}.values())
 
-    def _restore(self, claims: list[_Restored], era: int) -> bool:
-        """Write claims again, then confirm; False where that failed."""
-        for first in range(0, len(claims), ROWS_PER_WRITE):
-            if not self._write(claims[first : first + ROWS_PER_WRITE], era):
+    def _write_and_confirm(self, claims: list[_ClaimRewrite], era: int) -> bool:
+        """Write claims again, then confirm the era; return False on failure."""
+        for first in range(0, len(claims), CLAIMS_PER_BATCH):
+            if not self._write_batch(claims[first : first + CLAIMS_PER_BATCH], era):
                 return False
-        word = Confirmation(self._own.incarnation, era)
-        if not self._put(self._own.node_id, word, era):
+        confirmation = Confirmation(self._own.incarnation, era)
+        if not self._put(self._own.node_id, confirmation, era):
             return False
-        self._note_confirmed(era)
+        self._set_confirmed(era)
         self._events.emit("claims_restored", era=era, keys=len(claims))
         return True
 
-    def _ran_here(self, held: HeldKey) -> _Restored:
-        stored = StoredClaim(*self._own, held.claimed_s, time.time())
-        return _Restored(claim_key(held.service, held.key), stored, True)
+    def _rewrite_after_run(self, held_key: HeldKey) -> _ClaimRewrite:
+        stored = StoredClaim(*self._own, held_key.claimed_s, time.time())
+        return _ClaimRewrite(claim_key(held_key.service, held_key.key), stored, True)
 
-    def _write(self, claims: list[_Restored], era: int) -> bool:
-        """Write claims that are not in the store; False where that failed."""
+    def _write_batch(self, claims: list[_ClaimRewrite], era: int) -> bool:
+        """Write claims that are not in the store; return False on failure."""
         versions = dict.fromkeys((claim.key for claim in claims), 0)
-        for _ in range(WRITES_PER_BATCH_MAX):
+        for _ in range(BATCH_ATTEMPTS_MAX):
             if not claims:
                 return True
             transaction = Transaction(
-                [Check(CLAIMS_TABLE, one.key, versions[one.key]) for one in claims],
                 [
-                    Put(CLAIMS_TABLE, one.key, msgspec.to_builtins(one.stored))
-                    for one in claims
+                    Check(CLAIMS_TABLE, claim.key, versions[claim.key])
+                    for claim in claims
+                ],
+                [
+                    Put(CLAIMS_TABLE, claim.key, msgspec.to_builtins(claim.stored))
+                    for claim in claims
                 ],
             )
             match self._tables.transact(transaction):
@@ -223,28 +236,32 @@
                 case Result(error=Conflict(rows)):
                     versions = {row.key: row.version for row in rows}
                     found = {row.key: row for row in rows}
-                    claims = [one for one in claims if _is_due(one, found[one.key])]
+                    claims = [
+                        claim
+                        for claim in claims
+                        if _must_write(claim, found[claim.key])
+                    ]
                 case Result(error=error):
                     self._events.emit("claims_unwritten", era=era, cause=error.message)
                     return False
         return False
 
-    def _look(self, era: int, now_s: float) -> bool:
-        """Learn whether the era is settled; say so when it is."""
+    def _check_settled(self, era: int, now_s: float) -> bool:
+        """Return whether the era is settled; settle it once all have confirmed."""
         match self._tables.scan(CLAIM_ERAS_TABLE):
             case Result(tag="ok", ok=rows):
-                words = {row.key: _word(row) for row in rows}
+                confirmations = {row.key: _confirmation(row) for row in rows}
             case Result(error=error):
                 self._events.emit("claims_unread", era=era, cause=error.message)
                 return False
-        settled = words.pop(SETTLED_KEY, None)
+        settled = confirmations.pop(SETTLED_KEY, None)
         if settled is not None and settled.era >= era:
             return self._settle(era)
-        missing = self._eras.missing(words)
-        if self._eras.may_settle(missing, now_s):
-            word = Confirmation(self._own.incarnation, era)
-            return self._put(SETTLED_KEY, word, era) and self._settle(era)
-        self._tell_missing(era, missing)
+        missing = self._eras.missing_holders(confirmations)
+        if self._eras.can_settle(missing, now_s):
+            confirmation = Confirmation(self._own.incarnation, era)
+            return self._put(SETTLED_KEY, confirmation, era) and self._settle(era)
+        self._report_missing(era, missing)
         return False
 
     def _settle(self, era: int) -> bool:
@@ -252,18 +269,20 @@
             return False
         self._eras.settle(era)
         self._events.emit("claims_settled", era=era)
-        self._told_missing = set()
+        self._reported_missing = set()
         return True
 
-    def _tell_missing(self, era: int, missing: set[Holder] | None) -> None:
-        if missing is None or missing <= self._told_missing:
+    def _report_missing(self, era: int, missing: set[Holder] | None) -> None:
+        if missing is None or missing <= self._reported_missing:
             return
-        self._told_missing = missing
-        names = ",".join(sorted(f"{one.node_id}/{one.incarnation}" for one in missing))
+        self._reported_missing = missing
+        names = ",".join(
+            sorted(f"{holder.node_id}/{holder.incarnation}" for holder in missing)
+        )
         self._events.emit("claims_missing", era=era, of=names[:200])
 
-    def _put(self, key: str, word: Confirmation, era: int) -> bool:
-        put = Put(CLAIM_ERAS_TABLE, key, msgspec.to_builtins(word))
+    def _put(self, key: str, confirmation: Confirmation, era: int) -> bool:
+        put = Put(CLAIM_ERAS_TABLE, key, msgspec.to_builtins(confirmation))
         match self._tables.transact(Transaction([], [put])):
             case Result(tag="ok", ok=version):
                 return era_of(version) == era
@@ -272,18 +291,18 @@
         return False
 
 
-def _without_gate(made: MadeClaim) -> _Restored:
-    """Return a claim that the own ingress made, as one that lets nothing run.
+def _rewrite_without_run(written_claim: WrittenClaim) -> _ClaimRewrite:
+    """Return a claim written by this node's ingress, changed so that no gate runs it.
 
-    Its gate may have given it up, or may be gone. One that ran the key puts its own
-    claim in this one's place.
+    The gate that it names may have voided the claim, or may have ended. A gate that
+    ran the key replaces this claim by its own.
     """
-    stored = msgspec.structs.replace(made.stored, incarnation=NO_INCARNATION)
-    return _Restored(made.key, stored, False)
+    stored = msgspec.structs.replace(written_claim.stored, incarnation=NO_INCARNATION)
+    return _ClaimRewrite(written_claim.key, stored, False)
 
 
-def _is_due(claim: _Restored, row: Row) -> bool:
-    """Tell whether a claim still has to be written, given the row that is there."""
+def _must_write(claim: _ClaimRewrite, row: Row) -> bool:
+    """Return whether a claim still has to be written over the row that was found."""
     if row.value is None:
         return True
     present = msgspec.convert(row.value, StoredClaim)
@@ -295,8 +314,8 @@
     return Holder(stored.node_id, stored.incarnation)
 
 
-def _word(row: Row) -> Confirmation | None:
-    """Return a row's value, None where it is missing or not readable."""
+def _confirmation(row: Row) -> Confirmation | None:
+    """Return the confirmation in a row; None if it is missing or unreadable."""
     try:
         return msgspec.convert(row.value, Confirmation)
     except msgspec.ValidationError:
--- a/balsamspindle/requests/claims.py
+++ b/balsamspindle/requests/claims.py
@@ -1,13 +1,13 @@
-"""Who may run the request with an Idempotency-Key: one gate, agreed on.
-
-A gate remembers the keys that it ran, but a caller's resend may come to
-another gate, and two ingresses that see different nodes would choose
-different ones. So the first attempt of a key writes one row into the
-platform's table service: the key's claim names the only gate that may run it,
-with the incarnation of its process. The row is written only while it is
-absent, or, to move the claim, while it still has the version that the old
-gate has declared void by saying 'not run'. No lease and no clock is involved:
-a claim does not lapse while its holder is paused.
+"""Claims, which bind each Idempotency-Key to the one gate that may run it.
+
+A gate remembers the keys that it ran, but a caller may resend a request through
+another ingress, which may see other nodes and choose another gate. The first
+attempt with a key therefore writes a row into the platform's table service: the
+claim, which names the only gate that may run the key and the incarnation of that
+gate's process. The row is written only if it is absent. A claim is moved to another
+gate only if its row still has the version under which the previous gate replied
+'not run'; that gate never runs the key under that version again. No lease or clock
+is involved, so a claim does not expire while its gate is paused.
 """
 
 import threading
@@ -39,7 +39,7 @@
     "ClaimBook",
     "GateIdentity",
     "KeyClaimant",
-    "MadeClaim",
+    "WrittenClaim",
     "StoredClaim",
     "claim_key",
     "note_reply",
@@ -47,19 +47,19 @@
 ]
 
 CLAIMS_TABLE = "claims"
-CALLS_AT_ONCE_MAX = 16
-WRITES_MAX = 2
-# Past a request's time, how long the last look at its claim may take: some calls to a
-# store that answers within milliseconds. Without an answer the caller is told
-# `unknown`, which costs it a resend with the same key.
-LAST_LOOK_S = 0.1
-# Under a claim of this version a gate repeats its answer and runs nothing.
-NOTHING_NEW_VERSION = 0
-MADE_KEPT = 5000
+STORE_CALLS_MAX = 16
+WRITE_ATTEMPTS_MAX = 2
+# Time beyond the request's deadline for the final read of its claim: enough for a few
+# calls to a store that answers within milliseconds. Without an answer the caller gets
+# `unknown` and has to resend with the same key.
+FINAL_READ_TIMEOUT_S = 0.1
+# Under a claim of this version a gate repeats an earlier answer but starts no run.
+REPEAT_ONLY_VERSION = 0
+WRITTEN_CLAIMS_MAX = 5000
 
 
 class GateIdentity(NamedTuple):
-    """One process of a gate, as it named itself."""
+    """A gate's process, identified by its node and the incarnation it announced."""
 
     node_id: str
     incarnation: int
@@ -70,8 +70,11 @@
 
     Attributes
     ----------
+    gate_time_s : float
+        The gate's monotonic clock when the claim was made, or a little less.
     claimed_wall_s : float
-        For whoever removes old rows; decides nothing here.
+        Wall-clock time of the claim, for the removal of old rows. Not used for
+        decisions here.
     """
 
     node_id: str
@@ -80,24 +83,24 @@
     claimed_wall_s: float
 
 
-class MadeClaim(NamedTuple):
+class WrittenClaim(NamedTuple):
     """A claim that this process wrote.
 
     Attributes
     ----------
     key : str
-        Of its row.
-    made_s : float
-        When, on the monotonic clock.
+        Key of the claim's row.
+    written_s : float
+        Monotonic time of the write.
     """
 
     key: str
     stored: StoredClaim
-    made_s: float
+    written_s: float
 
 
 class ClaimBook:
-    """The claims table, asked by a few threads for a bounded time.
+    """Reads and writes the claims table from a few threads, with bounded waits.
 
     Parameters
     ----------
@@ -105,7 +108,7 @@
         None when the node has no platform: no key can be claimed.
     eras : ClaimEras, default=only the first era of the store is settled
     clock : callable, default=time.monotonic
-        Tells the present time.
+        Returns the current time in seconds.
     """
 
     def __init__(
@@ -117,9 +120,9 @@
         self._tables = tables
         self._eras = eras or ClaimEras()
         self._clock = clock
-        self._executor = ThreadPoolExecutor(CALLS_AT_ONCE_MAX, "claims")
+        self._executor = ThreadPoolExecutor(STORE_CALLS_MAX, "claims")
         self._lock = threading.Lock()
-        self._made: deque[MadeClaim] = deque(maxlen=MADE_KEPT)
+        self._written: deque[WrittenClaim] = deque(maxlen=WRITTEN_CLAIMS_MAX)
 
     def write(
         self,
@@ -129,34 +132,35 @@
         gate_time_s: float,
         deadline_s: float,
     ) -> Claim | None:
-        """Claim a key for a gate, unless it changed since `version`.
+        """Claim a key for a gate, unless its row has changed since `version`.
 
         Parameters
         ----------
         version : int
-            0 for a key that nobody has claimed.
+            Expected version of the row; 0 for a key without a claim.
         deadline_s : float
-            How long to wait for the platform, on the monotonic clock.
+            Monotonic time until which to wait for the platform.
 
         Returns
         -------
         Claim or None
-            The claim in force, whoever made it; None when the platform did
-            not say, or may have lost it.
+            The claim in force, possibly written by another process; None when the
+            platform did not answer or may have lost the claim.
         """
-        if not self._waits_until_settled(deadline_s):
+        if not self._wait_until_settled(deadline_s):
             return self.read(key, deadline_s).default_value(None)
         value = StoredClaim(*gate, gate_time_s, time.time())
         claim = self._ask(deadline_s, lambda: self._write(key, version, value))
-        # It may have come back older during the call: what it had lost by then did
-        # not stand against this claim.
+        # The store may have been restored from an older copy during the call. A claim
+        # that it lost could not conflict with this one, so this one is not safe.
         return claim if self._is_settled() else None
 
     def read(self, key: str, deadline_s: float) -> Result[Claim | None, None]:
-        """Return the claim in force, if any; an error when nobody can tell.
+        """Return the claim in force, if any; an error when it can't be determined.
 
-        While claims may be missing, a gate that is asked under one which is there
-        runs nothing new: it may stand in the place of one that was lost.
+        While claims may be missing from the store, a claim that is found may have
+        replaced a lost one. It is returned with `REPEAT_ONLY_VERSION`, so that its
+        gate starts no run under it.
         """
         answer = self._ask(deadline_s, lambda: self._tables.read(CLAIMS_TABLE, [key]))
         match answer:
@@ -168,38 +172,39 @@
             return Ok(claim)
         if claim is None:
             return Error(None)
-        return Ok(claim._replace(version=NOTHING_NEW_VERSION))
+        return Ok(claim._replace(version=REPEAT_ONLY_VERSION))
 
-    def take_made(self, after_s: float, now_s: float) -> list[MadeClaim]:
-        """Return the claims that this process wrote later than that.
+    def take_made(self, after_s: float, now_s: float) -> list[WrittenClaim]:
+        """Return the claims that this process wrote later than `after_s`.
 
-        They are about to be written again, and count as written now.
+        The caller is about to write them again, so their time of writing becomes
+        `now_s`. Claims written earlier are discarded.
         """
         with self._lock:
-            taken = [
-                made._replace(made_s=now_s)
-                for made in self._made
-                if made.made_s > after_s
+            recent = [
+                written_claim._replace(written_s=now_s)
+                for written_claim in self._written
+                if written_claim.written_s > after_s
             ]
-            self._made = deque(taken, MADE_KEPT)
-            return taken
+            self._written = deque(recent, WRITTEN_CLAIMS_MAX)
+            return recent
 
     def _is_settled(self) -> bool:
         return self._tables is None or self._eras.is_settled(self._tables.era)
 
-    def _waits_until_settled(self, deadline_s: float) -> bool:
+    def _wait_until_settled(self, deadline_s: float) -> bool:
         if self._is_settled():
             return True
         now_s = self._clock()
         self._eras.begin(self._tables.era, now_s)
-        return self._eras.wait_settled(self._tables.era, now_s, deadline_s)
+        return self._eras.wait_until_settled(self._tables.era, now_s, deadline_s)
 
     def _ask(self, deadline_s: float, call: Callable):
-        """Make a call in a thread of ours and wait no longer than allowed.
+        """Call the store in a thread of the pool; None if the deadline passes first.
 
-        The platform may hang for longer than the caller waits. A write that
-        takes effect after we gave up harms nobody: the claim it makes is
-        for a gate that may run the key, and a resend will find it.
+        The platform may hang for longer than the caller waits. A write that takes
+        effect after the deadline is harmless: its claim names a gate that may run
+        the key, and a resend finds that claim.
         """
         if self._tables is None:
             return None
@@ -215,14 +220,14 @@
             [Check(CLAIMS_TABLE, key, version)],
             [Put(CLAIMS_TABLE, key, msgspec.to_builtins(value))],
         )
-        for _ in range(WRITES_MAX):
+        for _ in range(WRITE_ATTEMPTS_MAX):
             match self._tables.transact(transaction):
-                case Result(tag="ok", ok=written):
+                case Result(tag="ok", ok=written_version):
                     with self._lock:
-                        self._made.append(MadeClaim(key, value, self._clock()))
-                    return _claim(Row(key, written, msgspec.to_builtins(value)))
+                        self._written.append(WrittenClaim(key, value, self._clock()))
+                    return _claim(Row(key, written_version, msgspec.to_builtins(value)))
                 case Result(error=Conflict(rows)):
-                    # Possibly our own row, from a write whose reply was lost.
+                    # The row may be from the previous try, if its reply was lost.
                     return _claim(rows[0])
                 case Result(error=Unknown()):
                     continue
@@ -231,7 +236,7 @@
 
 
 def claim_key(service: str, key: str) -> str:
-    """Return the key of a claim's row."""
+    """Return the key of a claim's row in `CLAIMS_TABLE`."""
     return f"{service}:{key}"
 
 
@@ -243,14 +248,14 @@
 
 
 class KeyClaimant:
-    """One request's dealings with the claim of its key.
+    """Reads, writes and moves the claim of one request's key.
 
     Parameters
     ----------
     service, key : str
-        A key counts within its service.
+        A key is unique within its service.
     deadline_s : float
-        Of the request, on the monotonic clock.
+        Deadline of the request, on the monotonic clock.
     """
 
     def __init__(
@@ -265,9 +270,9 @@
         self._unavailable = False
 
     def look_up(self) -> None:
-        """Read the key's claim, for a request that has nowhere to go.
+        """Read the key's claim, for a request without a usable backend server.
 
-        The gate that holds the claim can still tell what it ran.
+        The gate named by the claim can still tell whether it ran the key.
         """
         if self._claim is not None or self._unavailable:
             return
@@ -278,13 +283,13 @@
                 self._unavailable = True
 
     def owner(self) -> str | None:
-        """Return the id of the node that the attempt has to go to, if known."""
+        """Return the id of the node that alone may run the key; None if not known."""
         if self._claim is None or self._is_void:
             return None
         return self._claim.node_id
 
     def claim_for(self, gate: GateIdentity, gate_time_s: float) -> Claim | Reason:
-        """Return the claim for an attempt at a gate, or why there is none.
+        """Return the claim for an attempt at a gate, or the reason to make none.
 
         Parameters
         ----------
@@ -304,18 +309,21 @@
             return Reason.CLAIM_MOVED
         return self._claim
 
-    def note(self, reply: Reply) -> None:
-        """Take a gate's own reply to an attempt under the claim."""
+    def record_reply(self, reply: Reply) -> None:
+        """Record the reply of the claim's gate to an attempt.
+
+        After 'not run' the claim is void and may be moved to another gate.
+        """
         if reply.outcome is Outcome.NOT_RUN and reply.reason is not Reason.KEY_REUSED:
             self._is_void = True
 
     def final(self, reply: Reply) -> Reply:
-        """Return what the caller is told.
+        """Return the reply for the caller, with 'not run' only if the key did not run.
 
-        'Not run' is said of the key, not of this attempt alone: a caller
-        that hears it after an earlier 'unknown' would sign again with a
-        fresh key. A claim whose gate refused may have been moved by a resend
-        that runs elsewhere by now, so it is looked at once more.
+        'Not run' applies to the key, not only to this request: a caller that receives
+        it after an earlier 'unknown' would sign again with a new key. After its gate
+        refused, the claim may have been moved by a resend that is running elsewhere,
+        so it is read once more.
         """
         if reply.outcome is not Outcome.NOT_RUN or reply.reason is Reason.KEY_REUSED:
             return reply
@@ -327,15 +335,15 @@
             return reply
         reason = reply.reason
         if reason is Reason.CLAIM_MOVED:
-            # The gate that holds the claim can't be asked.
+            # The gate that the claim names was not reached and may have run the key.
             reason = Reason.DUPLICATE
         return msgspec.structs.replace(reply, outcome=Outcome.UNKNOWN, reason=reason)
 
     def _has_moved(self) -> bool:
-        """Tell whether another request may have moved the claim."""
-        if self._claim.version == NOTHING_NEW_VERSION:
+        """Return whether another request may have moved the claim."""
+        if self._claim.version == REPEAT_ONLY_VERSION:
             return True
-        match self._book.read(self._key, self._deadline_s + LAST_LOOK_S):
+        match self._book.read(self._key, self._deadline_s + FINAL_READ_TIMEOUT_S):
             case Result(tag="ok", ok=Claim(version=version)):
                 return version != self._claim.version
         return True
@@ -347,7 +355,7 @@
     gate: GateIdentity,
     gate_time_s: float,
 ) -> Dispatch | Reply:
-    """Put the key's claim into an attempt; a reply when it must not be made.
+    """Add the key's claim to a dispatch; return a reply if it must not be sent.
 
     Parameters
     ----------
@@ -364,6 +372,6 @@
 
 
 def note_reply(claimant: KeyClaimant | None, reply: Reply) -> None:
-    """Let a request's claim learn from the reply to an attempt."""
+    """Record a gate's reply to an attempt with the claimant, if there is one."""
     if claimant is not None:
-        claimant.note(reply)
+        claimant.record_reply(reply)
--- a/balsamspindle/requests/heads.py
+++ b/balsamspindle/requests/heads.py
@@ -1,8 +1,8 @@
-"""What the head of a caller's request says, and which heads are refused.
+"""Validates the heads of callers' requests and sorts their headers.
 
-llhttp refuses what breaks the framing of one request (two lengths, a length
-together with a transfer coding, bad chunks, control characters). The rules
-here refuse what it lets through and what two readers could take in two ways.
+llhttp rejects errors in the framing of a single request: two lengths, a length together
+with a transfer coding, invalid chunks, control characters. The checks here reject what
+llhttp accepts although two implementations could interpret it differently.
 """
 
 import re
@@ -32,8 +32,8 @@
 
 HEADERS_MAX = 100
 
-# Headers that decide where a request goes, where it ends or how often it
-# runs. Twice, two readers may each believe another one.
+# Headers that decide where a request is routed, where it ends or how often it runs.
+# If one is repeated, two implementations may each use a different value.
 _SINGLE_HEADERS = frozenset(
     {
         "content-length",
@@ -47,9 +47,9 @@
 
 _is_host = re.compile(r"(\[[0-9A-Fa-f:.]+\]|[A-Za-z0-9._-]*)(:[0-9]{1,5})?").fullmatch
 _is_target = re.compile(r"/[!\"$-~]*").fullmatch
-_absolute_target = re.compile(r"https?://([^/?]*)(.*)", re.IGNORECASE).fullmatch
-# A route's prefix decides whether a request may run twice. A backend server
-# that resolves "/read/../sign" would run a request of another route.
+_match_absolute_target = re.compile(r"https?://([^/?]*)(.*)", re.IGNORECASE).fullmatch
+# The route, found by its path prefix, decides whether a request may run twice. A
+# backend server that resolves "/read/../sign" would run a request of another route.
 _has_dot_segment = re.compile(
     r"/(\.|%2e){1,2}(?=[/\\?]|%2f|%5c|$)", re.IGNORECASE
 ).search
@@ -59,7 +59,7 @@
 
 
 class BadRequest(Exception):
-    """A request that can't be taken; the connection ends with its answer."""
+    """A request that is rejected; its connection is closed after the answer."""
 
     def __init__(self, reason: Reason, detail: str) -> None:
         super().__init__(detail)
@@ -68,7 +68,7 @@
 
 
 class RequestHead(NamedTuple):
-    """The head of a request that is taken.
+    """The head of a valid request.
 
     Attributes
     ----------
@@ -77,12 +77,12 @@
     host : str
         Host header; empty when an HTTP/1.0 caller sent none.
     headers : list of tuple of str
-        Those that are passed on.
+        Headers that are passed on to the backend server.
     noted : dict of str to str
-        Headers that the fleet itself reads, by lower-case name.
+        Headers that the proxy itself reads, by lower-case name.
     key_digest : str or None
-        Of the customer's key; empty for what can be no key. The key itself is not
-        kept.
+        Digest of the customer's key; empty if the value can't be a key, None if there
+        is none. The key itself is not kept.
     """
 
     method: str
@@ -94,18 +94,28 @@
 
 
 class _HeaderRules(NamedTuple):
-    """What is done with the headers of a deployment, by lower-case name."""
+    """Lower-case names of headers with special treatment in a deployment.
+
+    Attributes
+    ----------
+    single : frozenset of str
+        Headers that may be given only once.
+    noted : frozenset of str
+        Headers that the proxy itself reads.
+    removed : frozenset of str
+        Headers that are removed before the request is passed on.
+    """
 
     single: frozenset[str]
     noted: frozenset[str]
-    not_passed_on: frozenset[str]
+    removed: frozenset[str]
 
 
 @lru_cache(maxsize=8)
 def _header_rules(names: HeaderNames) -> _HeaderRules:
     single = _SINGLE_HEADERS | {names.timeout_ms.lower(), names.api_key.lower()}
-    # What the fleet sets itself a caller can't set: it would choose the
-    # backend server, or speak for another service.
+    # Headers that the fleet sets itself are not accepted from callers, which could
+    # otherwise choose the backend server or impersonate another service.
     own = {
         name.lower()
         for name in (
@@ -132,7 +142,7 @@
     raw_headers: list[tuple[bytes, bytes]],
     names: HeaderNames = DEFAULT_HEADER_NAMES,
 ) -> RequestHead:
-    """Check a head and sort its headers.
+    """Check a head, and separate the headers to pass on from those read here.
 
     Raises
     ------
@@ -152,13 +162,13 @@
             f"{IDEMPOTENCY_KEY_HEADER} must have 1 to "
             f"{IDEMPOTENCY_KEY_MAX_CHARACTERS} visible ASCII characters.",
         )
-    digest = _digest(noted.pop(names.api_key.lower(), None))
+    digest = _key_digest_or_empty(noted.pop(names.api_key.lower(), None))
     return RequestHead(
         method, _check_target(target, host), host, headers, noted, digest
     )
 
 
-def _digest(key: str | None) -> str | None:
+def _key_digest_or_empty(key: str | None) -> str | None:
     if key is None:
         return None
     try:
@@ -177,9 +187,9 @@
         value = field_value(raw_value)
         lower = name.lower()
         if lower in rules.noted:
-            _note(lower, value, noted, rules.single)
-        # Frameworks that take "_" for "-" would read one of ours.
-        if lower.replace("_", "-") not in rules.not_passed_on:
+            _add_control_header(lower, value, noted, rules.single)
+        # Frameworks that treat "_" as "-" would read it as one of the fleet's headers.
+        if lower.replace("_", "-") not in rules.removed:
             headers.append((name, value))
     if "connection" in noted:
         named = named_by_connection(noted["connection"]) - {"host"}
@@ -187,7 +197,9 @@
     return headers, noted
 
 
-def _note(name: str, value: str, noted: dict[str, str], single: frozenset[str]) -> None:
+def _add_control_header(
+    name: str, value: str, noted: dict[str, str], single: frozenset[str]
+) -> None:
     if name not in noted:
         noted[name] = value
     elif name in single:
@@ -201,8 +213,8 @@
 def _check_framing(version: str, noted: dict[str, str]) -> None:
     coding = noted.get("transfer-encoding")
     if coding is not None and (coding.lower() != "chunked" or version != "1.1"):
-        # A coding that the next reader does not know or ignores ends the
-        # body at another byte for it.
+        # If the next reader ignores the coding or does not know it, the body ends at
+        # another byte for that reader.
         raise BadRequest(
             Reason.BAD_REQUEST,
             "The only transfer coding taken is chunked, with HTTP/1.1.",
@@ -240,7 +252,7 @@
 
 
 def _origin_form(target: str, host: str) -> str:
-    found = _absolute_target(target)
+    found = _match_absolute_target(target)
     if found is None:
         raise BadRequest(
             Reason.BAD_REQUEST, "The request target must start with a slash."
--- a/balsamspindle/requests/http.py
+++ b/balsamspindle/requests/http.py
@@ -1,8 +1,8 @@
-"""Callers' HTTP/1.1: requests read whole, answers written whole.
+"""Reads HTTP/1.1 requests from callers' connections and writes answers to them.
 
-The parser is llhttp (by httptools). A connection is read and written by one
-task. Its socket blocks and the kernel keeps its time limits (SO_RCVTIMEO,
-SO_SNDTIMEO): Python's own would cost a poll before each call.
+The parser is llhttp, through httptools. Each connection is read and written by one
+task. Its socket is in blocking mode, with timeouts set in the kernel (SO_RCVTIMEO and
+SO_SNDTIMEO), because timeouts of Python's sockets cost a poll before each call.
 """
 
 import select
@@ -32,7 +32,7 @@
 
 
 class HttpLimits(NamedTuple):
-    """What one caller may take of this node."""
+    """Limits in size and time for each connection of a caller."""
 
     head_max_bytes: int = 32 * 1024
     body_max_bytes: int = 8 * 1024 * 1024
@@ -49,7 +49,7 @@
     Attributes
     ----------
     is_whole : bool
-        Whether its body has been read, too.
+        Whether the body has been read as well.
     """
 
     method: str = ""
@@ -64,7 +64,7 @@
 
     @property
     def path(self) -> str:
-        """The target without its query."""
+        """The target without its query string."""
         return self.target.partition("?")[0]
 
     def header(self, name: str) -> str | None:
@@ -90,50 +90,51 @@
         self._limits = limits
         self._names = names
         self._complete: deque[CallerRequest] = deque()
-        # A request may be whole and the bytes after it wrong: it is answered
-        # before the connection ends.
-        self._failure: BadRequest | None = None
-        self._head_without_body: RequestHead | None = None
-        self._started = False
-        self._head_done = False
+        # Complete requests before the invalid bytes are still answered.
+        self._parse_error: BadRequest | None = None
+        # Head of a request with an upgrade offer, until a new parser reads its body.
+        self._upgrade_head: RequestHead | None = None
+        self._in_request = False
+        self._head_complete = False
         self._set_timeout(socket.SO_RCVTIMEO, limits.idle_timeout_s)
         self._set_timeout(socket.SO_SNDTIMEO, limits.answer_timeout_s)
         self._parser = httptools.HttpRequestParser(self)
 
     def fileno(self) -> int:
-        """Return the socket's descriptor, to be polled."""
+        """Return the socket's file descriptor, for polling."""
         return self._socket.fileno()
 
     def wait_for_start(self) -> bool:
-        """Wait for a request's first byte; False when none comes.
+        """Wait for the first byte of a request; return False if none arrives.
 
-        Nothing is lost when the connection is closed while this waits.
+        No request is lost if the connection is closed during this wait.
         """
-        if self._complete or self._failure or self._started:
+        if self._complete or self._parse_error or self._in_request:
             return True
         try:
             data = self._socket.recv(RECEIVE_BYTES)
         except BlockingIOError:
             return False
         if data:
-            self._feed(data)
+            self._parse_received(data)
         return bool(data)
 
     def read_request(self) -> CallerRequest | None:
-        """Return the request that has started, whole; None when it is cut off.
+        """Return the current request with its body; None if the caller closes early.
 
         Raises
         ------
         BadRequest
-            When the bytes are no request that we take, or come too slowly.
+            If the request is invalid, exceeds a limit or arrives too slowly.
         """
         request = self.read_head()
         return request if request is None or request.is_whole else self.read_body()
 
     def read_head(self) -> CallerRequest | None:
-        """Return the request that has started, once its head is read.
+        """Return the current request as soon as its head has been read.
 
-        Its body is there as well where it came with the head.
+        The body is included if it arrived together with the head. Returns None if the
+        caller closes early.
 
         Raises
         ------
@@ -148,23 +149,25 @@
     def read_body(self) -> CallerRequest | None:
         """Return the request whose head was read, with its body.
 
+        Returns None if the caller closes early.
+
         Raises
         ------
         BadRequest
         """
         give_up_s = time.monotonic() + self._limits.body_timeout_s
         if not self._complete:
-            self._continue_if_expected()
+            self._send_continue_if_expected()
         while not self._complete:
             if not self._read_more(give_up_s):
                 return None
         return self._complete.popleft()
 
     def caller_gone(self) -> bool:
-        """Tell whether the caller closed the connection; never waits."""
-        # A socket with a timeout waits in recv for data to come, whatever the
-        # flags say: whoever asks would stand still for the idle timeout and
-        # then take a caller that waits for its answer for gone.
+        """Return whether the caller closed the connection, without waiting."""
+        # On a socket with a timeout, recv waits for data even with MSG_DONTWAIT. It
+        # would block for the idle timeout, and a caller that is waiting for its answer
+        # would then be taken for one that has left. Hence the poll.
         poller = select.poll()
         poller.register(self._socket, select.POLLIN)
         if not poller.poll(0):
@@ -177,18 +180,18 @@
             return True
 
     def write(self, data: bytes) -> None:
-        """Write one whole answer.
+        """Write one complete answer.
 
         Raises
         ------
         OSError
-            When the caller is gone or takes the answer too slowly.
+            If the caller has left or reads the answer too slowly.
         """
         sent = self._socket.send(data)
         if sent == len(data):
             return
-        # A caller that takes a byte now and then would hold its task for
-        # ever: each send makes some progress, so the whole has a bound too.
+        # The timeout of the socket restarts with each send. A caller that reads a byte
+        # now and then would occupy its task forever without a limit for the whole.
         give_up_s = time.monotonic() + self._limits.answer_timeout_s
         rest = memoryview(data)[sent:]
         while rest:
@@ -197,23 +200,23 @@
             rest = rest[self._socket.send(rest) :]
 
     def _is_in_body(self) -> bool:
-        return self._started and self._head_done
+        return self._in_request and self._head_complete
 
     def _read_more(self, give_up_s: float) -> bool:
-        """Read and parse what comes next; False when the caller ended."""
-        if self._failure is not None:
-            raise self._failure
+        """Receive and parse more bytes; return False if the caller has closed."""
+        if self._parse_error is not None:
+            raise self._parse_error
         try:
             data = self._receive(give_up_s - time.monotonic())
         finally:
             self._set_timeout(socket.SO_RCVTIMEO, self._limits.idle_timeout_s)
         if data:
-            self._feed(data)
+            self._parse_received(data)
         return bool(data)
 
     def _receive(self, timeout_s: float) -> bytes:
-        # Each receive gets only what is left of the whole time: a caller that
-        # sends a byte now and then would else hold a task for ever.
+        # Each receive may take only the rest of the total time. Otherwise a caller
+        # that sends a byte now and then would occupy its task forever.
         try:
             if timeout_s > 0:
                 self._set_timeout(socket.SO_RCVTIMEO, timeout_s)
@@ -231,39 +234,44 @@
         value = struct.pack("ll", *divmod(micros, 1_000_000))
         self._socket.setsockopt(socket.SOL_SOCKET, option, value)
 
-    def _continue_if_expected(self) -> None:
-        if self._failure is None and self._head.noted.pop("expect", None) is not None:
+    def _send_continue_if_expected(self) -> None:
+        if (
+            self._parse_error is None
+            and self._head.noted.pop("expect", None) is not None
+        ):
             self._socket.send(_CONTINUE)
 
-    def _feed(self, data: bytes) -> None:
-        """Parse what came; what is wrong with it is kept in `_failure`."""
-        if self._started and not self._head_done:
-            # llhttp keeps an unfinished header itself, without a bound.
-            self._unfinished_bytes += len(data)
-        while data and self._failure is None:
-            data = self._parse(data)
-        if self._started and not self._head_done:
-            self._failure = self._failure or self._head_fault(self._unfinished_bytes)
-
-    def _parse(self, data: bytes) -> bytes:
-        """Parse and return what is left, which another parser has to read."""
+    def _parse_received(self, data: bytes) -> None:
+        """Parse received bytes; an error is kept in `_parse_error`."""
+        if self._in_request and not self._head_complete:
+            # llhttp buffers an unfinished header itself, without a limit.
+            self._incomplete_head_bytes += len(data)
+        while data and self._parse_error is None:
+            data = self._parse_until_upgrade(data)
+        if self._in_request and not self._head_complete:
+            self._parse_error = self._parse_error or self._head_size_error(
+                self._incomplete_head_bytes
+            )
+
+    def _parse_until_upgrade(self, data: bytes) -> bytes:
+        """Parse bytes; return the rest if a new parser has to read it."""
         try:
             self._parser.feed_data(data)
         except httptools.HttpParserUpgrade as error:
-            # The offer of another protocol, which a server may pass by.
-            # llhttp stops behind the head that makes it.
+            # The request offers an upgrade to another protocol, which a server may
+            # ignore. llhttp stops after the head of such a request.
             self._parser = httptools.HttpRequestParser(self)
             return self._body_framing() + data[error.args[0] :]
         except httptools.HttpParserError as error:
-            self._failure = _bad_request(error)
+            self._parse_error = _bad_request(error)
         return b""
 
     def _body_framing(self) -> bytes:
-        """Return a head for the body that llhttp has not read.
+        """Return a minimal head that makes a new parser read the body left unread.
 
-        Without it the body would be read as the next request.
+        Without it the body would be parsed as the next request.
         """
-        if self._head_without_body is None:
+        if self._upgrade_head is None:
             return b""
         noted = self._head.noted
         if "transfer-encoding" in noted:
@@ -271,7 +279,7 @@
         length = noted["content-length"].encode()
         return _FRAMING_HEAD + b"Content-Length: " + length + b"\r\n\r\n"
 
-    def _head_fault(self, count: int) -> BadRequest | None:
+    def _head_size_error(self, count: int) -> BadRequest | None:
         if count <= self._limits.head_max_bytes:
             return None
         return BadRequest(
@@ -282,22 +290,22 @@
     # Callbacks of httptools.
 
     def on_message_begin(self) -> None:
-        """Start a request."""
-        self._started = True
-        self._head_done = False
+        """Reset the state for the next request."""
+        self._in_request = True
+        self._head_complete = False
         self._target = b""
         self._raw_headers: list[tuple[bytes, bytes]] = []
         self._head_bytes = 0
-        self._unfinished_bytes = 0
+        self._incomplete_head_bytes = 0
         self._body: list[bytes] = []
         self._body_bytes = 0
 
     def on_url(self, url: bytes) -> None:
-        """Take a part of the target."""
+        """Append a part of the request target."""
         self._target += url
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Take one header."""
+        """Add one header, raising `BadRequest` beyond `HEADERS_MAX`."""
         self._head_bytes += len(name) + len(value) + 4
         self._raw_headers.append((name, value))
         if len(self._raw_headers) > HEADERS_MAX:
@@ -307,14 +315,14 @@
             )
 
     def on_headers_complete(self) -> None:
-        """Take the end of the head."""
-        if self._head_without_body is not None:
-            self._head_without_body = None
-            self._head_done = True
+        """Check the head and create the request, raising `BadRequest` if invalid."""
+        if self._upgrade_head is not None:
+            self._upgrade_head = None
+            self._head_complete = True
             return
-        fault = self._head_fault(self._head_bytes + len(self._target))
-        if fault is not None:
-            raise fault
+        error = self._head_size_error(self._head_bytes + len(self._target))
+        if error is not None:
+            raise error
         parser = self._parser
         method = parser.get_method().decode("latin-1")
         if method == "CONNECT":
@@ -326,8 +334,8 @@
             self._raw_headers,
             self._names,
         )
-        # What comes after the body (trailers) is no part of the head: a
-        # "Host" there would be believed by some readers and not by others.
+        # Trailers after the body are not added to the head. Some implementations would
+        # trust a "Host" there and others would not.
         self._raw_headers = []
         self._keep_alive = (
             parser.should_keep_alive() and parser.get_http_version() == "1.1"
@@ -337,26 +345,26 @@
         self._current = CallerRequest(
             method, target, headers, b"", self._keep_alive, host, noted, key_digest
         )
-        self._head_done = True
+        self._head_complete = True
 
     def on_body(self, body: bytes) -> None:
-        """Take a part of the body."""
+        """Append a part of the body, raising `BadRequest` if it grows too large."""
         self._body_bytes += len(body)
         self._check_body_bytes(self._body_bytes)
         self._body.append(body)
 
     def on_message_complete(self) -> None:
-        """End a request."""
+        """Complete the request, unless its body is left to a new parser."""
         noted = self._head.noted
         has_body = "content-length" in noted or "transfer-encoding" in noted
         if has_body and self._parser.should_upgrade():
-            self._head_without_body = self._head
+            self._upgrade_head = self._head
             return
         self._current.body = b"".join(self._body)
         self._current.is_whole = True
         self._complete.append(self._current)
         self._body = []
-        self._started = False
+        self._in_request = False
 
     def _check_body_bytes(self, count: int) -> None:
         if count > self._limits.body_max_bytes:
--- a/balsamspindle/requests/ingress.py
+++ b/balsamspindle/requests/ingress.py
@@ -1,4 +1,4 @@
-"""Callers' connections: one task each, from accept to close."""
+"""Accepts callers' connections and answers their requests, one task per connection."""
 
 import os
 import random
@@ -20,7 +20,7 @@
 from balsamspindle.requests.forwarding import ForwardedRequest, Forwarder
 from balsamspindle.requests.heads import IDEMPOTENCY_KEY_HEADER, BadRequest
 from balsamspindle.requests.http import CallerRequest, HttpConnection
-from balsamspindle.requests.request_log import RequestLog, since_ms
+from balsamspindle.requests.request_log import RequestLog, elapsed_ms
 from balsamspindle.requests.siblings import SiblingRanks
 from balsamspindle.services.shares import ServiceShares
 from balsamspindle.settings.process import NodeSettings
@@ -32,31 +32,31 @@
 ACCEPT_POLL_S = 0.2
 ACCEPT_FAILED_PAUSE_S = 0.05
 BACKLOG = 512
-START_POLL_S = 0.02
-# Time for the first request of a connection that was open when the node left.
-FIRST_REQUEST_S = 1.0
+READY_POLL_S = 0.02
+# When the node stops, how long it waits for the first request of open connections.
+FIRST_REQUEST_TIMEOUT_S = 1.0
 ERROR_STATUS_MIN = 500
 
-# Of the time for an orderly end, when the last request is taken. Callers are sent
-# elsewhere in the first half of it; what comes later is on its way already, and a
-# request of some seconds still ends in what is left.
-LAST_READ_PART = 0.55
+# Fraction of the shutdown timeout during which requests are still accepted. Callers are
+# sent to other nodes during the first half. Requests that arrive a little later were
+# already on their way, and one that takes some seconds still ends in the time left.
+LAST_REQUEST_FRACTION = 0.55
 
 
 class Ingress:
-    """Takes callers' requests and gives each its one answer.
+    """Receives callers' requests and gives each exactly one answer.
 
     Parameters
     ----------
     on_failure : callable
-        Told the time when a request ends without success.
+        Called with the monotonic time when a request fails.
     customers : CustomerGate, default=one for keys that need no proof
 
     Attributes
     ----------
     caller_service : str
-        The service beside this node, as backend servers are told of the
-        requests that come in here.
+        The service that runs beside this node. Backend servers receive it as the
+        origin of requests that arrive here.
     """
 
     def __init__(
@@ -83,7 +83,7 @@
         self._executor = executor
         self._events = events
         self._log = RequestLog(events, configuration)
-        self._hold_until_s = 0.0
+        self._ready_wait_end_s = 0.0
         self._is_ready: Callable[[], bool] = lambda: True
         self._leaving = threading.Event()
         self._stopped = threading.Event()
@@ -94,7 +94,7 @@
         host, _, port = settings.caller_address.partition(":")
         self._listener = socket.socket()
         self._listener.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-        # Accepted connections inherit it.
+        # Accepted connections inherit the option.
         self._listener.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         self._listener.bind((host, int(port)))
         self._listener.settimeout(ACCEPT_POLL_S)
@@ -105,53 +105,53 @@
         Parameters
         ----------
         ready : callable, default=always
-            Until it returns True connections are refused, for a bounded time.
-            A node that has just started knows no backend servers yet: its
-            callers would be told so while all others could serve them.
+            Connections are refused until this returns True, or for a limited time. A
+            node that has just started knows no backend servers and would reject
+            requests that any other node could serve.
         """
         give_up_s = time.monotonic() + self._settings.start_wait_s
-        self._hold_until_s = time.monotonic() + self._settings.start_hold_s
+        self._ready_wait_end_s = time.monotonic() + self._settings.start_hold_s
         self._is_ready = ready
         while not (ready() or time.monotonic() >= give_up_s or self._stopped.is_set()):
-            time.sleep(START_POLL_S)
+            time.sleep(READY_POLL_S)
         self._listener.listen(BACKLOG)
         self._accepting.set()
         while not self._stopped.is_set():
             self._accept()
-        close_listener(self._listener, self._take)
+        close_listener(self._listener, self._serve_or_refuse)
         self._connections.close_idle()
-        # A connection that was just accepted has its first request on its way.
-        self._connections.wait_for_first_requests(FIRST_REQUEST_S)
-        self._connections.close_idle(first_too=True)
+        # The first request of a newly accepted connection is probably on its way.
+        self._connections.wait_for_first_requests(FIRST_REQUEST_TIMEOUT_S)
+        self._connections.close_idle(include_new=True)
         self._connection_refuser.shutdown()
         self._listener_closed.set()
 
     def leave(self) -> None:
-        """Tell callers, with each answer, to use another connection."""
+        """From now on, close each connection after its next answer."""
         if not self._leaving.is_set():
             self._log.leaving_s = time.monotonic()
         self._leaving.set()
 
     def stop(self) -> None:
-        """Accept no more connections; open ones end after their request."""
+        """Accept no more connections; close each open one after its request."""
         self.leave()
         self._stopped.set()
 
     def accepting(self) -> bool:
-        """Tell whether callers can connect."""
+        """Return whether callers can connect."""
         return self._accepting.is_set() and not self._stopped.is_set()
 
     def ended(self) -> bool:
-        """Tell whether the listener and all connections are closed."""
-        return self._listener_closed.is_set() and not self._connections.open()
+        """Return whether the listener and all connections are closed."""
+        return self._listener_closed.is_set() and not self._connections.open_count()
 
     def callers(self) -> int:
-        """Return the callers whose request was begun and not answered yet."""
-        return self._connections.busy()
+        """Return the number of callers whose request is not answered yet."""
+        return self._connections.busy_count()
 
     def cut(self) -> None:
-        """End the connections that are still open."""
-        self._connections.cut()
+        """Shut down the connections that are still open."""
+        self._connections.shut_down_all()
 
     def _accept(self) -> None:
         try:
@@ -159,14 +159,14 @@
         except TimeoutError:
             return
         except OSError as error:
-            # Out of descriptors, or the caller left at once: the node goes
-            # on with the connections that it has.
+            # The process is out of file descriptors, or the caller left at once. The
+            # node continues to serve its open connections.
             self._events.emit("accept_failed", cause=error)
             time.sleep(ACCEPT_FAILED_PAUSE_S)
             return
-        self._take(connection)
+        self._serve_or_refuse(connection)
 
-    def _take(self, connection: socket.socket) -> None:
+    def _serve_or_refuse(self, connection: socket.socket) -> None:
         if self._connections.admit(connection):
             submit_logged(self._executor, self._events, self._serve, connection)
         else:
@@ -180,11 +180,11 @@
         try:
             self._serve_requests(self._open(connection), connection)
         except OSError:
-            # The caller went away; no request of it waits here.
+            # The caller left, so no request of it is waiting.
             pass
         finally:
             close_politely(connection)
-            self._connections.left(connection)
+            self._connections.remove(connection)
 
     def _open(self, connection: socket.socket) -> HttpConnection:
         return HttpConnection(connection, self._caller_protocol.limits(), self._names)
@@ -202,8 +202,9 @@
                 return
             if request is None:
                 if was_shut:
-                    # A request that crosses the close is never read: its
-                    # caller is told so, where a reset would leave it in doubt.
+                    # A request sent at the moment of the close is never read. This
+                    # answer says so; after a reset its caller couldn't tell whether
+                    # the request ran.
                     self._refuse(caller, self._closing_reason())
                 return
             keep_alive = self._serve_request(caller, request, refused) and not was_shut
@@ -211,22 +212,22 @@
     def _read(
         self, caller: HttpConnection
     ) -> tuple[CallerRequest | None, Refused | None]:
-        """Read a request; one that is refused on its head without its body."""
+        """Read a request, without its body if it is refused on its head."""
         request = caller.read_head()
         if request is None or request.is_whole:
             return request, None
-        self._hold()
+        self._wait_until_ready()
         refused = self._admissions.refuse_on_head(request, time.monotonic())
         if refused is not None:
             return request, refused
         return caller.read_body(), None
 
     def _is_too_late(self) -> bool:
-        """Tell whether most of the time for an orderly end has passed."""
+        """Return whether a leaving node no longer accepts requests."""
         if not self._leaving.is_set():
             return False
         passed_s = time.monotonic() - self._log.leaving_s
-        return passed_s > LAST_READ_PART * self._settings.shutdown_timeout_s
+        return passed_s > LAST_REQUEST_FRACTION * self._settings.shutdown_timeout_s
 
     def _closing_reason(self) -> Reason:
         return Reason.NODE_LEAVING if self._leaving.is_set() else Reason.GAVE_WAY
@@ -234,50 +235,50 @@
     def _serve_request(
         self, caller, request: CallerRequest, refused: Refused | None = None
     ) -> bool:
-        """Answer one request; False when the connection ends with it.
+        """Answer one request; return False if the connection ends with it.
 
         Parameters
         ----------
         refused : Refused or None
-            On its head, before its body came.
+            Set if the request was refused on its head, before its body arrived.
         """
         received_s = time.monotonic()
         request_id = self._caller_protocol.request_id(request)
         content = content_id(request, self._names)
         self._log.received(request_id, request, content)
         if self._is_too_late():
-            # A long one would be broken off when the time for an orderly end
-            # is over, with a backend server at work on it.
+            # A long request would be broken off at the shutdown timeout, while a
+            # backend server is working on it.
             stopping = Refused(Reason.NODE_STOPPING)
-            answer = self._problem(request, request_id, stopping)
+            answer = self._encode_refusal(request, request_id, stopping)
             self._write(caller, request_id, answer)
             return False
-        self._hold()
+        self._wait_until_ready()
         match refused or self._admissions.admit(request, time.monotonic()):
             case Refused() as refused:
-                answer = self._problem(request, request_id, refused)
+                answer = self._encode_refusal(request, request_id, refused)
             case Admitted() as admitted:
                 answer = self._forward(
                     caller, request, request_id, admitted, received_s, content
                 )
-        # Before the answer goes out, like the request's outcome: a caller that has
-        # its answer finds it counted.
+        # Recorded before the answer is sent, like the request's outcome, so that a
+        # caller that has its answer finds the request counted.
         self._events.metrics.record(Hop.INGRESS, time.monotonic() - received_s)
         self._write(caller, request_id, answer)
         return request.keep_alive
 
-    def _hold(self) -> None:
-        """Wait, right after the start, until it is known where requests go."""
-        while time.monotonic() < self._hold_until_s and not self._is_ready():
-            time.sleep(START_POLL_S)
+    def _wait_until_ready(self) -> None:
+        """Wait for a limited time after the start until backend servers are known."""
+        while time.monotonic() < self._ready_wait_end_s and not self._is_ready():
+            time.sleep(READY_POLL_S)
 
-    def _settle_keep_alive(self, request: CallerRequest) -> bool:
-        """Decide as late as can be whether the connection goes on.
+    def _decide_keep_alive(self, request: CallerRequest) -> bool:
+        """Decide whether the connection is kept open, right before the answer.
 
-        Behind a body that was not read nobody can tell where a request begins.
+        After an unread body, the start of the next request can't be determined.
         """
-        goes_on = request.is_whole and not self._leaving.is_set()
-        request.keep_alive = request.keep_alive and goes_on
+        can_continue = request.is_whole and not self._leaving.is_set()
+        request.keep_alive = request.keep_alive and can_continue
         return request.keep_alive
 
     def _forward(
@@ -289,8 +290,8 @@
         except BadRequest as error:
             self._admissions.give_back(admitted)
             refused = Refused(error.reason)
-            return self._problem(request, request_id, refused, error.detail)
-        # The backend server's log can be matched with the time line.
+            return self._encode_refusal(request, request_id, refused, error.detail)
+        # Lets the backend server's log be matched with the event log.
         request.headers.append((self._names.request_id, request_id))
         route = self._shares.choose(route)
         deadline_s = received_s + timeout_ms / 1000
@@ -309,8 +310,8 @@
         )
         reply = self._forwarder.forward(forwarded)
         if reply.outcome is not Outcome.ANSWERED or reply.status >= ERROR_STATUS_MIN:
-            # Before the answer goes out: its caller may be the backend server
-            # beside this node, which fails in turn a moment later.
+            # Reported before the answer is sent: the caller may be the backend server
+            # beside this node, whose own request fails as a result a moment later.
             self._on_failure(time.monotonic())
         if reply.outcome is Outcome.NOT_RUN:
             self._admissions.give_back(admitted)
@@ -324,16 +325,16 @@
             attempts=forwarded.attempts,
             sends=forwarded.sends,
             left_ms=round((forwarded.deadline_s - time.monotonic()) * 1000),
-            after_cut_ms=since_ms(forwarded.cut_s),
+            after_cut_ms=elapsed_ms(forwarded.cut_s),
             stopped_by=None if forwarded.cut_s is None else forwarded.stopped_by,
             customer=admitted.name or None,
         )
         self._events.metrics.count_outcome(route.service, reply.outcome.value)
         return self._caller_protocol.encode_reply(
-            reply, request, request_id, self._settle_keep_alive(request)
+            reply, request, request_id, self._decide_keep_alive(request)
         )
 
-    def _problem(
+    def _encode_refusal(
         self, request, request_id, refused: Refused, detail: str | None = None
     ) -> bytes:
         reason, retry_after_ms, customer, allow = refused
@@ -342,7 +343,7 @@
             reason,
             Outcome.NOT_RUN,
             request_id,
-            self._settle_keep_alive(request),
+            self._decide_keep_alive(request),
             request.method == "HEAD",
             detail,
             allow,
@@ -350,7 +351,7 @@
         )
 
     def _refuse(self, caller, reason: Reason, detail: str | None = None) -> None:
-        """Answer what is no request, and end the connection."""
+        """Send a refusal that does not refer to a valid request."""
         request_id = new_request_id()
         self._log.ended(request_id, Outcome.NOT_RUN, reason)
         answer = self._caller_protocol.encode_problem(
--- a/balsamspindle/requests/request_log.py
+++ b/balsamspindle/requests/request_log.py
@@ -1,4 +1,4 @@
-"""What the log tells of callers' requests."""
+"""Event-log entries for callers' requests."""
 
 import time
 
@@ -7,18 +7,18 @@
 from balsamspindle.settings.tree import CurrentConfiguration
 from balsamspindle.timeline import EventLog
 
-__all__ = ["RequestLog", "since_ms"]
+__all__ = ["RequestLog", "elapsed_ms"]
 
 LOGGED_PATH_MAX = 256
 
 
 class RequestLog:
-    """Tells when requests come, how they end, and what was not delivered.
+    """Logs received requests, their outcomes, and answers that were not delivered.
 
     Attributes
     ----------
     leaving_s : float or None
-        When this node began to leave.
+        Monotonic time at which this node began to leave.
     """
 
     def __init__(self, events: EventLog, configuration: CurrentConfiguration) -> None:
@@ -26,14 +26,16 @@
         self._configuration = configuration
         self.leaving_s: float | None = None
 
-    def received(self, request_id: str, request: CallerRequest, content: int) -> None:
-        """Tell of a request; its content is known once its body was read."""
+    def received(
+        self, request_id: str, request: CallerRequest, content_id: int
+    ) -> None:
+        """Log a request, with its content id if its body has been read."""
         self._events.emit(
             "request_received",
             request=request_id,
             method=request.method,
             path=request.path[:LOGGED_PATH_MAX],
-            content=f"{content:016x}" if request.is_whole else None,
+            content=f"{content_id:016x}" if request.is_whole else None,
         )
 
     def ended(
@@ -42,9 +44,9 @@
         outcome: Outcome,
         reason: Reason | None,
         status: int | None = None,
-        **decided,
+        **decisions,
     ) -> None:
-        """Tell how a request ended, with what was decided for it."""
+        """Log the outcome of a request; `decisions` becomes fields of the event."""
         self._events.emit(
             "request_ended",
             request=request_id,
@@ -52,15 +54,15 @@
             cause=reason,
             status=status or None,
             settings_revision=self._configuration.revision,
-            leaving_ms=since_ms(self.leaving_s),
-            **decided,
+            leaving_ms=elapsed_ms(self.leaving_s),
+            **decisions,
         )
 
     def not_delivered(self, request_id: str, error: OSError) -> None:
-        """Tell that a caller did not get its answer: what was done stays done."""
+        """Log that a caller did not get its answer; the request is not undone."""
         self._events.emit("answer_not_delivered", request=request_id, cause=error)
 
 
-def since_ms(began_s: float | None) -> int | None:
-    """Return the time since a moment; None where there was none."""
+def elapsed_ms(began_s: float | None) -> int | None:
+    """Return the milliseconds since `began_s`; None if that is None."""
     return None if began_s is None else round((time.monotonic() - began_s) * 1000)
--- a/tests/test_claim_schedules.py
+++ b/tests/test_claim_schedules.py
@@ -87,7 +87,7 @@
                 self.gate_handles(gate, dispatch)
                 return reply(Outcome.UNKNOWN, Reason.SILENCE)
         got = self.gate_handles(gate, dispatch)
-        claimant.note(got)
+        claimant.record_reply(got)
         return got
 
     def come_late(self) -> None:
--- a/tests/test_claims.py
+++ b/tests/test_claims.py
@@ -95,9 +95,9 @@
     def test_a_claim_moves_only_after_its_gate_said_not_run(self):
         claimant = self._claimant()
         claimant.claim_for(HERE, 5.0)
-        claimant.note(reply(Outcome.UNKNOWN, Reason.SILENCE))
+        claimant.record_reply(reply(Outcome.UNKNOWN, Reason.SILENCE))
         self.assertIs(Reason.CLAIM_MOVED, claimant.claim_for(THERE, 5.0))
-        claimant.note(reply(Outcome.NOT_RUN, Reason.DRAINING))
+        claimant.record_reply(reply(Outcome.NOT_RUN, Reason.DRAINING))
         self.assertIsNone(claimant.owner())
         self.assertEqual(("there", 1, 2, 6.0), claimant.claim_for(THERE, 6.0))
 
@@ -105,7 +105,7 @@
         first, second = self._claimant(), self._claimant()
         for claimant in (first, second):
             claimant.claim_for(HERE, 5.0)
-            claimant.note(reply(Outcome.NOT_RUN, Reason.DRAINING))
+            claimant.record_reply(reply(Outcome.NOT_RUN, Reason.DRAINING))
         self.assertEqual(2, first.claim_for(THERE, 6.0).version)
         self.assertIs(Reason.CLAIM_MOVED, second.claim_for(HERE, 7.0))
         self.assertEqual("there", second.owner())
@@ -118,10 +118,10 @@
         first, resend = self._claimant(), self._claimant()
         first.claim_for(HERE, 5.0)
         self.assertIs(Reason.CLAIM_MOVED, resend.claim_for(THERE, 5.0))
-        first.note(reply(Outcome.NOT_RUN, Reason.DRAINING))
+        first.record_reply(reply(Outcome.NOT_RUN, Reason.DRAINING))
         self.assertEqual("there", first.claim_for(THERE, 6.0).node_id)
         refused = reply(Outcome.NOT_RUN, Reason.CLAIM_MOVED)
-        resend.note(refused)
+        resend.record_reply(refused)
         final = resend.final(refused)
         self.assertEqual(
             (Outcome.UNKNOWN, Reason.DUPLICATE), (final.outcome, final.reason)
@@ -131,7 +131,7 @@
         refused = reply(Outcome.NOT_RUN, Reason.DRAINING)
         claimant = self._claimant()
         claimant.claim_for(HERE, 5.0)
-        claimant.note(refused)
+        claimant.record_reply(refused)
         self.assertIs(Outcome.NOT_RUN, claimant.final(refused).outcome)
         # Nobody can tell whether a resend has moved it.
         self.tables.faults = ["down"]
@@ -241,7 +241,7 @@
                 self.gate_handles(name, dispatch)
                 return reply(Outcome.UNKNOWN, Reason.SILENCE)
         got = self.gate_handles(name, dispatch)
-        claimant.note(got)
+        claimant.record_reply(got)
         return got
 
     def gate_handles(self, name: str, dispatch: Dispatch) -> Reply:
--- a/tests/test_claims_restored.py
+++ b/tests/test_claims_restored.py
@@ -180,61 +180,61 @@
     def _eras(self, *holders) -> ClaimEras:
         eras = ClaimEras()
         eras.begin(1, 0.0)
-        eras.note_holders(holders, 0.0, 0.0)
+        eras.record_holders(holders, 0.0, 0.0)
         return eras
 
     def test_who_ended_shortly_before_the_era_is_missing(self):
         here, gone = Holder("here", 1), Holder("gone", 1)
         eras = self._eras(here, gone)
-        eras.note_holders([here, Holder("gone", 2)], 50.0, 50.0)
+        eras.record_holders([here, Holder("gone", 2)], 50.0, 50.0)
         eras.begin(2, 55.0)
         words = {"here": Confirmation(1, 2), "gone": Confirmation(2, 2)}
-        self.assertEqual({gone}, eras.missing(words))
+        self.assertEqual({gone}, eras.missing_holders(words))
 
     def test_who_ended_before_any_copy_is_not_missing(self):
         here, gone = Holder("here", 1), Holder("gone", 1)
         eras = self._eras(here, gone)
-        eras.note_holders([here], 61.0, 61.0)
+        eras.record_holders([here], 61.0, 61.0)
         eras.begin(2, 62.0)
-        self.assertEqual(set(), eras.missing({"here": Confirmation(1, 2)}))
+        self.assertEqual(set(), eras.missing_holders({"here": Confirmation(1, 2)}))
 
     def test_who_ended_since_the_last_answer_of_the_store_is_missing(self):
         # Guards against a process that was cut off and forgets who held claims.
         here, gone = Holder("here", 1), Holder("gone", 1)
         eras = self._eras(here, gone)
-        eras.note_holders([here], 30.0, 500.0)
+        eras.record_holders([here], 30.0, 500.0)
         eras.begin(2, 501.0)
-        self.assertEqual({gone}, eras.missing({"here": Confirmation(1, 2)}))
+        self.assertEqual({gone}, eras.missing_holders({"here": Confirmation(1, 2)}))
 
     def test_who_starts_in_an_era_does_not_know_who_is_missing(self):
         eras = ClaimEras()
-        eras.note_holders([Holder("here", 1)], 0.0, 0.0)
+        eras.record_holders([Holder("here", 1)], 0.0, 0.0)
         eras.begin(2, 50.0)
-        self.assertIsNone(eras.missing({"here": Confirmation(1, 2)}))
+        self.assertIsNone(eras.missing_holders({"here": Confirmation(1, 2)}))
 
     def test_who_has_just_started_does_not_know_its_fleet(self):
         eras = self._eras(Holder("here", 1))
         eras.begin(2, claim_eras.FLEET_KNOWN_AFTER_S - 0.1)
-        self.assertIsNone(eras.missing({"here": Confirmation(1, 2)}))
+        self.assertIsNone(eras.missing_holders({"here": Confirmation(1, 2)}))
 
     def test_who_was_missing_stays_so_over_the_next_era(self):
         here, gone = Holder("here", 1), Holder("gone", 1)
         eras = self._eras(here, gone)
         eras.begin(2, 50.0)
-        eras.note_holders([here], 111.0, 111.0)
+        eras.record_holders([here], 111.0, 111.0)
         eras.begin(3, 112.0)
-        self.assertEqual({gone}, eras.missing({"here": Confirmation(1, 3)}))
+        self.assertEqual({gone}, eras.missing_holders({"here": Confirmation(1, 3)}))
 
     def test_a_process_that_outbid_old_news_of_itself_confirms(self):
         # Guards against an era that one node's higher incarnation leaves unsettled.
         eras = self._eras(Holder("here", 3))
         eras.begin(2, 50.0)
-        self.assertEqual(set(), eras.missing({"here": Confirmation(2, 2)}))
+        self.assertEqual(set(), eras.missing_holders({"here": Confirmation(2, 2)}))
 
     def test_a_request_in_doubt_is_told_at_once(self):
         eras = self._eras(Holder("here", 1))
         eras.begin(2, 50.0)
         now_s = 50.1 + claim_eras.RESTORE_WAIT_S
         started_s = time.monotonic()
-        self.assertFalse(eras.wait_settled(2, now_s, now_s + 60.0))
+        self.assertFalse(eras.wait_until_settled(2, now_s, now_s + 60.0))
         self.assertLess(time.monotonic() - started_s, claim_eras.RESTORE_WAIT_S)
