--- a/tests/test_caller_connections.py
+++ b/tests/test_caller_connections.py
@@ -1,4 +1,4 @@
-"""Callers' connections: slow ones, bounded ones, and those of a leaving node."""
+"""Callers' connections: slow callers, the connection limit, and a leaving node."""
 
 import threading
 import time
@@ -12,28 +12,29 @@
 from tests.utils import wait_until
 
 HEAD_BEGUN_S = 0.2
-# Of one second for an orderly end, more than the part in which requests are taken.
+# With a shutdown timeout of one second, later than requests are still accepted.
 LATE_S = 0.7
 
 
 class SlowCallerTests(TestCase):
-    def test_a_head_that_dribbles_in_ends_with_408(self):
-        # A caller sends a byte now and then, for ever. Each byte restarts a
-        # plain socket timeout, so a few hundred such callers hold all places.
+    def test_a_head_that_trickles_in_ends_with_408(self):
+        # Guards against callers that occupy a connection forever by sending a byte now
+        # and then: each byte restarts a plain socket timeout, so a few hundred such
+        # callers would use up all connections.
         fixture = IngressFixture(request_head_timeout_s=0.4)
         self.addCleanup(fixture.close)
         caller = fixture.caller().send(b"GET /con")
         stop = threading.Event()
 
-        def dribble():
+        def trickle():
             while not stop.wait(0.05):
                 caller.send(b"x")
 
-        dribbling = threading.Thread(target=dribble)
-        dribbling.start()
+        trickling = threading.Thread(target=trickle)
+        trickling.start()
         answer = caller.read()
         stop.set()
-        dribbling.join()
+        trickling.join()
         self.assertEqual((408, "not_run"), (answer.status, answer.json()["outcome"]))
 
     def test_a_body_that_does_not_come_ends_with_408(self):
@@ -43,17 +44,17 @@
         self.assertEqual(408, caller.read().status)
         self.assertEqual([], fixture.forwarder.forwarded)
 
-    def test_an_idle_connection_ends_without_noise(self):
+    def test_an_idle_connection_ends_without_an_error_in_the_log(self):
         fixture = IngressFixture(connection_idle_timeout_s=0.2)
         self.addCleanup(fixture.close)
         caller = fixture.caller().send(GET)
         caller.read()
         self.assertTrue(caller.at_end())
-        # By its fields: the digits of a clock may spell any status.
+        # Matches whole fields, since "408" may occur among the digits of a timestamp.
         self.assertNotIn("status=408", fixture.logged())
         self.assertNotIn("request_timeout", fixture.logged())
 
-    def test_an_answer_that_nobody_takes_is_told_in_the_log(self):
+    def test_an_answer_that_is_not_delivered_is_logged(self):
         fixture = IngressFixture()
         self.addCleanup(fixture.close)
         fixture.forwarder.hold.clear()
@@ -69,14 +70,14 @@
 
 class LateRequestTests(TestCase):
     def test_a_request_read_late_by_a_leaving_node_is_refused_as_not_run(self):
-        # A node was told to leave, and three seconds later a request comes on a
-        # connection that was accepted before. Sent on, a long one was broken
-        # off when the time for an orderly end was over, with a backend server
-        # at work on it; refused, its caller may go elsewhere at once.
+        # A node that has been leaving for a while receives a request on a connection
+        # accepted before. If it forwarded a long request, the request would be broken
+        # off at the shutdown timeout while a backend server works on it. After a
+        # refusal, the caller can use another node at once.
         fixture = IngressFixture(shutdown_timeout_s=1.0)
         self.addCleanup(fixture.close)
         caller = fixture.caller().send(GET[:-2])
-        # Its first bytes make the connection a busy one, which is not closed.
+        # After its first bytes the connection is busy and is not closed.
         time.sleep(HEAD_BEGUN_S)
         fixture.ingress.stop()
         time.sleep(LATE_S)
@@ -90,9 +91,11 @@
 
 
 class LeavingNodeTests(TestCase):
-    def test_a_request_that_ends_on_a_leaving_node_tells_since_when_it_leaves(self):
-        # One request ends before the node is told to leave, one after it. The
-        # run of the second was cut before: its line tells both times.
+    def test_a_request_that_ends_on_a_leaving_node_logs_how_long_it_has_been_leaving(
+        self,
+    ):
+        # One request ends before the node starts to leave and one after it. The run of
+        # the second was cut before, so its log line has both times.
         fixture = IngressFixture()
         self.addCleanup(fixture.close)
         fixture.caller().send(GET).read()
@@ -124,9 +127,9 @@
         self.fixture = IngressFixture(connections_max=2)
         self.addCleanup(self.fixture.close)
 
-    def test_an_idle_connection_gives_way_and_a_busy_one_does_not(self):
-        # All places are taken by connections that callers keep open. Without
-        # giving way a new caller is refused although no request runs.
+    def test_an_idle_connection_is_closed_for_a_new_one_and_a_busy_one_is_not(self):
+        # Guards against refusing a new caller while no request runs, only because
+        # callers keep idle connections open up to the limit.
         idle = self.fixture.caller().send(GET)
         idle.read()
         self.fixture.forwarder.hold.clear()
@@ -134,7 +137,7 @@
         wait_until(lambda: len(self.fixture.forwarder.forwarded) == 2, "one is busy")
         newcomer = self.fixture.caller().send(GET)
         wait_until(lambda: len(self.fixture.forwarder.forwarded) == 3, "both are busy")
-        self.assertEqual((408, "gave_way"), _told(idle))
+        self.assertEqual((408, "gave_way"), _refusal(idle))
         refused = self.fixture.caller().send(GET)
         answer = refused.read()
         self.assertEqual((503, "1"), (answer.status, answer.one("retry-after")))
@@ -143,15 +146,15 @@
         self.assertEqual([200, 200], [busy.read().status, newcomer.read().status])
 
     def test_stopping_ends_idle_connections_and_answers_busy_ones(self):
-        # A connection that a caller keeps open for later would hold the
-        # process until its idle timeout, long after the shutdown's bound.
+        # Guards against idle connections that keep the process alive until their idle
+        # timeout, long after the shutdown timeout.
         idle = self.fixture.caller().send(GET)
         idle.read()
         self.fixture.forwarder.hold.clear()
         busy = self.fixture.caller().send(GET)
         wait_until(lambda: len(self.fixture.forwarder.forwarded) == 2, "one is busy")
         self.fixture.ingress.stop()
-        self.assertEqual((408, "node_leaving"), _told(idle))
+        self.assertEqual((408, "node_leaving"), _refusal(idle))
         self.assertFalse(self.fixture.ingress.ended())
         self.fixture.forwarder.hold.set()
         self.assertEqual("close", busy.read().one("connection"))
@@ -160,7 +163,7 @@
         wait_until(self.fixture.ingress.ended, "all are answered")
 
 
-def _told(caller) -> tuple[int, str]:
+def _refusal(caller) -> tuple[int, str]:
     answer = caller.read()
     assert caller.at_end()
     caller.close()
--- a/tests/test_caller_gone.py
+++ b/tests/test_caller_gone.py
@@ -1,4 +1,4 @@
-"""A caller that leaves: its backend server hears so, near and far."""
+"""When a caller leaves, the connection to its backend server is closed."""
 
 import json
 import socket
@@ -16,7 +16,7 @@
         "service": SERVICE,
         "execution": "non_idempotent",
         "methods": ["POST"],
-        # No deadline helps: what ends the call is the caller's leaving.
+        # So long that only the caller's leaving can end the call.
         "timeout_ms": 600_000,
     },
 }
@@ -35,7 +35,7 @@
         self.fleet.wait_ready([self.gate, self.ingress], ["contract"])
 
     def _answer(self, number):
-        """Answer probes; let a signature wait until its connection ends."""
+        """Answer probes; let a signature request wait until its connection ends."""
         if self.server.requests[number - 1].startswith(b"GET"):
             return length_answer(b"{}"), False
         return None, False
@@ -58,9 +58,10 @@
         )
 
     def test_the_backend_servers_connection_ends_when_the_caller_leaves(self):
-        # The caller closes while its signature is at the backend server. At
-        # the node of that backend server no thread is left to look at the
-        # caller; at another node the news has to go over a link.
+        # The caller closes while the backend server works on its request. On the node
+        # of that backend server the task of the caller is busy with the call, so
+        # another thread has to check the caller. From another node, the cancellation
+        # has to go over a link.
         for number, node in enumerate((self.gate, self.ingress), 1):
             host, _, port = node.caller_address.partition(":")
             with socket.create_connection((host, int(port))) as caller:
@@ -78,10 +79,10 @@
                 f"the connection ends, caller at {node.settings['node_id']}",
             )
 
-    def test_the_gate_tells_whose_caller_left(self):
-        # Two runs are cut at one gate: the caller of one was connected to the
-        # gate's own node, whose caller watch saw it go; that of the other to
-        # another node, which told the gate over a link.
+    def test_the_gate_reports_whether_its_own_caller_left(self):
+        # Two runs are cut at one gate. The caller of the first is connected to the
+        # gate's own node, whose `CallerWatch` detects that it left. The caller of the
+        # second is connected to another node, which notifies the gate over a link.
         for number, node in enumerate((self.gate, self.ingress), 1):
             self._leave_a_signature(node, number)
         wait_until(lambda: len(self._cuts()) == 2, "both runs are told as cut")
--- a/tests/test_caller_side.py
+++ b/tests/test_caller_side.py
@@ -1,4 +1,4 @@
-"""What callers may send, and what they get for it: raw bytes to an ingress."""
+"""Answers of an ingress to valid and invalid requests, sent as raw bytes."""
 
 from hypothesis import given, settings
 from hypothesis import strategies as st
@@ -86,10 +86,10 @@
         self.addCleanup(self.fixture.close)
 
     def test_a_request_that_can_be_read_in_two_ways_is_refused(self):
-        # Two readers on the way disagree where a request ends: the rest of
-        # one caller's body is served as the next caller's request. So each
-        # such shape gets one clear answer, and the connection ends: nothing
-        # behind the shape is ever read as a request.
+        # Guards against request smuggling: if two implementations on the way disagree
+        # where a request ends, the rest of one caller's body is served as the next
+        # caller's request. Each such request gets one answer and ends its connection,
+        # so that no bytes after it are read as a request.
         for name, (status, data) in REFUSED.items():
             follower = b"" if name == "endless header" else GET
             caller = self.fixture.caller().send(data + follower)
@@ -103,12 +103,12 @@
             caller.close()
         self.assertEqual([], self.fixture.forwarder.forwarded)
 
-    def test_what_is_whole_before_a_bad_request_is_answered_first(self):
+    def test_complete_requests_before_a_bad_one_are_answered_first(self):
         caller = self.fixture.caller().send(GET + GET + b"nonsense\r\n\r\n")
         self.assertEqual([200, 200, 400], [caller.read().status for _ in range(3)])
         self.assertTrue(caller.at_end())
 
-    def test_a_request_with_a_wrong_time_is_told_so_and_the_next_is_served(self):
+    def test_a_request_with_an_invalid_timeout_is_rejected_and_the_next_is_served(self):
         caller = self.fixture.caller()
         for value in (b"soon", b"-1", b"0", b"nan", b"1e9", b"1_0", b""):
             header = b"Host: a\r\nX-Request-Timeout-Ms: " + value
@@ -118,12 +118,12 @@
             )
         self.assertEqual(200, caller.send(GET).read().status)
 
-    def test_a_405_names_the_methods_that_are_taken(self):
+    def test_a_405_names_the_allowed_methods(self):
         answer = self.fixture.caller().send(GET.replace(b"GET", b"PUT")).read()
         self.assertEqual((405, "GET, HEAD, POST"), (answer.status, answer.one("allow")))
 
 
-class TakenRequestTests(TestCase):
+class AcceptedRequestTests(TestCase):
     def setUp(self):
         super().setUp()
         self.fixture = IngressFixture()
@@ -159,7 +159,7 @@
         )
         self.assertEqual("/contracts?x", answer.json()["target"])
 
-    def test_an_offer_to_upgrade_is_passed_by(self):
+    def test_an_offer_to_upgrade_is_ignored(self):
         offer = b"Connection: Upgrade, HTTP2-Settings\r\nUpgrade: h2c"
         caller = self.fixture.caller()
         caller.send(post(offer + b"\r\nContent-Length: 1", b"x") * 2 + GET)
@@ -174,7 +174,7 @@
         self.assertEqual("close", caller.read().one("connection"))
         self.assertTrue(caller.at_end())
 
-    def test_headers_of_one_connection_stop_here(self):
+    def test_hop_by_hop_headers_are_not_passed_on(self):
         headers = (
             b"Host: a\r\nConnection: X-Hop, keep-alive\r\nX-Hop: 1\r\nTE: trailers\r\n"
             b"Keep-Alive: 5\r\nX-Balsamspindle-Outcome: not_run\r\nX-End: 2"
@@ -186,9 +186,9 @@
         answer = [("Connection", "x-a"), ("X-A", "1"), ("X-B", "2"), ("Upgrade", "h2c")]
         self.assertEqual([("X-B", "2")], end_to_end_headers(answer))
 
-    def test_a_backend_server_can_not_speak_for_the_fleet(self):
-        # A sick or hostile backend server adds our own headers to its answer;
-        # a caller that believed "not_run" would send the request again.
+    def test_a_backend_server_can_not_set_headers_of_the_fleet(self):
+        # A faulty or hostile backend server adds the fleet's own headers to its answer.
+        # A caller that trusted its "not_run" would send the request again.
         self.fixture.forwarder.headers = [
             ("x-balsamspindle-outcome", "not_run"),
             ("X-Request-Id", "forged"),
@@ -200,7 +200,7 @@
         self.assertNotEqual("forged", answer.one("x-request-id"))
         self.assertEqual("/contracts/7", answer.json()["target"])
 
-    def test_a_request_id_is_kept_where_it_is_harmless(self):
+    def test_a_valid_request_id_is_kept(self):
         for given_id, kept in (
             (b"job-7.a:B_c", True),
             (b"a b", False),
@@ -210,7 +210,7 @@
             answer = self.fixture.caller().send(get(headers=header)).read()
             self.assertEqual(kept, answer.one("x-request-id") == given_id.decode())
 
-    def test_a_callers_time_shrinks_the_routes_time_and_never_grows_it(self):
+    def test_a_callers_timeout_can_shorten_the_routes_and_not_lengthen_it(self):
         caller = self.fixture.caller()
         for asked in (b"50", b"999999"):
             header = b"Host: a\r\nX-Request-Timeout-Ms: " + asked
@@ -220,13 +220,13 @@
 
 
 class ScriptedSocket:
-    """Gives out pieces of a byte stream, as the network might cut it."""
+    """Returns a byte stream in pieces, as the network might split it."""
 
     def __init__(self, pieces):
         self.pieces = list(pieces)
 
     def setsockopt(self, *_):
-        """Timeouts play no part here."""
+        """Ignore timeouts."""
 
     def recv(self, *_):
         return self.pieces.pop(0) if self.pieces else b""
@@ -264,7 +264,7 @@
 class SplitStreamTests(TestCase):
     @settings(derandomize=True, max_examples=300, deadline=None)
     @given(st.sampled_from(STREAMS), st.lists(st.integers(1, 60), max_size=60))
-    def test_however_the_stream_is_cut_the_requests_are_the_same(self, stream, cuts):
+    def test_however_the_stream_is_split_the_requests_are_the_same(self, stream, cuts):
         pieces, rest = [], stream
         for length in cuts:
             pieces.append(rest[:length])
@@ -272,16 +272,16 @@
         pieces = [piece for piece in [*pieces, rest] if piece]
         self.assertEqual(read_all([stream]), read_all(pieces))
 
-    def test_the_streams_hold_what_they_are_meant_to(self):
+    def test_each_stream_holds_the_expected_requests(self):
         counts = [len(read_all([stream])) for stream in STREAMS]
         self.assertEqual([3, 2, 2, 2, 2, 2], counts)
         self.assertEqual(Reason.BODY_TOO_LARGE, read_all([STREAMS[5]])[1])
 
 
 class WholeFleetTests(TestCase):
-    def test_what_an_ingress_refuses_never_runs_and_what_it_takes_runs_whole(self):
-        # Through real processes: a body in chunks is signed once and whole, a
-        # request of two lengths not at all, whatever stands behind it.
+    def test_a_refused_request_never_runs_and_an_accepted_one_runs_whole(self):
+        # With real processes: a request with a chunked body runs once, with the whole
+        # body. A request with two lengths does not run, nor do the bytes after it.
         fleet = start_fleet(self, SETTINGS)
         ingress, gate = (fleet.start_node(f"node-{n}", f"zone-{n}") for n in range(2))
         server = fleet.start_backend("contract-1", "crew/contracts", gate)
@@ -291,8 +291,8 @@
         self.addCleanup(refused.close)
         refused.send(post(b"Content-Length: 9\r\n" + CHUNKED, b"0\r\n\r\n") + smuggled)
         self.assertEqual(400, refused.read().status)
-        taken = RawCaller(ingress.caller_address)
-        self.addCleanup(taken.close)
-        taken.send(post(b"X-Run-Key: taken\r\n" + CHUNKED, b"3\r\nabc\r\n0\r\n\r\n"))
-        self.assertEqual("abc", taken.read().json()["body"])
+        accepted = RawCaller(ingress.caller_address)
+        self.addCleanup(accepted.close)
+        accepted.send(post(b"X-Run-Key: taken\r\n" + CHUNKED, b"3\r\nabc\r\n0\r\n\r\n"))
+        self.assertEqual("abc", accepted.read().json()["body"])
         self.assertEqual({"taken": 1}, server.runs())
--- a/tests/test_caller_watch.py
+++ b/tests/test_caller_watch.py
@@ -1,4 +1,4 @@
-"""Whether the caller of a request is still there."""
+"""Detection of a caller that closed its connection."""
 
 import socket
 
@@ -16,13 +16,12 @@
         served.settimeout(0.2)
         self.connection = HttpConnection(served, HttpLimits())
 
-    def test_a_caller_that_waits_in_silence_is_not_gone(self):
-        """A caller waits for its answer and its request runs at the own gate.
+    def test_a_caller_that_waits_without_sending_is_not_gone(self):
+        """Guards against a check that blocks while the caller waits for its answer.
 
-        The watch asks whether it is gone. On a socket with a timeout a read
-        waits for data, even one that asks not to wait: the watch stood still
-        with its lock held, the answer was not passed on, and after the
-        timeout the caller was taken for gone.
+        On a socket with a timeout, recv waits for data even with MSG_DONTWAIT.
+        `CallerWatch` would block in it with its lock held, which delays the answer,
+        and after the timeout it would take the caller for one that has left.
         """
         self.assertFalse(self.connection.caller_gone())
 
--- a/tests/test_claim_schedules.py
+++ b/tests/test_claim_schedules.py
@@ -1,4 +1,4 @@
-"""One key under random faults, in a store that comes back from older copies."""
+"""Keys under random faults, in a store that is restored from older copies."""
 
 from collections import Counter
 
@@ -12,39 +12,39 @@
 from tests.claim_world import SERVICE, Process, World, dispatch_of, reply
 
 COPY_INTERVAL_S = claim_eras.COPY_AGE_MAX_S / 2
-# Some of these, and keys that were lost are no longer sent again.
-RARELY_S = claim_eras.KEY_RESEND_MAX_S / 3
+# After a few of these steps of time, a key is no longer resent.
+LONG_STEP_S = claim_eras.KEY_RESEND_MAX_S / 3
 
 
 class Schedule:
-    """Callers that resend a key while processes fail and the store goes back.
+    """Callers that resend a key while processes fail and the store is restored.
 
-    When they no longer do they go on with the next key.
+    When the time for resends is over, they go on with the next key.
     """
 
     def __init__(self, seed: int) -> None:
         self.world = World(seed)
         self.rng = self.world.rng
         self.copied_s = self.world.now_s
-        self.late: list[tuple[Process, Dispatch]] = []
+        self.delayed: list[tuple[Process, Dispatch]] = []
         self.number, self.first_sent_s = 0, self.world.now_s
         self.runs: Counter[str] = Counter()
-        self.told_not_run = False
-        self.told: Counter[Outcome] = Counter()
+        self.replied_not_run = False
+        self.outcomes: Counter[Outcome] = Counter()
         self.lost_claims = 0
         self.runs_after_restore = 0
         for process in self.world.processes.values():
             process.view.fails = 0.1
 
     def step(self) -> None:
-        """Let one thing happen."""
-        self.world.now_s += self.rng.choice([0, 0, 0.2, 1, 5, RARELY_S])
+        """Advance the time and perform one random action."""
+        self.world.now_s += self.rng.choice([0, 0, 0.2, 1, 5, LONG_STEP_S])
         if self.world.now_s - self.copied_s > COPY_INTERVAL_S:
             self.copy()
         self.rng.choice(
             [
-                *[self.send] * 3, self.come_late, self.copy, self.restore,
-                self.replace, self.cut, *[self.follow] * 6, *[self.gossip] * 3,
+                *[self.send] * 3, self.deliver_late, self.copy, self.restore,
+                self.replace, self.cut, *[self.step_restorer] * 6, *[self.gossip] * 3,
             ]
         )()  # fmt: skip
 
@@ -56,7 +56,7 @@
         if self.world.now_s - self.first_sent_s > claim_eras.KEY_RESEND_MAX_S:
             self.number, self.first_sent_s = self.number + 1, self.world.now_s
         claimant = self._any().claimant(self.key)
-        self.told_not_run = False
+        self.replied_not_run = False
         last = reply(Outcome.NOT_RUN, Reason.NO_BACKEND_SERVER)
         if self.rng.random() < 0.2:
             claimant.look_up()
@@ -66,8 +66,8 @@
                 if last.outcome is not Outcome.NOT_RUN:
                     break
         final = claimant.final(last)
-        self.told[final.outcome] += 1
-        self.told_not_run = final.outcome is Outcome.NOT_RUN
+        self.outcomes[final.outcome] += 1
+        self.replied_not_run = final.outcome is Outcome.NOT_RUN
         self.check()
 
     def attempt(self, claimant) -> Reply:
@@ -81,22 +81,22 @@
             case "not sent":
                 return reply(Outcome.NOT_RUN, Reason.UNREACHABLE)
             case "late":
-                self.late.append((gate, dispatch))
+                self.delayed.append((gate, dispatch))
                 return reply(Outcome.UNKNOWN, Reason.SILENCE)
             case "no reply":
-                self.gate_handles(gate, dispatch)
+                self.handle_at_gate(gate, dispatch)
                 return reply(Outcome.UNKNOWN, Reason.SILENCE)
-        got = self.gate_handles(gate, dispatch)
+        got = self.handle_at_gate(gate, dispatch)
         claimant.record_reply(got)
         return got
 
-    def come_late(self) -> None:
-        if self.late:
-            gate, dispatch = self.rng.choice(self.late)
+    def deliver_late(self) -> None:
+        if self.delayed:
+            gate, dispatch = self.rng.choice(self.delayed)
             if gate is self.world.processes[gate.gate.node_id]:
-                self.gate_handles(gate, dispatch)
+                self.handle_at_gate(gate, dispatch)
 
-    def gate_handles(self, gate: Process, dispatch: Dispatch) -> Reply:
+    def handle_at_gate(self, gate: Process, dispatch: Dispatch) -> Reply:
         match gate.ledger.begin(dispatch, self.world.now_s):
             case KeyRefused(outcome, reason):
                 return reply(outcome, reason)
@@ -132,7 +132,7 @@
         for process in self.world.processes.values():
             process.view.is_cut = self.rng.random() < 0.1
 
-    def follow(self) -> None:
+    def step_restorer(self) -> None:
         process = self._any()
         process.view.read("settings", ["any"])
         process.restorer.step(self.world.now_s)
@@ -142,8 +142,8 @@
 
     def check(self) -> None:
         assert max(self.runs.values(), default=0) <= 1, "a key ran twice"
-        was_run = self.told_not_run and self.runs[self.key]
-        assert not was_run, "'not run' was said of a run"
+        was_run = self.replied_not_run and self.runs[self.key]
+        assert not was_run, "'not run' replied for a key that ran"
 
     def _any(self) -> Process:
         return self.rng.choice(list(self.world.processes.values()))
@@ -151,16 +151,16 @@
 
 class RestoreScheduleTests(TestCase):
     def test_a_key_runs_once_whatever_the_store_loses(self):
-        # Guards against a second run after restores at random moments.
+        # Guards against a second run of a key after restores at random times.
         self.patch(claim_eras, "RESTORE_WAIT_S", 0.0)
-        told, lost_claims, runs_after_restore = Counter(), 0, 0
+        outcomes, lost_claims, runs_after_restore = Counter(), 0, 0
         for seed in range(1000):
             schedule = Schedule(seed)
             for _ in range(60):
                 schedule.step()
-            told += schedule.told
+            outcomes += schedule.outcomes
             lost_claims += schedule.lost_claims
             runs_after_restore += schedule.runs_after_restore
-        self.assertTrue(all(told[outcome] > 100 for outcome in Outcome), told)
+        self.assertTrue(all(outcomes[outcome] > 100 for outcome in Outcome), outcomes)
         self.assertGreater(lost_claims, 100)
         self.assertGreater(runs_after_restore, 100)
--- a/tests/test_claims.py
+++ b/tests/test_claims.py
@@ -1,4 +1,4 @@
-"""Idempotency keys over several gates: run once, and told truthfully."""
+"""Idempotency keys across several gates: each runs once, with a correct outcome."""
 
 import random
 import time
@@ -26,7 +26,7 @@
 
 
 class Tables(TableService):
-    """The claims table in memory; `faults` is taken from, one for each call."""
+    """The claims table in memory; each call uses up one entry of `faults`."""
 
     def __init__(self) -> None:
         self.rows: dict[str, Row] = {}
@@ -86,7 +86,7 @@
         self.assertIs(Reason.CLAIM_MOVED, resend.claim_for(THERE, 9.0))
         self.assertEqual("here", resend.owner())
         self.assertEqual(("here", 1, 1, 5.0), resend.claim_for(HERE, 9.0))
-        # Never asked the gate that holds the key: it may have run.
+        # The gate that holds the claim was not asked, and may have run the key.
         final = resend.final(reply(Outcome.NOT_RUN, Reason.CLAIM_MOVED))
         self.assertEqual(
             (Outcome.UNKNOWN, Reason.DUPLICATE), (final.outcome, final.reason)
@@ -110,11 +110,11 @@
         self.assertIs(Reason.CLAIM_MOVED, second.claim_for(HERE, 7.0))
         self.assertEqual("there", second.owner())
 
-    def test_not_run_is_not_said_when_a_resend_runs_at_another_gate(self):
-        # A backend server leaves. Its gate refuses the first request, which moves
-        # the key's claim to the gate there and runs. A resend through another node
-        # still knew the old claim, asked that gate, and was refused as well: its
-        # caller was told `not_run` while the first request ran.
+    def test_not_run_is_not_replied_when_a_resend_runs_at_another_gate(self):
+        # Guards against `not_run` for a resend while the first request runs. A backend
+        # server leaves, and its gate refuses the first request, which moves the claim
+        # to another gate and runs there. The resend, through another node, still uses
+        # the old claim and is refused by the first gate as well.
         first, resend = self._claimant(), self._claimant()
         first.claim_for(HERE, 5.0)
         self.assertIs(Reason.CLAIM_MOVED, resend.claim_for(THERE, 5.0))
@@ -127,17 +127,17 @@
             (Outcome.UNKNOWN, Reason.DUPLICATE), (final.outcome, final.reason)
         )
 
-    def test_not_run_is_said_when_the_claim_is_where_it_was(self):
+    def test_not_run_is_replied_when_the_claim_has_not_moved(self):
         refused = reply(Outcome.NOT_RUN, Reason.DRAINING)
         claimant = self._claimant()
         claimant.claim_for(HERE, 5.0)
         claimant.record_reply(refused)
         self.assertIs(Outcome.NOT_RUN, claimant.final(refused).outcome)
-        # Nobody can tell whether a resend has moved it.
+        # The store is down, so a resend may have moved the claim.
         self.tables.faults = ["down"]
         self.assertIs(Outcome.UNKNOWN, claimant.final(refused).outcome)
 
-    def test_a_write_whose_reply_was_lost_is_ours(self):
+    def test_a_write_whose_reply_was_lost_counts_as_our_claim(self):
         for number, fault in enumerate(("lost reply", "lost")):
             claimant = KeyClaimant(
                 self.book, SERVICE, f"key-{number}", time.monotonic() + 30
@@ -145,9 +145,10 @@
             self.tables.faults = [fault]
             self.assertEqual(1, claimant.claim_for(HERE, 5.0).version)
 
-    def test_without_the_platform_nothing_runs_and_nothing_is_promised(self):
-        # This request did not run. But an earlier one with its key may have,
-        # and a caller told 'not run' would sign again with a fresh key.
+    def test_without_the_platform_nothing_runs_and_the_outcome_is_unknown(self):
+        # Guards against a second run: this request did not run, but an earlier one
+        # with its key may have, and after 'not run' the caller would sign again with
+        # a new key.
         for faults, timeout_s in ((["down"], 30.0), (["slow"], 0.05)):
             self.tables.faults = faults
             claimant = self._claimant(timeout_s)
@@ -156,7 +157,7 @@
             final = claimant.final(reply(Outcome.NOT_RUN, reason))
             self.assertEqual((Outcome.UNKNOWN, reason), (final.outcome, final.reason))
 
-    def test_without_an_attempt_not_run_is_said_of_unclaimed_keys_only(self):
+    def test_without_an_attempt_not_run_is_replied_for_unclaimed_keys_only(self):
         refusal = reply(Outcome.NOT_RUN, Reason.NO_BACKEND_SERVER)
         self.assertIs(Outcome.NOT_RUN, self._claimant().final(refusal).outcome)
         self.tables.faults = ["down"]
@@ -172,10 +173,10 @@
 
 
 class Schedule:
-    """Callers that resend one key through gates that fail, by a seed.
+    """Callers that resend one key through failing gates, at random from a seed.
 
-    Counts runs; messages are lost, late and repeated, gates are replaced,
-    time passes, and the platform fails.
+    Messages are lost, delayed and repeated, gates are replaced, time passes, and the
+    platform fails. Counts the runs of the key.
     """
 
     def __init__(self, seed: int) -> None:
@@ -186,8 +187,8 @@
         self.gates = {name: (1, ledger.RunLedger(name, 1)) for name in ("a", "b", "c")}
         self.late: list[tuple[str, Dispatch]] = []
         self.runs = 0
-        self.told_not_run = False
-        self.told: Counter[Outcome] = Counter()
+        self.replied_not_run = False
+        self.outcomes: Counter[Outcome] = Counter()
 
     def step(self) -> None:
         self.now_s += self.rng.choice([0, 0, 1, ledger.KEY_MEMORY_S / 3])
@@ -196,14 +197,14 @@
                 self.send()
             case "late" if self.late:
                 name, dispatch = self.rng.choice(self.late)
-                self.gate_handles(name, dispatch)
+                self.handle_at_gate(name, dispatch)
             case "replace" if self.rng.random() < 0.3:
                 name = self.rng.choice("abc")
                 incarnation = self.gates[name][0] + 1
                 self.gates[name] = incarnation, ledger.RunLedger(name, incarnation)
 
     def send(self) -> None:
-        self.told_not_run = False
+        self.replied_not_run = False
         self.tables.faults = [
             self.rng.choice(["", "", "", "down", "lost", "lost reply"])
             for _ in range(4)
@@ -215,8 +216,8 @@
             if last.outcome is not Outcome.NOT_RUN:
                 break
         final = claimant.final(last)
-        self.told[final.outcome] += 1
-        self.told_not_run = final.outcome is Outcome.NOT_RUN
+        self.outcomes[final.outcome] += 1
+        self.replied_not_run = final.outcome is Outcome.NOT_RUN
         self.check()
 
     def attempt(self, claimant) -> Reply:
@@ -238,13 +239,13 @@
                 self.late.append((name, dispatch))
                 return reply(Outcome.UNKNOWN, Reason.SILENCE)
             case "no reply":
-                self.gate_handles(name, dispatch)
+                self.handle_at_gate(name, dispatch)
                 return reply(Outcome.UNKNOWN, Reason.SILENCE)
-        got = self.gate_handles(name, dispatch)
+        got = self.handle_at_gate(name, dispatch)
         claimant.record_reply(got)
         return got
 
-    def gate_handles(self, name: str, dispatch: Dispatch) -> Reply:
+    def handle_at_gate(self, name: str, dispatch: Dispatch) -> Reply:
         run_ledger = self.gates[name][1]
         match run_ledger.begin(dispatch, self.now_s):
             case ledger.KeyRefused(outcome, reason):
@@ -262,16 +263,18 @@
 
     def check(self) -> None:
         assert self.runs <= 1, "a key ran twice"
-        assert not (self.told_not_run and self.runs), "'not run' was said of a run"
+        assert not (self.replied_not_run and self.runs), (
+            "'not run' replied for a key that ran"
+        )
 
 
 class ScheduleTests(TestCase):
     def test_a_key_runs_once_over_all_gates_whatever_fails(self):
-        told = Counter()
+        outcomes = Counter()
         for seed in range(1000):
             schedule = Schedule(seed)
             for _ in range(30):
                 schedule.step()
-            told += schedule.told
-        # The schedules reach all three outcomes often.
-        self.assertTrue(all(told[outcome] > 100 for outcome in Outcome), told)
+            outcomes += schedule.outcomes
+        # Each outcome must occur often, or the schedules would prove little.
+        self.assertTrue(all(outcomes[outcome] > 100 for outcome in Outcome), outcomes)
--- a/tests/test_claims_restored.py
+++ b/tests/test_claims_restored.py
@@ -1,4 +1,4 @@
-"""Claims of idempotency keys after the store came back from an older copy."""
+"""Claims of idempotency keys after the store was restored from an older copy."""
 
 import time
 
@@ -38,7 +38,7 @@
         self.assertEqual("a", self._resend(world, "b", "a")[0].node_id)
 
     def test_a_gate_that_was_restarted_leaves_a_key_unknown(self):
-        # Guards against a second run of a key whose gate has forgotten that it ran.
+        # Guards against a second run of a key whose gate lost its memory in a restart.
         world = World()
         world.store.copy()
         world.run_at("a", ingress="a")
@@ -52,7 +52,8 @@
             self.assertIs(Outcome.UNKNOWN, outcome)
 
     def test_an_ingress_claims_a_key_again_that_ran_at_a_gate_which_is_gone(self):
-        # Guards against a second run once such keys are no longer in doubt.
+        # Guards against a second run after the time for resends, when the claims of
+        # processes that ended are no longer in doubt.
         world = World()
         world.store.copy()
         world.run_at("a", ingress="c")
@@ -70,7 +71,8 @@
         self.assertIsInstance(self._resend(world, "b", "a", "other")[0], Claim)
 
     def test_a_gate_that_is_cut_off_leaves_keys_unknown_until_it_is_back(self):
-        # Guards against a second run of a key whose gate can't tell that it ran.
+        # Guards against a second run of a key whose gate can't reach the store to
+        # claim it again.
         world = World()
         world.store.copy()
         world.run_at("a", ingress="a")
@@ -88,7 +90,7 @@
         self.assertIsInstance(self._resend(world, "b", "b", "other")[0], Claim)
 
     def test_a_claim_made_before_its_writer_heard_of_the_era_runs_nothing(self):
-        # Guards against a run under a claim that took the place of a lost one.
+        # Guards against a run under a claim that replaced a lost one.
         world = World()
         world.store.copy()
         world.run_at("a")
@@ -96,7 +98,7 @@
         gate = world.processes["b"]
         late = gate.claimant()
         self.assertIs(Reason.CLAIMS_UNAVAILABLE, late.claim_for(gate.gate, 1.0))
-        # Another one finds that row before the gate which ran the key does.
+        # Another ingress finds that row before the gate that ran the key replaces it.
         claim = world.processes["c"].claimant().claim_for(gate.gate, 1.0)
         refused = gate.ledger.begin(dispatch_of(claim), world.now_s)
         self.assertIsInstance(refused, KeyRefused)
@@ -105,7 +107,8 @@
         self.assertEqual("a", self._resend(world, "b", "b")[1])
 
     def test_a_claim_of_an_earlier_era_begins_nothing_once_keys_were_counted(self):
-        # Guards against a run that starts after its gate said which keys it ran.
+        # Guards against a run that starts after its gate has listed the keys that it
+        # ran, and is therefore missing from the list.
         world = World()
         gate = world.processes["a"]
         claim = world.processes["c"].claimant().claim_for(gate.gate, world.now_s)
@@ -114,8 +117,8 @@
         refused = gate.ledger.begin(dispatch_of(claim), world.now_s)
         self.assertEqual(KeyRefused(Outcome.NOT_RUN, Reason.CLAIM_MOVED), refused)
 
-    def test_not_run_is_not_said_of_a_key_whose_claim_may_be_lost(self):
-        # Guards against 'not run' for a key that ran before the store came back.
+    def test_not_run_is_not_replied_for_a_key_whose_claim_may_be_lost(self):
+        # Guards against 'not run' for a key that ran before the store was restored.
         world = World()
         world.store.copy()
         world.run_at("a")
@@ -126,7 +129,7 @@
         self.assertIs(Outcome.UNKNOWN, final.outcome)
 
     def test_keys_are_claimed_again_soon_when_all_processes_live(self):
-        # Guards against a fleet that serves no new key after a drill.
+        # Guards against a fleet that serves no new keys after a restore.
         world = World()
         world.store.copy()
         world.store.restore()
@@ -139,7 +142,7 @@
             self.assertIsInstance(claim, Claim)
 
     def test_a_fleet_without_keys_calls_the_store_no_more_than_before(self):
-        # Guards against calls of all nodes at once after a drill, for nothing.
+        # Guards against needless calls of all nodes at once after a restore.
         world = World()
         world.store.copy()
         world.store.restore()
@@ -147,8 +150,8 @@
             world.step_all()
         self.assertEqual({}, world.store.rows)
 
-    def test_a_process_that_started_later_takes_the_word_of_the_others(self):
-        # Guards against an era that each new process holds for unsettled.
+    def test_a_process_that_started_later_learns_that_the_era_is_settled(self):
+        # Guards against new processes that never learn that the era is settled.
         world = World()
         world.store.copy()
         world.run_at("a")
@@ -164,7 +167,8 @@
         self.assertIsInstance(self._resend(world, "c", "a", "new")[0], Claim)
 
     def test_two_restores_in_a_row_lose_no_key(self):
-        # Guards against claims that were written again and lost with the next copy.
+        # Guards against claims that are written again and then lost in a second
+        # restore.
         world = World()
         world.store.copy()
         world.run_at("a")
@@ -183,41 +187,42 @@
         eras.record_holders(holders, 0.0, 0.0)
         return eras
 
-    def test_who_ended_shortly_before_the_era_is_missing(self):
+    def test_a_process_that_ended_shortly_before_the_era_is_missing(self):
         here, gone = Holder("here", 1), Holder("gone", 1)
         eras = self._eras(here, gone)
         eras.record_holders([here, Holder("gone", 2)], 50.0, 50.0)
         eras.begin(2, 55.0)
-        words = {"here": Confirmation(1, 2), "gone": Confirmation(2, 2)}
-        self.assertEqual({gone}, eras.missing_holders(words))
+        confirmations = {"here": Confirmation(1, 2), "gone": Confirmation(2, 2)}
+        self.assertEqual({gone}, eras.missing_holders(confirmations))
 
-    def test_who_ended_before_any_copy_is_not_missing(self):
+    def test_a_process_that_ended_before_any_copy_is_not_missing(self):
         here, gone = Holder("here", 1), Holder("gone", 1)
         eras = self._eras(here, gone)
         eras.record_holders([here], 61.0, 61.0)
         eras.begin(2, 62.0)
         self.assertEqual(set(), eras.missing_holders({"here": Confirmation(1, 2)}))
 
-    def test_who_ended_since_the_last_answer_of_the_store_is_missing(self):
-        # Guards against a process that was cut off and forgets who held claims.
+    def test_a_process_that_ended_since_the_last_answer_of_the_store_is_missing(self):
+        # Guards against a process that removes holders of claims while it is cut off
+        # from the store, although the copy restored later may lack their claims.
         here, gone = Holder("here", 1), Holder("gone", 1)
         eras = self._eras(here, gone)
         eras.record_holders([here], 30.0, 500.0)
         eras.begin(2, 501.0)
         self.assertEqual({gone}, eras.missing_holders({"here": Confirmation(1, 2)}))
 
-    def test_who_starts_in_an_era_does_not_know_who_is_missing(self):
+    def test_a_process_that_starts_in_an_era_does_not_know_who_is_missing(self):
         eras = ClaimEras()
         eras.record_holders([Holder("here", 1)], 0.0, 0.0)
         eras.begin(2, 50.0)
         self.assertIsNone(eras.missing_holders({"here": Confirmation(1, 2)}))
 
-    def test_who_has_just_started_does_not_know_its_fleet(self):
+    def test_a_process_that_just_started_does_not_know_its_fleet(self):
         eras = self._eras(Holder("here", 1))
         eras.begin(2, claim_eras.FLEET_KNOWN_AFTER_S - 0.1)
         self.assertIsNone(eras.missing_holders({"here": Confirmation(1, 2)}))
 
-    def test_who_was_missing_stays_so_over_the_next_era(self):
+    def test_a_missing_process_stays_missing_in_the_next_era(self):
         here, gone = Holder("here", 1), Holder("gone", 1)
         eras = self._eras(here, gone)
         eras.begin(2, 50.0)
@@ -225,13 +230,14 @@
         eras.begin(3, 112.0)
         self.assertEqual({gone}, eras.missing_holders({"here": Confirmation(1, 3)}))
 
-    def test_a_process_that_outbid_old_news_of_itself_confirms(self):
-        # Guards against an era that one node's higher incarnation leaves unsettled.
+    def test_a_process_that_peers_know_by_a_higher_incarnation_confirms(self):
+        # Guards against an era that is never settled because peers know a node by a
+        # higher incarnation than its own.
         eras = self._eras(Holder("here", 3))
         eras.begin(2, 50.0)
         self.assertEqual(set(), eras.missing_holders({"here": Confirmation(2, 2)}))
 
-    def test_a_request_in_doubt_is_told_at_once(self):
+    def test_a_request_after_the_time_to_restore_does_not_wait(self):
         eras = self._eras(Holder("here", 1))
         eras.begin(2, 50.0)
         now_s = 50.1 + claim_eras.RESTORE_WAIT_S
--- a/tests/test_closing.py
+++ b/tests/test_closing.py
@@ -1,4 +1,4 @@
-"""The end of a listener and of a connection, on plain sockets."""
+"""Closing of listeners and connections, on plain sockets."""
 
 import socket
 import threading
@@ -20,9 +20,9 @@
 
 
 class ClosingTests(TestCase):
-    def test_connections_that_wait_in_the_backlog_are_served(self):
-        # The caller's connection is made and its request sent, but nobody
-        # has accepted it when the listener closes. A plain close resets it.
+    def test_connections_in_the_backlog_are_served(self):
+        # Guards against a reset of connections that are established, with a request
+        # sent, but not accepted yet when the listener closes.
         listener = socket.create_server(("127.0.0.1", 0), backlog=CALLERS)
         callers = [
             socket.create_connection(listener.getsockname(), 5) for _ in range(CALLERS)
@@ -31,14 +31,15 @@
             caller.sendall(REQUEST)
             self.addCleanup(caller.close)
         close_listener(
-            listener, lambda taken: threading.Thread(target=serve, args=[taken]).start()
+            listener,
+            lambda accepted: threading.Thread(target=serve, args=[accepted]).start(),
         )
         self.assertEqual([ANSWER] * CALLERS, [caller.recv(100) for caller in callers])
 
-    def test_callers_that_come_during_the_close_are_served_or_refused(self):
-        # Callers connect one after the other, as fast as they can, while the
-        # listener closes. Each is either answered or not let in at all; a
-        # reset after it has sent its request would leave it in doubt.
+    def test_callers_that_connect_during_the_close_are_served_or_refused(self):
+        # Callers connect one after the other, as fast as possible, while the listener
+        # closes. Each must be either answered or refused at the connect. After a reset
+        # it could not tell whether the request it has sent was run.
         listener = socket.create_server(("127.0.0.1", 0), backlog=512)
         address = listener.getsockname()
         faults, answered = [], []
@@ -68,9 +69,9 @@
         self.assertTrue(all(answered))
         self.assertGreaterEqual(len(answered), 100)
 
-    def test_an_answer_survives_bytes_that_nobody_read(self):
-        # A request crosses the last answer. A plain close with unread bytes
-        # resets the connection and the answer is thrown away.
+    def test_an_answer_is_delivered_despite_unread_bytes(self):
+        # The caller sends a request before it has read the last answer. A plain close
+        # with unread bytes would reset the connection and discard the answer.
         listener = socket.create_server(("127.0.0.1", 0))
         self.addCleanup(listener.close)
         caller = socket.create_connection(listener.getsockname(), 5)
--- a/tests/test_refused_on_head.py
+++ b/tests/test_refused_on_head.py
@@ -1,4 +1,4 @@
-"""What is refused on a request's head is refused before its body comes."""
+"""Requests refused on their heads are answered before their bodies arrive."""
 
 import json
 import time
@@ -21,8 +21,8 @@
     "crew/customers/ben": customer("Ben", LIMITED_KEY, rate_per_s=1.0, burst=2.0),
 }
 EXPECT = "Expect: 100-continue"
-# Far less than the time that a body may take.
-AT_ONCE_S = 5.0
+# Far less than the timeout for a body.
+REFUSAL_MAX_S = 5.0
 
 
 def head(*headers: str, target: str = "/contracts/7", method: str = "POST") -> bytes:
@@ -31,7 +31,7 @@
 
 
 class CountingLimiter:
-    """Grants so many requests; counts those that are out."""
+    """Grants as many requests as it has tokens."""
 
     def __init__(self, tokens: int) -> None:
         self.tokens = tokens
@@ -64,18 +64,18 @@
         self.addCleanup(self.fixture.close)
 
     def _refused(self, data: bytes):
-        """Send a head, and no body; return the answer that comes all the same."""
+        """Send a head without its body; return the answer."""
         began_s = time.monotonic()
         caller = self.fixture.caller().send(data)
         answer = caller.read()
-        self.assertLess(time.monotonic() - began_s, AT_ONCE_S)
+        self.assertLess(time.monotonic() - began_s, REFUSAL_MAX_S)
         self.assertEqual("close", answer.one("connection"))
         self.assertTrue(caller.at_end())
         caller.close()
         self.assertEqual([], self.fixture.forwarder.forwarded)
         return answer
 
-    def test_a_head_that_is_refused_is_answered_before_its_body_comes(self):
+    def test_a_refused_head_is_answered_before_its_body_arrives(self):
         # Guards against a refusal that waits for the body of the request.
         key = f"X-Key: {KEY}"
         for length in ("Content-Length: 3", "Transfer-Encoding: chunked"):
@@ -92,30 +92,30 @@
         large = head("Content-Length: 100001", key, EXPECT)
         self.assertEqual(413, self._refused(large).status)
 
-    def test_a_limit_that_is_used_up_is_told_before_the_body_comes(self):
+    def test_a_request_over_its_limit_is_refused_before_the_body_arrives(self):
         self.limiter.tokens = 0
         answer = self._refused(head("Content-Length: 3", f"X-Key: {LIMITED_KEY}"))
         self.assertEqual(429, answer.status)
         self.assertIsNotNone(answer.one("retry-after"))
 
-    def test_a_request_that_may_run_is_told_to_go_on(self):
-        # Guards against an upload that waits for a word which does not come.
+    def test_an_admitted_request_gets_100_continue(self):
+        # Guards against a caller that waits for a 100 Continue which never arrives.
         data = head("Content-Length: 3", f"X-Key: {KEY}", EXPECT)
         caller = self.fixture.caller().send(data)
         self.assertEqual(100, caller.read().status)
         answer = caller.send(b"abc").read()
         self.assertEqual((200, "abc"), (answer.status, answer.json()["body"]))
 
-    def test_the_answer_is_not_lost_when_the_body_comes_all_the_same(self):
-        # Guards against a reset that throws the refusal away.
+    def test_the_answer_is_not_lost_when_the_body_arrives_anyway(self):
+        # Guards against a reset that discards the refusal.
         body = b"x" * 90_000
         caller = self.fixture.caller().send(head(f"Content-Length: {len(body)}"))
         caller.send(body)
         self.assertEqual(401, caller.read().status)
         self.assertTrue(caller.at_end())
 
-    def test_a_body_that_does_not_come_costs_its_customer_nothing(self):
-        # Guards against callers that use up a limit with requests that never run.
+    def test_a_request_without_its_body_does_not_count_against_the_limit(self):
+        # Guards against requests that never run but use up their customer's limit.
         data = head("Content-Length: 3", f"X-Key: {LIMITED_KEY}", EXPECT)
         for rest in (b"", b"ab"):
             caller = self.fixture.caller().send(data)
@@ -124,7 +124,7 @@
             self.assertEqual(2, self.limiter.tokens)
 
     def test_bodies_that_end_together_run_within_the_limit(self):
-        # Guards against tokens that are gathered by slow uploads and spent at once.
+        # Guards against slow uploads that each hold a token and then run together.
         data = head("Content-Length: 3", f"X-Key: {LIMITED_KEY}", EXPECT)
         self.limiter.tokens = 5
         callers = [self.fixture.caller().send(data) for _ in range(5)]
@@ -141,8 +141,8 @@
         self.assertEqual(200, caller.send(b"abc").read().status)
         self.assertEqual(1, self.limiter.tokens)
 
-    def test_a_key_that_ends_while_the_body_comes_runs_nothing(self):
-        # Guards against a decision on the head that outlives its key.
+    def test_a_request_whose_key_ends_during_the_body_does_not_run(self):
+        # Guards against a decision on the head that still applies after its key ended.
         data = head("Content-Length: 3", f"X-Key: {LIMITED_KEY}", EXPECT)
         caller = self.fixture.caller().send(data)
         self.assertEqual(100, caller.read().status)
--- a/tests/test_store_came_back.py
+++ b/tests/test_store_came_back.py
@@ -1,4 +1,4 @@
-"""The store comes back from a copy of itself that is some seconds old."""
+"""The store is restored from a copy of itself that is some seconds old."""
 
 import io
 import time
@@ -35,12 +35,12 @@
         super().setUp()
         self.store = PlatformInProcess()
         self.addCleanup(self.store.stop)
-        self.eras, self.odd = [], []
-        self.known = StoreEras(self.eras.append, self.odd.append)
+        self.eras, self.odd_eras = [], []
+        self.known = StoreEras(self.eras.append, self.odd_eras.append)
         self.tables = HttpTableService(self.store.address, self.known)
 
     def _other_process(self) -> HttpTableService:
-        """Return the store as another process sees it, which heard of no era."""
+        """Return the store as seen by another process, which knows of no era yet."""
         return HttpTableService(self.store.address)
 
     def _put(self, key: str, value, tables=None) -> int:
@@ -58,10 +58,10 @@
 
 
 class RestoredTableTests(RestoredStoreCase):
-    def test_a_version_given_out_again_is_not_taken_for_the_earlier_one(self):
-        # Two operators race. The first read a row, the store came back older, and
-        # another one wrote the row under the same number. The first one's write must
-        # not undo what it has never seen.
+    def test_a_version_assigned_again_is_not_taken_for_the_earlier_one(self):
+        # One operator reads a row, the store is restored from an older copy, and a
+        # second operator writes the row, which gets the same number again. The write
+        # of the first must not overwrite a value that it has never read.
         self._copy()
         read = self._put("row", "lost")
         self._restore()
@@ -71,7 +71,7 @@
         result = self.tables.transact(write)
         self.assertIsInstance(result.error, Unknown)
 
-    def test_nothing_is_sent_by_a_version_that_is_known_to_be_of_an_earlier_era(self):
+    def test_a_write_on_a_version_of_an_earlier_era_conflicts(self):
         self._copy()
         read = self._put("row", "lost")
         self._restore()
@@ -91,10 +91,10 @@
         self.assertGreater(self._read("row").version, before)
         self.assertEqual([2], self.eras)
 
-    def test_a_wait_by_a_version_given_out_again_is_told_that_the_past_is_lost(self):
-        # A node waits for changes after a version. The store comes back older, and
-        # others write until its count has passed that version: the change that came
-        # in between would never be told.
+    def test_a_wait_on_a_version_assigned_again_reports_lost_history(self):
+        # A node waits for changes after a version. The store is restored from an older
+        # copy, and others write until its number has passed that version. The node
+        # would never receive the change made in between.
         self._copy()
         version = self._put("a", 1)
         self._restore()
@@ -106,20 +106,20 @@
         self.assertEqual([2], self.eras)
 
     def test_an_answer_of_an_earlier_era_changes_nothing(self):
-        # It was under way while the store came back; what it tells is gone.
+        # The answer was in flight during the restore, and its data no longer exists.
         self._put("row", 1)
         self.known.note("7")
         result = self.tables.read("test", ["row"])
         self.assertIsInstance(result.error, Unknown)
-        self.assertIn("is of era 1, after 7", self.odd[-1])
+        self.assertIn("is of era 1, after 7", self.odd_eras[-1])
 
-    def test_an_era_that_can_not_be_read_is_told_and_decides_nothing(self):
+    def test_an_unreadable_era_is_reported_and_ignored(self):
         self.assertEqual(0, self.known.note(None))
-        self.assertEqual([], self.odd)
+        self.assertEqual([], self.odd_eras)
         self.assertEqual(3, self.known.note("3"))
         self.assertIsNone(self.known.note("three"))
         self.assertEqual(3, self.known.note(None))
-        self.assertEqual(2, len(self.odd))
+        self.assertEqual(2, len(self.odd_eras))
         self.assertEqual(3, self.known.newest)
 
 
@@ -136,9 +136,10 @@
     def _operate(self, revision: int) -> None:
         call(self.store.address, "/op/config", "PUT", encode({"revision": revision}))
 
-    def test_settings_written_again_under_a_known_version_come_in_force(self):
-        # Callers meet routes that were replaced: the node waits after a version that
-        # the store has given out again, and the change that it lacks lies before.
+    def test_settings_written_again_under_a_known_version_take_effect(self):
+        # Guards against a node that keeps replaced routes: it waits for changes after a
+        # version that the store has assigned again, and the change that it lacks has a
+        # lower one.
         feed, configuration = self._feed()
         self._operate(3)
         self._copy()
@@ -155,14 +156,14 @@
             feed.read()
         self.assertEqual(5, configuration.revision)
 
-    def test_settings_do_not_go_back_with_the_store(self):
+    def test_settings_are_not_restored_to_an_older_revision_with_the_store(self):
         feed, configuration = self._feed()
         self._operate(3)
         feed.read()
         self._copy()
         self._operate(5)
         feed.read()
-        # The operator has not written its newest yet.
+        # The operator has not written its newest settings to the restored store yet.
         call(
             self.store.address,
             "/v1/backup",
@@ -198,10 +199,10 @@
             claim=claim,
         )
 
-    def test_a_key_whose_gate_gave_it_up_is_run_after_the_store_came_back(self):
-        # Its gate said 'not run' and refuses the claim's version for good. Given out
-        # again, that version would stick to the key: each resend of the caller ends
-        # as moved, for as long as the gate remembers.
+    def test_a_key_whose_gate_replied_not_run_runs_after_a_restore(self):
+        # The gate replied 'not run' and from then on refuses the claim's version. If
+        # the restored store assigned that version again, each resend would be refused
+        # as moved for as long as the gate remembers the key.
         ledger = RunLedger(*HERE)
         self._copy()
         for number in range(3):
@@ -213,16 +214,16 @@
         refusal = Reply(dispatch.attempt_id, Outcome.NOT_RUN, Reason.SHED)
         ledger.end(dispatch, refusal, 1.0)
         self._restore()
-        # All claims that were lost have been written again: this one had none.
+        # The era is settled: a key without a claim is unclaimed.
         eras = ClaimEras()
         eras.settle(2)
         again = self._claimant(self._other_process(), eras).claim_for(HERE, 2.0)
         self.assertNotIsInstance(ledger.begin(self._dispatch(again), 3.0), KeyRefused)
 
     def test_a_key_whose_claim_was_lost_does_not_run_at_a_second_gate(self):
-        # A sailor's contract is signed twice. The first signature ran at one gate;
-        # the row that says so is gone with the seconds that the store lost; its caller
-        # heard nothing and sends again, with the same key, to another node.
+        # Guards against a second run: the first request ran at one gate, the store has
+        # lost its claim in the restore, and the caller, which got no answer, resends
+        # the key to another node.
         self._copy()
         self.assertEqual(HERE, self._claimant().claim_for(HERE, 0.0)[:2])
         self._restore()
