--- a/balsamspindle/node/orderly_end.py
+++ b/balsamspindle/node/orderly_end.py
@@ -99,7 +99,7 @@
         self._gate.cancel_all()
         _wait_until(self._idle, time.monotonic() + LAST_ANSWERS_S)
         # What is left are connections whose callers do not read.
-        self._ingress.cut()
+        self._ingress.shut_down_connections()
 
 
 def _wait_until(condition: Callable[[], bool], give_up_s: float) -> bool:
--- a/balsamspindle/node/process.py
+++ b/balsamspindle/node/process.py
@@ -23,7 +23,7 @@
 from balsamspindle.node.status import NodeStatus
 from balsamspindle.node.store_eras import NodeEras
 from balsamspindle.node.store_parts import StoreParts
-from balsamspindle.requests.claims import ClaimBook
+from balsamspindle.requests.claims import ClaimsTable
 from balsamspindle.requests.forwarding import Forwarder
 from balsamspindle.requests.ingress import Ingress
 from balsamspindle.requests.links import LinkPool
@@ -110,7 +110,7 @@
         )
         self._eras.share(own, self._directory, self._member)
         parts = StoreParts(settings, own, self._directory, self.events, self._eras)
-        claims = parts.claim_book()
+        claims = parts.claims_table()
         self._make_ingress(own, claims)
         self._settings_tasks = SettingsTasks(
             settings,
@@ -274,7 +274,7 @@
             floor_slots=decision.floor_slots,
         )
 
-    def _make_ingress(self, own: NodeRecord, claims: ClaimBook) -> None:
+    def _make_ingress(self, own: NodeRecord, claims: ClaimsTable) -> None:
         """Make the way of a caller's request, from its connection to a gate."""
         self._picker = Picker(
             own, self._directory, self._configuration, self._note_floor
--- a/balsamspindle/node/store_parts.py
+++ b/balsamspindle/node/store_parts.py
@@ -10,9 +10,9 @@
 from balsamspindle.membership.registry import Registry
 from balsamspindle.node.store_eras import NodeEras
 from balsamspindle.platform import HttpTableService
-from balsamspindle.requests.claim_eras import ClaimEras, Holder
+from balsamspindle.requests.claim_eras import ClaimEras, ClaimHolder
 from balsamspindle.requests.claim_restorer import ClaimRestorer
-from balsamspindle.requests.claims import ClaimBook
+from balsamspindle.requests.claims import ClaimsTable
 from balsamspindle.settings.process import NodeSettings
 from balsamspindle.tables import GuardedTableService, PlatformGuard
 from balsamspindle.timeline import EventLog
@@ -46,16 +46,16 @@
         self._claim_eras = ClaimEras(settings.key_resend_max_s, eras.want_claims)
         self.guards: list[PlatformGuard] = []
 
-    def claim_book(self) -> ClaimBook:
+    def claims_table(self) -> ClaimsTable:
         """Return where keys of requests are claimed."""
         if self._address is None:
-            return ClaimBook(None)
+            return ClaimsTable(None)
         tables = HttpTableService(self._address, self._eras.known)
-        return ClaimBook(tables, self._claim_eras)
+        return ClaimsTable(tables, self._claim_eras)
 
     def claim_restorer(
         self,
-        claims: ClaimBook,
+        claims: ClaimsTable,
         begin_era: Callable[[int, float, float], list[HeldKey]],
         is_isolated: Callable[[], bool],
     ) -> ClaimRestorer | None:
@@ -72,21 +72,22 @@
             return None
         restorer = ClaimRestorer(
             self._guarded("claims"),
-            Holder(self._own.node_id, self._own.incarnation),
+            ClaimHolder(self._own.node_id, self._own.incarnation),
             self._claim_eras,
             begin_era,
-            claims.take_made,
+            claims.take_written_claims,
             self._fleet,
             is_isolated,
             self._events,
         )
-        self._eras.on_new(restorer.hurry)
-        self._eras.on_wanted(restorer.want)
+        self._eras.on_new(restorer.wake)
+        self._eras.on_wanted(restorer.request_era)
         return restorer
 
-    def _fleet(self) -> list[Holder]:
+    def _fleet(self) -> list[ClaimHolder]:
         return [
-            Holder(node.node_id, node.incarnation) for node in self._directory.alive()
+            ClaimHolder(node.node_id, node.incarnation)
+            for node in self._directory.alive()
         ]
 
     def registry(self, member: Member) -> Registry | None:
--- a/balsamspindle/requests/attempt_outcomes.py
+++ b/balsamspindle/requests/attempt_outcomes.py
@@ -4,7 +4,7 @@
 from collections.abc import Callable
 
 from balsamspindle.protocol.outcomes import CancelCause, Outcome, Reason
-from balsamspindle.requests.claims import note_reply
+from balsamspindle.requests.claims import record_claim_reply
 from balsamspindle.requests.forwarded import ForwardedRequest
 from balsamspindle.requests.reply_wait import WaitResult
 from balsamspindle.requests.sent_attempts import SentAttempt
@@ -65,7 +65,7 @@
             if sent.link is not waited.link
         )
         self._events.clock.observe(reply.hlc, time.time())
-        note_reply(forwarded.claimant, reply)
+        record_claim_reply(forwarded.claimant, reply)
         return reply
 
     def cancel_cause(
--- a/balsamspindle/requests/attempts.py
+++ b/balsamspindle/requests/attempts.py
@@ -9,7 +9,7 @@
 from balsamspindle.membership.directory import Placement
 from balsamspindle.protocol.outcomes import CancelCause, Outcome
 from balsamspindle.requests.caller_watch import CallerWatch
-from balsamspindle.requests.claims import GateIdentity, note_reply, with_claim
+from balsamspindle.requests.claims import GateIdentity, record_claim_reply, with_claim
 from balsamspindle.requests.forwarded import ForwardedRequest, Hedge, Step, route_id
 from balsamspindle.requests.gate_links import GateLinks
 from balsamspindle.requests.link_attempts import LinkAttempts
@@ -212,7 +212,7 @@
             tracked.end(reply)
         if parked_answer is None:
             forwarded.record_cut(reply, self._clock())
-        note_reply(forwarded.claimant, reply)
+        record_claim_reply(forwarded.claimant, reply)
         return reply if parked_answer is None or is_success(reply) else parked_answer
 
     def _handle_at_own_gate(
--- a/balsamspindle/requests/caller_protocol.py
+++ b/balsamspindle/requests/caller_protocol.py
@@ -58,7 +58,7 @@
 
     def request_id(self, request: CallerRequest) -> str:
         """Return the caller's request id if it is well-formed, else a new one."""
-        given = request.noted.get(self._names.request_id.lower())
+        given = request.control_headers.get(self._names.request_id.lower())
         if given is not None and _match_request_id(given):
             return given
         return new_request_id()
@@ -71,7 +71,7 @@
         BadRequest
             If the caller's time-out is not a positive number.
         """
-        requested = request.noted.get(self._names.timeout_ms.lower())
+        requested = request.control_headers.get(self._names.timeout_ms.lower())
         if requested is None:
             return route.timeout_ms
         if not _match_timeout(requested) or float(requested) == 0:
--- a/balsamspindle/requests/claim_eras.py
+++ b/balsamspindle/requests/claim_eras.py
@@ -20,7 +20,7 @@
     "FIRST_ERA",
     "ClaimEras",
     "Confirmation",
-    "Holder",
+    "ClaimHolder",
 ]
 
 # Era of a store that was never restored from a copy; 0 if the store reports no era.
@@ -37,7 +37,7 @@
 RESTORE_WAIT_S = 2.0
 
 
-class Holder(NamedTuple):
+class ClaimHolder(NamedTuple):
     """A process that may hold claims, as a gate or as the ingress that wrote them."""
 
     node_id: str
@@ -65,28 +65,28 @@
     resend_max_s : float
         Time for which callers may resend a key, and for which the claims of processes
         that have ended are therefore in doubt.
-    on_wanted : callable
+    on_request : callable
         Called with an era when a request waits for its claims to be written again.
     """
 
     def __init__(
         self,
         resend_max_s: float = KEY_RESEND_MAX_S,
-        on_wanted: Callable[[int], None] = lambda era: None,
+        on_request: Callable[[int], None] = lambda era: None,
     ) -> None:
         self._resend_max_s = resend_max_s
-        self._on_wanted = on_wanted
+        self._on_request = on_request
         self._changed = threading.Condition()
-        self._seen_s: dict[Holder, float] = {}
+        self._seen_s: dict[ClaimHolder, float] = {}
         self._first_seen_s: float | None = None
         self._era = 0
         self._era_began_s = 0.0
         self._newest_settled_era = FIRST_ERA
         # Processes that have to confirm the era; None if this process doesn't know.
-        self._required: set[Holder] | None = set()
+        self._required: set[ClaimHolder] | None = set()
 
     def record_holders(
-        self, holders: Iterable[Holder], answered_s: float, now_s: float
+        self, holders: Iterable[ClaimHolder], answered_s: float, now_s: float
     ) -> None:
         """Record which processes of the fleet are running now.
 
@@ -137,7 +137,7 @@
         The wait ends at `give_up_s` or `RESTORE_WAIT_S` after the era began. A later
         call does not wait: the missing process may never return.
         """
-        self._on_wanted(era)
+        self._on_request(era)
         with self._changed:
             until_s = min(give_up_s, self._era_began_s + RESTORE_WAIT_S)
             return self._changed.wait_for(
@@ -146,7 +146,7 @@
 
     def missing_holders(
         self, confirmed: Mapping[str, Confirmation]
-    ) -> set[Holder] | None:
+    ) -> set[ClaimHolder] | None:
         """Return the processes that have not confirmed the era; None if not known."""
         with self._changed:
             if self._required is None:
@@ -157,19 +157,19 @@
                 if not _confirms(confirmed.get(holder.node_id), holder, self._era)
             }
 
-    def can_settle(self, missing: set[Holder] | None, now_s: float) -> bool:
+    def can_settle(self, missing: set[ClaimHolder] | None, now_s: float) -> bool:
         """Return whether the current era may be settled.
 
         Parameters
         ----------
-        missing : set of Holder or None
+        missing : set of ClaimHolder or None
             Result of `missing_holders`.
         """
         if missing == set():
             return now_s - self._era_began_s >= RESTORE_MIN_S
         return now_s - self._era_began_s >= self._resend_max_s
 
-    def _holders_before(self, now_s: float) -> set[Holder] | None:
+    def _holders_before(self, now_s: float) -> set[ClaimHolder] | None:
         """Return the processes that may hold claims lost in an era that begins now.
 
         None if this process can't know all of them.
@@ -183,7 +183,7 @@
         return None if self._required is None else self._required | set(self._seen_s)
 
 
-def _confirms(confirmation: Confirmation | None, holder: Holder, era: int) -> bool:
+def _confirms(confirmation: Confirmation | None, holder: ClaimHolder, era: int) -> bool:
     """Return whether a confirmation is from a process that ran when the era began.
 
     Peers may know that process by a higher incarnation than its own, since a process
--- a/balsamspindle/requests/claim_restorer.py
+++ b/balsamspindle/requests/claim_restorer.py
@@ -23,8 +23,8 @@
     COPY_AGE_MAX_S,
     FIRST_ERA,
     ClaimEras,
+    ClaimHolder,
     Confirmation,
-    Holder,
 )
 from balsamspindle.requests.claims import (
     CLAIMS_TABLE,
@@ -73,8 +73,8 @@
     ----------
     begin_era : callable
         See `RunLedger.begin_era`.
-    take_made : callable
-        See `ClaimBook.take_made`.
+    take_written_claims : callable
+        See `ClaimsTable.take_written_claims`.
     fleet : callable
         Returns the processes of the fleet that are running now.
     is_isolated : callable
@@ -84,11 +84,11 @@
     def __init__(
         self,
         tables: TableService,
-        own: Holder,
+        own: ClaimHolder,
         eras: ClaimEras,
         begin_era: Callable[[int, float, float], list[HeldKey]],
-        take_made: Callable[[float, float], list[WrittenClaim]],
-        fleet: Callable[[], Iterable[Holder]],
+        take_written_claims: Callable[[float, float], list[WrittenClaim]],
+        fleet: Callable[[], Iterable[ClaimHolder]],
         is_isolated: Callable[[], bool],
         events: EventLog,
     ) -> None:
@@ -96,7 +96,7 @@
         self._own = own
         self._eras = eras
         self._begin_era = begin_era
-        self._take_made = take_made
+        self._take_written_claims = take_written_claims
         self._fleet = fleet
         self._is_isolated = is_isolated
         self._events = events
@@ -109,7 +109,7 @@
         self._answered_s = -math.inf
         # Claims written after this time may be lost.
         self._lost_after_s = math.inf
-        self._reported_missing: set[Holder] = set()
+        self._reported_missing: set[ClaimHolder] = set()
 
     def run(self) -> None:
         """Restore claims in each new era until `stop` is called."""
@@ -131,11 +131,11 @@
         self._stopped = True
         self._changed.set()
 
-    def hurry(self) -> None:
+    def wake(self) -> None:
         """Make `run` check the era of the store now."""
         self._changed.set()
 
-    def want(self, era: int) -> None:
+    def request_era(self, era: int) -> None:
         """Record that requests wait for an era to be settled."""
         self._requested_era = max(self._requested_era, era)
         self._changed.set()
@@ -192,7 +192,7 @@
         known = {claim.key for claim in claims}
         claims += [
             _rewrite_without_run(written_claim)
-            for written_claim in self._take_made(after_s, now_s)
+            for written_claim in self._take_written_claims(after_s, now_s)
             if written_claim.key not in known
         ]
         # Only the last claim of each key counts: earlier ones were moved.
@@ -272,7 +272,7 @@
         self._reported_missing = set()
         return True
 
-    def _report_missing(self, era: int, missing: set[Holder] | None) -> None:
+    def _report_missing(self, era: int, missing: set[ClaimHolder] | None) -> None:
         if missing is None or missing <= self._reported_missing:
             return
         self._reported_missing = missing
@@ -310,8 +310,8 @@
     return claim.overrides and not is_same
 
 
-def _holder(stored: StoredClaim) -> Holder:
-    return Holder(stored.node_id, stored.incarnation)
+def _holder(stored: StoredClaim) -> ClaimHolder:
+    return ClaimHolder(stored.node_id, stored.incarnation)
 
 
 def _confirmation(row: Row) -> Confirmation | None:
--- a/balsamspindle/requests/claims.py
+++ b/balsamspindle/requests/claims.py
@@ -36,13 +36,13 @@
 
 __all__ = [
     "CLAIMS_TABLE",
-    "ClaimBook",
+    "ClaimsTable",
     "GateIdentity",
     "KeyClaimant",
     "WrittenClaim",
     "StoredClaim",
     "claim_key",
-    "note_reply",
+    "record_claim_reply",
     "with_claim",
 ]
 
@@ -99,7 +99,7 @@
     written_s: float
 
 
-class ClaimBook:
+class ClaimsTable:
     """Reads and writes the claims table from a few threads, with bounded waits.
 
     Parameters
@@ -150,7 +150,7 @@
         if not self._wait_until_settled(deadline_s):
             return self.read(key, deadline_s).default_value(None)
         value = StoredClaim(*gate, gate_time_s, time.time())
-        claim = self._ask(deadline_s, lambda: self._write(key, version, value))
+        claim = self._call_store(deadline_s, lambda: self._write(key, version, value))
         # The store may have been restored from an older copy during the call. A claim
         # that it lost could not conflict with this one, so this one is not safe.
         return claim if self._is_settled() else None
@@ -162,7 +162,9 @@
         replaced a lost one. It is returned with `REPEAT_ONLY_VERSION`, so that its
         gate starts no run under it.
         """
-        answer = self._ask(deadline_s, lambda: self._tables.read(CLAIMS_TABLE, [key]))
+        answer = self._call_store(
+            deadline_s, lambda: self._tables.read(CLAIMS_TABLE, [key])
+        )
         match answer:
             case Result(tag="ok", ok=[row]):
                 claim = _claim(row)
@@ -174,7 +176,7 @@
             return Error(None)
         return Ok(claim._replace(version=REPEAT_ONLY_VERSION))
 
-    def take_made(self, after_s: float, now_s: float) -> list[WrittenClaim]:
+    def take_written_claims(self, after_s: float, now_s: float) -> list[WrittenClaim]:
         """Return the claims that this process wrote later than `after_s`.
 
         The caller is about to write them again, so their time of writing becomes
@@ -199,7 +201,7 @@
         self._eras.begin(self._tables.era, now_s)
         return self._eras.wait_until_settled(self._tables.era, now_s, deadline_s)
 
-    def _ask(self, deadline_s: float, call: Callable):
+    def _call_store(self, deadline_s: float, call: Callable):
         """Call the store in a thread of the pool; None if the deadline passes first.
 
         The platform may hang for longer than the caller waits. A write that takes
@@ -259,9 +261,9 @@
     """
 
     def __init__(
-        self, book: ClaimBook, service: str, key: str, deadline_s: float
+        self, claims: ClaimsTable, service: str, key: str, deadline_s: float
     ) -> None:
-        self._book = book
+        self._claims = claims
         self._key = claim_key(service, key)
         self._deadline_s = deadline_s
         self._claim: Claim | None = None
@@ -276,13 +278,13 @@
         """
         if self._claim is not None or self._unavailable:
             return
-        match self._book.read(self._key, self._deadline_s):
+        match self._claims.read(self._key, self._deadline_s):
             case Result(tag="ok", ok=claim):
                 self._claim, self._is_unclaimed = claim, claim is None
             case _:
                 self._unavailable = True
 
-    def owner(self) -> str | None:
+    def owner_id(self) -> str | None:
         """Return the id of the node that alone may run the key; None if not known."""
         if self._claim is None or self._is_void:
             return None
@@ -298,7 +300,7 @@
         """
         if self._claim is None or self._is_void:
             version = self._claim.version if self._claim else 0
-            claim = self._book.write(
+            claim = self._claims.write(
                 self._key, version, gate, gate_time_s, self._deadline_s
             )
             if claim is None:
@@ -317,7 +319,7 @@
         if reply.outcome is Outcome.NOT_RUN and reply.reason is not Reason.KEY_REUSED:
             self._is_void = True
 
-    def final(self, reply: Reply) -> Reply:
+    def final_reply(self, reply: Reply) -> Reply:
         """Return the reply for the caller, with 'not run' only if the key did not run.
 
         'Not run' applies to the key, not only to this request: a caller that receives
@@ -343,7 +345,7 @@
         """Return whether another request may have moved the claim."""
         if self._claim.version == REPEAT_ONLY_VERSION:
             return True
-        match self._book.read(self._key, self._deadline_s + FINAL_READ_TIMEOUT_S):
+        match self._claims.read(self._key, self._deadline_s + FINAL_READ_TIMEOUT_S):
             case Result(tag="ok", ok=Claim(version=version)):
                 return version != self._claim.version
         return True
@@ -371,7 +373,7 @@
             return msgspec.structs.replace(dispatch, claim=claim)
 
 
-def note_reply(claimant: KeyClaimant | None, reply: Reply) -> None:
+def record_claim_reply(claimant: KeyClaimant | None, reply: Reply) -> None:
     """Record a gate's reply to an attempt with the claimant, if there is one."""
     if claimant is not None:
         claimant.record_reply(reply)
--- a/balsamspindle/requests/closing.py
+++ b/balsamspindle/requests/closing.py
@@ -6,7 +6,7 @@
 import time
 from collections.abc import Callable
 
-__all__ = ["HANDSHAKES_TIMEOUT_S", "close_listener", "close_politely"]
+__all__ = ["HANDSHAKES_TIMEOUT_S", "close_listener", "close_gracefully"]
 
 HANDSHAKES_TIMEOUT_S = 0.25
 ACCEPT_TIMEOUT_S = 0.02
@@ -73,7 +73,7 @@
         pass
 
 
-def close_politely(connection: socket.socket) -> None:
+def close_gracefully(connection: socket.socket) -> None:
     """Close a connection after its last answer so that the caller can still read it.
 
     If bytes from the caller are unread at the close (a request sent before the caller
--- a/balsamspindle/requests/connection_refuser.py
+++ b/balsamspindle/requests/connection_refuser.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable
 from concurrent.futures import ThreadPoolExecutor
 
-from balsamspindle.requests.closing import close_politely
+from balsamspindle.requests.closing import close_gracefully
 from balsamspindle.timeline import EventLog, submit_logged
 
 __all__ = ["ConnectionRefuser"]
@@ -51,5 +51,5 @@
             # The caller closed the connection before it was answered.
             pass
         finally:
-            close_politely(connection)
+            close_gracefully(connection)
             self._places.release()
--- a/balsamspindle/requests/forwarding.py
+++ b/balsamspindle/requests/forwarding.py
@@ -13,7 +13,7 @@
 from balsamspindle.membership.directory import Placement
 from balsamspindle.protocol.outcomes import PROBLEMS, Execution, Outcome, Reason
 from balsamspindle.requests.attempts import AttemptSender
-from balsamspindle.requests.claims import ClaimBook, KeyClaimant
+from balsamspindle.requests.claims import ClaimsTable, KeyClaimant
 from balsamspindle.requests.forwarded import (
     ForwardedRequest,
     Hedge,
@@ -54,7 +54,7 @@
 
     Parameters
     ----------
-    claims : ClaimBook, default=one without a platform
+    claims : ClaimsTable, default=one without a platform
     retries : RetryPolicy, default=one with the default budget
     clock : callable, default=time.monotonic
         Returns the present time, in s.
@@ -72,7 +72,7 @@
         gate: Gate,
         links: LinkPool,
         events: EventLog,
-        claims: ClaimBook | None = None,
+        claims: ClaimsTable | None = None,
         retries: RetryPolicy | None = None,
         clock: Callable[[], float] = time.monotonic,
         on_suspect: Callable[[NodeRecord, str, HeldOut, float], None] | None = None,
@@ -81,7 +81,7 @@
         self._picker = picker
         self._crash_book = crash_book or CrashBook(lambda service: 1)
         self._events = events
-        self._claims = claims or ClaimBook(None)
+        self._claims = claims or ClaimsTable(None)
         self._clock = clock
         self._free_slots = FreeSlotViews()
         self._sender = AttemptSender(
@@ -131,7 +131,7 @@
             has_answer = reply is not None and reply.outcome is Outcome.ANSWERED
             self._sender.cancel_parked(forwarded, has_answer)
         if forwarded.claimant is not None:
-            reply = forwarded.claimant.final(reply)
+            reply = forwarded.claimant.final_reply(reply)
         if reply.outcome is Outcome.NOT_RUN and forwarded.may_have_run:
             # The last attempt did not run; an earlier one may have.
             reply = msgspec.structs.replace(reply, outcome=Outcome.UNKNOWN)
@@ -347,18 +347,18 @@
 
     def _select(self, forwarded: ForwardedRequest) -> Selection | None:
         claimant = forwarded.claimant
-        if claimant is not None and claimant.owner() is not None:
+        if claimant is not None and claimant.owner_id() is not None:
             return self._select_at_owner(forwarded, claimant)
         selected = self._selector.select(forwarded, self._clock())
         if selected is None and claimant is not None:
             claimant.look_up()
-            if claimant.owner() is not None:
+            if claimant.owner_id() is not None:
                 return self._select_at_owner(forwarded, claimant)
         return selected
 
     def _select_at_owner(self, forwarded, claimant: KeyClaimant) -> Selection | None:
         """Return the only gate that may run the request: the owner of its claim."""
-        placement = self._picker.at_node(claimant.owner(), forwarded.route.service)
+        placement = self._picker.at_node(claimant.owner_id(), forwarded.route.service)
         return None if placement is None else Selection(placement)
 
     def _must_stop(self, forwarded: ForwardedRequest, reply: Reply) -> bool:
--- a/balsamspindle/requests/heads.py
+++ b/balsamspindle/requests/heads.py
@@ -78,7 +78,7 @@
         Host header; empty when an HTTP/1.0 caller sent none.
     headers : list of tuple of str
         Headers that are passed on to the backend server.
-    noted : dict of str to str
+    control_headers : dict of str to str
         Headers that the proxy itself reads, by lower-case name.
     key_digest : str or None
         Digest of the customer's key; empty if the value can't be a key, None if there
@@ -89,7 +89,7 @@
     target: str
     host: str
     headers: list[tuple[str, str]]
-    noted: dict[str, str]
+    control_headers: dict[str, str]
     key_digest: str | None = None
 
 
@@ -100,14 +100,14 @@
     ----------
     single : frozenset of str
         Headers that may be given only once.
-    noted : frozenset of str
+    control_headers : frozenset of str
         Headers that the proxy itself reads.
     removed : frozenset of str
         Headers that are removed before the request is passed on.
     """
 
     single: frozenset[str]
-    noted: frozenset[str]
+    control_headers: frozenset[str]
     removed: frozenset[str]
 
 
@@ -152,19 +152,19 @@
         raise BadRequest(
             Reason.HTTP_VERSION, "Only HTTP/1.0 and HTTP/1.1 are taken here."
         )
-    headers, noted = _sort_headers(raw_headers, _header_rules(names))
-    _check_framing(version, noted)
-    host = _check_host(version, noted)
-    key = noted.get("idempotency-key")
+    headers, control_headers = _sort_headers(raw_headers, _header_rules(names))
+    _check_framing(version, control_headers)
+    host = _check_host(version, control_headers)
+    key = control_headers.get("idempotency-key")
     if key is not None and not _is_idempotency_key(key):
         raise BadRequest(
             Reason.BAD_REQUEST,
             f"{IDEMPOTENCY_KEY_HEADER} must have 1 to "
             f"{IDEMPOTENCY_KEY_MAX_CHARACTERS} visible ASCII characters.",
         )
-    digest = _key_digest_or_empty(noted.pop(names.api_key.lower(), None))
+    digest = _key_digest_or_empty(control_headers.pop(names.api_key.lower(), None))
     return RequestHead(
-        method, _check_target(target, host), host, headers, noted, digest
+        method, _check_target(target, host), host, headers, control_headers, digest
     )
 
 
@@ -181,37 +181,37 @@
     raw_headers, rules: _HeaderRules
 ) -> tuple[list[tuple[str, str]], dict[str, str]]:
     headers: list[tuple[str, str]] = []
-    noted: dict[str, str] = {}
+    control_headers: dict[str, str] = {}
     for raw_name, raw_value in raw_headers:
         name = raw_name.decode("latin-1")
         value = field_value(raw_value)
         lower = name.lower()
-        if lower in rules.noted:
-            _add_control_header(lower, value, noted, rules.single)
+        if lower in rules.control_headers:
+            _add_control_header(lower, value, control_headers, rules.single)
         # Frameworks that treat "_" as "-" would read it as one of the fleet's headers.
         if lower.replace("_", "-") not in rules.removed:
             headers.append((name, value))
-    if "connection" in noted:
-        named = named_by_connection(noted["connection"]) - {"host"}
+    if "connection" in control_headers:
+        named = named_by_connection(control_headers["connection"]) - {"host"}
         headers = [pair for pair in headers if pair[0].lower() not in named]
-    return headers, noted
+    return headers, control_headers
 
 
 def _add_control_header(
-    name: str, value: str, noted: dict[str, str], single: frozenset[str]
+    name: str, value: str, control_headers: dict[str, str], single: frozenset[str]
 ) -> None:
-    if name not in noted:
-        noted[name] = value
+    if name not in control_headers:
+        control_headers[name] = value
     elif name in single:
         raise BadRequest(
             Reason.BAD_REQUEST, f"The header {name} may be given only once."
         )
     else:
-        noted[name] += f",{value}"
+        control_headers[name] += f",{value}"
 
 
-def _check_framing(version: str, noted: dict[str, str]) -> None:
-    coding = noted.get("transfer-encoding")
+def _check_framing(version: str, control_headers: dict[str, str]) -> None:
+    coding = control_headers.get("transfer-encoding")
     if coding is not None and (coding.lower() != "chunked" or version != "1.1"):
         # If the next reader ignores the coding or does not know it, the body ends at
         # another byte for that reader.
@@ -219,15 +219,15 @@
             Reason.BAD_REQUEST,
             "The only transfer coding taken is chunked, with HTTP/1.1.",
         )
-    expected = noted.get("expect")
+    expected = control_headers.get("expect")
     if expected is not None and expected.lower() != "100-continue":
         raise BadRequest(
             Reason.EXPECTATION, "The only expectation taken is 100-continue."
         )
 
 
-def _check_host(version: str, noted: dict[str, str]) -> str:
-    host = noted.get("host")
+def _check_host(version: str, control_headers: dict[str, str]) -> str:
+    host = control_headers.get("host")
     if host is None and version == "1.0":
         return ""
     if host is None or not _is_host(host):
--- a/balsamspindle/requests/http.py
+++ b/balsamspindle/requests/http.py
@@ -58,7 +58,7 @@
     body: bytes = b""
     keep_alive: bool = True
     host: str = ""
-    noted: dict[str, str] = field(default_factory=dict)
+    control_headers: dict[str, str] = field(default_factory=dict)
     key_digest: str | None = None
     is_whole: bool = False
 
@@ -69,8 +69,8 @@
 
     def header(self, name: str) -> str | None:
         """Return a header's value, by its lower-case name."""
-        if name in self.noted:
-            return self.noted[name]
+        if name in self.control_headers:
+            return self.control_headers[name]
         for known, value in self.headers:
             if known.lower() == name:
                 return value
@@ -104,7 +104,7 @@
         """Return the socket's file descriptor, for polling."""
         return self._socket.fileno()
 
-    def wait_for_start(self) -> bool:
+    def wait_for_request(self) -> bool:
         """Wait for the first byte of a request; return False if none arrives.
 
         No request is lost if the connection is closed during this wait.
@@ -237,7 +237,7 @@
     def _send_continue_if_expected(self) -> None:
         if (
             self._parse_error is None
-            and self._head.noted.pop("expect", None) is not None
+            and self._head.control_headers.pop("expect", None) is not None
         ):
             self._socket.send(_CONTINUE)
 
@@ -273,10 +273,10 @@
         """
         if self._upgrade_head is None:
             return b""
-        noted = self._head.noted
-        if "transfer-encoding" in noted:
+        control_headers = self._head.control_headers
+        if "transfer-encoding" in control_headers:
             return _FRAMING_HEAD + b"Transfer-Encoding: chunked\r\n\r\n"
-        length = noted["content-length"].encode()
+        length = control_headers["content-length"].encode()
         return _FRAMING_HEAD + b"Content-Length: " + length + b"\r\n\r\n"
 
     def _head_size_error(self, count: int) -> BadRequest | None:
@@ -340,10 +340,17 @@
         self._keep_alive = (
             parser.should_keep_alive() and parser.get_http_version() == "1.1"
         )
-        self._check_body_bytes(int(self._head.noted.get("content-length", 0)))
-        method, target, host, headers, noted, key_digest = self._head
+        self._check_body_bytes(int(self._head.control_headers.get("content-length", 0)))
+        method, target, host, headers, control_headers, key_digest = self._head
         self._current = CallerRequest(
-            method, target, headers, b"", self._keep_alive, host, noted, key_digest
+            method,
+            target,
+            headers,
+            b"",
+            self._keep_alive,
+            host,
+            control_headers,
+            key_digest,
         )
         self._head_complete = True
 
@@ -355,8 +362,11 @@
 
     def on_message_complete(self) -> None:
         """Complete the request, unless its body is left to a new parser."""
-        noted = self._head.noted
-        has_body = "content-length" in noted or "transfer-encoding" in noted
+        control_headers = self._head.control_headers
+        has_body = (
+            "content-length" in control_headers
+            or "transfer-encoding" in control_headers
+        )
         if has_body and self._parser.should_upgrade():
             self._upgrade_head = self._head
             return
--- a/balsamspindle/requests/ingress.py
+++ b/balsamspindle/requests/ingress.py
@@ -13,7 +13,7 @@
 from balsamspindle.protocol.outcomes import Outcome, Reason
 from balsamspindle.requests.admissions import Admissions
 from balsamspindle.requests.caller_protocol import CallerProtocol, new_request_id
-from balsamspindle.requests.closing import close_listener, close_politely
+from balsamspindle.requests.closing import close_gracefully, close_listener
 from balsamspindle.requests.connection_refuser import ConnectionRefuser
 from balsamspindle.requests.connections import OpenConnections
 from balsamspindle.requests.content import content_id
@@ -149,7 +149,7 @@
         """Return the number of callers whose request is not answered yet."""
         return self._connections.busy_count()
 
-    def cut(self) -> None:
+    def shut_down_connections(self) -> None:
         """Shut down the connections that are still open."""
         self._connections.shut_down_all()
 
@@ -183,7 +183,7 @@
             # The caller left, so no request of it is waiting.
             pass
         finally:
-            close_politely(connection)
+            close_gracefully(connection)
             self._connections.remove(connection)
 
     def _open(self, connection: socket.socket) -> HttpConnection:
@@ -193,7 +193,7 @@
         keep_alive = True
         while keep_alive:
             self._connections.set_idle(connection)
-            started = caller.wait_for_start()
+            started = caller.wait_for_request()
             was_shut = self._connections.set_busy(connection)
             try:
                 request, refused = self._read(caller) if started else (None, None)
@@ -301,7 +301,7 @@
             request,
             route,
             deadline_s,
-            request.noted.get("idempotency-key"),
+            request.control_headers.get("idempotency-key"),
             caller_service=self.caller_service,
             target_s=received_s + route.target_ms / 1000 if route.target_ms else None,
             rank_ms=self._sibling_ranks.rank_ms(route, deadline_s, received_s),
--- a/bench/caller_heads.py
+++ b/bench/caller_heads.py
@@ -67,7 +67,7 @@
     caller = HttpConnection(connection, HttpLimits())
 
     def serve() -> None:
-        caller.wait_for_start()
+        caller.wait_for_request()
         request = caller.read_request()
         caller.write(
             encode_answer(200, HEADERS, BODY, "-", request.keep_alive, is_head=False)
@@ -123,7 +123,7 @@
         connection = HttpConnection(served, HttpLimits())
 
         def serve() -> None:
-            connection.wait_for_start()
+            connection.wait_for_request()
             request = connection.read_request()
             fixture.ingress._serve_request(connection, request)
 
@@ -145,7 +145,7 @@
             head = b"POST /nowhere HTTP/1.1\r\nHost: a\r\nContent-Length: %d\r\n\r\n"
             caller.sendall(head % LARGE_BODY_BYTES)
             sent = 0
-            connection.wait_for_start()
+            connection.wait_for_request()
             request, decided = fixture.ingress._read(connection)
             while not isinstance(decided, Refused):
                 sent += caller.send(bytes(RECEIVE_BYTES))
--- a/tests/claim_world.py
+++ b/tests/claim_world.py
@@ -6,9 +6,9 @@
 
 from balsamspindle.backend_servers.ledger import RunLedger
 from balsamspindle.protocol.outcomes import Execution, Outcome
-from balsamspindle.requests.claim_eras import ClaimEras, Holder
+from balsamspindle.requests.claim_eras import ClaimEras, ClaimHolder
 from balsamspindle.requests.claim_restorer import ClaimRestorer
-from balsamspindle.requests.claims import ClaimBook, GateIdentity, KeyClaimant
+from balsamspindle.requests.claims import ClaimsTable, GateIdentity, KeyClaimant
 from balsamspindle.timeline import EventLog, HybridClock
 from balsamspindle.wire import AttemptId, Claim, Dispatch, Reply
 from tests.restorable_store import RestorableStore, StoreView
@@ -31,10 +31,10 @@
     return Reply(AttemptId("n", 1, 1), outcome, reason)
 
 
-class PromptBook(ClaimBook):
+class ThreadlessClaimsTable(ClaimsTable):
     """Calls a store that never hangs, without a thread."""
 
-    def _ask(self, deadline_s, call):
+    def _call_store(self, deadline_s, call):
         return call()
 
 
@@ -50,21 +50,21 @@
         self.gate = GateIdentity(name, incarnation)
         self.view = StoreView(world.store, rng, lambda: world.now_s)
         self.ledger = RunLedger(*self.gate)
-        eras = ClaimEras(on_wanted=world.want)
-        self.book = PromptBook(self.view, eras, lambda: world.now_s)
+        eras = ClaimEras(on_request=world.request_era)
+        self.claims = ThreadlessClaimsTable(self.view, eras, lambda: world.now_s)
         self.restorer = ClaimRestorer(
             self.view,
-            Holder(*self.gate),
+            ClaimHolder(*self.gate),
             eras,
             self.ledger.begin_era,
-            self.book.take_made,
-            lambda: [Holder(*one.gate) for one in world.processes.values()],
+            self.claims.take_written_claims,
+            lambda: [ClaimHolder(*one.gate) for one in world.processes.values()],
             lambda: False,
             EVENTS,
         )
 
     def claimant(self, key: str = KEY) -> KeyClaimant:
-        return KeyClaimant(self.book, SERVICE, key, time.monotonic() + 60)
+        return KeyClaimant(self.claims, SERVICE, key, time.monotonic() + 60)
 
 
 class World:
@@ -81,9 +81,9 @@
         self.now_s = STARTED_S
         self.step_all()
 
-    def want(self, era: int) -> None:
+    def request_era(self, era: int) -> None:
         for process in self.processes.values():
-            process.restorer.want(era)
+            process.restorer.request_era(era)
 
     def replace(self, name: str) -> None:
         """End a process and start another one in its place."""
--- a/tests/test_caller_side.py
+++ b/tests/test_caller_side.py
@@ -239,7 +239,7 @@
     connection = HttpConnection(ScriptedSocket(pieces), HttpLimits(2_000, 500))
     found = []
     try:
-        while connection.wait_for_start():
+        while connection.wait_for_request():
             request = connection.read_request()
             if request is None:
                 break
--- a/tests/test_claim_schedules.py
+++ b/tests/test_claim_schedules.py
@@ -65,13 +65,13 @@
                 last = self.attempt(claimant)
                 if last.outcome is not Outcome.NOT_RUN:
                     break
-        final = claimant.final(last)
+        final = claimant.final_reply(last)
         self.outcomes[final.outcome] += 1
         self.replied_not_run = final.outcome is Outcome.NOT_RUN
         self.check()
 
     def attempt(self, claimant) -> Reply:
-        name = claimant.owner() or self.rng.choice("abc")
+        name = claimant.owner_id() or self.rng.choice("abc")
         gate = self.world.processes[name]
         claim = claimant.claim_for(gate.gate, self.world.now_s)
         if isinstance(claim, Reason):
--- a/tests/test_claims.py
+++ b/tests/test_claims.py
@@ -9,7 +9,7 @@
 
 from balsamspindle.backend_servers import ledger
 from balsamspindle.protocol.outcomes import Execution, Outcome, Reason
-from balsamspindle.requests.claims import ClaimBook, GateIdentity, KeyClaimant
+from balsamspindle.requests.claims import ClaimsTable, GateIdentity, KeyClaimant
 from balsamspindle.tables import (
     Conflict,
     Put,
@@ -75,19 +75,19 @@
     def setUp(self):
         super().setUp()
         self.tables = Tables()
-        self.book = ClaimBook(self.tables)
+        self.claims = ClaimsTable(self.tables)
 
     def _claimant(self, timeout_s=30.0):
-        return KeyClaimant(self.book, SERVICE, "key", time.monotonic() + timeout_s)
+        return KeyClaimant(self.claims, SERVICE, "key", time.monotonic() + timeout_s)
 
     def test_a_resend_through_another_node_goes_to_the_gate_that_has_the_key(self):
         self.assertEqual("here", self._claimant().claim_for(HERE, 5.0).node_id)
         resend = self._claimant()
         self.assertIs(Reason.CLAIM_MOVED, resend.claim_for(THERE, 9.0))
-        self.assertEqual("here", resend.owner())
+        self.assertEqual("here", resend.owner_id())
         self.assertEqual(("here", 1, 1, 5.0), resend.claim_for(HERE, 9.0))
         # The gate that holds the claim was not asked, and may have run the key.
-        final = resend.final(reply(Outcome.NOT_RUN, Reason.CLAIM_MOVED))
+        final = resend.final_reply(reply(Outcome.NOT_RUN, Reason.CLAIM_MOVED))
         self.assertEqual(
             (Outcome.UNKNOWN, Reason.DUPLICATE), (final.outcome, final.reason)
         )
@@ -98,7 +98,7 @@
         claimant.record_reply(reply(Outcome.UNKNOWN, Reason.SILENCE))
         self.assertIs(Reason.CLAIM_MOVED, claimant.claim_for(THERE, 5.0))
         claimant.record_reply(reply(Outcome.NOT_RUN, Reason.DRAINING))
-        self.assertIsNone(claimant.owner())
+        self.assertIsNone(claimant.owner_id())
         self.assertEqual(("there", 1, 2, 6.0), claimant.claim_for(THERE, 6.0))
 
     def test_of_two_that_move_a_claim_one_wins(self):
@@ -108,7 +108,7 @@
             claimant.record_reply(reply(Outcome.NOT_RUN, Reason.DRAINING))
         self.assertEqual(2, first.claim_for(THERE, 6.0).version)
         self.assertIs(Reason.CLAIM_MOVED, second.claim_for(HERE, 7.0))
-        self.assertEqual("there", second.owner())
+        self.assertEqual("there", second.owner_id())
 
     def test_not_run_is_not_replied_when_a_resend_runs_at_another_gate(self):
         # Guards against `not_run` for a resend while the first request runs. A backend
@@ -122,7 +122,7 @@
         self.assertEqual("there", first.claim_for(THERE, 6.0).node_id)
         refused = reply(Outcome.NOT_RUN, Reason.CLAIM_MOVED)
         resend.record_reply(refused)
-        final = resend.final(refused)
+        final = resend.final_reply(refused)
         self.assertEqual(
             (Outcome.UNKNOWN, Reason.DUPLICATE), (final.outcome, final.reason)
         )
@@ -132,15 +132,15 @@
         claimant = self._claimant()
         claimant.claim_for(HERE, 5.0)
         claimant.record_reply(refused)
-        self.assertIs(Outcome.NOT_RUN, claimant.final(refused).outcome)
+        self.assertIs(Outcome.NOT_RUN, claimant.final_reply(refused).outcome)
         # The store is down, so a resend may have moved the claim.
         self.tables.faults = ["down"]
-        self.assertIs(Outcome.UNKNOWN, claimant.final(refused).outcome)
+        self.assertIs(Outcome.UNKNOWN, claimant.final_reply(refused).outcome)
 
     def test_a_write_whose_reply_was_lost_counts_as_our_claim(self):
         for number, fault in enumerate(("lost reply", "lost")):
             claimant = KeyClaimant(
-                self.book, SERVICE, f"key-{number}", time.monotonic() + 30
+                self.claims, SERVICE, f"key-{number}", time.monotonic() + 30
             )
             self.tables.faults = [fault]
             self.assertEqual(1, claimant.claim_for(HERE, 5.0).version)
@@ -154,21 +154,21 @@
             claimant = self._claimant(timeout_s)
             reason = claimant.claim_for(HERE, 5.0)
             self.assertIs(Reason.CLAIMS_UNAVAILABLE, reason)
-            final = claimant.final(reply(Outcome.NOT_RUN, reason))
+            final = claimant.final_reply(reply(Outcome.NOT_RUN, reason))
             self.assertEqual((Outcome.UNKNOWN, reason), (final.outcome, final.reason))
 
     def test_without_an_attempt_not_run_is_replied_for_unclaimed_keys_only(self):
         refusal = reply(Outcome.NOT_RUN, Reason.NO_BACKEND_SERVER)
-        self.assertIs(Outcome.NOT_RUN, self._claimant().final(refusal).outcome)
+        self.assertIs(Outcome.NOT_RUN, self._claimant().final_reply(refusal).outcome)
         self.tables.faults = ["down"]
-        self.assertIs(Outcome.UNKNOWN, self._claimant().final(refusal).outcome)
+        self.assertIs(Outcome.UNKNOWN, self._claimant().final_reply(refusal).outcome)
         self._claimant().claim_for(HERE, 5.0)
-        self.assertIs(Outcome.UNKNOWN, self._claimant().final(refusal).outcome)
+        self.assertIs(Outcome.UNKNOWN, self._claimant().final_reply(refusal).outcome)
 
     def test_a_first_request_costs_one_write(self):
         claimant = self._claimant()
         claimant.claim_for(HERE, 5.0)
-        claimant.final(reply(Outcome.ANSWERED))
+        claimant.final_reply(reply(Outcome.ANSWERED))
         self.assertEqual(1, self.tables.writes)
 
 
@@ -183,7 +183,7 @@
         self.rng = random.Random(seed)
         self.now_s = 0.0
         self.tables = Tables()
-        self.book = ClaimBook(self.tables)
+        self.claims = ClaimsTable(self.tables)
         self.gates = {name: (1, ledger.RunLedger(name, 1)) for name in ("a", "b", "c")}
         self.late: list[tuple[str, Dispatch]] = []
         self.runs = 0
@@ -209,19 +209,19 @@
             self.rng.choice(["", "", "", "down", "lost", "lost reply"])
             for _ in range(4)
         ]
-        claimant = KeyClaimant(self.book, SERVICE, "key", time.monotonic() + 60)
+        claimant = KeyClaimant(self.claims, SERVICE, "key", time.monotonic() + 60)
         last = reply(Outcome.NOT_RUN, Reason.NO_BACKEND_SERVER)
         for _ in range(3):
             last = self.attempt(claimant)
             if last.outcome is not Outcome.NOT_RUN:
                 break
-        final = claimant.final(last)
+        final = claimant.final_reply(last)
         self.outcomes[final.outcome] += 1
         self.replied_not_run = final.outcome is Outcome.NOT_RUN
         self.check()
 
     def attempt(self, claimant) -> Reply:
-        name = claimant.owner() or self.rng.choice("abc")
+        name = claimant.owner_id() or self.rng.choice("abc")
         gate = GateIdentity(name, self.gates[name][0])
         if self.rng.random() < 0.1:
             return reply(Outcome.NOT_RUN, Reason.UNREACHABLE)
--- a/tests/test_claims_restored.py
+++ b/tests/test_claims_restored.py
@@ -7,7 +7,7 @@
 from balsamspindle.backend_servers.ledger import KeyRefused
 from balsamspindle.protocol.outcomes import Outcome, Reason
 from balsamspindle.requests import claim_eras
-from balsamspindle.requests.claim_eras import ClaimEras, Confirmation, Holder
+from balsamspindle.requests.claim_eras import ClaimEras, ClaimHolder, Confirmation
 from balsamspindle.tables.eras import packed_version
 from balsamspindle.wire import Claim
 from tests.claim_world import KEY, World, dispatch_of, reply
@@ -21,8 +21,8 @@
     def _resend(self, world: World, ingress: str, gate: str, key: str = KEY):
         claimant = world.processes[ingress].claimant(key)
         claim = claimant.claim_for(world.processes[gate].gate, world.now_s)
-        final = claimant.final(reply(Outcome.NOT_RUN, Reason.CLAIM_MOVED))
-        return claim, claimant.owner(), final.outcome
+        final = claimant.final_reply(reply(Outcome.NOT_RUN, Reason.CLAIM_MOVED))
+        return claim, claimant.owner_id(), final.outcome
 
     def test_the_gate_that_ran_a_key_claims_it_again(self):
         # Guards against a second run of a key whose claim the store has lost.
@@ -125,7 +125,7 @@
         world.store.restore()
         world.processes["b"].view.hear(2)
         refusal = reply(Outcome.NOT_RUN, Reason.NO_BACKEND_SERVER)
-        final = world.processes["b"].claimant().final(refusal)
+        final = world.processes["b"].claimant().final_reply(refusal)
         self.assertIs(Outcome.UNKNOWN, final.outcome)
 
     def test_keys_are_claimed_again_soon_when_all_processes_live(self):
@@ -188,15 +188,15 @@
         return eras
 
     def test_a_process_that_ended_shortly_before_the_era_is_missing(self):
-        here, gone = Holder("here", 1), Holder("gone", 1)
+        here, gone = ClaimHolder("here", 1), ClaimHolder("gone", 1)
         eras = self._eras(here, gone)
-        eras.record_holders([here, Holder("gone", 2)], 50.0, 50.0)
+        eras.record_holders([here, ClaimHolder("gone", 2)], 50.0, 50.0)
         eras.begin(2, 55.0)
         confirmations = {"here": Confirmation(1, 2), "gone": Confirmation(2, 2)}
         self.assertEqual({gone}, eras.missing_holders(confirmations))
 
     def test_a_process_that_ended_before_any_copy_is_not_missing(self):
-        here, gone = Holder("here", 1), Holder("gone", 1)
+        here, gone = ClaimHolder("here", 1), ClaimHolder("gone", 1)
         eras = self._eras(here, gone)
         eras.record_holders([here], 61.0, 61.0)
         eras.begin(2, 62.0)
@@ -205,7 +205,7 @@
     def test_a_process_that_ended_since_the_last_answer_of_the_store_is_missing(self):
         # Guards against a process that removes holders of claims while it is cut off
         # from the store, although the copy restored later may lack their claims.
-        here, gone = Holder("here", 1), Holder("gone", 1)
+        here, gone = ClaimHolder("here", 1), ClaimHolder("gone", 1)
         eras = self._eras(here, gone)
         eras.record_holders([here], 30.0, 500.0)
         eras.begin(2, 501.0)
@@ -213,17 +213,17 @@
 
     def test_a_process_that_starts_in_an_era_does_not_know_who_is_missing(self):
         eras = ClaimEras()
-        eras.record_holders([Holder("here", 1)], 0.0, 0.0)
+        eras.record_holders([ClaimHolder("here", 1)], 0.0, 0.0)
         eras.begin(2, 50.0)
         self.assertIsNone(eras.missing_holders({"here": Confirmation(1, 2)}))
 
     def test_a_process_that_just_started_does_not_know_its_fleet(self):
-        eras = self._eras(Holder("here", 1))
+        eras = self._eras(ClaimHolder("here", 1))
         eras.begin(2, claim_eras.FLEET_KNOWN_AFTER_S - 0.1)
         self.assertIsNone(eras.missing_holders({"here": Confirmation(1, 2)}))
 
     def test_a_missing_process_stays_missing_in_the_next_era(self):
-        here, gone = Holder("here", 1), Holder("gone", 1)
+        here, gone = ClaimHolder("here", 1), ClaimHolder("gone", 1)
         eras = self._eras(here, gone)
         eras.begin(2, 50.0)
         eras.record_holders([here], 111.0, 111.0)
@@ -233,12 +233,12 @@
     def test_a_process_that_peers_know_by_a_higher_incarnation_confirms(self):
         # Guards against an era that is never settled because peers know a node by a
         # higher incarnation than its own.
-        eras = self._eras(Holder("here", 3))
+        eras = self._eras(ClaimHolder("here", 3))
         eras.begin(2, 50.0)
         self.assertEqual(set(), eras.missing_holders({"here": Confirmation(2, 2)}))
 
     def test_a_request_after_the_time_to_restore_does_not_wait(self):
-        eras = self._eras(Holder("here", 1))
+        eras = self._eras(ClaimHolder("here", 1))
         eras.begin(2, 50.0)
         now_s = 50.1 + claim_eras.RESTORE_WAIT_S
         started_s = time.monotonic()
--- a/tests/test_closing.py
+++ b/tests/test_closing.py
@@ -5,7 +5,7 @@
 
 from testtools import TestCase
 
-from balsamspindle.requests.closing import close_listener, close_politely
+from balsamspindle.requests.closing import close_gracefully, close_listener
 
 REQUEST = b"GET / HTTP/1.1\r\n\r\n"
 ANSWER = b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"
@@ -16,7 +16,7 @@
     """Answer one request and close."""
     connection.recv(len(REQUEST))
     connection.sendall(ANSWER)
-    close_politely(connection)
+    close_gracefully(connection)
 
 
 class ClosingTests(TestCase):
@@ -79,7 +79,7 @@
         connection, _ = listener.accept()
         caller.sendall(REQUEST)
         connection.sendall(ANSWER)
-        closing = threading.Thread(target=close_politely, args=[connection])
+        closing = threading.Thread(target=close_gracefully, args=[connection])
         closing.start()
         self.assertEqual(ANSWER, caller.recv(100))
         caller.sendall(REQUEST)
--- a/tests/test_store_came_back.py
+++ b/tests/test_store_came_back.py
@@ -9,7 +9,7 @@
 from balsamspindle.platform import HttpTableService
 from balsamspindle.protocol.outcomes import Execution, Outcome, Reason
 from balsamspindle.requests.claim_eras import ClaimEras
-from balsamspindle.requests.claims import ClaimBook, GateIdentity, KeyClaimant
+from balsamspindle.requests.claims import ClaimsTable, GateIdentity, KeyClaimant
 from balsamspindle.settings.feed import OperatorRow, SettingsFeed, WholeSettings
 from balsamspindle.settings.tree import CurrentConfiguration
 from balsamspindle.tables import (
@@ -178,8 +178,8 @@
 
 class RestoredClaimTests(RestoredStoreCase):
     def _claimant(self, tables=None, eras: ClaimEras | None = None) -> KeyClaimant:
-        book = ClaimBook(tables or self.tables, eras)
-        return KeyClaimant(book, SERVICE, "sign-7", time.monotonic() + 5.0)
+        claims = ClaimsTable(tables or self.tables, eras)
+        return KeyClaimant(claims, SERVICE, "sign-7", time.monotonic() + 5.0)
 
     def _dispatch(self, claim) -> Dispatch:
         return Dispatch(
