--- /dev/null
+++ b/tests/mixed_fleet.py
@@ -0,0 +1,313 @@
+"""A fleet whose nodes and backend servers run from two checkouts."""
+
+import json
+import os
+import signal
+import socket
+import subprocess
+import sys
+import threading
+import time
+from pathlib import Path
+
+from tests.utils import HttpAnswer, call, free_address, try_call, wait_until
+
+SERVICE, FRAGILE_SERVICE = "crew/contracts", "crew/fragile"
+KEY_HEADER, RUN_HEADER = "Idempotency-Key", "X-Run-Key"
+CUSTOMER_HEADER = "X-Balsamspindle-Key"
+PROOF_MAX_AGE_S = 3.0
+ROUTE = {"service": SERVICE, "path_prefix": "/contracts", "timeout_ms": 3000}
+DOCUMENTS = {
+    "crew/services/contracts": {
+        "floor_fraction": 0.5,
+        "detection": {"threshold": 7.0, "hold_out_s": 2.0, "trial_successes": 3},
+    },
+    "crew/routes/read": {**ROUTE, "execution": "idempotent", "methods": ["GET"]},
+    "crew/routes/sign": {**ROUTE, "execution": "non_idempotent", "methods": ["POST"]},
+    "crew/services/fragile": {},
+    "crew/routes/fragile": {
+        **ROUTE,
+        "service": FRAGILE_SERVICE,
+        "path_prefix": "/fragile",
+        "execution": "idempotent",
+        "methods": ["GET"],
+    },
+    "crew/routes/customers": {
+        **ROUTE,
+        "path_prefix": "/customers",
+        "execution": "idempotent",
+        "methods": ["GET"],
+        "allows_anonymous": False,
+    },
+}
+CRASHING = "/fragile/crashes"
+CRASH_AFTER_S, DOWN_S = 0.08, 0.8
+READY_TIMEOUT_S = 40.0
+
+
+class Process:
+    """One process of a build; `start` starts it again with the same arguments."""
+
+    def __init__(self, build: Path, module: str, arguments, log: Path) -> None:
+        self.build, self.log = build, log
+        self._arguments = ["-m", f"balsamspindle.cli.{module}", *arguments]
+        self.start()
+
+    def start(self) -> None:
+        """Start the process from its build."""
+        with self.log.open("ab") as log:
+            self._process = subprocess.Popen(
+                [sys.executable, *self._arguments],
+                stdout=log,
+                stderr=log,
+                cwd=self.build,
+                env=environment(self.build),
+            )
+
+    def stop(self) -> int:
+        """End the process in order; return its exit status."""
+        self._process.terminate()
+        return self._process.wait(40.0)
+
+    def kill(self) -> None:
+        """End the process at once."""
+        if self._process.poll() is None:
+            self._process.send_signal(signal.SIGKILL)
+        self._process.wait()
+
+
+def environment(build: Path) -> dict[str, str]:
+    """Return an environment in which modules come from one build."""
+    return {**os.environ, "PYTHONPATH": str(build)}
+
+
+class Node(Process):
+    """A node of a build and its addresses."""
+
+    def __init__(self, build: Path, name: str, fleet: "MixedFleet") -> None:
+        names = ("caller", "link", "member", "admin")
+        addresses = {f"{one}_address": free_address() for one in names}
+        self.name, self.caller = name, addresses["caller_address"]
+        self.admin, self.member = (
+            addresses["admin_address"],
+            addresses["member_address"],
+        )
+        settings = {
+            "node_id": name,
+            "region": "test",
+            "availability_zone": f"zone-{name[-1]}",
+            "platform_address": fleet.store,
+            "seed_addresses": [node.member for node in fleet.nodes],
+            "key_proof_max_age_s": PROOF_MAX_AGE_S,
+            "shutdown_timeout_s": 5.0,
+            **addresses,
+        }
+        path = fleet.folder / f"{name}.json"
+        path.write_text(json.dumps(settings))
+        super().__init__(
+            build, "node", ["--settings", str(path)], fleet.folder / f"{name}.log"
+        )
+
+    def status(self) -> dict:
+        """Return the status page; empty when the node does not answer."""
+        answer = try_call(self.admin, "/status", timeout_s=2)
+        return answer.json() if answer and answer.status == 200 else {}
+
+    def explanation(self) -> dict[str, dict]:
+        """Return what the node says of each backend server of the service."""
+        page = call(self.admin, f"/services/{SERVICE}/explain").json()
+        return {one["backend_server_id"]: one for one in page["backend_servers"]}
+
+    def send(self, target: str, method: str = "GET", **headers: str) -> HttpAnswer:
+        """Send one request; status 0 when no answer came."""
+        # A quarantine is kept by host and target, so all nodes get the same host.
+        headers = {"Host": "crew.example", **headers}
+        answer = try_call(self.caller, target, method, b"", headers, 8.0)
+        return answer or HttpAnswer(0, {}, b"")
+
+
+class CrashingServer:
+    """A backend server that one target crashes; it comes back as a new start."""
+
+    def __init__(self, name: str, node: Node) -> None:
+        self._name, self._node, self._starts = name, node, 0
+        self._open: set[socket.socket] = set()
+        self.crashes = 0
+        self.is_stopped = False
+        self._start()
+        threading.Thread(target=self._announce, daemon=True).start()
+
+    def _start(self) -> None:
+        self._starts += 1
+        self._listener = socket.create_server(("127.0.0.1", 0))
+        threading.Thread(
+            target=self._accept, args=(self._listener,), daemon=True
+        ).start()
+
+    def _announce(self) -> None:
+        while not self.is_stopped:
+            listener = self._listener
+            if listener is not None:
+                body = {
+                    "service": FRAGILE_SERVICE,
+                    "address": "{}:{}".format(*listener.getsockname()),
+                    "slots": 4,
+                    "boot_id": f"start-{self._starts}",
+                }
+                path = f"/backend-servers/{self._name}"
+                data = json.dumps(body).encode()
+                kind = {"Content-Type": "application/json"}
+                try_call(self._node.admin, path, "PUT", data, kind, 1.0)
+            time.sleep(0.3)
+
+    def _accept(self, listener: socket.socket) -> None:
+        while True:
+            try:
+                connection, _ = listener.accept()
+            except OSError:
+                return
+            self._open.add(connection)
+            threading.Thread(
+                target=self._serve, args=(connection,), daemon=True
+            ).start()
+
+    def _serve(self, connection: socket.socket) -> None:
+        data = b""
+        try:
+            while True:
+                while b"\r\n\r\n" not in data:
+                    chunk = connection.recv(65536)
+                    if not chunk:
+                        return
+                    data += chunk
+                if CRASHING.encode() in data:
+                    time.sleep(CRASH_AFTER_S)
+                    self.crash()
+                    return
+                data = b""
+                body = json.dumps({"server": self._name}).encode()
+                head = f"HTTP/1.1 200 OK\r\nContent-Length: {len(body)}\r\n\r\n"
+                connection.sendall(head.encode() + body)
+        except OSError:
+            # A crash closed the connection.
+            return
+
+    def crash(self) -> None:
+        """Close the listener and all connections; start again after a pause."""
+        listener, self._listener = self._listener, None
+        if listener is None:
+            return
+        self.crashes += 1
+        listener.shutdown(socket.SHUT_RDWR)
+        listener.close()
+        for connection in list(self._open):
+            try:
+                connection.shutdown(socket.SHUT_RDWR)
+            except OSError:
+                # Its peer closed it before.
+                pass
+            connection.close()
+        self._open.clear()
+        if not self.is_stopped:
+            threading.Timer(DOWN_S, self._start).start()
+
+    def stop(self) -> None:
+        """End it for good."""
+        self.is_stopped = True
+        self.crash()
+
+
+class MixedFleet:
+    """The store's stand-in, nodes of either build and backend servers beside them."""
+
+    def __init__(self, folder: Path, build: Path) -> None:
+        self.folder, self.store = folder, free_address()
+        self.nodes: list[Node] = []
+        self.servers: dict[str, str] = {}
+        self.crashing: list[CrashingServer] = []
+        self._processes: list[Process] = []
+        self._add(Process(build, "standin_platform", ["--address", self.store],
+                          folder / "store.log"))  # fmt: skip
+        wait_until(lambda: try_call(self.store, "/counts"), "the store answers")
+
+    def _add(self, process):
+        self._processes.append(process)
+        return process
+
+    def start_node(self, build: Path, name: str) -> Node:
+        """Start a node."""
+        node = self._add(Node(build, name, self))
+        self.nodes.append(node)
+        return node
+
+    def start_server(self, build: Path, node: Node) -> None:
+        """Start a stand-in backend server beside a node."""
+        name, address = f"server-{node.name}", free_address()
+        arguments = ["--name", name, "--address", address, "--service", SERVICE]
+        arguments += ["--node-admin", node.admin, "--work-ms", "5", "--slots", "8"]
+        self._add(
+            Process(build, "standin_backend", arguments, self.folder / f"{name}.log")
+        )
+        self.servers[name] = address
+
+    def start_crashing(self, node: Node) -> None:
+        """Start a backend server that can crash beside a node."""
+        self.crashing.append(CrashingServer(f"crashing-{node.name}", node))
+
+    def wait_ready(self, nodes=None) -> None:
+        """Wait until nodes have settings, know each other and all backend servers."""
+        count = len(self.servers)
+        for node in nodes or self.nodes:
+            wait_until(
+                lambda node=node: (
+                    node.status().get("accepting")
+                    and len(node.explanation()) >= count
+                    and node.send("/contracts/ready").status == 200
+                    and (not self.crashing or node.send("/fragile/ready").status == 200)
+                ),
+                f"{node.name} is ready",
+                READY_TIMEOUT_S,
+            )
+
+    def ctl(self, build: Path, *words: str, text: str | None = None) -> str:
+        """Run a build's operators' tool; return what it wrote."""
+        known = ["--platform", self.store]
+        if words[0] not in ("settings", "customers"):
+            known = []
+        done = subprocess.run(
+            [sys.executable, "-m", "balsamspindle.cli.ctl", *words, *known],
+            cwd=build,
+            env=environment(build),
+            input=text,
+            capture_output=True,
+            text=True,
+            timeout=60,
+        )
+        assert done.returncode == 0, f"{words}: {done.stderr or done.stdout}"
+        return done.stdout
+
+    def runs(self, run_key: str) -> int:
+        """Return how often a request ran at the backend servers."""
+        line = f"event=run run_key={run_key}"
+        logs = [self.folder / f"{name}.log" for name in self.servers]
+        return sum(log.read_text().splitlines().count(line) for log in logs)
+
+    def sign(self, node: Node, key: str) -> HttpAnswer:
+        """Send a non-idempotent request with a key."""
+        headers = {KEY_HEADER: key, RUN_HEADER: key}
+        return node.send(f"/contracts/{key}", "POST", **headers)
+
+    def stop_nodes(self) -> None:
+        """End all nodes in order and forget them, with their backend servers."""
+        for node in self.nodes:
+            assert node.stop() == 0, f"{node.name} failed at its end"
+        for server in self.crashing:
+            server.stop()
+        self.nodes, self.servers, self.crashing = [], {}, []
+
+    def end(self) -> None:
+        """End all processes."""
+        for server in self.crashing:
+            server.stop()
+        for process in self._processes:
+            process.kill()
