--- a/balsamspindle/backend_servers/health.py
+++ b/balsamspindle/backend_servers/health.py
@@ -1,4 +1,7 @@
-"""The health of one backend server: its score, and what follows from it."""
+"""The health of one backend server: its score and its phase.
+
+The phase is serving, held out or on trial.
+"""
 
 import math
 from typing import NamedTuple
@@ -13,44 +16,48 @@
 
 __all__ = ["HealthReport", "ServerHealth"]
 
-# How long the lightest weight that was asked for is remembered.
-LIGHTEST_MEMORY_S = 5.0
 
-# A hold-out ends early when work that came all the same went so well, in
-# thresholds.
-RECOVERED_SCORE = 0.5
-# How long others are told to stay away while a trial goes on; it takes about
-# as long as a request.
+LIGHTEST_WEIGHT_EXPIRY_S = 5.0
+
+# Some attempts still reach a backend server that is held out. The hold-out ends
+# early when they lower its score to this part of the threshold.
+RECOVERED_SCORE_PART = 0.5
+# The time reported to ingresses as left of a hold-out while a trial is running:
+# about as long as a request takes.
 TRIAL_HINT_MS = 100.0
-# A trial waits so long for idempotent work; some seconds at the rate of a few
-# requests a second for each backend server.
+# For this long a trial is reserved for idempotent requests, so that a few of them
+# can arrive where each backend server gets a few requests a second.
 TRIAL_WAIT_S = 3.0
-# And so long for the lightest of it.
+# For this long a trial is reserved for the lightest idempotent requests.
 LIGHTEST_WAIT_S = 0.7
-# Probes fill silences of this length, while somebody asked so lately.
-SILENCE_S = 2.0
-ASKED_LATELY_S = 60.0
-# Suspicion is published in few steps: each change of a record is news to the
-# whole fleet.
+# A backend server without any work for this long is probed, provided that an
+# attempt was dispatched to it within the demand window.
+PROBE_AFTER_IDLE_S = 2.0
+PROBE_DEMAND_WINDOW_S = 60.0
+# Suspicion takes few values, because each change of a backend server's record is
+# sent to all nodes of the fleet.
 SUSPICION_ON_TRIAL = 0.5
 SUSPICION_HELD_OUT = 1.0
 SUSPICION_STRONG = 2.0
-STRONG_SCORE = 1.5
+STRONG_SCORE_FACTOR = 1.5
 
 
 class HealthReport(NamedTuple):
-    """Why a backend server stands as it does; for operators and events.
+    """The reasons for a backend server's phase, for operators and events.
 
     Attributes
     ----------
     score, threshold : float
-        Sum of the sequential test, and where it ejects.
+        Sum of the sequential test, and the value at which it ejects.
     slow_ms : float
-        Requests over it count as slow.
+        Requests that take longer count as slow.
     peers_bad_share : float
-        Part of the service's other backend servers that looks bad, too.
+        Share of the service's other backend servers whose latest request failed
+        or was slow, between 0 and 1.
     evidence : dict of str to int
-        Requests by result since the score was last 0.
+        Number of requests and probes by result since the score was last 0.
+    hold_out_left_s : float
+        Time until the trial; 0 unless the backend server is held out.
     """
 
     phase: HealthPhase
@@ -64,70 +71,82 @@
 
 
 class LightestWeight:
-    """The lightest idempotent requests that come for a backend server."""
+    """The least weight of recent idempotent requests for a backend server.
+
+    Attributes
+    ----------
+    weight : float
+        Infinite before the first request.
+    """
 
     def __init__(self) -> None:
         self.weight = math.inf
-        self._noted_s = -math.inf
+        self._recorded_s = -math.inf
 
     def note(self, weight: float, now_s: float) -> None:
-        """Take a request's weight."""
-        if weight <= self.weight or now_s - self._noted_s > LIGHTEST_MEMORY_S:
-            self.weight, self._noted_s = weight, now_s
+        """Lower the minimum to a request's weight, or replace an expired one."""
+        if weight <= self.weight or now_s - self._recorded_s > LIGHTEST_WEIGHT_EXPIRY_S:
+            self.weight, self._recorded_s = weight, now_s
 
 
 class ServerHealth:
-    """Score and phase of one backend server; guarded by its owner's lock."""
+    """Score and phase of one backend server.
+
+    Not thread-safe: the caller holds a lock during each call.
+    """
 
     def __init__(self, detection: Detection, now_s: float) -> None:
         self._work = WorkScore(detection, now_s)
         self._readmission = Readmission(detection, now_s)
-        self._asked_s = -ASKED_LATELY_S
-        self._lightest = LightestWeight()
+        self._last_attempt_s = -PROBE_DEMAND_WINDOW_S
+        self._lightest_weight = LightestWeight()
         self._bad_in_a_row = 0
-        # Kept through a hold-out, so that a score that goes up and down does
-        # not make news each time.
-        self._strong = False
+        # Once set it stays set until the next ejection, so that a score which
+        # goes up and down does not change the published record each time.
+        self._is_strongly_suspected = False
 
     @property
     def phase(self) -> HealthPhase:
-        """Where the backend server stands now."""
+        """Whether the backend server is serving, held out or on trial."""
         return self._readmission.phase
 
     @property
     def needs_tick(self) -> bool:
-        """Whether time alone may change something."""
-        return self._work.has_work or self.phase is not HealthPhase.SERVING
+        """Whether the score or phase may change without a new request or probe."""
+        return self._work.has_in_flight or self.phase is not HealthPhase.SERVING
 
     @property
     def own_limit_ms(self) -> float:
-        """Its own 99th percentile of latency; 0 before enough was seen."""
+        """The backend server's own 99th percentile of latency.
+
+        0 while too few requests have been seen to estimate it.
+        """
         return self._work.own_limit_ms
 
     def configure(self, detection: Detection) -> None:
-        """Take changed settings; the evidence stays."""
+        """Apply changed settings; score, phase and evidence stay."""
         self._work.detection = detection
         self._readmission.detection = detection
 
     def note_peers(self, evidence: PeerEvidence, now_s: float) -> None:
-        """Take what an ingress saw of the service's other backend servers."""
+        """Record an ingress's summary of the service's other backend servers."""
         self._work.note_peers(evidence, now_s)
 
     def started(self, attempt_id: AttemptId, now_s: float) -> None:
-        """Take an attempt into the work in flight."""
+        """Record that an attempt was dispatched; it is in flight from now on."""
         self._work.started(attempt_id, now_s)
-        self._asked_s = now_s
+        self._last_attempt_s = now_s
 
     def ended(self, attempt_id: AttemptId, result: WorkResult, now_s: float) -> Verdict:
-        """Take an attempt's end and tell what it says."""
+        """Record an attempt's end, and return whether it counts as good or bad."""
         serves = self.phase is HealthPhase.SERVING
         verdict = self._work.ended(attempt_id, result, serves, now_s)
         if verdict is not Verdict.NOTHING:
             good = verdict is Verdict.GOOD
             self._bad_in_a_row = 0 if good else self._bad_in_a_row + 1
-            if self._readmission.note_work(verdict is Verdict.GOOD):
-                self._readmission.serve(now_s)
-        self._move(now_s)
+            if self._readmission.record_work(verdict is Verdict.GOOD):
+                self._readmission.readmit(now_s)
+        self._update_phase(now_s)
         return verdict
 
     def admits(
@@ -139,47 +158,54 @@
     ) -> bool:
         """Tell whether an attempt may go to the backend server now.
 
-        On trial only what may be repeated elsewhere, one at a time: a trial
-        that fails costs its caller a retry, and never a request that must not
-        run twice. The lightest of it goes first, for heavier requests may be
-        calls that others, which must not run twice, wait for. One that may not be
-        tried again would be lost with a trial that fails, though other backend
-        servers were free.
+        A backend server on trial gets one attempt at a time, and at first only
+        idempotent ones: if the trial fails, the caller retries elsewhere, and no
+        request that must not run twice is lost. The lightest go first, because a
+        heavier request may be a call that a non-idempotent request waits for.
+        An attempt that cannot be retried waits as well: it would be lost in a
+        failed trial although other backend servers were free.
+
+        Parameters
+        ----------
+        is_last_try : bool
+            Whether the request cannot be tried again after this attempt.
         """
         if execution is Execution.IDEMPOTENT:
-            self._lightest.note(weight, now_s)
+            self._lightest_weight.note(weight, now_s)
         if not self._work.detection.independent_errors:
-            # The fleet was told; who sends work all the same has no other.
+            # The suspicion is published to all nodes. An ingress that still sends
+            # work here has no other backend server.
             return True
-        self._move(now_s)
+        self._update_phase(now_s)
         match self.phase:
             case HealthPhase.SERVING:
                 return True
             case HealthPhase.ON_TRIAL:
-                # Where no such work comes, all of the service's work would
-                # stay away from it for ever.
+                # The reservation ends after a time. Without that, a service that
+                # gets no idempotent requests would never use the server again.
                 since_s = self._readmission.since_s
                 fits = now_s - since_s >= self._trial_wait_s(
                     execution, weight, is_last_try
                 )
-                return fits and not self._work.started_since(since_s)
+                return fits and not self._work.has_attempt_since(since_s)
         return False
 
     def _trial_wait_s(
         self, execution: Execution, weight: float, is_last_try: bool
     ) -> float:
-        """Return how long a trial leaves the place to fitter requests."""
+        """Return how long a trial is reserved for requests that suit it better."""
         if execution is Execution.NON_IDEMPOTENT or is_last_try:
             return TRIAL_WAIT_S
-        return 0.0 if weight <= self._lightest.weight else LIGHTEST_WAIT_S
+        return 0.0 if weight <= self._lightest_weight.weight else LIGHTEST_WAIT_S
 
     def held_out_ms(self, now_s: float) -> float:
-        """Return for how long the gate refuses usual work; 0 while it does not.
+        """Return for how long the gate refuses ordinary work; 0 while it does not.
 
-        Where the fleet is told of suspicions the gate refuses nothing. Told
-        the length of a hold-out there, an ingress would keep to it when the
-        hold-out has ended early, by a restart or by good work, and would pass
-        over the floor and the trials, which pickers decide on by the news.
+        Always 0 without `independent_errors`: suspicions are then published to
+        all nodes, and the gate refuses nothing. An ingress that was given the
+        length of a hold-out would observe it even if a restart or good work ended
+        the hold-out early. It would also bypass the floor and the trials, which
+        pickers apply according to the published suspicion.
         """
         refuses = self._work.detection.independent_errors
         if self.phase is HealthPhase.SERVING or not refuses:
@@ -187,76 +213,88 @@
         return TRIAL_HINT_MS + self._readmission.hold_out_left_s(now_s) * 1000
 
     def held_out(self, now_s: float) -> HeldOut:
-        """Return for how long usual work is kept away, and on what evidence."""
+        """Return for how long ordinary work is refused, and on what evidence."""
         held_out_ms = self.held_out_ms(now_s)
         return HeldOut(held_out_ms, self._bad_in_a_row) if held_out_ms else SERVES
 
     def wants_probe(self, now_s: float) -> bool:
-        """Tell whether a probe would say what work does not.
+        """Tell whether a probe would add evidence that requests do not give.
 
-        Not while work flows, for it says more; and not when nobody has asked
-        for the backend server lately: then nobody needs to know.
+        False while there is work, which is stronger evidence, and false when the
+        backend server has had no attempt for `PROBE_DEMAND_WINDOW_S`.
         """
-        if now_s - self._asked_s > ASKED_LATELY_S:
+        if now_s - self._last_attempt_s > PROBE_DEMAND_WINDOW_S:
             return False
         if self._work.detection.independent_errors:
-            # Their health endpoints say all is well while work fails: a probe
-            # costs a slot and tells nothing that the next trial does not.
+            # Health endpoints of these services answer "healthy" while requests
+            # fail. A probe would use a slot and show less than the next trial.
             return False
         if self.phase is not HealthPhase.SERVING:
             return True
-        return not self._work.has_work and now_s - self._work.worked_s > SILENCE_S
+        return (
+            not self._work.has_in_flight
+            and now_s - self._work.last_verdict_s > PROBE_AFTER_IDLE_S
+        )
 
     def probed(self, result: ProbeResult, now_s: float) -> None:
-        """Take a probe.
-
-        Health endpoints answer while real work hangs, and fail while it goes
-        well. A passed probe takes nothing off the score; it may shorten a
-        hold-out, and end a trial that no request came to, at a score that one
-        bad request ends. A failed one brings the score near the threshold and
-        never over it. Only an address that nobody listens at is like bad
-        work, unless work told something just now.
+        """Record the result of a probe.
+
+        Health endpoints may answer while requests hang, and fail while requests
+        succeed, so a probe counts for less than a request. A passed probe does
+        not lower the score. Several in a row shorten a hold-out, and end a trial
+        that got no request; the score is then so near the threshold that one bad
+        request ejects again. A failed probe raises the score, but alone never to
+        the threshold. Only a refused connection counts like a failed request. No
+        failed probe counts within `PROBE_AFTER_IDLE_S` of a request's verdict.
         """
-        self._readmission.note_probe(result is ProbeResult.PASSED)
-        if result is not ProbeResult.PASSED and now_s - self._work.worked_s > SILENCE_S:
+        self._readmission.record_probe_result(result is ProbeResult.PASSED)
+        if (
+            result is not ProbeResult.PASSED
+            and now_s - self._work.last_verdict_s > PROBE_AFTER_IDLE_S
+        ):
             self._work.add_failed_probe(result, now_s)
-        if self._readmission.probes_end_trial(self._work.worked_s, now_s):
-            self._readmission.serve(now_s)
-        self._move(now_s)
+        if self._readmission.probes_end_trial(self._work.last_verdict_s, now_s):
+            self._readmission.readmit(now_s)
+        self._update_phase(now_s)
 
-    def restarted(self, now_s: float) -> None:
-        """Take a restart of the backend server: its work is gone.
+    def record_restart(self, now_s: float) -> None:
+        """Discard the work in flight after a restart of the backend server.
 
-        The doublings of the hold-out stay: a backend server that restarts
-        again and again flaps, too.
+        A hold-out ends and a trial begins. The growth of the hold-out stays,
+        because a backend server that keeps restarting is flapping, too.
         """
-        self._work.forget_work()
+        self._work.discard_in_flight()
         if self.phase is HealthPhase.HELD_OUT:
             self._start_trial(now_s)
 
-    def excuse(self, now_s: float) -> None:
-        """Undo what followed from a crash that a request is to blame for."""
+    def undo_crash_ejection(self, now_s: float) -> None:
+        """End a hold-out or trial that followed a crash caused by a request."""
         if self.phase is not HealthPhase.SERVING:
             self._work.lower_for_trial(now_s)
-            self._readmission.acquit(now_s)
+            self._readmission.undo_ejection(now_s)
 
     def tick(self, now_s: float) -> None:
-        """Count the age of the work in flight, and the time in a phase."""
+        """Score the age of work in flight, and end a hold-out whose time is up."""
         self._work.tick(now_s)
-        self._move(now_s)
+        self._update_phase(now_s)
 
     def slow_ms(self) -> float:
-        """Return the latency over which a request counts as slow."""
+        """Return the latency above which a request counts as slow."""
         return self._work.slow_ms()
 
     def suspicion(self) -> float:
-        """Return what the fleet is told; 1 and more is over the threshold."""
+        """Return the published suspicion.
+
+        0 is serving, 0.5 is on trial, 1 and above is held out.
+        """
         if self.phase is HealthPhase.HELD_OUT:
-            return SUSPICION_STRONG if self._strong else SUSPICION_HELD_OUT
+            return (
+                SUSPICION_STRONG if self._is_strongly_suspected else SUSPICION_HELD_OUT
+            )
         return SUSPICION_ON_TRIAL if self.phase is HealthPhase.ON_TRIAL else 0.0
 
     def report(self, now_s: float) -> HealthReport:
-        """Explain the present phase and score."""
+        """Return the phase and score with the evidence behind them."""
         return HealthReport(
             self.phase,
             self._readmission.since_s,
@@ -268,35 +306,39 @@
             self._readmission.hold_out_left_s(now_s),
         )
 
-    def _move(self, now_s: float) -> None:
-        """Change the phase when the score or the time says so."""
+    def _update_phase(self, now_s: float) -> None:
+        """Move to the next phase if the score or the time in this one requires it."""
         threshold = self._work.detection.threshold
-        if self.phase is not HealthPhase.SERVING and self._work.is_shared(now_s):
+        if self.phase is not HealthPhase.SERVING and self._work.has_shared_cause(now_s):
             if not self._work.detection.independent_errors:
-                self._readmission.acquit(now_s)
+                self._readmission.undo_ejection(now_s)
         match self.phase:
             case HealthPhase.SERVING | HealthPhase.ON_TRIAL:
                 if self._work.score >= threshold:
                     self._readmission.eject(now_s)
-                    self._strong = False
+                    self._is_strongly_suspected = False
                 elif self._has_passed_trial(now_s):
-                    self._readmission.serve(now_s)
+                    self._readmission.readmit(now_s)
             case HealthPhase.HELD_OUT:
-                self._strong |= self._work.score >= STRONG_SCORE * threshold
-                recovered = self._work.score <= RECOVERED_SCORE * threshold
-                # Peers that are slow for a moment lower the score, too; its
-                # own errors are not undone by that.
+                self._is_strongly_suspected |= (
+                    self._work.score >= STRONG_SCORE_FACTOR * threshold
+                )
+                recovered = self._work.score <= RECOVERED_SCORE_PART * threshold
+                # The score also falls while peers are slow for a moment. That
+                # does not undo the server's own errors, so good work is required.
                 recovered &= self._work.had_good_work_since(self._readmission.since_s)
                 recovered &= not self._work.detection.independent_errors
                 if recovered or not self._readmission.hold_out_left_s(now_s):
                     self._start_trial(now_s)
 
     def _has_passed_trial(self, now_s: float) -> bool:
-        """Tell whether a trial that still runs has shown enough."""
+        """Tell whether a trial is passed by work that has run longer than errors do."""
         return (
             self.phase is HealthPhase.ON_TRIAL
             and self._work.detection.independent_errors
-            and self._work.outlives_errors(self._readmission.since_s, now_s)
+            and self._work.has_attempt_outlasting_errors(
+                self._readmission.since_s, now_s
+            )
         )
 
     def _start_trial(self, now_s: float) -> None:
--- a/balsamspindle/backend_servers/health_latency.py
+++ b/balsamspindle/backend_servers/health_latency.py
@@ -1,69 +1,71 @@
-"""The time past which a request of a backend server counts as slow."""
+"""Estimate of a backend server's 99th percentile of latency."""
 
 import math
 
-__all__ = ["FIRST_LIMIT_MS", "SLOW_SHARE", "SlowLimit"]
+__all__ = ["INITIAL_P99_MS", "SLOW_SHARE", "LatencyP99"]
 
 SLOW_SHARE = 0.01
-FIRST_LIMIT_MS = 1000.0
-LEAST_LIMIT_MS = 1.0
-# The largest latency of so many requests is near enough to start from.
+INITIAL_P99_MS = 1000.0
+MIN_P99_MS = 1.0
+# The largest latency of this many requests is close enough to the 99th percentile
+# to start the running estimate from.
 SETTLING_REQUESTS = 100
-# From so many on the limit is told, with a margin of ten times at first.
-TOLD_REQUESTS = 10
-# Of the logarithm; a limit that is off by a factor of two is found again in
-# some 350 requests, and one odd request moves it by a fifth.
-STEP = 0.2
+# From this many requests on the estimate is reported; it then still includes a
+# tenfold margin.
+REPORTABLE_REQUESTS = 10
+# Step of the estimate's logarithm. It corrects an estimate that is too high by a
+# factor of two within about 350 requests, and one outlier moves it by a fifth.
+LOG_STEP = 0.2
 
 
-class SlowLimit:
-    """Learns the latency that a share `SLOW_SHARE` of requests goes over.
+class LatencyP99:
+    """Estimates the latency that a share `SLOW_SHARE` of requests exceeds.
 
-    The largest of the first requests is a start. Until `SETTLING_REQUESTS`
-    were seen it is raised by as much as they fall short of that number, which
-    is how far a quantile moves under a tail as heavy as a Pareto tail of
-    index 1. At few requests a second settling takes half a minute; with one
-    fixed limit till then, a hang shorter than that says nothing.
+    Until `SETTLING_REQUESTS` requests were seen, the estimate is their largest
+    latency times `SETTLING_REQUESTS` / requests seen. That is how far a quantile
+    moves under a tail as heavy as a Pareto tail of index 1. At a few requests a
+    second this takes half a minute; with a fixed value until then, a hang that
+    is shorter than the value would go undetected.
 
-    Then stochastic approximation of a quantile: one number is kept, and each
-    request moves it, up when it was over, a hundredth as much down when it
-    was under.
+    After that the estimate is a stochastic approximation of the quantile: each
+    request that takes longer raises it by a step, and each faster one lowers it
+    by about a hundredth of that.
 
     Attributes
     ----------
-    limit_ms : float
-        The present estimate of the 99th percentile.
+    p99_ms : float
+        The present estimate.
     """
 
     def __init__(self) -> None:
-        self.limit_ms = FIRST_LIMIT_MS
-        self._seen = 0
-        self._largest_ms = LEAST_LIMIT_MS
+        self.p99_ms = INITIAL_P99_MS
+        self._requests_seen = 0
+        self._largest_ms = MIN_P99_MS
 
     @property
-    def known(self) -> bool:
-        """Whether enough requests were seen to tell others of the limit."""
-        return self._seen >= TOLD_REQUESTS
+    def is_reportable(self) -> bool:
+        """Whether enough requests were seen to report the estimate to others."""
+        return self._requests_seen >= REPORTABLE_REQUESTS
 
     @property
     def settled(self) -> bool:
-        """Whether enough requests were seen to go by the limit."""
-        return self._seen >= SETTLING_REQUESTS
+        """Whether the estimate has no margin for a small sample any more."""
+        return self._requests_seen >= SETTLING_REQUESTS
 
     def learn(self, latency_ms: float) -> None:
-        """Take the latency of one answered request."""
+        """Update the estimate with the latency of one answered request."""
         if not self.settled:
-            self._settle(latency_ms)
+            self._learn_initial(latency_ms)
             return
-        up = latency_ms > self.limit_ms
-        step = STEP * ((1 - SLOW_SHARE) if up else -SLOW_SHARE)
-        self.limit_ms = max(LEAST_LIMIT_MS, self.limit_ms * math.exp(step))
+        is_over = latency_ms > self.p99_ms
+        step = LOG_STEP * ((1 - SLOW_SHARE) if is_over else -SLOW_SHARE)
+        self.p99_ms = max(MIN_P99_MS, self.p99_ms * math.exp(step))
 
-    def _settle(self, latency_ms: float) -> None:
-        self._seen += 1
+    def _learn_initial(self, latency_ms: float) -> None:
+        self._requests_seen += 1
         self._largest_ms = max(self._largest_ms, latency_ms)
         if self.settled:
-            self.limit_ms = self._largest_ms
+            self.p99_ms = self._largest_ms
             return
-        margin = SETTLING_REQUESTS / self._seen
-        self.limit_ms = min(FIRST_LIMIT_MS, margin * self._largest_ms)
+        margin = SETTLING_REQUESTS / self._requests_seen
+        self.p99_ms = min(INITIAL_P99_MS, margin * self._largest_ms)
--- a/balsamspindle/backend_servers/health_monitor.py
+++ b/balsamspindle/backend_servers/health_monitor.py
@@ -1,4 +1,4 @@
-"""The health of all backend servers of a node: takes evidence, publishes."""
+"""The health of all backend servers of a node: collects evidence, publishes it."""
 
 import threading
 import time
@@ -26,31 +26,42 @@
 __all__ = ["TICK_S", "HealthMonitor"]
 
 TICK_S = 0.05
-# A backend server that went away and came back within this time is the same
-# one: its doublings of the hold-out stay.
-FORGET_S = 900.0
+# A backend server that comes back within this time keeps its health, including the
+# growth of its hold-outs.
+ABSENT_EXPIRY_S = 900.0
 
 
-class _Known:
-    """A backend server's health, and what of it was published."""
+class _MonitoredServer:
+    """A backend server's health, and the state that was last published.
+
+    Attributes
+    ----------
+    phase : HealthPhase
+        Phase of the latest event.
+    last_present_s : float
+        When the backend server was last announced.
+    previous_start : int or None
+        The start before the present one; None when there is none, or when its
+        end has been attributed to a request.
+    """
 
     def __init__(self, health: ServerHealth, server: LocalBackendServer) -> None:
         self.health = health
         self.service = server.announcement.service
         self.boot_id = server.announcement.boot_id
         self.phase = health.phase
-        self.seen_s = 0.0
-        # The start before this one; None when a request is blamed for its end.
-        self.ended_start: int | None = None
+        self.last_present_s = 0.0
 
-    def shares_news_with(self, other: "_Known") -> bool:
-        """Tell whether news of the other's peers concerns this one."""
+        self.previous_start: int | None = None
+
+    def needs_peer_evidence_from(self, other: "_MonitoredServer") -> bool:
+        """Tell whether a summary of the other server's peers applies here, too."""
         held_out = self.health.phase is HealthPhase.HELD_OUT
         return held_out and self.service == other.service
 
 
-class _News(NamedTuple):
-    """A change of phase that is to be told."""
+class _PhaseChange(NamedTuple):
+    """A change of phase that is to be written to the event log."""
 
     backend_server_id: str
     service: str
@@ -58,15 +69,15 @@
 
 
 class HealthMonitor:
-    """Takes the evidence of real work; see `HealthObserver`.
+    """Collects the evidence of attempts and probes; see `HealthObserver`.
 
     Parameters
     ----------
     detection : callable
         Returns the detection settings of a service.
-    crash_is_explained : callable
-        Tells whether a request is blamed for the end of one start of a backend
-        server.
+    is_crash_explained : callable
+        Tells whether a given start of a backend server ended in a crash that a
+        request caused.
     """
 
     def __init__(
@@ -74,18 +85,18 @@
         servers: LocalBackendServers,
         detection: Callable[[str], Detection],
         events: EventLog,
-        crash_is_explained: Callable[[str, int], bool] = lambda *_: False,
+        is_crash_explained: Callable[[str, int], bool] = lambda *_: False,
     ) -> None:
-        self._crash_is_explained = crash_is_explained
+        self._is_crash_explained = is_crash_explained
         self._servers = servers
         self._detection = detection
         self._events = events
         self._lock = threading.Lock()
-        self._known: dict[str, _Known] = {}
+        self._monitored: dict[str, _MonitoredServer] = {}
         self._stopped = threading.Event()
 
     def run(self) -> None:
-        """Look at work in flight and hold-outs until `stop` is called."""
+        """Call `tick` at each interval until `stop` is called."""
         while not self._stopped.wait(TICK_S):
             self.tick(time.monotonic())
 
@@ -98,9 +109,9 @@
     ) -> None:
         """See `HealthObserver.started`."""
         with self._lock:
-            known = self._known.get(backend_server_id)
-            if known is not None:
-                known.health.started(attempt_id, now_s)
+            monitored = self._monitored.get(backend_server_id)
+            if monitored is not None:
+                monitored.health.started(attempt_id, now_s)
 
     def ended(
         self,
@@ -111,11 +122,11 @@
     ) -> Judgement:
         """See `HealthObserver.ended`."""
         with self._lock:
-            known = self._known.get(backend_server_id)
-            if known is None:
+            monitored = self._monitored.get(backend_server_id)
+            if monitored is None:
                 return Judgement()
-            verdict = known.health.ended(attempt_id, result, now_s)
-            return Judgement(_BAD[verdict], known.health.own_limit_ms)
+            verdict = monitored.health.ended(attempt_id, result, now_s)
+            return Judgement(_IS_BAD[verdict], monitored.health.own_limit_ms)
 
     def admits(
         self,
@@ -127,141 +138,145 @@
     ) -> bool:
         """See `HealthObserver.admits`."""
         with self._lock:
-            known = self._known.get(backend_server_id)
-            return known is None or known.health.admits(
+            monitored = self._monitored.get(backend_server_id)
+            return monitored is None or monitored.health.admits(
                 execution, weight, now_s, is_last_try
             )
 
     def held_out(self, backend_server_id: str, now_s: float) -> HeldOut:
         """See `HealthObserver.held_out`."""
         with self._lock:
-            known = self._known.get(backend_server_id)
-            return SERVES if known is None else known.health.held_out(now_s)
+            monitored = self._monitored.get(backend_server_id)
+            return SERVES if monitored is None else monitored.health.held_out(now_s)
 
     def note_peers(
         self, backend_server_id: str, evidence: PeerEvidence, now_s: float
     ) -> None:
         """See `HealthObserver.note_peers`."""
         with self._lock:
-            known = self._known.get(backend_server_id)
-            if known is None:
+            monitored = self._monitored.get(backend_server_id)
+            if monitored is None:
                 return
-            known.health.note_peers(evidence, now_s)
-            # One that is held out gets no dispatch, and so no summary of its
-            # own. Without this it would stay out for an overload that has
-            # long been seen at all the others.
-            # The summary counts that one itself, as bad: its own failures
-            # would excuse it.
-            of_others = evidence._replace(
+            monitored.health.note_peers(evidence, now_s)
+            # A backend server that is held out gets no dispatch, and so no summary
+            # of its peers. Without those of its neighbours it would stay held out
+            # in an overload that affects all of them.
+            # A neighbour's summary counts the held-out server itself as bad. It is
+            # subtracted, or the server's own failures would look like its peers'.
+            others = evidence._replace(
                 heard=max(0, evidence.heard - 1), bad=max(0, evidence.bad - 1)
             )
-            for other in self._known.values():
-                if other is not known and other.shares_news_with(known):
-                    other.health.note_peers(of_others, now_s)
+            for other in self._monitored.values():
+                if other is not monitored and other.needs_peer_evidence_from(monitored):
+                    other.health.note_peers(others, now_s)
 
     def probed(self, backend_server_id: str, result: ProbeResult, now_s: float) -> None:
-        """Take a probe's result."""
+        """Record a probe's result."""
         with self._lock:
-            known = self._known.get(backend_server_id)
-            if known is not None:
-                known.health.probed(result, now_s)
+            monitored = self._monitored.get(backend_server_id)
+            if monitored is not None:
+                monitored.health.probed(result, now_s)
 
     def probes_wanted(self, now_s: float) -> list[str]:
-        """Return the backend servers that a probe would tell something of."""
+        """Return the ids of the backend servers that are to be probed."""
         with self._lock:
             return [
                 backend_server_id
-                for backend_server_id, known in self._known.items()
-                if known.health.wants_probe(now_s)
+                for backend_server_id, monitored in self._monitored.items()
+                if monitored.health.wants_probe(now_s)
             ]
 
     def reports(self, now_s: float) -> dict[str, HealthReport]:
-        """Explain all backend servers of this node, by id."""
+        """Return the health reports of all backend servers of this node, by id."""
         with self._lock:
             return {
-                backend_server_id: known.health.report(now_s)
-                for backend_server_id, known in self._known.items()
+                backend_server_id: monitored.health.report(now_s)
+                for backend_server_id, monitored in self._monitored.items()
             }
 
     def tick(self, now_s: float) -> None:
-        """Bring all up to date and publish what changed."""
+        """Update all backend servers, and publish the changes."""
         servers = self._servers.all()
         with self._lock:
-            news = [
-                item for server in servers for item in self._tick_one(server, now_s)
+            changes = [
+                change for server in servers for change in self._tick_one(server, now_s)
             ]
-            self._forget(now_s)
-        for item in news:
-            self._emit(item)
+            self._discard_absent(now_s)
+        for change in changes:
+            self._emit_phase_change(change)
         for server in servers:
             self._publish(server)
 
-    def _tick_one(self, server: LocalBackendServer, now_s: float) -> list[_News]:
+    def _tick_one(self, server: LocalBackendServer, now_s: float) -> list[_PhaseChange]:
         service = server.announcement.service
-        known = self._known.get(server.backend_server_id)
-        if known is None:
+        monitored = self._monitored.get(server.backend_server_id)
+        if monitored is None:
             health = ServerHealth(self._detection(service), now_s)
-            known = self._known[server.backend_server_id] = _Known(health, server)
-        known.seen_s = now_s
-        if known.boot_id != server.announcement.boot_id:
-            known.ended_start = start_id(known.boot_id)
-            known.boot_id = server.announcement.boot_id
-            known.health.restarted(now_s)
-        self._excuse_crash(known, server.backend_server_id, now_s)
-        known.health.configure(self._detection(service))
-        if known.health.needs_tick:
-            known.health.tick(now_s)
-        if known.health.phase is known.phase:
+            monitored = self._monitored[server.backend_server_id] = _MonitoredServer(
+                health, server
+            )
+        monitored.last_present_s = now_s
+        if monitored.boot_id != server.announcement.boot_id:
+            monitored.previous_start = start_id(monitored.boot_id)
+            monitored.boot_id = server.announcement.boot_id
+            monitored.health.record_restart(now_s)
+        self._undo_explained_crash(monitored, server.backend_server_id, now_s)
+        monitored.health.configure(self._detection(service))
+        if monitored.health.needs_tick:
+            monitored.health.tick(now_s)
+        if monitored.health.phase is monitored.phase:
             return []
-        known.phase = known.health.phase
-        report = known.health.report(now_s)
-        return [_News(server.backend_server_id, service, report)]
+        monitored.phase = monitored.health.phase
+        report = monitored.health.report(now_s)
+        return [_PhaseChange(server.backend_server_id, service, report)]
 
-    def _excuse_crash(self, known: _Known, server_id: str, now_s: float) -> None:
-        """Give a backend server its work back that a request had crashed.
+    def _undo_explained_crash(
+        self, monitored: _MonitoredServer, server_id: str, now_s: float
+    ) -> None:
+        """Undo the ejection of a backend server that a request has crashed.
 
-        The request may be quarantined before the backend server is back, or after.
-        Held out for what that request did, healthy servers would be missing to all
-        others, for longer with each crash.
+        The request may be quarantined before or after the backend server is back.
+        Without this, each crash would keep a healthy server from all other callers,
+        for longer each time.
         """
-        if known.ended_start is None:
+        if monitored.previous_start is None:
             return
-        if self._crash_is_explained(server_id, known.ended_start):
-            known.ended_start = None
-            known.health.excuse(now_s)
+        if self._is_crash_explained(server_id, monitored.previous_start):
+            monitored.previous_start = None
+            monitored.health.undo_crash_ejection(now_s)
 
-    def _forget(self, now_s: float) -> None:
+    def _discard_absent(self, now_s: float) -> None:
         gone = [
             backend_server_id
-            for backend_server_id, known in self._known.items()
-            if now_s - known.seen_s > FORGET_S
+            for backend_server_id, monitored in self._monitored.items()
+            if now_s - monitored.last_present_s > ABSENT_EXPIRY_S
         ]
         for backend_server_id in gone:
-            del self._known[backend_server_id]
+            del self._monitored[backend_server_id]
 
     def _publish(self, server: LocalBackendServer) -> None:
-        """Tell the fleet, unless the gate's own refusals tell it.
+        """Publish the suspicion to all nodes, unless the gate refuses work instead.
 
-        Where backend servers fall sick and recover every few seconds, news of
-        each would come too late and cost more bytes than all else; a refusal
-        costs one round trip and is never old.
+        Where backend servers fall sick and recover every few seconds, published
+        changes would arrive too late and use more bytes than all other messages. A
+        refusal by the gate costs one round trip and is never out of date.
         """
         if self._detection(server.announcement.service).independent_errors:
             return
         with self._lock:
-            suspicion = self._known[server.backend_server_id].health.suspicion()
+            suspicion = self._monitored[server.backend_server_id].health.suspicion()
         if server.suspicion != suspicion:
             self._servers.set_suspicion(server.backend_server_id, suspicion)
 
-    def _emit(self, news: _News) -> None:
-        report = news.report
+    def _emit_phase_change(self, change: _PhaseChange) -> None:
+        report = change.report
         evidence = ",".join(
             f"{name}:{count}" for name, count in sorted(report.evidence.items())
         )
         self._events.emit(
             _EVENTS[report.phase],
-            backend_server=news.backend_server_id,
-            service=news.service,
+            backend_server=change.backend_server_id,
+            service=change.service,
             cause=evidence or None,
             score=f"{report.score:.2f}",
             threshold=report.threshold,
@@ -271,7 +286,7 @@
         )
 
 
-_BAD = {Verdict.GOOD: False, Verdict.BAD: True, Verdict.NOTHING: None}
+_IS_BAD = {Verdict.GOOD: False, Verdict.BAD: True, Verdict.NOTHING: None}
 
 _EVENTS = {
     HealthPhase.HELD_OUT: "backend_server_suspected",
--- a/balsamspindle/backend_servers/health_peers.py
+++ b/balsamspindle/backend_servers/health_peers.py
@@ -1,66 +1,69 @@
-"""What a gate hears of a service's other backend servers.
+"""What a gate learns about the other backend servers of a service.
 
-Ingresses see the answers of many backend servers; each dispatch carries a
-summary of the others, so that comparison costs no messages of its own.
+Ingresses see the answers of many backend servers. Each dispatch carries a summary
+of the others, so that the comparison needs no messages of its own.
 """
 
 import math
 
 from balsamspindle.wire import PeerEvidence
 
-__all__ = ["PeerView"]
+__all__ = ["PeerAggregate"]
 
-MEMORY_S = 3.0
-# Counts as so many good peers, so that one bad one of few is not a trend.
-PRIOR_HEARD = 2.0
-# How much of a new summary's limit is taken over.
-LIMIT_BLEND = 0.1
+DECAY_TIME_S = 3.0
+# Added to the peers seen, so that one bad peer among few gives a small share.
+PRIOR_GOOD_PEERS = 2.0
+# Share of a new summary's percentile in the average.
+P99_SMOOTHING = 0.1
 
 
-class PeerView:
-    """The summaries of all ingresses, of the last seconds.
+class PeerAggregate:
+    """A decaying average of the peer summaries that ingresses send.
 
     Attributes
     ----------
-    limit_ms : float
-        The peers' 99th percentile of latency; 0 when unknown.
+    p99_ms : float
+        The peers' 99th percentile of latency; 0 while unknown.
     """
 
     def __init__(self) -> None:
-        self.limit_ms = 0.0
-        self._heard = 0.0
-        self._bad = 0.0
-        self._noted_s = 0.0
-        self._is_outdated = False
+        self.p99_ms = 0.0
+        self._peers_seen = 0.0
+        self._peers_bad = 0.0
+        self._updated_s = 0.0
+        self._is_p99_stale = False
 
-    def note(self, evidence: PeerEvidence, now_s: float) -> None:
-        """Take the summary of one dispatch."""
+    def record(self, evidence: PeerEvidence, now_s: float) -> None:
+        """Add the summary of one dispatch."""
         if not evidence.heard:
             return
-        kept = self._decay(now_s)
-        self._heard = self._heard * kept + evidence.heard
-        self._bad = self._bad * kept + evidence.bad
-        self._noted_s = now_s
+        decay = self._decay_factor(now_s)
+        self._peers_seen = self._peers_seen * decay + evidence.heard
+        self._peers_bad = self._peers_bad * decay + evidence.bad
+        self._updated_s = now_s
         if evidence.limit_ms > 0:
-            known_ms = self.limit_ms or evidence.limit_ms
-            if self._is_outdated and evidence.limit_ms > known_ms:
-                known_ms = evidence.limit_ms
-                self._is_outdated = False
-            self.limit_ms = known_ms + LIMIT_BLEND * (evidence.limit_ms - known_ms)
+            estimate_ms = self.p99_ms or evidence.limit_ms
+            if self._is_p99_stale and evidence.limit_ms > estimate_ms:
+                estimate_ms = evidence.limit_ms
+                self._is_p99_stale = False
+            self.p99_ms = estimate_ms + P99_SMOOTHING * (
+                evidence.limit_ms - estimate_ms
+            )
 
-    def outdate_limit(self) -> None:
-        """Take the next higher limit that is told as it is.
+    def mark_p99_stale(self) -> None:
+        """Let the next summary with a higher percentile replace the average.
 
-        What was told before a hold-out is as old as that. Moved by a tenth at a
-        time, it would have a backend server that is slow like all others by now
-        held out again at its first answer, for twice as long.
+        No summaries arrive during a hold-out, so the average is stale after it.
+        If all peers have turned slow meanwhile and it rose by a tenth at a time, a
+        backend server as slow as its peers would be held out again after its first
+        answer, for twice as long.
         """
-        self._is_outdated = True
+        self._is_p99_stale = True
 
     def bad_share(self, now_s: float) -> float:
-        """Return the share of the peers that looks bad."""
-        kept = self._decay(now_s)
-        return self._bad * kept / (self._heard * kept + PRIOR_HEARD)
+        """Return the share of bad peers, between 0 and 1."""
+        decay = self._decay_factor(now_s)
+        return self._peers_bad * decay / (self._peers_seen * decay + PRIOR_GOOD_PEERS)
 
-    def _decay(self, now_s: float) -> float:
-        return math.exp(-max(0.0, now_s - self._noted_s) / MEMORY_S)
+    def _decay_factor(self, now_s: float) -> float:
+        return math.exp(-max(0.0, now_s - self._updated_s) / DECAY_TIME_S)
--- a/balsamspindle/backend_servers/health_readmission.py
+++ b/balsamspindle/backend_servers/health_readmission.py
@@ -1,4 +1,4 @@
-"""When a backend server that was ejected gets work again.
+"""How a backend server that was ejected gets work again.
 
 ::
 
@@ -6,10 +6,10 @@
                               ^                          |
                               +--------threshold---------+
 
-On trial it gets idempotent requests, one at a time. Each ejection multiplies the
-time that it is held out, up to a bound, and good service takes that growth
-back one by one. So a backend server that flaps costs a bounded number of
-failed requests an hour, and one that failed once is soon back.
+On trial a backend server gets idempotent requests, one at a time. Each ejection
+multiplies the length of the next hold-out, up to a bound, and each period of good
+service takes one multiplication back. So a backend server that flaps costs a
+bounded number of failed requests an hour, and one that failed once is soon back.
 """
 
 from enum import StrEnum
@@ -18,15 +18,15 @@
 
 __all__ = ["HealthPhase", "Readmission"]
 
-LEVEL_MAX = 20
-# Probes passed in a row that end a hold-out at its half, or a silent trial.
+GROWTH_EXPONENT_MAX = 20
+# So many probes passed in a row halve a hold-out, or end a trial without requests.
 PROBES_TO_SHORTEN = 3
 # A trial without any request may end by probes after this time.
 TRIAL_SILENCE_S = 10.0
 
 
 class HealthPhase(StrEnum):
-    """Where a backend server stands between ejection and service."""
+    """Whether a backend server gets all its work, none, or trial requests."""
 
     SERVING = "serving"
     HELD_OUT = "held_out"
@@ -34,7 +34,7 @@
 
 
 class Readmission:
-    """The phase of one backend server; moved by its score and the time.
+    """The phase of one backend server, and the length of its hold-outs.
 
     Attributes
     ----------
@@ -42,78 +42,87 @@
     since_s : float
         When the phase began.
     level : int
-        How often the next hold-out is multiplied.
+        How many times the next hold-out is multiplied by `hold_out_growth`.
     """
 
     def __init__(self, detection: Detection, now_s: float) -> None:
         self.detection = detection
         self.phase = HealthPhase.SERVING
         self.since_s = now_s
-        self.level = 0
+        self.growth_exponent = 0
         self._hold_out_s = detection.hold_out_s
-        self._good_in_trial = 0
+        self._good_in_a_row = 0
         self._probes_passed = 0
-        self._decayed_s = now_s
+        self._calm_since_s = now_s
 
     def eject(self, now_s: float) -> None:
-        """Hold the backend server out, longer than the last time."""
-        self._decay_level(now_s)
-        grown_s = self.detection.hold_out_s * self.detection.hold_out_growth**self.level
+        """Begin a hold-out, longer than the previous one up to the bound."""
+        self._reduce_growth(now_s)
+        grown_s = (
+            self.detection.hold_out_s
+            * self.detection.hold_out_growth**self.growth_exponent
+        )
         self._hold_out_s = min(grown_s, self.detection.hold_out_max_s)
-        self.level = min(self.level + 1, LEVEL_MAX)
+        self.growth_exponent = min(self.growth_exponent + 1, GROWTH_EXPONENT_MAX)
         self._enter(HealthPhase.HELD_OUT, now_s)
 
     def hold_out_left_s(self, now_s: float) -> float:
-        """Return the time until a trial; 0 unless it is held out."""
+        """Return the time until the trial; 0 unless the server is held out."""
         if self.phase is not HealthPhase.HELD_OUT:
             return 0.0
-        shortened = self._probes_passed >= PROBES_TO_SHORTEN
-        hold_out_s = self._hold_out_s / 2 if shortened else self._hold_out_s
+        is_shortened = self._probes_passed >= PROBES_TO_SHORTEN
+        hold_out_s = self._hold_out_s / 2 if is_shortened else self._hold_out_s
         return max(0.0, self.since_s + hold_out_s - now_s)
 
     def start_trial(self, now_s: float) -> None:
-        """Let trial requests through."""
-        self._good_in_trial = 0
+        """Begin a trial."""
+        self._good_in_a_row = 0
         self._enter(HealthPhase.ON_TRIAL, now_s)
 
-    def note_work(self, good: bool) -> bool:
-        """Count a request; return True when a trial is passed with it."""
+    def record_work(self, good: bool) -> bool:
+        """Count a request, and return whether it completes a passed trial."""
         if not good:
             self._probes_passed = 0
         if self.phase is not HealthPhase.ON_TRIAL:
             return False
-        self._good_in_trial = self._good_in_trial + 1 if good else 0
-        return self._good_in_trial >= self.detection.trial_successes
+        self._good_in_a_row = self._good_in_a_row + 1 if good else 0
+        return self._good_in_a_row >= self.detection.trial_successes
 
-    def note_probe(self, passed: bool) -> None:
-        """Take a probe: passed in a row they shorten a hold-out, no more."""
+    def record_probe_result(self, passed: bool) -> None:
+        """Count the probes passed in a row, which may shorten a hold-out."""
         self._probes_passed = self._probes_passed + 1 if passed else 0
 
-    def probes_end_trial(self, worked_s: float, now_s: float) -> bool:
-        """Tell whether probes end a trial that no request came to."""
+    def probes_end_trial(self, last_verdict_s: float, now_s: float) -> bool:
+        """Tell whether probes end a trial that has had no request.
+
+        Parameters
+        ----------
+        last_verdict_s : float
+            When a request last gave a verdict.
+        """
         return (
             self.phase is HealthPhase.ON_TRIAL
-            and worked_s < self.since_s
+            and last_verdict_s < self.since_s
             and now_s - self.since_s >= TRIAL_SILENCE_S
             and self._probes_passed >= PROBES_TO_SHORTEN
         )
 
-    def serve(self, now_s: float) -> None:
-        """Give the backend server all its work back."""
-        self._decayed_s = now_s
+    def readmit(self, now_s: float) -> None:
+        """Return to service, and start counting the time of good service."""
+        self._calm_since_s = now_s
         self._enter(HealthPhase.SERVING, now_s)
 
-    def acquit(self, now_s: float) -> None:
-        """Undo an ejection that was for a cause shared with the peers."""
-        self.level = max(0, self.level - 1)
-        self.serve(now_s)
+    def undo_ejection(self, now_s: float) -> None:
+        """Return to service, and take the hold-out's last growth back."""
+        self.growth_exponent = max(0, self.growth_exponent - 1)
+        self.readmit(now_s)
 
     def _enter(self, phase: HealthPhase, now_s: float) -> None:
         self.phase = phase
         self.since_s = now_s
         self._probes_passed = 0
 
-    def _decay_level(self, now_s: float) -> None:
+    def _reduce_growth(self, now_s: float) -> None:
         if self.phase is HealthPhase.SERVING:
-            calm = int((now_s - self._decayed_s) / self.detection.calm_s)
-            self.level = max(0, self.level - calm)
+            calm_periods = int((now_s - self._calm_since_s) / self.detection.calm_s)
+            self.growth_exponent = max(0, self.growth_exponent - calm_periods)
--- a/balsamspindle/backend_servers/health_score.py
+++ b/balsamspindle/backend_servers/health_score.py
@@ -1,10 +1,10 @@
 """The sequential test that tells a sick backend server from a healthy one.
 
-Each ended request is good or bad: bad when it failed or was slow. The score
-is a CUSUM of log-likelihood ratios of "sick" against "healthy": good work
-lowers it, never under 0; at the threshold the backend server is suspected.
-For a given rate of false alarms no other test on the same evidence has a
-shorter worst detection delay.
+Each ended request is bad if it failed or was slow, else good. The score is a
+CUSUM of log-likelihood ratios of "sick" against "healthy": bad requests raise
+it, good ones lower it, never below 0. At the threshold the backend server is
+suspected. For a given rate of false alarms no other test on the same evidence
+has a shorter worst-case detection delay.
 """
 
 import math
@@ -14,14 +14,15 @@
     "SHARED_CAUSE_SHARE",
     "LearnedRate",
     "Rates",
-    "against_peers",
-    "bad_weight",
-    "good_weight",
+    "adjust_for_peers",
+    "bad_request_score",
+    "good_request_score",
 ]
 
 SHARED_CAUSE_SHARE = 0.5
 HEALTHY_RATE_MIN = 0.002
-# What the first value weighs, in requests, and how many are remembered.
+# The initial rate weighs as much as the minimum of requests; the moving average
+# then covers at most the maximum.
 LEARNING_REQUESTS_MIN = 100
 LEARNING_REQUESTS_MAX = 2000
 HEALTHY_RATE_MAX = 0.99
@@ -42,30 +43,36 @@
 
 
 class LearnedRate:
-    """Share of healthy requests with one kind of fault, learned in calm times.
+    """Estimate of the share of bad requests at a healthy backend server.
 
-    A rate that is set too high wastes evidence: each bad request then says
-    less than it could. So the setting is where the estimate starts from.
+    A moving average over one kind of fault. The rate of the settings is only the
+    initial value: if that is too high, each bad request adds too little to the
+    score.
+
+    Attributes
+    ----------
+    value : float
+        At least `HEALTHY_RATE_MIN`.
     """
 
-    def __init__(self, first: float) -> None:
-        self.value = max(HEALTHY_RATE_MIN, first)
-        self._memory = LEARNING_REQUESTS_MIN
+    def __init__(self, initial: float) -> None:
+        self.value = max(HEALTHY_RATE_MIN, initial)
+        self._window_requests = LEARNING_REQUESTS_MIN
 
     def learn(self, bad: bool) -> None:
-        """Take one healthy request."""
-        value = self.value + (bad - self.value) / self._memory
+        """Update the estimate with a request to a backend server that is healthy."""
+        value = self.value + (bad - self.value) / self._window_requests
         self.value = max(HEALTHY_RATE_MIN, value)
-        self._memory = min(LEARNING_REQUESTS_MAX, self._memory + 1)
+        self._window_requests = min(LEARNING_REQUESTS_MAX, self._window_requests + 1)
 
 
-def against_peers(rates: Rates, peers_bad_share: float) -> Rates:
+def adjust_for_peers(rates: Rates, peers_bad_share: float) -> Rates:
     """Return the rates to test for while a share of the peers is bad, too.
 
-    When all backend servers of a service fail or are slow at once, the cause
-    is the load or something that they share. Measured against a fixed rate
-    each of them would be suspected, and ejection would load the rest more.
-    From half of the peers on nothing counts: the rates returned are equal.
+    When all backend servers of a service fail or are slow at once, the cause is
+    the load or something that they share. Tested against a fixed rate, each of
+    them would be suspected, and each ejection would add load to the others. From
+    `SHARED_CAUSE_SHARE` on, both rates are equal, so no request changes the score.
     """
     if peers_bad_share >= SHARED_CAUSE_SHARE:
         return Rates(SHARED_CAUSE_SHARE, SHARED_CAUSE_SHARE)
@@ -74,11 +81,11 @@
     return Rates(healthy, min(SICK_RATE_MAX, sick))
 
 
-def bad_weight(rates: Rates) -> float:
-    """Return the score of a bad request; 0 or more."""
+def bad_request_score(rates: Rates) -> float:
+    """Return what a bad request adds to the score; 0 or more."""
     return math.log(rates.sick / rates.healthy)
 
 
-def good_weight(rates: Rates) -> float:
-    """Return the score of a good request; 0 or less."""
+def good_request_score(rates: Rates) -> float:
+    """Return what a good request adds to the score; 0 or less."""
     return math.log((1 - rates.sick) / (1 - rates.healthy))
--- a/balsamspindle/backend_servers/health_verdicts.py
+++ b/balsamspindle/backend_servers/health_verdicts.py
@@ -1,4 +1,4 @@
-"""What one ended request says of a backend server."""
+"""Verdicts on a backend server from the end of one request."""
 
 from enum import StrEnum
 
@@ -8,7 +8,7 @@
 
 
 class Verdict(StrEnum):
-    """What one ended request says of the backend server."""
+    """Whether an ended request counts for or against the backend server."""
 
     GOOD = "good"
     BAD = "bad"
@@ -16,19 +16,19 @@
 
 
 def judge(result: WorkResult, is_slow: bool) -> Verdict:
-    """Return what a request's end says, with whether it took too long."""
+    """Return the verdict for a request's result and whether it was slow."""
     return _VERDICTS[result, is_slow]
 
 
-# Bad only for the time that they took, and what evidence of them is called.
+# Results that are bad only if they were slow, with their names as evidence.
 SLOW_RESULTS = {
     WorkResult.ANSWERED: "slow",
     WorkResult.SILENCE: WorkResult.SILENCE.value,
 }
 
-# Silence counts only past the slow limit: a caller that allows a millisecond
-# would else get a healthy backend server ejected. Shed work is load, and what
-# we cancelled is our own doing.
+# Silence counts only past the slow limit: a caller with a timeout of one
+# millisecond must not get a healthy backend server ejected. Shed work is evidence
+# of load, and a cancelled attempt was ended by this node.
 _VERDICTS = {
     (WorkResult.ANSWERED, False): Verdict.GOOD,
     (WorkResult.ANSWERED, True): Verdict.BAD,
--- a/balsamspindle/backend_servers/health_work.py
+++ b/balsamspindle/backend_servers/health_work.py
@@ -1,18 +1,18 @@
-"""The score of one backend server: a sequential test over its work."""
+"""The score of one backend server: a sequential test over its attempts."""
 
 import math
 from collections import Counter
 
 from balsamspindle.backend_servers.evidence import ProbeResult, WorkResult
-from balsamspindle.backend_servers.health_latency import SLOW_SHARE, SlowLimit
-from balsamspindle.backend_servers.health_peers import PeerView
+from balsamspindle.backend_servers.health_latency import SLOW_SHARE, LatencyP99
+from balsamspindle.backend_servers.health_peers import PeerAggregate
 from balsamspindle.backend_servers.health_score import (
     SHARED_CAUSE_SHARE,
     LearnedRate,
     Rates,
-    against_peers,
-    bad_weight,
-    good_weight,
+    adjust_for_peers,
+    bad_request_score,
+    good_request_score,
 )
 from balsamspindle.backend_servers.health_verdicts import SLOW_RESULTS, Verdict, judge
 from balsamspindle.settings.documents import Detection
@@ -20,215 +20,225 @@
 
 __all__ = ["WorkScore"]
 
-# The score stops here, in thresholds: past it more evidence says nothing new.
+# Upper bound of the score, as a multiple of the threshold: more evidence would not
+# change any decision.
 SCORE_MAX = 2.0
-# What one attempt adds at most, in thresholds: two are needed to eject.
+# What one attempt adds at most, as a part of the threshold: two attempts are
+# needed to eject.
 ONE_ATTEMPT_MAX = 0.6
-# Hanging requests that make a standstill, unless from this share on of the
-# peers look bad, too: the load may be the cause then.
-STANDSTILL_REQUESTS = 2
+# So many hanging requests are a standstill, unless at least this share of the peers
+# is bad, too: then the load may be the cause.
+STANDSTILL_REQUESTS_MIN = 2
 STANDSTILL_PEERS_BAD_MAX = 0.1
 SAME_MOMENT_S = 0.05
-# Latencies teach the slow limit only under this score, in thresholds: a sick
-# backend server would else teach it that slow is normal.
+# Healthy rates and latencies are learned only up to this score, as a part of the
+# threshold: the latencies of a sick backend server must not become the normal ones.
 LEARNING_SCORE = 0.25
-# Work in flight for so many times as long as errors took here, and at least for so
-# long, is no error like them any more. Errors vary by the switches between threads.
+# An attempt is taken not to fail like earlier ones when it has run for this many
+# times as long as errors took here, and at least for the minimum. Thread switches
+# make the time of errors vary.
 OUTLIVED_FACTOR = 4.0
 OUTLIVED_MIN_S = 0.02
-# What of the longest error before stays known when a shorter one comes.
-ERROR_TIME_KEPT = 0.5
-# What is counted of work that was slow and did not fail, and of good work.
+# A shorter error lowers the recorded duration of errors at most by this factor.
+ERROR_DURATION_DECAY = 0.5
+# Names of evidence from work that did not fail: slow or good.
 SLOW_EVIDENCE = {
     "in_flight_too_long",
     "standstill",
     SLOW_RESULTS[WorkResult.ANSWERED],
     WorkResult.ANSWERED.value,
 }
-# A trial starts so far under the threshold, in bad requests: one ends it.
+# A trial starts this far below the threshold, as a part of what a bad request adds,
+# so that one bad request ends it.
 TRIAL_MARGIN = 0.9
 
 
 class _InFlight:
     """One dispatched attempt, and what it added to the score so far."""
 
-    __slots__ = ("counted", "started_s", "weight")
+    __slots__ = ("score_added", "slow_count", "started_s")
 
     def __init__(self, started_s: float) -> None:
         self.started_s = started_s
-        self.counted = 0
-        self.weight = 0.0
+        self.slow_count = 0
+        self.score_added = 0.0
 
 
 class WorkScore:
-    """Evidence of one backend server's work, summed up.
+    """The score of one backend server, and the evidence that it sums up.
 
     Attributes
     ----------
     detection : Detection
-        May be changed; the evidence stays.
+        May be replaced; score and evidence stay.
     score : float
-        0 is healthy; over the threshold the backend server is suspected.
+        0 is healthy; from the threshold on the backend server is suspected.
     evidence : Counter
-        Requests and probes by result since the score was last 0.
-    worked_s : float
-        When work last said something.
+        Number of requests and probes by result since the score was last 0.
+    last_verdict_s : float
+        When an attempt last ended with a verdict of good or bad.
     """
 
     def __init__(self, detection: Detection, now_s: float) -> None:
         self.detection = detection
         self.score = 0.0
         self.evidence: Counter[str] = Counter()
-        self.worked_s = now_s
+        self.last_verdict_s = now_s
         self._in_flight: dict[AttemptId, _InFlight] = {}
-        self._peers = PeerView()
-        self._slow = SlowLimit()
+        self._peers = PeerAggregate()
+        self._latency = LatencyP99()
         self._slow_rate = LearnedRate(SLOW_SHARE)
         self._error_rate = LearnedRate(detection.error_rate_healthy)
-        self._weight = 0.0
-        # When slow work was counted last, and when that work had begun.
-        self._slow_s = float("-inf")
-        self._slow_started_s = float("-inf")
-        self._good_started_s = float("-inf")
-        self._good_s = float("-inf")
-        self._stood_still_s = float("-inf")
-        self._error_took_s = float("inf")
-        # Of the slow work since the score was last 0.
+        self._slow_request_score = 0.0
+        # When an attempt was last counted as slow, and when that attempt began.
+        self._last_slow_s = float("-inf")
+        self._last_slow_start_s = float("-inf")
+        self._last_good_start_s = float("-inf")
+        self._last_good_s = float("-inf")
+        self._standstill_s = float("-inf")
+        self._error_duration_s = float("inf")
+        # Longest duration counted as slow since the score was last 0.
         self._slowest_counted_ms = 0.0
 
     @property
-    def has_work(self) -> bool:
+    def has_in_flight(self) -> bool:
         """Whether attempts are in flight."""
         return bool(self._in_flight)
 
-    def started_since(self, since_s: float) -> bool:
-        """Tell whether an attempt is in flight that began after a time."""
-        return any(one.started_s >= since_s for one in self._in_flight.values())
+    def has_attempt_since(self, since_s: float) -> bool:
+        """Tell whether an attempt that began after a time is still in flight."""
+        return any(attempt.started_s >= since_s for attempt in self._in_flight.values())
 
-    def outlives_errors(self, since_s: float, now_s: float) -> bool:
-        """Tell whether work that began after a time has lasted past errors.
+    def has_attempt_outlasting_errors(self, since_s: float, now_s: float) -> bool:
+        """Tell whether an attempt begun after a time has run longer than errors do.
 
-        A sick backend server that answers errors does so within a millisecond.
-        One that is still at work has taken the request; to wait for its answer
-        would leave its other slots empty for as long as a request takes, at
-        each trial.
+        A sick backend server answers an error within a millisecond. One that is
+        still running an attempt has accepted it. Waiting for its answer would
+        leave the other slots empty for the length of a request, at each trial.
         """
-        lasts_s = max(OUTLIVED_MIN_S, OUTLIVED_FACTOR * self._error_took_s)
+        lasts_s = max(OUTLIVED_MIN_S, OUTLIVED_FACTOR * self._error_duration_s)
         return any(
-            since_s <= one.started_s <= now_s - lasts_s
-            for one in self._in_flight.values()
+            since_s <= attempt.started_s <= now_s - lasts_s
+            for attempt in self._in_flight.values()
         )
 
     def had_good_work_since(self, since_s: float) -> bool:
         """Tell whether an attempt ended well after a time."""
-        return self._good_s > since_s
+        return self._last_good_s > since_s
 
     @property
     def own_limit_ms(self) -> float:
-        """Its own 99th percentile of latency; 0 before enough was seen."""
-        return self._slow.limit_ms if self._slow.known else 0.0
+        """Its own 99th percentile of latency; 0 while too few requests were seen."""
+        return self._latency.p99_ms if self._latency.is_reportable else 0.0
 
     def slow_ms(self) -> float:
-        """Return the latency over which a request counts as slow."""
-        limit_ms = self._peers.limit_ms or self._slow.limit_ms
-        slow_ms = self.detection.slow_factor * limit_ms
+        """Return the latency above which a request counts as slow."""
+        p99_ms = self._peers.p99_ms or self._latency.p99_ms
+        slow_ms = self.detection.slow_factor * p99_ms
         return max(slow_ms, self.detection.slow_ms_min)
 
     def peers_bad_share(self, now_s: float) -> float:
-        """Return the part of the peers that looks bad."""
+        """Return the share of bad peers, between 0 and 1."""
         return self._peers.bad_share(now_s)
 
-    def is_shared(self, now_s: float) -> bool:
-        """Tell whether the peers suffer, too, or did and take it as usual by now."""
+    def has_shared_cause(self, now_s: float) -> bool:
+        """Tell whether the cause of the score is shared with the peers.
+
+        Either many peers are bad now, or all have become slow and what was counted
+        as slow here is normal among them.
+        """
         if self.peers_bad_share(now_s) >= SHARED_CAUSE_SHARE:
             return True
-        return self._is_usual_by_now(now_s)
+        return self._is_normal_among_peers(now_s)
 
-    def _is_usual_by_now(self, now_s: float) -> bool:
-        """Tell whether all that counted against it is no longer slow among the peers.
+    def _is_normal_among_peers(self, now_s: float) -> bool:
+        """Tell whether the latency that was counted as slow is normal for the peers.
 
-        One that is held out hears nothing of them. When it is tried again they have
-        learned that all are slow, and look well; left to a trial of five requests,
-        at 4 of 100 of a slow service's, it would be suspected for half a minute.
+        A backend server that is held out gets no summaries of its peers. When its
+        trial begins, the peers' percentiles have adapted to a shared slowness, and
+        the peers count as good. A server on trial gets about 4 of 100 requests of a
+        slow service, so a trial of five requests would last half a minute.
         """
         if not self._slowest_counted_ms or self.evidence.keys() - SLOW_EVIDENCE:
             return False
-        peers_slow_ms = self.detection.slow_factor * self._peers.limit_ms
-        # What still hangs may take longer than it was counted for.
+        peers_slow_ms = self.detection.slow_factor * self._peers.p99_ms
+        # Attempts in flight may by now be older than when they were counted.
         started_s = (attempt.started_s for attempt in self._in_flight.values())
         oldest_ms = (now_s - min(started_s, default=now_s)) * 1000
         return max(self._slowest_counted_ms, oldest_ms) <= peers_slow_ms
 
     def note_peers(self, evidence: PeerEvidence, now_s: float) -> None:
-        """Take what an ingress saw of the service's other backend servers."""
-        self._peers.note(evidence, now_s)
+        """Record an ingress's summary of the service's other backend servers."""
+        self._peers.record(evidence, now_s)
 
     def started(self, attempt_id: AttemptId, now_s: float) -> None:
-        """Take an attempt into the work in flight."""
+        """Record that an attempt was dispatched; it is in flight from now on."""
         self._in_flight[attempt_id] = _InFlight(now_s)
 
     def ended(
-        self, attempt_id: AttemptId, result: WorkResult, learns: bool, now_s: float
+        self, attempt_id: AttemptId, result: WorkResult, may_learn: bool, now_s: float
     ) -> Verdict:
-        """Take an attempt's end and tell what it says.
+        """Record an attempt's end, and return whether it counts as good or bad.
+
+        An attempt that is not known to be in flight gives no verdict.
 
         Parameters
         ----------
-        learns : bool
-            Whether the backend server serves, so that its work may teach
-            what is healthy.
+        may_learn : bool
+            Whether the attempt may change the healthy rates and the percentile of
+            latency: only while the backend server is serving.
         """
         attempt = self._in_flight.pop(attempt_id, None)
         if attempt is None:
             return Verdict.NOTHING
         latency_ms = (now_s - attempt.started_s) * 1000
         verdict = judge(result, latency_ms > self.slow_ms())
-        self._follow_peers(now_s)
+        self._rescale_to_peers(now_s)
         if verdict is Verdict.NOTHING:
             return verdict
-        if learns:
+        if may_learn:
             self._learn(result, verdict, latency_ms)
-        self._take(verdict, result, attempt, now_s)
+        self._score_end(verdict, result, attempt, now_s)
         return verdict
 
-    def forget_work(self) -> None:
-        """Drop what is in flight: the backend server restarted."""
+    def discard_in_flight(self) -> None:
+        """Discard all attempts in flight, which a restart has ended."""
         self._in_flight.clear()
 
     def tick(self, now_s: float) -> None:
-        """Count the age of the work in flight."""
-        self._follow_peers(now_s)
+        """Score attempts that are in flight for too long."""
+        self._rescale_to_peers(now_s)
         slow_ms = self.slow_ms()
         for attempt in sorted(self._in_flight.values(), key=_times_counted):
             age_ms = (now_s - attempt.started_s) * 1000
-            # In flight past the limit is evidence already: a request that
-            # hangs says so by its end only at its timeout.
-            if age_ms > _AGES[attempt.counted] * slow_ms:
+            # A request that hangs would otherwise be counted only when its
+            # timeout ends it.
+            if age_ms > _SLOW_AGE_FACTORS[attempt.slow_count] * slow_ms:
                 self._count_slow(attempt, "in_flight_too_long", now_s)
-        self._look_for_standstill(now_s)
+        self._detect_standstill(now_s)
 
     def add_failed_probe(self, result: ProbeResult, now_s: float) -> None:
-        """Take a failed probe: alone it reaches the threshold only by refusal."""
+        """Raise the score; alone to the threshold only if connections are refused."""
         self.evidence[f"probe_{result}"] += 1
         limit = ONE_ATTEMPT_MAX * self.detection.threshold
-        weight = bad_weight(self._error_rates(now_s))
+        increment = bad_request_score(self._error_rates(now_s))
         if result is ProbeResult.FAILED:
-            weight = min(weight, limit - self.score)
-        self._add(max(0.0, min(weight, limit)))
+            increment = min(increment, limit - self.score)
+        self._add_to_score(max(0.0, min(increment, limit)))
 
     def lower_for_trial(self, now_s: float) -> None:
-        """Take the score so near under the threshold that one bad request ends it."""
-        self._peers.outdate_limit()
+        """Lower the score to where one more bad request reaches the threshold."""
+        self._peers.mark_p99_stale()
         if self.detection.independent_errors:
-            # One error ends a trial at any score; what is left of the last
-            # ejection would only make a slow answer end it as well.
+            # One error ends a trial at any score. With a score above 0 a single
+            # slow answer could end it as well.
             self._set_score(0.0)
             return
-        weights = (
-            bad_weight(self._slow_rates(now_s)),
-            bad_weight(self._error_rates(now_s)),
+        increments = (
+            bad_request_score(self._slow_rates(now_s)),
+            bad_request_score(self._error_rates(now_s)),
         )
-        near = max(0.0, self.detection.threshold - TRIAL_MARGIN * min(weights))
+        near = max(0.0, self.detection.threshold - TRIAL_MARGIN * min(increments))
         self.score = min(self.score, near)
 
     def _slow_rates(self, now_s: float) -> Rates:
@@ -239,101 +249,103 @@
 
     def _rates(self, learned: LearnedRate, now_s: float) -> Rates:
         rates = Rates(learned.value, self.detection.error_rate_sick)
-        return against_peers(rates, self._peers.bad_share(now_s))
+        return adjust_for_peers(rates, self._peers.bad_share(now_s))
 
-    def _follow_peers(self, now_s: float) -> None:
-        """Take the score back as far as the peers turn out to be bad, too.
+    def _rescale_to_peers(self, now_s: float) -> None:
+        """Lower the score in proportion as the peers turn out to be bad, too.
 
-        The first bad requests of an overload are scored before the peers' are
-        known of; they must not stand once those are.
+        The first bad requests of an overload are scored before summaries show that
+        the peers are bad. They must count for less once that is known.
         """
-        weight = bad_weight(self._slow_rates(now_s))
-        if weight < self._weight:
-            self._set_score(self.score * weight / self._weight)
-        self._weight = weight
+        increment = bad_request_score(self._slow_rates(now_s))
+        if increment < self._slow_request_score:
+            self._set_score(self.score * increment / self._slow_request_score)
+        self._slow_request_score = increment
 
     def _learn(self, result: WorkResult, verdict: Verdict, latency_ms: float) -> None:
-        """Take a calm time's request as healthy."""
+        """Learn healthy rates and latencies from a request, if the score is low."""
         if self.score > LEARNING_SCORE * self.detection.threshold:
             return
         answered = result is WorkResult.ANSWERED
         self._error_rate.learn(not answered)
         if answered:
             self._slow_rate.learn(verdict is Verdict.BAD)
-            self._slow.learn(latency_ms)
+            self._latency.learn(latency_ms)
 
-    def _take(self, verdict, result, attempt: _InFlight, now_s: float) -> None:
+    def _score_end(self, verdict, result, attempt: _InFlight, now_s: float) -> None:
         """Add one ended attempt to the score."""
-        self.worked_s = now_s
+        self.last_verdict_s = now_s
         if verdict is Verdict.GOOD:
-            self._good_s = now_s
-            self._good_started_s = max(self._good_started_s, attempt.started_s)
-            self._add(good_weight(self._slow_rates(now_s)))
+            self._last_good_s = now_s
+            self._last_good_start_s = max(self._last_good_start_s, attempt.started_s)
+            self._add_to_score(good_request_score(self._slow_rates(now_s)))
             self.evidence[result.value] += 1
         elif result in SLOW_RESULTS:
-            # Work that was never answered is not slow like the peers'.
+            # An attempt without an answer has no latency to compare with the
+            # peers', so its duration counts as infinite.
             is_answered = result is WorkResult.ANSWERED
             took_ms = (now_s - attempt.started_s) * 1000 if is_answered else math.inf
             self._slowest_counted_ms = max(self._slowest_counted_ms, took_ms)
-            if not attempt.counted:
+            if not attempt.slow_count:
                 self._count_slow(attempt, SLOW_RESULTS[result], now_s)
         else:
             self.evidence[result.value] += 1
-            self._note_error_time(now_s - attempt.started_s)
+            self._record_error_duration(now_s - attempt.started_s)
             if self.detection.independent_errors:
-                self._add(self.detection.threshold)
+                self._add_to_score(self.detection.threshold)
             else:
-                self._add_bad(attempt, bad_weight(self._error_rates(now_s)))
+                self._add_bad(attempt, bad_request_score(self._error_rates(now_s)))
 
-    def _note_error_time(self, took_s: float) -> None:
-        before_s = self._error_took_s
-        if before_s == float("inf"):
-            before_s = 0.0
-        self._error_took_s = max(took_s, ERROR_TIME_KEPT * before_s)
+    def _record_error_duration(self, duration_s: float) -> None:
+        previous_s = self._error_duration_s
+        if previous_s == float("inf"):
+            previous_s = 0.0
+        self._error_duration_s = max(duration_s, ERROR_DURATION_DECAY * previous_s)
 
     def _count_slow(self, attempt: _InFlight, evidence: str, now_s: float) -> None:
-        """Count a slow attempt, unless it shares a pause with the last one.
+        """Count a slow attempt, unless it was slow in the same pause as the last one.
 
-        A backend server that stands still for a moment makes all work of
-        that moment slow: one event, however many requests. Counted one by
-        one, a busy healthy one would be suspected at its every pause.
+        A pause of a backend server makes all requests of that moment slow. It is
+        one event, however many requests it delays. If each of them counted, a busy
+        healthy backend server would be suspected at every pause.
         """
-        paused = (now_s - self._slow_s) * 1000 < self.detection.pause_ms
-        if paused and not self._is_apart(attempt, now_s):
+        is_pause = (now_s - self._last_slow_s) * 1000 < self.detection.pause_ms
+        if is_pause and not self._is_outside_last_pause(attempt, now_s):
             return
-        self._slow_s = now_s
-        self._slow_started_s = attempt.started_s
-        attempt.counted += 1
+        self._last_slow_s = now_s
+        self._last_slow_start_s = attempt.started_s
+        attempt.slow_count += 1
         age_ms = (now_s - attempt.started_s) * 1000
         self._slowest_counted_ms = max(self._slowest_counted_ms, age_ms)
-        self._add_bad(attempt, bad_weight(self._slow_rates(now_s)))
+        self._add_bad(attempt, bad_request_score(self._slow_rates(now_s)))
         self.evidence[evidence] += 1
 
-    def _is_apart(self, attempt: _InFlight, now_s: float) -> bool:
-        """Tell whether an attempt was slow by itself, not in the last pause.
+    def _is_outside_last_pause(self, attempt: _InFlight, now_s: float) -> bool:
+        """Tell whether an attempt was slow apart from the last pause.
 
-        Either good work came between, or good work that started later has
-        overtaken it. Work that ends at the same moment shows nothing: so it
-        does at the end of a pause. Nor does work that began at the same moment as
-        what was counted last: threads that wait for a processor are not all held up
-        for the same time.
+        That is so if a good request ended between the pause and the attempt's
+        start, or if a good request that started later ended before it. A good
+        request that ended at the same moment proves nothing: all requests end
+        together at the end of a pause. An attempt that began together with the one
+        last counted is never apart: threads that wait for a processor are delayed
+        for different times.
         """
-        if abs(attempt.started_s - self._slow_started_s) < SAME_MOMENT_S:
+        if abs(attempt.started_s - self._last_slow_start_s) < SAME_MOMENT_S:
             return False
-        good_after_s = self._good_s - self._slow_s
-        between = good_after_s > SAME_MOMENT_S and self._good_s <= attempt.started_s
-        overtaken = (
-            self._good_started_s > attempt.started_s
-            and now_s - self._good_s > SAME_MOMENT_S
+        gap_s = self._last_good_s - self._last_slow_s
+        is_after_good = gap_s > SAME_MOMENT_S and self._last_good_s <= attempt.started_s
+        is_overtaken = (
+            self._last_good_start_s > attempt.started_s
+            and now_s - self._last_good_s > SAME_MOMENT_S
         )
-        return between or overtaken
+        return is_after_good or is_overtaken
 
-    def _look_for_standstill(self, now_s: float) -> None:
-        """Count a stop of all work for longer than a healthy pause.
+    def _detect_standstill(self, now_s: float) -> None:
+        """Raise the score by a whole threshold if all work has stopped.
 
-        Two requests that hang while nothing at all comes back, for longer
-        than the settings say that a healthy backend server pauses, decide by
-        themselves: waiting for more evidence would only cost callers.
+        Two requests that hang while none succeeds, for longer than a healthy server
+        may pause (`pause_ms`), are enough evidence. Waiting for more would only
+        cost callers failed requests.
         """
         slow_ms = self.slow_ms()
         hanging_s = [
@@ -341,29 +353,29 @@
             for attempt in self._in_flight.values()
             if (now_s - attempt.started_s) * 1000 > slow_ms
         ]
-        if len(hanging_s) < STANDSTILL_REQUESTS:
+        if len(hanging_s) < STANDSTILL_REQUESTS_MIN:
             return
         oldest_s = min(hanging_s)
-        paused = (now_s - oldest_s) * 1000 <= self.detection.pause_ms
-        if paused or self._good_s >= oldest_s or self._stood_still_s >= oldest_s:
+        is_pause = (now_s - oldest_s) * 1000 <= self.detection.pause_ms
+        if is_pause or self._last_good_s >= oldest_s or self._standstill_s >= oldest_s:
             return
         if self._peers.bad_share(now_s) >= STANDSTILL_PEERS_BAD_MAX:
             return
-        self._stood_still_s = now_s
+        self._standstill_s = now_s
         age_ms = (now_s - oldest_s) * 1000
         self._slowest_counted_ms = max(self._slowest_counted_ms, age_ms)
         self.evidence["standstill"] += 1
-        self._add(self.detection.threshold)
+        self._add_to_score(self.detection.threshold)
 
-    def _add_bad(self, attempt: _InFlight, weight: float) -> None:
-        """Add bad work; one attempt alone never reaches the threshold."""
+    def _add_bad(self, attempt: _InFlight, increment: float) -> None:
+        """Add to the score for an attempt, up to the bound for one attempt."""
         limit = ONE_ATTEMPT_MAX * self.detection.threshold
-        weight = min(weight, limit - attempt.weight)
-        attempt.weight += weight
-        self._add(weight)
+        increment = min(increment, limit - attempt.score_added)
+        attempt.score_added += increment
+        self._add_to_score(increment)
 
-    def _add(self, weight: float) -> None:
-        self._set_score(self.score + weight)
+    def _add_to_score(self, increment: float) -> None:
+        self._set_score(self.score + increment)
 
     def _set_score(self, score: float) -> None:
         limit = SCORE_MAX * self.detection.threshold
@@ -374,9 +386,9 @@
 
 
 def _times_counted(attempt: _InFlight) -> int:
-    return attempt.counted
+    return attempt.slow_count
 
 
-# Ages, in slow limits, from which an attempt in flight counts once and twice;
-# it never counts more often.
-_AGES = (1.0, 4.0, float("inf"))
+# An attempt in flight counts as slow at these multiples of the slow limit: once at
+# the first, once more at the second, and never again.
+_SLOW_AGE_FACTORS = (1.0, 4.0, float("inf"))
--- a/tests/test_ejection.py
+++ b/tests/test_ejection.py
@@ -1,4 +1,4 @@
-"""Ejection through real processes, with the platform down all the while."""
+"""Ejection in a fleet of real processes, with the platform down throughout."""
 
 import time
 
@@ -10,11 +10,12 @@
 
 
 class FloorTests(FleetUnderWork):
-    def test_sick_ones_are_left_out_until_the_floor_binds(self):
-        """Three of five fail one after the other: by error, hang and reset.
+    def test_sick_backend_servers_are_left_out_until_the_floor_binds(self):
+        """Three of five backend servers fail in turn: by errors, hangs and resets.
 
-        Each gate sees its own work fail and tells the others; each picker
-        leaves out two and keeps the third for the floor, platform or not.
+        Each gate suspects its own backend server and tells the other nodes. Each
+        picker leaves out two and keeps the third because of the floor, also
+        without the platform.
         """
         faults = ({"mode": "error"}, {"mode": "hang"}, {"mode": "close"})
         for number, fault in enumerate(faults):
@@ -40,8 +41,8 @@
 class ReadmissionTests(FleetUnderWork):
     hold_out_s = 2.0
 
-    def test_one_that_recovers_is_tried_and_takes_work_again(self):
-        """It fails, is left out, recovers; trial requests find that out."""
+    def test_a_backend_server_that_recovers_is_readmitted_by_a_trial(self):
+        """A backend server fails, is left out and recovers; trials detect that."""
         node = self.nodes[2]
         self.servers[1].set_fault(mode="error")
         wait_until(lambda: "contract-1" in self.left_out(node), "it is left out")
@@ -61,12 +62,11 @@
 
 
 class CutLinkTests(FleetUnderWork):
-    def test_a_cut_link_makes_nobody_a_suspect(self):
-        """Requests to one node's gate vanish, then its replies do.
+    def test_a_cut_link_causes_no_suspicion(self):
+        """Requests to one node's gate are lost, and after that its replies.
 
-        Callers' attempts there fail, one after the other, and other backend
-        servers answer. The gate saw no work fail, so nobody is told that its
-        backend servers are sick.
+        Attempts there fail, and other backend servers answer. The gate has seen
+        no attempt fail, so no backend server may be suspected.
         """
         for direction in ("forward", "backward"):
             setattr(self.relay, direction, Flow.DROP)
--- a/tests/test_health.py
+++ b/tests/test_health.py
@@ -1,4 +1,4 @@
-"""Health of one backend server from its work: evidence fed, time given."""
+"""The health of one backend server, with simulated requests and time."""
 
 import math
 
@@ -8,9 +8,9 @@
 from balsamspindle.backend_servers.health_readmission import HealthPhase
 from balsamspindle.backend_servers.health_score import (
     Rates,
-    against_peers,
-    bad_weight,
-    good_weight,
+    adjust_for_peers,
+    bad_request_score,
+    good_request_score,
 )
 from balsamspindle.backend_servers.health_verdicts import Verdict
 from balsamspindle.requests.retries import RetryPolicy
@@ -20,7 +20,7 @@
 
 
 @pytest.mark.parametrize(
-    ("work", "most"),
+    ("work", "requests_max"),
     [
         ({"result": ERROR}, 3),
         ({"result": WorkResult.BROKEN}, 3),
@@ -28,18 +28,18 @@
         ({"latency_ms": 150.0}, 3),
     ],
 )
-def test_failing_or_slow_work_ejects_in_a_few_requests(work, most):
+def test_failing_or_slow_work_ejects_in_a_few_requests(work, requests_max):
     driver = Driver()
     driver.work(times=150)
     assert driver.health.suspicion() == 0
-    assert driver.requests_until(HealthPhase.HELD_OUT, **work) <= most
+    assert driver.requests_until(HealthPhase.HELD_OUT, **work) <= requests_max
     assert driver.health.suspicion() >= 1
 
 
-def test_a_hang_is_seen_while_it_hangs_but_never_from_one_request():
-    """The caller waits; nothing ends, so nothing that ends can tell.
+def test_two_hanging_requests_eject_before_they_end_but_one_does_not():
+    """A hang must be detected although no attempt ends.
 
-    One hanging request may be an odd one. A second makes a sick server.
+    A single hanging request may be an outlier. Two are evidence of sickness.
     """
     driver = Driver()
     driver.work(times=150)
@@ -52,12 +52,11 @@
 
 
 @pytest.mark.parametrize("known", [15, 40, 99])
-def test_a_hang_is_seen_before_the_latencies_are_well_known(known):
-    """Callers wait 0.8 s for work of 20 ms, and some of it hangs.
+def test_hangs_are_detected_while_few_latencies_are_known(known):
+    """Callers time out after 0.8 s; requests take 20 ms, and some hang.
 
-    A backend server that started lately had few requests, and none of its
-    peers more. With one limit of 2 s until it had 100, each caller's silence
-    was too short to say anything, and it kept half failing.
+    Guards against hangs that are missed while few latencies are known: with a fixed
+    slow limit of 2 s for the first 100 requests, a silence of 0.8 s is not evidence.
     """
     driver = Driver(peers=PeerEvidence())
     driver.work(times=known)
@@ -66,11 +65,11 @@
 
 
 @pytest.mark.parametrize("known", [15, 40])
-def test_an_own_attempt_outlasts_a_limit_that_is_not_well_known(known):
-    """Callers of the node beside the sick one give it up after 40 ms.
+def test_attempts_at_the_own_node_outlast_the_slow_limit_of_a_small_sample(known):
+    """An ingress must wait for the node's own backend server until it is slow.
 
-    Its gate told no limit before it had seen 100 requests, so that the
-    attempt ended with the patience of a hedge, too soon to count as slow.
+    Guards against a gate that reports no percentile for its first 100 requests: the
+    ingress then ends the attempt after 40 ms, too soon for it to count as slow.
     """
     driver = Driver(peers=PeerEvidence())
     policy = RetryPolicy(lambda service: RetryBudget())
@@ -84,14 +83,14 @@
 
 
 @pytest.mark.parametrize(("known", "latency_ms"), [(1, 1900), (5, 700), (50, 75)])
-def test_the_less_is_known_the_slower_work_may_be(known, latency_ms):
+def test_the_slow_limit_is_wider_while_few_latencies_are_known(known, latency_ms):
     driver = Driver(peers=PeerEvidence())
     driver.work(times=known)
     assert driver.work(latency_ms=latency_ms) is Verdict.GOOD
 
 
-def test_a_standstill_ejects_even_under_a_careful_setting():
-    """Two requests hang and nothing comes back for longer than a pause."""
+def test_a_standstill_ejects_even_with_a_high_threshold():
+    """Two requests hang, and none succeeds for longer than a pause."""
     careful = Driver(Detection(threshold=14.0))
     careful.work(times=150)
     careful.start()
@@ -109,14 +108,14 @@
 
 
 @pytest.mark.parametrize("result", [WorkResult.SHED, WorkResult.CANCELLED])
-def test_shed_and_cancelled_work_is_no_sickness(result):
+def test_shed_and_cancelled_work_never_ejects(result):
     driver = Driver()
     assert driver.work(result, times=50) is Verdict.NOTHING
     assert driver.health.phase is HealthPhase.SERVING
 
 
-def test_callers_with_tiny_timeouts_eject_nobody():
-    """Each gives up after 5 ms, and the gate sees silence every time."""
+def test_callers_with_tiny_timeouts_eject_no_backend_server():
+    """Each caller times out after 5 ms, so the gate sees silence every time."""
     driver = Driver()
     driver.work(times=150)
     assert driver.work(WorkResult.SILENCE, latency_ms=5, times=50) is Verdict.NOTHING
@@ -125,8 +124,8 @@
     assert driver.health.phase is HealthPhase.HELD_OUT
 
 
-def test_what_all_peers_suffer_too_is_no_sickness():
-    """Overload: each backend server is slow; ejecting one loads the others."""
+def test_slowness_shared_with_most_peers_never_ejects():
+    """In an overload all are slow, and each ejection adds load to the others."""
     overloaded = Driver(peers=PeerEvidence(heard=5, bad=4, limit_ms=40.0))
     overloaded.work(latency_ms=150.0, times=100)
     assert overloaded.health.phase is HealthPhase.SERVING
@@ -134,8 +133,8 @@
     assert one_peer_bad.requests_until(HealthPhase.HELD_OUT, latency_ms=150.0) <= 10
 
 
-def test_an_overload_that_hit_it_first_is_taken_back_when_the_peers_show_it():
-    """The first slow requests come before the peers' slowness is known."""
+def test_an_ejection_by_an_overload_is_undone_when_the_peers_turn_slow():
+    """The first slow requests end before the peers' slowness is known."""
     driver = Driver()
     driver.work(times=150)
     driver.requests_until(HealthPhase.HELD_OUT, latency_ms=150.0)
@@ -147,12 +146,11 @@
     assert driver.health.phase is HealthPhase.SERVING
 
 
-def test_peers_that_pause_do_not_end_the_hold_out_of_one_that_fails():
-    """One of five fails; a moment later a fifth of its peers looks slow.
+def test_slow_peers_do_not_end_the_hold_out_of_a_failing_backend_server():
+    """One of five backend servers fails; then some of its peers are slow for a moment.
 
-    Its score was lowered with the peers' slowness as if it were the cause of
-    its errors, and a hold-out of a minute was over within a second: the
-    failing one was back among those that take work.
+    Guards against a hold-out that ends within a second because the peers' slowness
+    lowers the score, although the failing server's errors have another cause.
     """
     driver = Driver(Detection(threshold=7.0, hold_out_s=60.0))
     driver.work(times=30)
@@ -164,33 +162,32 @@
     assert driver.health.phase is HealthPhase.HELD_OUT
 
 
-def test_a_hold_out_is_no_refusal_where_the_fleet_is_told():
-    """A backend server is held out, restarts, and serves well again.
+def test_no_hold_out_time_is_reported_where_suspicions_are_published():
+    """A gate that publishes suspicions reports no length of a hold-out.
 
-    Ingresses had been told by replies that work is kept away for the whole
-    hold-out. They kept to that for its full length, although the news of the
-    restart was there, and callers' requests all went elsewhere.
+    Guards against ingresses that avoid a backend server for the whole reported time,
+    although it has restarted and serves well again.
     """
     driver = Driver(Detection(threshold=7.0, hold_out_s=60.0))
     driver.requests_until(HealthPhase.HELD_OUT, result=ERROR)
     assert driver.health.held_out_ms(driver.now_s) == 0
 
 
-def test_one_that_was_always_slow_is_seen_against_its_peers():
+def test_a_backend_server_that_was_always_slow_is_compared_with_its_peers():
     driver = Driver(peers=PeerEvidence(heard=5, bad=0, limit_ms=10.0))
     assert driver.requests_until(HealthPhase.HELD_OUT, latency_ms=150.0) <= 4
 
 
-def test_without_peers_its_own_latencies_are_the_measure():
+def test_without_peers_slowness_is_judged_by_own_latencies():
     driver = Driver(peers=PeerEvidence())
     driver.work(times=150)
     assert driver.requests_until(HealthPhase.HELD_OUT, latency_ms=300.0) <= 4
-    # Kept at work by the floor, it must not teach that slow is normal.
+    # If the floor keeps it in use, its latencies must not become the normal ones.
     driver.work(latency_ms=300.0, times=200)
     assert driver.health.slow_ms() < 150
 
 
-def test_trials_take_back_one_that_recovered_and_only_such():
+def test_trials_readmit_only_a_backend_server_that_recovered():
     driver = Driver()
     driver.work(ERROR, times=4)
     driver.wait(5.1)
@@ -203,7 +200,7 @@
     assert driver.requests_until(HealthPhase.SERVING) == 5
 
 
-def test_work_that_hung_since_before_the_trial_does_not_fail_it():
+def test_attempts_that_hang_since_before_a_trial_do_not_fail_it():
     driver = Driver()
     hanging = [driver.start() for _ in range(3)]
     driver.wait(6.5)
@@ -214,7 +211,7 @@
 
 
 def stand_still(driver: Driver) -> list[AttemptId]:
-    """Let two requests hang past a pause, and a hold-out pass."""
+    """Let two requests hang for longer than a pause, so that the server is held out."""
     hanging = [driver.start() for _ in range(2)]
     driver.wait(0.6)
     assert driver.health.phase is HealthPhase.HELD_OUT
@@ -222,8 +219,8 @@
     return hanging
 
 
-def test_a_standstill_that_is_usual_among_the_peers_by_now_is_taken_back():
-    # Guards against a suspicion that stays when all have turned slow.
+def test_an_ejection_by_a_standstill_is_undone_when_peers_are_as_slow():
+    # Guards against a suspicion that stays after all peers have become slow, too.
     driver = Driver()
     for attempt_id in stand_still(driver):
         driver.health.ended(attempt_id, ANSWERED, driver.now_s)
@@ -234,8 +231,8 @@
     assert driver.health.phase is HealthPhase.SERVING
 
 
-def test_a_standstill_that_goes_on_is_not_usual_among_slow_peers():
-    # Guards against work for a backend server that hangs while others are slow.
+def test_an_ejection_by_a_standstill_that_goes_on_stays_when_peers_are_slow():
+    # Guards against readmitting a backend server that hangs while others are slow.
     driver = Driver()
     stand_still(driver)
     driver.wait(5.5)
@@ -245,9 +242,9 @@
 
 
 def test_a_flapping_backend_server_costs_few_failures_an_hour():
-    """Well whenever it is on trial, sick as soon as it serves again.
+    """The backend server is well on trial, and sick as soon as it serves again.
 
-    Every trial succeeds, so only the growing hold-out bounds the cost.
+    Every trial succeeds, so only the growth of the hold-out bounds the cost.
     """
     failures = 0
     driver = Driver()
@@ -264,7 +261,7 @@
     assert driver.health.phase is HealthPhase.HELD_OUT
 
 
-def test_probes_shorten_a_hold_out_but_never_outvote_failing_work():
+def test_probes_shorten_a_hold_out_but_do_not_offset_failing_work():
     driver = Driver()
     for _ in range(20):
         driver.work(ERROR)
@@ -276,10 +273,10 @@
     assert driver.health.phase is HealthPhase.ON_TRIAL
 
 
-def test_a_health_endpoint_that_fails_ejects_nobody_by_itself():
-    """Its path is wrong in the settings, and all requests are answered.
+def test_a_failing_health_endpoint_alone_never_ejects():
+    """The probe path in the settings is wrong, but all requests are answered.
 
-    At a request in some seconds, probes fill the time between and all fail.
+    Requests are some seconds apart, and the probes between them all fail.
     """
     driver = Driver()
     for _ in range(50):
@@ -292,7 +289,7 @@
     assert driver.health.phase is HealthPhase.HELD_OUT
 
 
-def test_a_silent_one_that_refuses_connections_is_ejected_by_probes():
+def test_an_idle_backend_server_that_refuses_connections_is_ejected_by_probes():
     silent = Driver()
     for _ in range(3):
         silent.wait(2.1)
@@ -300,10 +297,10 @@
     assert silent.health.phase is HealthPhase.HELD_OUT
 
 
-def test_the_weights_are_log_likelihood_ratios_for_any_settings():
+def test_request_scores_are_log_likelihood_ratios_for_any_settings():
     rates = Rates(0.02, 0.3)
-    assert bad_weight(rates) == pytest.approx(math.log(15))
+    assert bad_request_score(rates) == pytest.approx(math.log(15))
     for healthy in (0.0, 0.5, 1.0):
         for sick in (0.0, 0.3, 1.0):
-            tested = against_peers(Rates(healthy + 0.01, sick), 0.9)
-            assert good_weight(tested) <= 0 <= bad_weight(tested)
+            tested = adjust_for_peers(Rates(healthy + 0.01, sick), 0.9)
+            assert good_request_score(tested) <= 0 <= bad_request_score(tested)
--- a/tests/test_health_monitor.py
+++ b/tests/test_health_monitor.py
@@ -1,11 +1,11 @@
-"""The monitor of a node's backend servers: restarts, news and probes."""
+"""The monitor of a node's backend servers: restarts, published changes, probes."""
 
 import io
 
 import pytest
 
 from balsamspindle.backend_servers.evidence import WorkResult
-from balsamspindle.backend_servers.health_monitor import FORGET_S, HealthMonitor
+from balsamspindle.backend_servers.health_monitor import ABSENT_EXPIRY_S, HealthMonitor
 from balsamspindle.backend_servers.servers import Announcement, LocalBackendServers
 from balsamspindle.crashes.records import start_id
 from balsamspindle.settings.documents import Detection
@@ -18,7 +18,7 @@
 
 
 class Node:
-    """A monitor with one announced backend server, and time to give it."""
+    """A monitor with one announced backend server, in simulated time."""
 
     def __init__(self) -> None:
         self.servers = LocalBackendServers()
@@ -51,11 +51,12 @@
         return self.servers.records()[0].suspicion
 
 
-def test_a_long_hour_of_mixed_work_makes_little_news():
-    """Each change of a record goes to all nodes of the fleet.
+def test_mixed_work_changes_the_published_record_rarely():
+    """Each change of a record is sent to all nodes of the fleet.
 
-    A backend server that only fails has hold-outs of 5 s and 10 s in these
-    21 s, and each makes three steps at most: left out, strongly, on trial.
+    A backend server that only fails has hold-outs of 5 s and 10 s within these 21 s.
+    Each changes the record three times at most: held out, strongly suspected, on
+    trial.
     """
     node = Node()
     version = node.servers.version
@@ -69,8 +70,11 @@
     assert node.servers.version <= version + 9
 
 
-def test_one_that_restarts_while_held_out_is_tried_at_once():
-    """A restart may have mended it, but its record starts without a doubt."""
+def test_a_backend_server_that_restarts_while_held_out_is_on_trial_at_once():
+    """A restart may have cured it, but its new record carries no suspicion.
+
+    So the suspicion of a trial must be published again.
+    """
     node = Node()
     node.work(ERROR, 4)
     assert node.suspicion >= 1
@@ -82,8 +86,8 @@
     assert node.suspicion >= 1, "the restart has not taken the doubling back"
 
 
-def test_one_held_out_hears_of_an_overload_through_its_neighbour():
-    """Nobody sends it work, so no dispatch tells it of its peers."""
+def test_a_held_out_backend_server_learns_of_an_overload_from_its_neighbour():
+    """A held-out server gets no dispatches, so no summaries of its peers."""
     node = Node()
     neighbour = Announcement(SERVICE, "127.0.0.1:9", 6, "1")
     node.servers.announce("contract-1", neighbour, node.now_s)
@@ -96,12 +100,12 @@
     assert node.suspicion == 0
 
 
-def test_its_own_failures_are_no_news_of_its_peers():
-    """One server of two beside a node fails all its work and is held out.
+def test_own_failures_do_not_count_as_failures_of_peers():
+    """One of two backend servers beside a node fails, and is held out.
 
-    The other's requests tell of a bad peer, which is the one held out. Taken
-    for news of its peers, its own failures would excuse it: it was on trial
-    again after 50 ms, and got requests for as long as it failed.
+    Summaries with the other's requests count one bad peer, which is the held-out
+    server. Guards against counting it as its own peer: its failures would seem to
+    have a shared cause, and it would be on trial again after 50 ms.
     """
     node = Node()
     announcement = Announcement(SERVICE, "127.0.0.1:8", 6, "1")
@@ -116,24 +120,24 @@
     assert node.suspicion >= 1
 
 
-def test_one_that_went_away_for_long_is_forgotten():
+def test_a_backend_server_that_was_long_absent_is_discarded():
     node = Node()
     node.work(ERROR, 4)
     assert node.servers.remove_silent(node.now_s + 100) == [SERVER]
-    node.wait(FORGET_S + 1)
+    node.wait(ABSENT_EXPIRY_S + 1)
     node.announce("3")
     assert node.suspicion == 0
     assert list(node.monitor.reports(node.now_s)) == [SERVER]
 
 
 @pytest.mark.parametrize(("idle_s", "wanted"), [(0.5, []), (5.0, [SERVER]), (61.0, [])])
-def test_probes_fill_silences_and_sleep_when_nobody_asks(idle_s, wanted):
+def test_probes_are_sent_when_idle_and_stop_without_demand(idle_s, wanted):
     node = Node()
     node.work(ANSWERED)
     assert node.monitor.probes_wanted(node.now_s + idle_s) == wanted
 
 
-def test_phases_are_told_with_their_evidence():
+def test_phase_changes_are_logged_with_their_evidence():
     node = Node()
     node.work(ERROR, 4)
     node.wait(6)
@@ -150,9 +154,9 @@
 def test_a_backend_server_that_a_request_crashed_serves_when_it_is_back():
     """One request crashes a backend server again and again.
 
-    Held out as sick, and for longer each time, the backend server would be missing to
-    all other callers of its service. The request is quarantined before it is back, or
-    after that.
+    Guards against hold-outs that keep the backend server from all other callers, for
+    longer with each crash. The request may be quarantined before or after the backend
+    server is back.
     """
     for is_late in (False, True):
         node, blamed = Node(), set()
@@ -165,7 +169,9 @@
         node.monitor.tick(node.now_s)
         node.work(ERROR, 5)
         assert node.suspicion >= 1
-        level = node.monitor._known[SERVER].health._readmission.level
+        growth_exponent = node.monitor._monitored[
+            SERVER
+        ].health._readmission.growth_exponent
         if not is_late:
             blamed.add((SERVER, start_id("1")))
         node.announce("2")
@@ -174,4 +180,7 @@
             blamed.add((SERVER, start_id("1")))
             node.wait(0.1)
         assert node.suspicion == 0
-        assert node.monitor._known[SERVER].health._readmission.level == level - 1
+        assert (
+            node.monitor._monitored[SERVER].health._readmission.growth_exponent
+            == growth_exponent - 1
+        )
--- a/tests/test_health_pauses.py
+++ b/tests/test_health_pauses.py
@@ -1,4 +1,4 @@
-"""What is slow in one pause of a backend server counts once."""
+"""Requests that are slow in one pause of a backend server count once."""
 
 import pytest
 
@@ -8,13 +8,13 @@
 
 
 @pytest.mark.parametrize("requests", [2, 10, 40])
-def test_a_pause_of_a_busy_healthy_one_counts_once(requests):
-    """All work of a pause of 0.4 s is slow, at one moment, then all is well."""
+def test_a_pause_of_a_busy_healthy_backend_server_counts_once(requests):
+    """All requests of a pause of 0.4 s are slow and end together."""
     driver = Driver()
     driver.work(times=150)
     hanging = [driver.start() for _ in range(requests)]
     driver.wait(0.4)
-    # This one came late in the pause, and is not slow.
+    # This request starts late in the pause and is not slow.
     hanging.insert(0, driver.start())
     driver.now_s += 0.01
     for attempt_id in hanging:
@@ -25,7 +25,7 @@
 
 
 def _slow_pair(second_begins_ms: float, good_ends_ms: float) -> Driver:
-    """Play slow work of 80 ms, good work, and slow work that ends 60 ms later."""
+    """Run a slow request of 80 ms, a good one, and a slow one that ends 60 ms later."""
     driver = Driver(peers=PeerEvidence(heard=5, bad=0, limit_ms=13.0))
     driver.work(latency_ms=2.0, times=2_000)
     starts_ms = (0.0, second_begins_ms, good_ends_ms - 2.0)
@@ -44,23 +44,23 @@
 @pytest.mark.parametrize(
     ("second_begins_ms", "good_ends_ms"),
     [
-        # Begun together, and newer work overtook both.
+        # Both begin together, and a newer good request ends before them.
         (2.0, 35.0),
-        # Begun after good work that ended with the first one.
+        # The second begins after a good request that ends together with the first.
         (83.0, 82.0),
     ],
 )
-def test_one_pause_that_ends_for_one_thread_after_the_other_counts_once(
+def test_a_pause_that_ends_at_different_times_per_thread_counts_once(
     second_begins_ms, good_ends_ms
 ):
-    # Guards against a suspicion of a sound one whose threads wait for a processor.
+    # Guards against suspecting a healthy server whose threads wait for a processor.
     driver = _slow_pair(second_begins_ms, good_ends_ms)
     assert driver.health.phase is HealthPhase.SERVING
     driver.work(latency_ms=2.0, times=50)
     assert driver.health.report(driver.now_s).score == 0
 
 
-def test_slow_work_that_newer_work_overtook_counts_by_itself():
+def test_slow_work_that_newer_work_overtook_counts_separately():
     driver = _slow_pair(second_begins_ms=82.0, good_ends_ms=10.0)
     once = driver.health.report(driver.now_s).score
     apart = _slow_pair(second_begins_ms=60.0, good_ends_ms=78.0)
--- a/tests/test_shared_slowness.py
+++ b/tests/test_shared_slowness.py
@@ -1,11 +1,11 @@
-"""Slowness of all backend servers, through real processes."""
+"""Slowness of all backend servers at once, in a fleet of real processes."""
 
 import time
 
 from tests.ejection_utils import SERVERS, FleetUnderWork
 from tests.utils import wait_until
 
-# Enough for each gate to learn what is slow.
+# Enough for each gate to estimate the latencies of its backend server.
 CALLS = 200 * SERVERS
 SLOW_S = 4.0
 
@@ -13,12 +13,12 @@
 class SharedSlownessTests(FleetUnderWork):
     hold_out_s = 5.0
 
-    def test_when_all_turn_slow_nobody_stays_suspected(self):
-        """All answer 0.4 s late from one moment on, as in an overload.
+    def test_no_backend_server_stays_suspected_when_all_turn_slow(self):
+        """All backend servers answer 0.4 s late from one moment on.
 
-        The first late answers make suspects; then the gates hear that the
-        others are late, too, and take it back. Held out again and again, the
-        first ones would leave their load to the rest.
+        The first late answers cause suspicions. The gates take them back when
+        summaries show that the others are late, too. Guards against hold-outs that
+        are repeated: the first suspects would leave their load to the others.
         """
         wait_until(lambda: self.calls >= CALLS, "slow limits are learned", 40)
         for server in self.servers:
