--- a/balsamspindle/backend_servers/__init__.py
+++ b/balsamspindle/backend_servers/__init__.py
@@ -1,6 +1,7 @@
-"""The backend servers beside this node, and the gate before them.
+"""The backend servers beside this node, and the gate in front of them.
 
-Start with `gate.py`: it alone decides whether an attempt runs. Slots and the
-queue are behind `admission.py`, the call itself in `client.py`; the modules
-`health*.py` judge from that work who is sick, `health.py` first.
+Start with `gate.py`: it alone decides whether an attempt runs. `admission.py`
+manages slots and the queue, and `client.py` makes the HTTP call. The `health*.py`
+modules judge from the results which backend servers are sick; start with
+`health.py`.
 """
--- a/balsamspindle/backend_servers/evidence.py
+++ b/balsamspindle/backend_servers/evidence.py
@@ -1,4 +1,4 @@
-"""What the gate sees of real work, and who is told."""
+"""Evidence of backend servers' health, and the interface that receives it."""
 
 from enum import StrEnum
 from typing import NamedTuple, Protocol
@@ -13,7 +13,8 @@
     """How a dispatched attempt ended at the backend server.
 
     ``SHED`` is a 503 or 429: evidence of load, not of sickness. ``CANCELLED``
-    is our own doing and evidence of nothing.
+    is an attempt that this node ended or whose failure has another known cause;
+    it is no evidence about the backend server.
     """
 
     ANSWERED = "answered"
@@ -28,8 +29,8 @@
 class ProbeResult(StrEnum):
     """How a probe of a health endpoint ended.
 
-    ``FAILED`` is an answer that says so, or none in time; ``UNREACHABLE`` is a
-    connection that was refused, at the address that takes real work, too.
+    ``FAILED`` is an answer with an error status, or no answer in time.
+    ``UNREACHABLE`` is a refused connection; requests go to the same address.
     """
 
     PASSED = "passed"
@@ -38,14 +39,14 @@
 
 
 class Judgement(NamedTuple):
-    """What an ended attempt says; goes back with its reply.
+    """The verdict on an ended attempt, which is sent back with its reply.
 
     Attributes
     ----------
     bad : bool or None
-        None when it says nothing of the backend server.
+        None if the attempt is no evidence about the backend server.
     limit_ms : float
-        The backend server's 99th percentile of latency; 0 when unknown.
+        The backend server's 99th percentile of latency; 0 if unknown.
     """
 
     bad: bool | None = None
@@ -53,7 +54,7 @@
 
 
 class HealthObserver(Protocol):
-    """Takes the evidence of real work, as the gate sees it.
+    """Receives the start and end of each attempt from the gate.
 
     Called from the threads that run attempts; `now_s` is monotonic.
     """
@@ -61,12 +62,12 @@
     def started(
         self, backend_server_id: str, attempt_id: AttemptId, now_s: float
     ) -> None:
-        """An attempt was dispatched; it is in flight from now."""
+        """Record that an attempt was dispatched; it is in flight from now on."""
 
     def note_peers(
         self, backend_server_id: str, evidence: PeerEvidence, now_s: float
     ) -> None:
-        """An ingress told of the service's other backend servers."""
+        """Record an ingress's summary of the service's other backend servers."""
 
     def ended(
         self,
@@ -75,7 +76,7 @@
         result: WorkResult,
         now_s: float,
     ) -> Judgement:
-        """An attempt ended."""
+        """Record that an attempt ended, and return the verdict on it."""
 
     def admits(
         self,
@@ -90,15 +91,15 @@
         Parameters
         ----------
         is_last_try : bool
-            Its request can't be tried again.
+            Whether the request cannot be tried again after this attempt.
         """
 
     def held_out(self, backend_server_id: str, now_s: float) -> HeldOut:
-        """Return for how long usual work is kept away, and on what evidence."""
+        """Return for how long ordinary work is refused, and on what evidence."""
 
 
 class NoObserver:
-    """Takes evidence and keeps none."""
+    """Ignores all evidence and admits every attempt."""
 
     def admits(
         self, backend_server_id, execution, weight, now_s, is_last_try=False
--- a/balsamspindle/backend_servers/heaviest_weight.py
+++ b/balsamspindle/backend_servers/heaviest_weight.py
@@ -1,26 +1,32 @@
-"""Whether requests must leave retries to heavier ones."""
+"""Which part of a service's retries is reserved for its heaviest requests."""
 
 __all__ = ["KEPT_FOR_HEAVIER_PART", "HeaviestWeight"]
 
-# Of a service's retries, those that lighter requests leave to heavier ones: calls that
-# others wait for, or requests that are worth more.
+# Part of a service's retries that lighter requests leave to heavier ones, which may
+# be calls that other requests wait for, or requests of greater value.
 KEPT_FOR_HEAVIER_PART = 0.5
-# How long the heaviest weight that was asked for is remembered.
-MEMORY_S = 10.0
+
+HEAVIEST_WEIGHT_EXPIRY_S = 10.0
 
 
 class HeaviestWeight:
-    """The heaviest requests of one service in the last seconds."""
+    """The greatest weight of one service's recent requests."""
 
     def __init__(self) -> None:
         self._weight = 0.0
-        self._noted_s = -MEMORY_S
+        self._recorded_s = -HEAVIEST_WEIGHT_EXPIRY_S
 
     def note(self, weight: float, now_s: float) -> None:
-        """Take a request's weight."""
-        if weight >= self._weight or now_s - self._noted_s > MEMORY_S:
-            self._weight, self._noted_s = weight, now_s
+        """Raise the maximum to a request's weight, or replace an expired one."""
+        if (
+            weight >= self._weight
+            or now_s - self._recorded_s > HEAVIEST_WEIGHT_EXPIRY_S
+        ):
+            self._weight, self._recorded_s = weight, now_s
 
     def kept_part(self, weight: float) -> float:
-        """Return the part of the retries that a request leaves to heavier ones."""
+        """Return the part of the retries that a request leaves to heavier ones.
+
+        Between 0 and 1; 0 for the heaviest requests.
+        """
         return KEPT_FOR_HEAVIER_PART if weight < self._weight else 0.0
--- a/balsamspindle/backend_servers/hold_outs.py
+++ b/balsamspindle/backend_servers/hold_outs.py
@@ -1,8 +1,9 @@
-"""How long a backend server that fails is left alone before it is tried again.
+"""Detection settings whose hold-outs fit the number of backend servers in the zone.
 
-Load: sick spells of seconds, many at a time. A trial costs its caller a retry and most
-often fails while the spell lasts; waiting costs the zone this one's part of its slots.
-Where few others of the zone are left, a long wait sends their work to other zones.
+This is for services whose backend servers are often sick for some seconds, several
+at a time. A trial costs its caller a retry, and mostly fails while the sickness
+lasts; a long hold-out costs the zone the slots of that backend server. In a zone
+with few others, the missing slots would send requests to other zones.
 """
 
 from collections.abc import Callable
@@ -11,34 +12,34 @@
 
 from balsamspindle.settings.documents import Detection
 
-__all__ = ["MANY_IN_ZONE", "ZoneHoldOuts", "with_hold_outs"]
+__all__ = ["LARGE_ZONE_SERVERS", "ZoneHoldOuts", "adjust_hold_outs"]
 
-# From so many backend servers of a service in a zone on, one of them may be missed.
-MANY_IN_ZONE = 6
-# What the settings' growth and bound are multiplied by then.
-GROWTH_FACTOR = 5.0
-MAX_FACTOR = 2.0
+# From this many backend servers of a service on, a zone can do without one of them.
+LARGE_ZONE_SERVERS = 6
+# In such a zone, hold_out_growth and hold_out_max_s are multiplied by these.
+LARGE_ZONE_GROWTH_FACTOR = 5.0
+LARGE_ZONE_MAX_FACTOR = 2.0
 
 
-def with_hold_outs(detection: Detection, in_zone: int) -> Detection:
-    """Return a service's settings with the hold-outs that fit its zone.
+def adjust_hold_outs(detection: Detection, in_zone: int) -> Detection:
+    """Return a service's settings, with longer hold-outs in a large zone.
 
     Parameters
     ----------
     in_zone : int
         Backend servers of the service in this zone.
     """
-    if not detection.independent_errors or in_zone < MANY_IN_ZONE:
+    if not detection.independent_errors or in_zone < LARGE_ZONE_SERVERS:
         return detection
     return msgspec.structs.replace(
         detection,
-        hold_out_growth=detection.hold_out_growth * GROWTH_FACTOR,
-        hold_out_max_s=detection.hold_out_max_s * MAX_FACTOR,
+        hold_out_growth=detection.hold_out_growth * LARGE_ZONE_GROWTH_FACTOR,
+        hold_out_max_s=detection.hold_out_max_s * LARGE_ZONE_MAX_FACTOR,
     )
 
 
 class ZoneHoldOuts:
-    """The detection settings of services, as they fit this node's zone.
+    """The detection settings of services, adjusted to this node's zone.
 
     Parameters
     ----------
@@ -53,13 +54,13 @@
     ) -> None:
         self._detection = detection
         self._in_zone = in_zone
-        self._known: dict[tuple[Detection, bool], Detection] = {}
+        self._cache: dict[tuple[Detection, bool], Detection] = {}
 
     def __call__(self, service: str) -> Detection:
         """Return a service's settings."""
         detection = self._detection(service)
         in_zone = self._in_zone(service)
-        key = (detection, in_zone >= MANY_IN_ZONE)
-        if key not in self._known:
-            self._known = {key: with_hold_outs(detection, in_zone)}
-        return self._known[key]
+        key = (detection, in_zone >= LARGE_ZONE_SERVERS)
+        if key not in self._cache:
+            self._cache = {key: adjust_hold_outs(detection, in_zone)}
+        return self._cache[key]
--- a/balsamspindle/backend_servers/probes.py
+++ b/balsamspindle/backend_servers/probes.py
@@ -1,7 +1,7 @@
-"""Probes of the health endpoints, where work does not tell enough.
+"""Probes of health endpoints, sent when requests give too little evidence.
 
-A probe is weak evidence: health endpoints lag behind or answer while real
-work hangs. See `ServerHealth.probed` for what one counts.
+A probe is weak evidence: health endpoints lag behind, or answer while requests
+hang. See `ServerHealth.probed` for how much a probe counts.
 """
 
 import threading
@@ -23,12 +23,12 @@
 
 PROBE_INTERVAL_S = 1.0
 PROBE_TIMEOUT_MS = 1000
-PROBERS_MAX = 4
+PROBE_THREADS_MAX = 4
 PASSED_STATUS_END = 300
 
 
 class Prober:
-    """Probes this node's backend servers while somebody asks for them.
+    """Probes this node's idle backend servers while they are in demand.
 
     Parameters
     ----------
@@ -51,10 +51,10 @@
 
     def run(self) -> None:
         """Probe until `stop` is called."""
-        with ThreadPoolExecutor(PROBERS_MAX, "probe") as executor:
+        with ThreadPoolExecutor(PROBE_THREADS_MAX, "probe") as executor:
             while not self._stopped.wait(PROBE_INTERVAL_S):
-                # One round ends before the next begins: a backend server
-                # that hangs would else gather probes in the queue.
+                # Waits for all probes of the round. Otherwise the probes of a
+                # hanging backend server would accumulate in the queue.
                 wanted = self._monitor.probes_wanted(time.monotonic())
                 list(executor.map(self._probe, wanted))
 
@@ -76,10 +76,10 @@
             Execution.IDEMPOTENT,
             PROBE_TIMEOUT_MS,
         )
-        self._monitor.probed(backend_server_id, _result(result), time.monotonic())
+        self._monitor.probed(backend_server_id, _probe_result(result), time.monotonic())
 
 
-def _result(result: BackendAnswer | BackendFailure) -> ProbeResult:
+def _probe_result(result: BackendAnswer | BackendFailure) -> ProbeResult:
     match result:
         case BackendAnswer(status) if status < PASSED_STATUS_END:
             return ProbeResult.PASSED
--- a/balsamspindle/backend_servers/work_ends.py
+++ b/balsamspindle/backend_servers/work_ends.py
@@ -1,4 +1,8 @@
-"""What the end of a call says: to its caller, of health, of the slot."""
+"""What follows from the result of a call to a backend server.
+
+Translates the result into the caller's outcome, evidence of health, whether the
+slot is free, and evidence of a crash.
+"""
 
 import msgspec
 
@@ -16,9 +20,10 @@
 
 
 def work_result(result: BackendAnswer | BackendFailure | None) -> WorkResult:
-    """Return a call's end as evidence of the backend server's health.
+    """Return a call's result as evidence of the backend server's health.
 
-    None stands for a fault of our own, which says nothing of the server.
+    A result of None is a fault of this node, which is no evidence about the
+    backend server.
     """
     match result:
         case BackendAnswer(status) if status in SHED_STATUSES:
@@ -51,7 +56,7 @@
 def call_outcome(
     result: BackendAnswer | BackendFailure,
 ) -> tuple[Outcome, Reason | None]:
-    """Return what the ingress is told."""
+    """Return the outcome and the reason that the ingress receives."""
     match result:
         case BackendAnswer():
             return Outcome.ANSWERED, None
@@ -88,13 +93,13 @@
 }
 
 
-# What its end does not tell: the backend server may have ended while it ran.
+# After these failures the backend server may have crashed during the attempt.
 _LOST_REASONS = frozenset({Reason.BROKEN_ANSWER, Reason.SILENCE, Reason.CANCELLED})
 SUCCESS_STATUS_MIN, SUCCESS_STATUS_END = 200, 400
 
 
 def run_end(result: BackendAnswer | BackendFailure | None) -> RunEnd:
-    """Return what a call's end tells of a crash of the backend server."""
+    """Return a call's result as evidence of a crash of the backend server."""
     match result:
         case BackendAnswer(status):
             is_success = SUCCESS_STATUS_MIN <= status < SUCCESS_STATUS_END
--- a/tests/test_hold_outs.py
+++ b/tests/test_hold_outs.py
@@ -1,13 +1,13 @@
-"""How long a failing backend server is left alone, by how many others there are."""
+"""The length of hold-outs by the number of backend servers in the zone."""
 
 from testtools import TestCase
 
 from balsamspindle.backend_servers.evidence import WorkResult
 from balsamspindle.backend_servers.health import ServerHealth
 from balsamspindle.backend_servers.hold_outs import (
-    MANY_IN_ZONE,
+    LARGE_ZONE_SERVERS,
     ZoneHoldOuts,
-    with_hold_outs,
+    adjust_hold_outs,
 )
 from balsamspindle.protocol.outcomes import Execution
 from balsamspindle.settings.documents import Detection
@@ -21,15 +21,18 @@
     trial_successes=1,
     calm_s=1.0,
 )
-SPELL_S = 5.0
+SICKNESS_S = 5.0
 
 
-def trials_in_a_spell(in_zone: int) -> tuple[int, float]:
-    """Return failed trials of one sick spell, and when it was over for callers."""
-    detection = with_hold_outs(DETECTION, in_zone)
+def trials_during_sickness(in_zone: int) -> tuple[int, float]:
+    """Run one period of sickness, and return its failed trials and recovery delay.
+
+    The delay, in seconds, is from the end of the sickness to the first good trial.
+    """
+    detection = adjust_hold_outs(DETECTION, in_zone)
     now_s, trials = 100.0, 0
     health = ServerHealth(detection, now_s)
-    sick_until_s = now_s + SPELL_S
+    sick_until_s = now_s + SICKNESS_S
     while True:
         if health.admits(Execution.IDEMPOTENT, 1.0, now_s):
             trials += 1
@@ -44,31 +47,31 @@
 
 
 class HoldOutTests(TestCase):
-    def test_where_many_are_left_a_sick_spell_costs_few_requests(self):
-        # Guards against callers' requests that find out each second who is sick.
-        few, _ = trials_in_a_spell(MANY_IN_ZONE)
-        many, _ = trials_in_a_spell(MANY_IN_ZONE - 1)
-        self.assertLessEqual(few, 5)
-        self.assertGreaterEqual(many, 7)
+    def test_in_a_large_zone_a_period_of_sickness_costs_few_requests(self):
+        # Guards against losing a caller's request to a trial every second.
+        large_zone_trials, _ = trials_during_sickness(LARGE_ZONE_SERVERS)
+        small_zone_trials, _ = trials_during_sickness(LARGE_ZONE_SERVERS - 1)
+        self.assertLessEqual(large_zone_trials, 5)
+        self.assertGreaterEqual(small_zone_trials, 7)
 
-    def test_where_few_are_left_one_that_is_well_is_soon_back(self):
-        # Guards against work that goes to other zones for want of one that is well.
-        _, late_s = trials_in_a_spell(MANY_IN_ZONE - 1)
-        self.assertLess(late_s, 1.1)
+    def test_in_a_small_zone_a_recovered_backend_server_is_soon_back(self):
+        # Guards against sending work to other zones although a server here is well.
+        _, delay_s = trials_during_sickness(LARGE_ZONE_SERVERS - 1)
+        self.assertLess(delay_s, 1.1)
 
-    def test_a_single_error_costs_a_moment_in_any_zone(self):
-        for in_zone in (1, MANY_IN_ZONE):
-            health = ServerHealth(with_hold_outs(DETECTION, in_zone), 100.0)
+    def test_the_first_hold_out_is_short_in_any_zone(self):
+        for in_zone in (1, LARGE_ZONE_SERVERS):
+            health = ServerHealth(adjust_hold_outs(DETECTION, in_zone), 100.0)
             health.started(AttemptId("node", 1, 1), 100.0)
             health.ended(AttemptId("node", 1, 1), WorkResult.ERROR, 100.0)
             self.assertTrue(health.admits(Execution.IDEMPOTENT, 1.0, 100.06))
 
-    def test_settings_of_other_detection_stay(self):
+    def test_settings_without_independent_errors_stay(self):
         plain = Detection()
-        self.assertIs(plain, with_hold_outs(plain, 100))
+        self.assertIs(plain, adjust_hold_outs(plain, 100))
 
     def test_the_settings_follow_the_zone(self):
-        count = MANY_IN_ZONE
+        count = LARGE_ZONE_SERVERS
         settings = ZoneHoldOuts(lambda service: DETECTION, lambda service: count)
         self.assertEqual(2.0, settings("crew/contracts").hold_out_max_s)
         count -= 1
--- a/tests/test_independent_errors.py
+++ b/tests/test_independent_errors.py
@@ -1,4 +1,4 @@
-"""Backend servers that fall sick by themselves, a third of them at any time."""
+"""Backend servers that fall sick independently, a third of them at any time."""
 
 import time
 
@@ -7,7 +7,7 @@
 
 from balsamspindle.backend_servers.client import BackendServerClient
 from balsamspindle.backend_servers.evidence import Judgement, WorkResult
-from balsamspindle.backend_servers.failed_calls import FOLLOWS_WITHIN_S, FailedCalls
+from balsamspindle.backend_servers.failed_calls import ERROR_DELAY_MAX_S, FailedCalls
 from balsamspindle.backend_servers.gate import Gate
 from balsamspindle.backend_servers.health import (
     LIGHTEST_WAIT_S,
@@ -34,8 +34,8 @@
 ERROR_500 = b"HTTP/1.1 500 Internal Server Error\r\nContent-Length: 0\r\n\r\n"
 
 
-class _Server:
-    """A backend server's health with a clock of its own."""
+class _TimedServer:
+    """A backend server's health, in simulated time."""
 
     def __init__(self, detection: Detection = DETECTION) -> None:
         self.now_s = 100.0
@@ -62,11 +62,11 @@
 
 class OneErrorTests(TestCase):
     def test_one_error_keeps_non_idempotent_work_away_until_a_trial_went_well(self):
-        # A sick backend server answers errors within a millisecond, so it
-        # looks idle and would draw all the work. Non-idempotent requests that
-        # run into an error are lost for good: they stay away from the first
-        # error on, and an idempotent one finds out when that is over.
-        server = _Server()
+        # A sick backend server answers errors within a millisecond, so it looks
+        # idle and would attract all requests. A non-idempotent request that gets
+        # an error is lost, so none is sent there after the first error, until an
+        # idempotent request has succeeded.
+        server = _TimedServer()
         server.run(WorkResult.ANSWERED)
         server.run(WorkResult.ERROR)
         for execution in Execution:
@@ -77,9 +77,9 @@
         server.run(WorkResult.ANSWERED)
         self.assertTrue(server.admits(Execution.NON_IDEMPOTENT))
 
-    def test_a_request_that_can_not_be_tried_again_is_no_trial(self):
-        # Guards against requests that are lost with a trial while others are free.
-        server = _Server()
+    def test_a_request_that_cannot_be_retried_is_not_used_for_a_trial(self):
+        # Guards against losing a request in a trial while other servers are free.
+        server = _TimedServer()
         server.run(WorkResult.ERROR)
         server.now_s += DETECTION.hold_out_s + 0.01
         self.assertFalse(server.admits(last=True))
@@ -87,10 +87,11 @@
         server.now_s += TRIAL_WAIT_S
         self.assertTrue(server.admits(last=True))
 
-    def test_a_trial_that_outlives_errors_is_passed_before_its_end(self):
-        # Errors came within a millisecond. A trial that runs for 20 ms is no
-        # such error: the other slots stood empty for the 300 ms that it takes.
-        server = _Server()
+    def test_a_trial_that_outlasts_errors_is_passed_before_its_end(self):
+        # Errors come within a millisecond, so an attempt that runs for 20 ms is
+        # not one of them. Guards against leaving the other slots empty for the
+        # 300 ms of the trial.
+        server = _TimedServer()
         server.run(WorkResult.ERROR)
         server.now_s += DETECTION.hold_out_s + 0.01
         self.assertTrue(server.admits())
@@ -99,13 +100,13 @@
         self.assertFalse(server.admits())
         server.now_s += 0.02
         self.assertTrue(server.admits(Execution.NON_IDEMPOTENT))
-        # It failed after all: one error ejects, as ever.
+        # The trial's attempt fails in the end, and one error ejects again.
         server.end(trial, WorkResult.ERROR)
         self.assertFalse(server.admits())
 
-    def test_a_trial_must_end_where_errors_take_as_long_as_work(self):
-        # This one fails at the end of its work, so only an end says how it is.
-        server = _Server()
+    def test_a_trial_must_end_if_errors_take_as_long_as_work(self):
+        # Errors come at the end of the work, so a running trial shows nothing.
+        server = _TimedServer()
         failing = server.start()
         server.now_s += 0.3
         server.end(failing, WorkResult.ERROR)
@@ -115,10 +116,10 @@
         server.now_s += 0.35
         self.assertFalse(server.admits())
 
-    def test_the_evidence_is_told_with_the_hold_out(self):
-        # An ingress that has no other choice takes one with a single error
-        # before one that fails on and on.
-        server = _Server()
+    def test_the_evidence_is_reported_with_the_hold_out(self):
+        # An ingress without other choice prefers a backend server with a single
+        # error to one that keeps failing.
+        server = _TimedServer()
         server.run(WorkResult.ANSWERED)
         for bad_in_a_row in (1, 2, 3):
             server.run(WorkResult.ERROR)
@@ -130,8 +131,8 @@
         server.run(WorkResult.ANSWERED)
         self.assertEqual(HeldOut(), server.health.held_out(server.now_s))
 
-    def test_a_failed_trial_doubles_the_hold_out_and_calm_takes_it_back(self):
-        server = _Server()
+    def test_a_failed_trial_doubles_the_hold_out_and_good_service_reduces_it(self):
+        server = _TimedServer()
         server.run(WorkResult.ERROR)
         for hold_out_s in (0.5, 1.0, 2.0, 2.0):
             server.now_s += hold_out_s - 0.1
@@ -147,13 +148,12 @@
         server.now_s += 0.6
         self.assertTrue(server.admits())
 
-    def test_the_first_error_after_good_service_is_tried_at_once(self):
+    def test_the_first_error_after_good_service_gives_a_short_hold_out(self):
         # A healthy backend server with fifteen requests a second has an error
-        # of its own every few seconds. Held out for half a second each time,
-        # and tried after that, it was away for a tenth of its time; when four
-        # others were sick nobody was left for a moment, and all requests of
-        # that moment went to sick ones.
-        server = _Server(
+        # every few seconds. If each cost a hold-out of half a second, it would be
+        # missing for a tenth of the time. With four others sick, no healthy one
+        # would then be left for a moment, and all requests would go to sick ones.
+        server = _TimedServer(
             msgspec.structs.replace(DETECTION, hold_out_s=0.05, hold_out_growth=8.0)
         )
         for hold_out_s in (0.05, 0.4, 2.0):
@@ -165,10 +165,10 @@
         server.run(WorkResult.ANSWERED)
         self.assertTrue(server.admits(Execution.NON_IDEMPOTENT))
 
-    def test_one_trial_at_a_time_whatever_work_is_left_from_before(self):
-        # Work that began before the ejection may last for seconds; waiting for
-        # its end would keep a recovered backend server out for as long.
-        server = _Server()
+    def test_trials_run_one_at_a_time_and_do_not_wait_for_older_attempts(self):
+        # Attempts from before the ejection may last for seconds. Waiting for their
+        # end would keep a recovered backend server out for as long.
+        server = _TimedServer()
         server.start()
         server.run(WorkResult.ERROR)
         server.now_s += 0.6
@@ -176,10 +176,10 @@
         server.start()
         self.assertFalse(server.admits())
 
-    def test_the_lightest_idempotent_work_is_tried_first(self):
-        # Heavier idempotent requests are calls that a non-idempotent one waits
-        # for: one that is lost in a trial takes that one with it.
-        server = _Server()
+    def test_the_lightest_idempotent_work_is_used_for_trials_first(self):
+        # A heavier idempotent request is a call that a non-idempotent one waits
+        # for. If it is lost in a trial, the non-idempotent request fails, too.
+        server = _TimedServer()
         server.admits(weight=LIGHT)
         server.run(WorkResult.ERROR)
         server.now_s += 0.6
@@ -189,7 +189,7 @@
         self.assertTrue(server.admits(weight=HEAVY))
 
     def test_slow_answers_alone_need_more_than_one(self):
-        server = _Server()
+        server = _TimedServer()
         attempt_id = server.start()
         server.now_s += 3.0
         server.end(attempt_id, WorkResult.ANSWERED)
@@ -236,9 +236,9 @@
         )
         return self.gate.handle(dispatch, now_s)
 
-    def test_a_suspected_backend_server_gets_only_what_has_no_other_way(self):
+    def test_a_suspected_backend_server_gets_only_last_resort_attempts(self):
         server = self.announce(length_answer(b"whole"))
-        self.observer.admitting = False
+        self.observer.is_admitting = False
         refused = self.handle(time.monotonic())
         self.assertEqual(
             (Outcome.NOT_RUN, Reason.SUSPECTED), (refused.outcome, refused.reason)
@@ -247,27 +247,27 @@
         reply = self.handle(time.monotonic(), is_last_resort=True)
         self.assertIs(Outcome.ANSWERED, reply.outcome)
 
-    def test_who_waits_for_a_slot_does_not_start_at_one_that_just_failed(self):
-        # All slots are taken and others wait. The first error frees a slot;
-        # were it free before the error is judged, the next in the queue would
-        # start there and fail as well, and the one after it.
+    def test_an_error_is_scored_before_its_slot_is_freed(self):
+        # All slots are taken and requests wait. The first error frees a slot. If
+        # that happened before the error is scored, the next request in the queue
+        # would start and fail as well, and then the one after it.
         self.announce(ERROR_500)
         order = []
         release = self.gate._admission.release
 
-        def noted(*arguments):
+        def recorded(*arguments):
             order.append("free")
             return release(*arguments)
 
-        self.gate._admission.release = noted
-        self.observer.results = _Noting(order)
+        self.gate._admission.release = recorded
+        self.observer.results = _RecordingResults(order)
         self.handle(time.monotonic())
         self.assertEqual(["judged", "free"], order)
 
-    def test_an_error_after_a_failed_call_is_not_the_backend_servers_own(self):
-        # A signing service asks the records service, whose answer fails; it
-        # answers its own request with a 500 a moment later. Counted against
-        # it, one sick service would have healthy ones of others ejected.
+    def test_an_error_after_a_failed_call_is_no_evidence_against_the_caller(self):
+        # A signing service calls the records service, whose answer fails, and
+        # answers its own request with a 500 at once. If that counted, one sick
+        # service would get healthy backend servers of other services ejected.
         self.announce(ERROR_500)
         self.handle(time.monotonic())
         self.failed_calls.note(time.monotonic())
@@ -275,14 +275,14 @@
         expected = [WorkResult.ERROR, WorkResult.CANCELLED]
         self.assertEqual(expected, self.observer.results)
 
-    def test_a_failed_call_of_long_ago_explains_nothing(self):
+    def test_an_old_failed_call_explains_no_error(self):
         self.failed_calls.note(10.0)
-        self.assertTrue(self.failed_calls.explain_error(10.0 + FOLLOWS_WITHIN_S / 2))
-        self.assertFalse(self.failed_calls.explain_error(10.1 + FOLLOWS_WITHIN_S))
+        self.assertTrue(self.failed_calls.explain_error(10.0 + ERROR_DELAY_MAX_S / 2))
+        self.assertFalse(self.failed_calls.explain_error(10.1 + ERROR_DELAY_MAX_S))
 
 
-class _Noting(list):
-    """Results that note when they come."""
+class _RecordingResults(list):
+    """A list of results that also records the order of judging and release."""
 
     def __init__(self, order) -> None:
         super().__init__()
@@ -294,10 +294,10 @@
 
 
 class _Observer:
-    """Notes what it is told, and admits or not."""
+    """A `HealthObserver` that records results and admits attempts by a flag."""
 
     def __init__(self) -> None:
-        self.admitting = True
+        self.is_admitting = True
         self.results: list[WorkResult] = []
 
     def started(self, backend_server_id, attempt_id, now_s):
@@ -311,7 +311,7 @@
         return Judgement()
 
     def admits(self, backend_server_id, execution, weight, now_s, is_last_try=False):
-        return self.admitting
+        return self.is_admitting
 
     def held_out(self, backend_server_id, now_s):
         return SERVES
