--- a/balsamspindle/backend_servers/evidence.py
+++ b/balsamspindle/backend_servers/evidence.py
@@ -6,7 +6,13 @@
 from balsamspindle.protocol.outcomes import Execution
 from balsamspindle.wire import SERVES, AttemptId, HeldOut, PeerEvidence
 
-__all__ = ["HealthObserver", "Judgement", "NoObserver", "ProbeResult", "WorkResult"]
+__all__ = [
+    "HealthObserver",
+    "Judgement",
+    "NullHealthObserver",
+    "ProbeResult",
+    "WorkResult",
+]
 
 
 class WorkResult(StrEnum):
@@ -59,17 +65,17 @@
     Called from the threads that run attempts; `now_s` is monotonic.
     """
 
-    def started(
+    def record_start(
         self, backend_server_id: str, attempt_id: AttemptId, now_s: float
     ) -> None:
         """Record that an attempt was dispatched; it is in flight from now on."""
 
-    def note_peers(
+    def record_peer_evidence(
         self, backend_server_id: str, evidence: PeerEvidence, now_s: float
     ) -> None:
         """Record an ingress's summary of the service's other backend servers."""
 
-    def ended(
+    def record_end(
         self,
         backend_server_id: str,
         attempt_id: AttemptId,
@@ -98,7 +104,7 @@
         """Return for how long ordinary work is refused, and on what evidence."""
 
 
-class NoObserver:
+class NullHealthObserver:
     """Ignores all evidence and admits every attempt."""
 
     def admits(
@@ -111,12 +117,12 @@
         """See `HealthObserver.held_out`."""
         return SERVES
 
-    def started(self, backend_server_id, attempt_id, now_s) -> None:
-        """See `HealthObserver.started`."""
+    def record_start(self, backend_server_id, attempt_id, now_s) -> None:
+        """See `HealthObserver.record_start`."""
 
-    def note_peers(self, backend_server_id, evidence, now_s) -> None:
-        """See `HealthObserver.note_peers`."""
+    def record_peer_evidence(self, backend_server_id, evidence, now_s) -> None:
+        """See `HealthObserver.record_peer_evidence`."""
 
-    def ended(self, backend_server_id, attempt_id, result, now_s) -> Judgement:
-        """See `HealthObserver.ended`."""
+    def record_end(self, backend_server_id, attempt_id, result, now_s) -> Judgement:
+        """See `HealthObserver.record_end`."""
         return Judgement()
--- a/balsamspindle/backend_servers/failed_calls.py
+++ b/balsamspindle/backend_servers/failed_calls.py
@@ -22,11 +22,11 @@
         self._lock = threading.Lock()
         self._last_s = float("-inf")
 
-    def note(self, now_s: float) -> None:
+    def record(self, now_s: float) -> None:
         """Record that this node answered a caller with a failure."""
         with self._lock:
             self._last_s = max(self._last_s, now_s)
 
-    def explain_error(self, now_s: float) -> bool:
+    def explains_error(self, now_s: float) -> bool:
         """Tell whether an error received now may result from a failed call."""
         return now_s - self._last_s <= ERROR_DELAY_MAX_S
--- a/balsamspindle/backend_servers/gate.py
+++ b/balsamspindle/backend_servers/gate.py
@@ -27,7 +27,7 @@
 )
 from balsamspindle.backend_servers.evidence import (
     HealthObserver,
-    NoObserver,
+    NullHealthObserver,
 )
 from balsamspindle.backend_servers.failed_calls import FailedCalls
 from balsamspindle.backend_servers.ledger import (
@@ -104,7 +104,7 @@
         self._grants = grants or RetryGrants(lambda *_: RetryBudget())
         self._servers = servers
         self._events = events
-        self._observer = observer or NoObserver()
+        self._observer = observer or NullHealthObserver()
         self._admission = admission or Admission(servers)
         self._attempts = AttemptTable()
         self._ledger = RunLedger(events.node_id, events.incarnation)
--- a/balsamspindle/backend_servers/health.py
+++ b/balsamspindle/backend_servers/health.py
@@ -83,7 +83,7 @@
         self.weight = math.inf
         self._recorded_s = -math.inf
 
-    def note(self, weight: float, now_s: float) -> None:
+    def record(self, weight: float, now_s: float) -> None:
         """Lower the minimum to a request's weight, or replace an expired one."""
         if weight <= self.weight or now_s - self._recorded_s > LIGHTEST_WEIGHT_EXPIRY_S:
             self.weight, self._recorded_s = weight, now_s
@@ -116,31 +116,33 @@
         return self._work.has_in_flight or self.phase is not HealthPhase.SERVING
 
     @property
-    def own_limit_ms(self) -> float:
+    def own_p99_ms(self) -> float:
         """The backend server's own 99th percentile of latency.
 
         0 while too few requests have been seen to estimate it.
         """
-        return self._work.own_limit_ms
+        return self._work.own_p99_ms
 
     def configure(self, detection: Detection) -> None:
         """Apply changed settings; score, phase and evidence stay."""
         self._work.detection = detection
         self._readmission.detection = detection
 
-    def note_peers(self, evidence: PeerEvidence, now_s: float) -> None:
+    def record_peer_evidence(self, evidence: PeerEvidence, now_s: float) -> None:
         """Record an ingress's summary of the service's other backend servers."""
-        self._work.note_peers(evidence, now_s)
+        self._work.record_peer_evidence(evidence, now_s)
 
-    def started(self, attempt_id: AttemptId, now_s: float) -> None:
+    def record_start(self, attempt_id: AttemptId, now_s: float) -> None:
         """Record that an attempt was dispatched; it is in flight from now on."""
-        self._work.started(attempt_id, now_s)
+        self._work.record_start(attempt_id, now_s)
         self._last_attempt_s = now_s
 
-    def ended(self, attempt_id: AttemptId, result: WorkResult, now_s: float) -> Verdict:
+    def record_end(
+        self, attempt_id: AttemptId, result: WorkResult, now_s: float
+    ) -> Verdict:
         """Record an attempt's end, and return whether it counts as good or bad."""
         serves = self.phase is HealthPhase.SERVING
-        verdict = self._work.ended(attempt_id, result, serves, now_s)
+        verdict = self._work.record_end(attempt_id, result, serves, now_s)
         if verdict is not Verdict.NOTHING:
             good = verdict is Verdict.GOOD
             self._bad_in_a_row = 0 if good else self._bad_in_a_row + 1
@@ -171,7 +173,7 @@
             Whether the request cannot be tried again after this attempt.
         """
         if execution is Execution.IDEMPOTENT:
-            self._lightest_weight.note(weight, now_s)
+            self._lightest_weight.record(weight, now_s)
         if not self._work.detection.independent_errors:
             # The suspicion is published to all nodes. An ingress that still sends
             # work here has no other backend server.
@@ -217,7 +219,7 @@
         held_out_ms = self.held_out_ms(now_s)
         return HeldOut(held_out_ms, self._bad_in_a_row) if held_out_ms else SERVES
 
-    def wants_probe(self, now_s: float) -> bool:
+    def needs_probe(self, now_s: float) -> bool:
         """Tell whether a probe would add evidence that requests do not give.
 
         False while there is work, which is stronger evidence, and false when the
@@ -236,7 +238,7 @@
             and now_s - self._work.last_verdict_s > PROBE_AFTER_IDLE_S
         )
 
-    def probed(self, result: ProbeResult, now_s: float) -> None:
+    def record_probe_result(self, result: ProbeResult, now_s: float) -> None:
         """Record the result of a probe.
 
         Health endpoints may answer while requests hang, and fail while requests
--- a/balsamspindle/backend_servers/health_monitor.py
+++ b/balsamspindle/backend_servers/health_monitor.py
@@ -104,29 +104,29 @@
         """End `run` soon."""
         self._stopped.set()
 
-    def started(
+    def record_start(
         self, backend_server_id: str, attempt_id: AttemptId, now_s: float
     ) -> None:
-        """See `HealthObserver.started`."""
+        """See `HealthObserver.record_start`."""
         with self._lock:
             monitored = self._monitored.get(backend_server_id)
             if monitored is not None:
-                monitored.health.started(attempt_id, now_s)
+                monitored.health.record_start(attempt_id, now_s)
 
-    def ended(
+    def record_end(
         self,
         backend_server_id: str,
         attempt_id: AttemptId,
         result: WorkResult,
         now_s: float,
     ) -> Judgement:
-        """See `HealthObserver.ended`."""
+        """See `HealthObserver.record_end`."""
         with self._lock:
             monitored = self._monitored.get(backend_server_id)
             if monitored is None:
                 return Judgement()
-            verdict = monitored.health.ended(attempt_id, result, now_s)
-            return Judgement(_IS_BAD[verdict], monitored.health.own_limit_ms)
+            verdict = monitored.health.record_end(attempt_id, result, now_s)
+            return Judgement(_IS_BAD[verdict], monitored.health.own_p99_ms)
 
     def admits(
         self,
@@ -149,15 +149,15 @@
             monitored = self._monitored.get(backend_server_id)
             return SERVES if monitored is None else monitored.health.held_out(now_s)
 
-    def note_peers(
+    def record_peer_evidence(
         self, backend_server_id: str, evidence: PeerEvidence, now_s: float
     ) -> None:
-        """See `HealthObserver.note_peers`."""
+        """See `HealthObserver.record_peer_evidence`."""
         with self._lock:
             monitored = self._monitored.get(backend_server_id)
             if monitored is None:
                 return
-            monitored.health.note_peers(evidence, now_s)
+            monitored.health.record_peer_evidence(evidence, now_s)
             # A backend server that is held out gets no dispatch, and so no summary
             # of its peers. Without those of its neighbours it would stay held out
             # in an overload that affects all of them.
@@ -168,22 +168,24 @@
             )
             for other in self._monitored.values():
                 if other is not monitored and other.needs_peer_evidence_from(monitored):
-                    other.health.note_peers(others, now_s)
+                    other.health.record_peer_evidence(others, now_s)
 
-    def probed(self, backend_server_id: str, result: ProbeResult, now_s: float) -> None:
+    def record_probe_result(
+        self, backend_server_id: str, result: ProbeResult, now_s: float
+    ) -> None:
         """Record a probe's result."""
         with self._lock:
             monitored = self._monitored.get(backend_server_id)
             if monitored is not None:
-                monitored.health.probed(result, now_s)
+                monitored.health.record_probe_result(result, now_s)
 
-    def probes_wanted(self, now_s: float) -> list[str]:
+    def servers_to_probe(self, now_s: float) -> list[str]:
         """Return the ids of the backend servers that are to be probed."""
         with self._lock:
             return [
                 backend_server_id
                 for backend_server_id, monitored in self._monitored.items()
-                if monitored.health.wants_probe(now_s)
+                if monitored.health.needs_probe(now_s)
             ]
 
     def reports(self, now_s: float) -> dict[str, HealthReport]:
--- a/balsamspindle/backend_servers/health_work.py
+++ b/balsamspindle/backend_servers/health_work.py
@@ -127,7 +127,7 @@
         return self._last_good_s > since_s
 
     @property
-    def own_limit_ms(self) -> float:
+    def own_p99_ms(self) -> float:
         """Its own 99th percentile of latency; 0 while too few requests were seen."""
         return self._latency.p99_ms if self._latency.is_reportable else 0.0
 
@@ -167,15 +167,15 @@
         oldest_ms = (now_s - min(started_s, default=now_s)) * 1000
         return max(self._slowest_counted_ms, oldest_ms) <= peers_slow_ms
 
-    def note_peers(self, evidence: PeerEvidence, now_s: float) -> None:
+    def record_peer_evidence(self, evidence: PeerEvidence, now_s: float) -> None:
         """Record an ingress's summary of the service's other backend servers."""
         self._peers.record(evidence, now_s)
 
-    def started(self, attempt_id: AttemptId, now_s: float) -> None:
+    def record_start(self, attempt_id: AttemptId, now_s: float) -> None:
         """Record that an attempt was dispatched; it is in flight from now on."""
         self._in_flight[attempt_id] = _InFlight(now_s)
 
-    def ended(
+    def record_end(
         self, attempt_id: AttemptId, result: WorkResult, may_learn: bool, now_s: float
     ) -> Verdict:
         """Record an attempt's end, and return whether it counts as good or bad.
--- a/balsamspindle/backend_servers/heaviest_weight.py
+++ b/balsamspindle/backend_servers/heaviest_weight.py
@@ -1,10 +1,10 @@
 """Which part of a service's retries is reserved for its heaviest requests."""
 
-__all__ = ["KEPT_FOR_HEAVIER_PART", "HeaviestWeight"]
+__all__ = ["RESERVED_FOR_HEAVIER_FRACTION", "HeaviestWeight"]
 
 # Part of a service's retries that lighter requests leave to heavier ones, which may
 # be calls that other requests wait for, or requests of greater value.
-KEPT_FOR_HEAVIER_PART = 0.5
+RESERVED_FOR_HEAVIER_FRACTION = 0.5
 
 HEAVIEST_WEIGHT_EXPIRY_S = 10.0
 
@@ -16,7 +16,7 @@
         self._weight = 0.0
         self._recorded_s = -HEAVIEST_WEIGHT_EXPIRY_S
 
-    def note(self, weight: float, now_s: float) -> None:
+    def record(self, weight: float, now_s: float) -> None:
         """Raise the maximum to a request's weight, or replace an expired one."""
         if (
             weight >= self._weight
@@ -24,9 +24,9 @@
         ):
             self._weight, self._recorded_s = weight, now_s
 
-    def kept_part(self, weight: float) -> float:
+    def reserved_fraction(self, weight: float) -> float:
         """Return the part of the retries that a request leaves to heavier ones.
 
         Between 0 and 1; 0 for the heaviest requests.
         """
-        return KEPT_FOR_HEAVIER_PART if weight < self._weight else 0.0
+        return RESERVED_FOR_HEAVIER_FRACTION if weight < self._weight else 0.0
--- a/balsamspindle/backend_servers/hold_outs.py
+++ b/balsamspindle/backend_servers/hold_outs.py
@@ -12,7 +12,7 @@
 
 from balsamspindle.settings.documents import Detection
 
-__all__ = ["LARGE_ZONE_SERVERS", "ZoneHoldOuts", "adjust_hold_outs"]
+__all__ = ["LARGE_ZONE_SERVERS", "ZoneDetection", "adjust_hold_outs"]
 
 # From this many backend servers of a service on, a zone can do without one of them.
 LARGE_ZONE_SERVERS = 6
@@ -38,7 +38,7 @@
     )
 
 
-class ZoneHoldOuts:
+class ZoneDetection:
     """The detection settings of services, adjusted to this node's zone.
 
     Parameters
--- a/balsamspindle/backend_servers/probes.py
+++ b/balsamspindle/backend_servers/probes.py
@@ -1,7 +1,7 @@
 """Probes of health endpoints, sent when requests give too little evidence.
 
 A probe is weak evidence: health endpoints lag behind, or answer while requests
-hang. See `ServerHealth.probed` for how much a probe counts.
+hang. See `ServerHealth.record_probe_result` for how much a probe counts.
 """
 
 import threading
@@ -55,7 +55,7 @@
             while not self._stopped.wait(PROBE_INTERVAL_S):
                 # Waits for all probes of the round. Otherwise the probes of a
                 # hanging backend server would accumulate in the queue.
-                wanted = self._monitor.probes_wanted(time.monotonic())
+                wanted = self._monitor.servers_to_probe(time.monotonic())
                 list(executor.map(self._probe, wanted))
 
     def stop(self) -> None:
@@ -76,7 +76,9 @@
             Execution.IDEMPOTENT,
             PROBE_TIMEOUT_MS,
         )
-        self._monitor.probed(backend_server_id, _probe_result(result), time.monotonic())
+        self._monitor.record_probe_result(
+            backend_server_id, _probe_result(result), time.monotonic()
+        )
 
 
 def _probe_result(result: BackendAnswer | BackendFailure) -> ProbeResult:
--- a/balsamspindle/backend_servers/retry_grants.py
+++ b/balsamspindle/backend_servers/retry_grants.py
@@ -76,7 +76,7 @@
         with self._lock:
             state = self._state(service)
             if may_repeat:
-                state.heaviest.note(weight, now_s)
+                state.heaviest.record(weight, now_s)
             state.window.record_request(self._budget(service, now_s), now_s)
             if repeated_part:
                 state.window.record_retries(repeated_part, now_s)
@@ -127,8 +127,10 @@
             return True
         with self._lock:
             state = self._state(service)
-            state.heaviest.note(weight, now_s)
-            reserved_fraction = 0.0 if was_cut else state.heaviest.kept_part(weight)
+            state.heaviest.record(weight, now_s)
+            reserved_fraction = (
+                0.0 if was_cut else state.heaviest.reserved_fraction(weight)
+            )
             if is_last_resort:
                 reserved_fraction = max(
                     reserved_fraction, RESERVED_FROM_LAST_RESORTS_FRACTION
--- a/balsamspindle/backend_servers/runner.py
+++ b/balsamspindle/backend_servers/runner.py
@@ -77,8 +77,8 @@
             left_ms=round((deadline_s - time.monotonic()) * 1000),
         )
         server_id, attempt_id = server.backend_server_id, dispatch.attempt_id
-        self._observer.note_peers(server_id, dispatch.peers, time.monotonic())
-        self._observer.started(server_id, attempt_id, time.monotonic())
+        self._observer.record_peer_evidence(server_id, dispatch.peers, time.monotonic())
+        self._observer.record_start(server_id, attempt_id, time.monotonic())
         self._crash_watch.started(
             server, attempt_id, dispatch.content, time.monotonic()
         )
@@ -103,7 +103,7 @@
             )
             # Judged before the slot is free: the next in the queue would start
             # at a backend server that has just shown to be sick.
-            judgement = self._observer.ended(
+            judgement = self._observer.record_end(
                 server_id, attempt_id, self._evidence(result), time.monotonic()
             )
             free_slots = self._admission.release(admitted, work_end(result))
@@ -115,7 +115,7 @@
     def _evidence(self, result: BackendAnswer | BackendFailure | None) -> WorkResult:
         """Return what a call's end says of the backend server's health."""
         evidence = work_result(result)
-        is_explained = self._failed_calls.explain_error(time.monotonic())
+        is_explained = self._failed_calls.explains_error(time.monotonic())
         if evidence is WorkResult.ERROR and is_explained:
             return WorkResult.CANCELLED
         return evidence
--- a/balsamspindle/node/gate_side.py
+++ b/balsamspindle/node/gate_side.py
@@ -12,7 +12,7 @@
 from balsamspindle.backend_servers.failed_calls import FailedCalls
 from balsamspindle.backend_servers.gate import Gate
 from balsamspindle.backend_servers.health_monitor import HealthMonitor
-from balsamspindle.backend_servers.hold_outs import ZoneHoldOuts
+from balsamspindle.backend_servers.hold_outs import ZoneDetection
 from balsamspindle.backend_servers.lifetimes import Lifetimes
 from balsamspindle.backend_servers.link_server import LinkServer
 from balsamspindle.backend_servers.probes import Prober
@@ -79,7 +79,7 @@
         )
         self.health = HealthMonitor(
             self.servers,
-            ZoneHoldOuts(lambda service: service_document(service).detection, in_zone),
+            ZoneDetection(lambda service: service_document(service).detection, in_zone),
             events,
             crash_book.is_explained,
         )
--- a/balsamspindle/node/process.py
+++ b/balsamspindle/node/process.py
@@ -304,7 +304,7 @@
             self._forwarder,
             self._connections,
             self.events,
-            self._gate_side.failed_calls.note,
+            self._gate_side.failed_calls.record,
             self._customers.gate,
         )
 
--- a/balsamspindle/requests/retries.py
+++ b/balsamspindle/requests/retries.py
@@ -171,7 +171,7 @@
         """Record a new request, which adds to the service's retry tokens."""
         with self._lock:
             state = self._state(service)
-            state.heaviest.note(weight, now_s)
+            state.heaviest.record(weight, now_s)
             state.tokens.record_request(self._budget(service), now_s)
 
     def record_answer(
@@ -231,7 +231,7 @@
                 is_first = reasons.count(replies[-1].reason) == 1
                 cost = RetryCost.FREE if is_first else RetryCost.PAID
             if cost is RetryCost.PAID:
-                kept_part = state.heaviest.kept_part(weight)
+                kept_part = state.heaviest.reserved_fraction(weight)
                 return is_paid or state.tokens.take(budget, now_s, kept_part)
             if is_paid:
                 state.tokens.give_back()
@@ -258,7 +258,7 @@
         with self._lock:
             state = self._state(service)
             return state.tokens.take(
-                self._budget(service), now_s, state.heaviest.kept_part(weight)
+                self._budget(service), now_s, state.heaviest.reserved_fraction(weight)
             )
 
     def services(self) -> list[str]:
--- a/bench/detection_detectors.py
+++ b/bench/detection_detectors.py
@@ -74,22 +74,22 @@
         """See `Detector`."""
         tracker = self._trackers[next(self._round) % INGRESSES]
         health = self._health[server]
-        health.note_peers(tracker.about("s", str(server), now_s), now_s)
-        health.started(AttemptId("", 0, attempt), now_s)
+        health.record_peer_evidence(tracker.about("s", str(server), now_s), now_s)
+        health.record_start(AttemptId("", 0, attempt), now_s)
         tracker.started("s", str(server), now_s)
         self._attempts[attempt] = tracker, now_s
 
     def ended(self, server, attempt, result, now_s):
         """See `Detector`."""
         health = self._health[server]
-        verdict = health.ended(AttemptId("", 0, attempt), result, now_s)
+        verdict = health.record_end(AttemptId("", 0, attempt), result, now_s)
         tracker, started_s = self._attempts.pop(attempt)
         bad = None if verdict is Verdict.NOTHING else verdict is Verdict.BAD
         reply = Reply(
             AttemptId("", 0, attempt),
             Outcome.ANSWERED,
             bad=bad,
-            limit_ms=health.own_limit_ms,
+            limit_ms=health.own_p99_ms,
         )
         tracker.ended("s", str(server), started_s, reply, now_s)
 
--- a/bench/health_cost.py
+++ b/bench/health_cost.py
@@ -64,9 +64,9 @@
         attempt_id = AttemptId("node", 1, number)
         peers = tracker.about("s/s", server_id, now_s)
         tracker.started("s/s", server_id, now_s)
-        monitor.note_peers(server_id, peers, now_s)
-        monitor.started(server_id, attempt_id, now_s)
-        judgement = monitor.ended(
+        monitor.record_peer_evidence(server_id, peers, now_s)
+        monitor.record_start(server_id, attempt_id, now_s)
+        judgement = monitor.record_end(
             server_id, attempt_id, WorkResult.ANSWERED, now_s + 0.02
         )
         reply = Reply(
@@ -81,7 +81,7 @@
 def _fill_slots(monitor: HealthMonitor) -> None:
     for number in range(SERVERS * SLOTS):
         attempt_id = AttemptId("node", 2, number)
-        monitor.started(f"server-{number % SERVERS}", attempt_id, 0.0)
+        monitor.record_start(f"server-{number % SERVERS}", attempt_id, 0.0)
 
 
 def _cpu_s(work) -> float:
--- a/bench/probes.py
+++ b/bench/probes.py
@@ -37,14 +37,14 @@
             attempt += 1
             attempt_id = AttemptId("", 0, attempt)
             ending = work.end(arrival_s)
-            health.started(attempt_id, arrival_s)
-            health.ended(
+            health.record_start(attempt_id, arrival_s)
+            health.record_end(
                 attempt_id, ending.result, arrival_s + ending.latency_ms / 1000
             )
             arrival_s += rng.expovariate(service.rate_per_server)
-        if health.wants_probe(second):
+        if health.needs_probe(second):
             counts[second >= HOUR_S] += 1
-            health.probed(ProbeResult.PASSED, second)
+            health.record_probe_result(ProbeResult.PASSED, second)
     return counts[0], counts[1]
 
 
--- a/tests/health_driver.py
+++ b/tests/health_driver.py
@@ -25,8 +25,8 @@
     def start(self) -> AttemptId:
         self.count += 1
         attempt_id = AttemptId("node", 1, self.count)
-        self.health.note_peers(self.peers, self.now_s)
-        self.health.started(attempt_id, self.now_s)
+        self.health.record_peer_evidence(self.peers, self.now_s)
+        self.health.record_start(attempt_id, self.now_s)
         return attempt_id
 
     def work(self, result=ANSWERED, latency_ms=20.0, times=1) -> Verdict:
@@ -35,7 +35,7 @@
             attempt_id = self.start()
             self.now_s += latency_ms / 1000
             self.health.tick(self.now_s)
-            verdict = self.health.ended(attempt_id, result, self.now_s)
+            verdict = self.health.record_end(attempt_id, result, self.now_s)
             self.now_s += INTERVAL_S
         return verdict
 
--- a/tests/test_gate.py
+++ b/tests/test_gate.py
@@ -12,7 +12,11 @@
 from balsamspindle.backend_servers.attempts import MEMORY_S, AttemptTable, Begin
 from balsamspindle.backend_servers.cancellation import CancelToken
 from balsamspindle.backend_servers.client import BackendServerClient
-from balsamspindle.backend_servers.evidence import Judgement, NoObserver, WorkResult
+from balsamspindle.backend_servers.evidence import (
+    Judgement,
+    NullHealthObserver,
+    WorkResult,
+)
 from balsamspindle.backend_servers.gate import Gate
 from balsamspindle.backend_servers.retry_grants import RetryGrants
 from balsamspindle.backend_servers.servers import Announcement, LocalBackendServers
@@ -29,16 +33,16 @@
 RAN_MS_MIN = 20
 
 
-class Observer(NoObserver):
+class Observer(NullHealthObserver):
     """Records the evidence that the gate reports."""
 
     def __init__(self):
         self.started_ids, self.results = [], []
 
-    def started(self, backend_server_id, attempt_id, now_s):
+    def record_start(self, backend_server_id, attempt_id, now_s):
         self.started_ids.append(attempt_id)
 
-    def ended(self, backend_server_id, attempt_id, result, now_s):
+    def record_end(self, backend_server_id, attempt_id, result, now_s):
         self.results.append(result)
         return Judgement()
 
--- a/tests/test_health.py
+++ b/tests/test_health.py
@@ -75,7 +75,7 @@
     policy = RetryPolicy(lambda service: RetryBudget())
     for _ in range(known):
         driver.work()
-        policy.record_answer("service", 0.02, driver.health.own_limit_ms)
+        policy.record_answer("service", 0.02, driver.health.own_p99_ms)
     patience_ms = 1000 * policy.hedge_delay_s("service", True, 2.0, driver.now_s)
     assert patience_ms < 2000
     hangs = {"result": WorkResult.SILENCE, "latency_ms": patience_ms}
@@ -157,7 +157,7 @@
     driver.requests_until(HealthPhase.HELD_OUT, result=ERROR)
     a_pause = PeerEvidence(heard=5, bad=2, limit_ms=40.0)
     for _ in range(30):
-        driver.health.note_peers(a_pause, driver.now_s)
+        driver.health.record_peer_evidence(a_pause, driver.now_s)
         driver.wait(0.05)
     assert driver.health.phase is HealthPhase.HELD_OUT
 
@@ -206,7 +206,7 @@
     driver.wait(6.5)
     assert driver.health.phase is HealthPhase.ON_TRIAL
     for attempt_id in hanging:
-        driver.health.ended(attempt_id, WorkResult.SILENCE, driver.now_s)
+        driver.health.record_end(attempt_id, WorkResult.SILENCE, driver.now_s)
     assert driver.health.phase is HealthPhase.ON_TRIAL
 
 
@@ -223,7 +223,7 @@
     # Guards against a suspicion that stays after all peers have become slow, too.
     driver = Driver()
     for attempt_id in stand_still(driver):
-        driver.health.ended(attempt_id, ANSWERED, driver.now_s)
+        driver.health.record_end(attempt_id, ANSWERED, driver.now_s)
     driver.wait(5.5)
     assert driver.health.phase is HealthPhase.ON_TRIAL
     driver.peers = PeerEvidence(heard=5, bad=0, limit_ms=600.0)
@@ -265,11 +265,11 @@
     driver = Driver()
     for _ in range(20):
         driver.work(ERROR)
-        driver.health.probed(ProbeResult.PASSED, driver.now_s)
+        driver.health.record_probe_result(ProbeResult.PASSED, driver.now_s)
     assert driver.health.phase is HealthPhase.HELD_OUT
     driver.wait(3.0)
     for _ in range(3):
-        driver.health.probed(ProbeResult.PASSED, driver.now_s)
+        driver.health.record_probe_result(ProbeResult.PASSED, driver.now_s)
     assert driver.health.phase is HealthPhase.ON_TRIAL
 
 
@@ -283,7 +283,7 @@
         driver.work()
         for _ in range(5):
             driver.wait(1.0)
-            driver.health.probed(ProbeResult.FAILED, driver.now_s)
+            driver.health.record_probe_result(ProbeResult.FAILED, driver.now_s)
         assert driver.health.phase is HealthPhase.SERVING
     driver.work(ERROR)
     assert driver.health.phase is HealthPhase.HELD_OUT
@@ -293,7 +293,7 @@
     silent = Driver()
     for _ in range(3):
         silent.wait(2.1)
-        silent.health.probed(ProbeResult.UNREACHABLE, silent.now_s)
+        silent.health.record_probe_result(ProbeResult.UNREACHABLE, silent.now_s)
     assert silent.health.phase is HealthPhase.HELD_OUT
 
 
--- a/tests/test_health_monitor.py
+++ b/tests/test_health_monitor.py
@@ -37,9 +37,9 @@
         for _ in range(times):
             self.count += 1
             attempt_id = AttemptId("n", 1, self.count)
-            self.monitor.started(SERVER, attempt_id, self.now_s)
+            self.monitor.record_start(SERVER, attempt_id, self.now_s)
             self.wait(0.02)
-            self.monitor.ended(SERVER, attempt_id, result, self.now_s)
+            self.monitor.record_end(SERVER, attempt_id, result, self.now_s)
             self.wait(0.5)
 
     def wait(self, seconds: float) -> None:
@@ -95,7 +95,7 @@
     assert node.suspicion >= 1
     for _ in range(5):
         overload = PeerEvidence(heard=4, bad=4, limit_ms=40.0)
-        node.monitor.note_peers("contract-1", overload, node.now_s)
+        node.monitor.record_peer_evidence("contract-1", overload, node.now_s)
         node.wait(0.1)
     assert node.suspicion == 0
 
@@ -115,7 +115,7 @@
     assert node.suspicion >= 1
     for _ in range(10):
         only_itself = PeerEvidence(heard=1, bad=1)
-        node.monitor.note_peers("contract-1", only_itself, node.now_s)
+        node.monitor.record_peer_evidence("contract-1", only_itself, node.now_s)
         node.wait(0.1)
     assert node.suspicion >= 1
 
@@ -134,7 +134,7 @@
 def test_probes_are_sent_when_idle_and_stop_without_demand(idle_s, wanted):
     node = Node()
     node.work(ANSWERED)
-    assert node.monitor.probes_wanted(node.now_s + idle_s) == wanted
+    assert node.monitor.servers_to_probe(node.now_s + idle_s) == wanted
 
 
 def test_phase_changes_are_logged_with_their_evidence():
--- a/tests/test_health_pauses.py
+++ b/tests/test_health_pauses.py
@@ -18,7 +18,7 @@
     hanging.insert(0, driver.start())
     driver.now_s += 0.01
     for attempt_id in hanging:
-        driver.health.ended(attempt_id, ANSWERED, driver.now_s)
+        driver.health.record_end(attempt_id, ANSWERED, driver.now_s)
     assert driver.health.phase is HealthPhase.SERVING
     driver.work(times=50)
     assert driver.health.report(driver.now_s).score == 0
@@ -37,7 +37,7 @@
         if is_start:
             started[number] = driver.start()
         else:
-            driver.health.ended(started[number], ANSWERED, driver.now_s)
+            driver.health.record_end(started[number], ANSWERED, driver.now_s)
     return driver
 
 
--- a/tests/test_hold_outs.py
+++ b/tests/test_hold_outs.py
@@ -6,7 +6,7 @@
 from balsamspindle.backend_servers.health import ServerHealth
 from balsamspindle.backend_servers.hold_outs import (
     LARGE_ZONE_SERVERS,
-    ZoneHoldOuts,
+    ZoneDetection,
     adjust_hold_outs,
 )
 from balsamspindle.protocol.outcomes import Execution
@@ -37,10 +37,10 @@
         if health.admits(Execution.IDEMPOTENT, 1.0, now_s):
             trials += 1
             attempt_id = AttemptId("node", 1, trials)
-            health.started(attempt_id, now_s)
+            health.record_start(attempt_id, now_s)
             is_sick = now_s < sick_until_s
             result = WorkResult.ERROR if is_sick else WorkResult.ANSWERED
-            health.ended(attempt_id, result, now_s + 0.001)
+            health.record_end(attempt_id, result, now_s + 0.001)
             if not is_sick:
                 return trials - 1, now_s - sick_until_s
         now_s += 0.01
@@ -62,8 +62,8 @@
     def test_the_first_hold_out_is_short_in_any_zone(self):
         for in_zone in (1, LARGE_ZONE_SERVERS):
             health = ServerHealth(adjust_hold_outs(DETECTION, in_zone), 100.0)
-            health.started(AttemptId("node", 1, 1), 100.0)
-            health.ended(AttemptId("node", 1, 1), WorkResult.ERROR, 100.0)
+            health.record_start(AttemptId("node", 1, 1), 100.0)
+            health.record_end(AttemptId("node", 1, 1), WorkResult.ERROR, 100.0)
             self.assertTrue(health.admits(Execution.IDEMPOTENT, 1.0, 100.06))
 
     def test_settings_without_independent_errors_stay(self):
@@ -72,7 +72,7 @@
 
     def test_the_settings_follow_the_zone(self):
         count = LARGE_ZONE_SERVERS
-        settings = ZoneHoldOuts(lambda service: DETECTION, lambda service: count)
+        settings = ZoneDetection(lambda service: DETECTION, lambda service: count)
         self.assertEqual(2.0, settings("crew/contracts").hold_out_max_s)
         count -= 1
         self.assertEqual(DETECTION, settings("crew/contracts"))
--- a/tests/test_independent_errors.py
+++ b/tests/test_independent_errors.py
@@ -48,11 +48,11 @@
     def start(self) -> AttemptId:
         self._attempts += 1
         attempt_id = AttemptId("node", 1, self._attempts)
-        self.health.started(attempt_id, self.now_s)
+        self.health.record_start(attempt_id, self.now_s)
         return attempt_id
 
     def end(self, attempt_id: AttemptId, result: WorkResult) -> None:
-        self.health.ended(attempt_id, result, self.now_s)
+        self.health.record_end(attempt_id, result, self.now_s)
 
     def run(self, result: WorkResult) -> None:
         attempt_id = self.start()
@@ -270,15 +270,15 @@
         # service would get healthy backend servers of other services ejected.
         self.announce(ERROR_500)
         self.handle(time.monotonic())
-        self.failed_calls.note(time.monotonic())
+        self.failed_calls.record(time.monotonic())
         self.handle(time.monotonic())
         expected = [WorkResult.ERROR, WorkResult.CANCELLED]
         self.assertEqual(expected, self.observer.results)
 
     def test_an_old_failed_call_explains_no_error(self):
-        self.failed_calls.note(10.0)
-        self.assertTrue(self.failed_calls.explain_error(10.0 + ERROR_DELAY_MAX_S / 2))
-        self.assertFalse(self.failed_calls.explain_error(10.1 + ERROR_DELAY_MAX_S))
+        self.failed_calls.record(10.0)
+        self.assertTrue(self.failed_calls.explains_error(10.0 + ERROR_DELAY_MAX_S / 2))
+        self.assertFalse(self.failed_calls.explains_error(10.1 + ERROR_DELAY_MAX_S))
 
 
 class _RecordingResults(list):
@@ -300,13 +300,13 @@
         self.is_admitting = True
         self.results: list[WorkResult] = []
 
-    def started(self, backend_server_id, attempt_id, now_s):
+    def record_start(self, backend_server_id, attempt_id, now_s):
         pass
 
-    def note_peers(self, backend_server_id, evidence, now_s):
+    def record_peer_evidence(self, backend_server_id, evidence, now_s):
         pass
 
-    def ended(self, backend_server_id, attempt_id, result, now_s):
+    def record_end(self, backend_server_id, attempt_id, result, now_s):
         self.results.append(result)
         return Judgement()
 
--- a/tests/test_shared_slowness_simulated.py
+++ b/tests/test_shared_slowness_simulated.py
@@ -66,8 +66,8 @@
         number = self._random.choice(self._in_use(now_s))
         name, attempt_id = f"server-{number}", AttemptId("node", 1, next(self._ids))
         health = self._health[number]
-        health.note_peers(self._peers.about(SERVICE, name, now_s), now_s)
-        health.started(attempt_id, now_s)
+        health.record_peer_evidence(self._peers.about(SERVICE, name, now_s), now_s)
+        health.record_start(attempt_id, now_s)
         self._peers.started(SERVICE, name, now_s)
         took_s = self._random.uniform(*NORMAL_LATENCY_MS) / 1000
         took_s += ADDED_LATENCY_S if now_s >= SLOWNESS_START_S else 0.0
@@ -75,12 +75,12 @@
 
     def _end_request(self, now_s: float, number, attempt_id, started_s) -> None:
         health, name = self._health[number], f"server-{number}"
-        verdict = health.ended(attempt_id, WorkResult.ANSWERED, now_s)
+        verdict = health.record_end(attempt_id, WorkResult.ANSWERED, now_s)
         reply = Reply(
             attempt_id,
             Outcome.ANSWERED,
             bad=None if verdict is Verdict.NOTHING else verdict is Verdict.BAD,
-            limit_ms=health.own_limit_ms,
+            limit_ms=health.own_p99_ms,
         )
         self._peers.ended(SERVICE, name, started_s, reply, now_s)
         self._schedule(now_s + REQUEST_INTERVAL_S, self._send_request)
