--- a/balsamspindle/requests/caller_watch.py
+++ b/balsamspindle/requests/caller_watch.py
@@ -51,7 +51,7 @@
         while True:
             with self._changed:
                 self._changed.wait_for(lambda: self._callers)
-            # Most attempts end before their first check, and so need none.
+            # Most attempts end before their first check, which they then don't need.
             time.sleep(CHECK_INTERVAL_S)
             self._cancel_if_gone()
 
--- a/balsamspindle/requests/ingress.py
+++ b/balsamspindle/requests/ingress.py
@@ -105,9 +105,9 @@
         Parameters
         ----------
         ready : callable, default=always
-            Connections are refused until this returns True, or for a limited time. A
-            node that has just started knows no backend servers and would reject
-            requests that any other node could serve.
+            Connections are refused until this returns True, but not beyond
+            `start_wait_s`. A node that has just started knows no backend servers and
+            would reject requests that any other node could serve.
         """
         give_up_s = time.monotonic() + self._settings.start_wait_s
         self._ready_wait_end_s = time.monotonic() + self._settings.start_hold_s
--- a/tests/test_caller_connections.py
+++ b/tests/test_caller_connections.py
@@ -64,7 +64,8 @@
         caller.close()
         fixture.forwarder.hold.set()
         wait_until(
-            lambda: "event=answer_not_delivered" in fixture.logged(), "it is logged"
+            lambda: "event=answer_not_delivered" in fixture.logged(),
+            "the event is logged",
         )
 
 
--- a/tests/test_caller_gone.py
+++ b/tests/test_caller_gone.py
@@ -85,7 +85,7 @@
         # second is connected to another node, which notifies the gate over a link.
         for number, node in enumerate((self.gate, self.ingress), 1):
             self._leave_a_signature(node, number)
-        wait_until(lambda: len(self._cuts()) == 2, "both runs are told as cut")
+        wait_until(lambda: len(self._cuts()) == 2, "both runs are reported as cut")
         self.assertEqual(["own_caller_left", "caller_left"], self._cuts())
         text = call(self.gate.admin_address, "/metrics").body.decode()
         for cause in self._cuts():
@@ -103,6 +103,6 @@
             caller.sendall(
                 b"POST /sign HTTP/1.1\r\nHost: x\r\nContent-Length: 0\r\n\r\n"
             )
-            wait_until(lambda: self._signatures() == number, "it runs")
+            wait_until(lambda: self._signatures() == number, "the request runs")
             self._announce()
-        wait_until(lambda: len(self.server.closed_s) == number, "it is cut")
+        wait_until(lambda: len(self.server.closed_s) == number, "the run is cut")
