--- a/balsamspindle/backend_servers/health_monitor.py
+++ b/balsamspindle/backend_servers/health_monitor.py
@@ -39,7 +39,7 @@
     phase : HealthPhase
         Phase of the latest event.
     last_present_s : float
-        When the backend server was last announced.
+        When the backend server was last in the list of announced ones.
     previous_start : int or None
         The start before the present one; None when there is none, or when its
         end has been attributed to a request.
