--- a/balsamspindle/membership/budget.py
+++ b/balsamspindle/membership/budget.py
@@ -1,4 +1,4 @@
-"""The cap on the bytes that one node sends for control."""
+"""The byte cap: limits what one node sends in member messages."""
 
 import threading
 from enum import IntEnum
@@ -9,16 +9,18 @@
 
 
 class Importance(IntEnum):
-    """What a message may use of the bytes that are left.
-
-    Each kind leaves a part of the bucket to the more important ones, answers
-    to probes last of all. Without that, news of suspicions and checks of
-    them use up the bytes, answers stay unsent, this causes more suspicions,
-    and the fleet stays in that state after its cause is gone.
-
-    Messages of settings are paid for from a bucket of their own first (see
-    `Channel`): a change of many routes takes more than the bucket of all
-    others ever holds, and has to be in force within seconds.
+    """How much of the byte budget a message may use.
+
+    Each level leaves a fraction of the bucket to the levels above it; answers
+    to probes may use all of it. Without these reserves, suspicions and the
+    probes that check them use up the budget and answers to probes are not
+    sent. This causes more suspicions, and the fleet stays in that state after
+    its cause is gone.
+
+    Messages of settings use a bucket of their own first, then the common one
+    at level ``URGENT`` (see `Channel`): a change of many routes needs more
+    bytes than the common bucket ever holds, and has to be in force within
+    seconds.
     """
 
     ROUTINE = 0
@@ -29,7 +31,7 @@
     SETTINGS = 5
 
 
-KEPT_FRACTIONS: dict[Importance, float] = {
+RESERVED_FRACTIONS: dict[Importance, float] = {
     Importance.ROUTINE: 0.5,
     Importance.URGENT: 0.3,
     Importance.CHECK: 0.2,
@@ -45,11 +47,9 @@
     Parameters
     ----------
     bytes_per_s : float
-        Long-run mean; a burst may take `BURST_S` seconds' worth at once.
-    now_s : float
-        Present time.
+        Long-term rate at which the bucket is refilled.
     burst_bytes : float or None
-        Where a burst may take more than that.
+        Size of the bucket; None for `BURST_S` seconds of the long-term rate.
     """
 
     def __init__(
@@ -58,17 +58,17 @@
         self.bytes_per_s = bytes_per_s
         self._burst_bytes = burst_bytes or bytes_per_s * BURST_S
         self._level_bytes = self._burst_bytes
-        self._filled_s = now_s
+        self._refilled_s = now_s
         self._lock = threading.Lock()
         self.spent_bytes = 0
         self.refused = 0
 
     def take(self, size_bytes: int, now_s: float, importance: Importance) -> bool:
-        """Take bytes, or return False when the message has to wait."""
+        """Spend bytes; return False, and spend none, if too few are available."""
         with self._lock:
-            self._fill(now_s)
-            kept_bytes = self._burst_bytes * KEPT_FRACTIONS[importance]
-            if self._level_bytes - size_bytes < kept_bytes:
+            self._refill(now_s)
+            reserved_bytes = self._burst_bytes * RESERVED_FRACTIONS[importance]
+            if self._level_bytes - size_bytes < reserved_bytes:
                 self.refused += 1
                 return False
             self._level_bytes -= size_bytes
@@ -76,15 +76,15 @@
             return True
 
     def room_bytes(self, importance: Importance, now_s: float) -> int:
-        """Return how much a message may take now."""
+        """Return the size of the largest message that may be sent now."""
         with self._lock:
-            self._fill(now_s)
-            kept_bytes = self._burst_bytes * KEPT_FRACTIONS[importance]
-            return max(0, int(self._level_bytes - kept_bytes))
+            self._refill(now_s)
+            reserved_bytes = self._burst_bytes * RESERVED_FRACTIONS[importance]
+            return max(0, int(self._level_bytes - reserved_bytes))
 
-    def _fill(self, now_s: float) -> None:
-        elapsed_s = max(0.0, now_s - self._filled_s)
-        self._filled_s = now_s
+    def _refill(self, now_s: float) -> None:
+        elapsed_s = max(0.0, now_s - self._refilled_s)
+        self._refilled_s = now_s
         self._level_bytes = min(
             self._burst_bytes, self._level_bytes + elapsed_s * self.bytes_per_s
         )
--- a/balsamspindle/membership/fanout.py
+++ b/balsamspindle/membership/fanout.py
@@ -1,4 +1,4 @@
-"""To whom a node passes on urgent news that each node passes on once."""
+"""Selects the peers that receive urgent news which each node forwards once."""
 
 import random
 
@@ -7,18 +7,19 @@
 
 __all__ = ["Fanout"]
 
-# Passed on once by each node, news to four random peers reach all but two of a
-# hundred nodes. Most of them go within the zone, where bytes cost nothing.
-PEERS_OWN_ZONE, PEERS_ELSEWHERE = 3, 1
+# If each node forwards news once, to four random peers, it reaches all but two of
+# a hundred nodes. Most of the peers are in the own zone, where traffic is free.
+PEERS_OWN_ZONE, PEERS_OTHER_ZONES = 3, 1
 
 
 class Fanout:
-    """Draws peers; the caller makes sure that only one thread does so at a time.
+    """Draws random peers; not thread-safe, the caller has to serialize calls.
 
     Parameters
     ----------
     topic : str
-        Keeps the draws of several kinds of news apart.
+        Part of the random seed, so that different kinds of news go to different
+        peers.
     """
 
     def __init__(self, own: NodeRecord, directory: Directory, topic: str) -> None:
@@ -34,8 +35,10 @@
             if record.node_id != self._own.node_id
         ]
         zone = self._own.availability_zone
-        near = [one for one in peers if one.availability_zone == zone]
-        far = [one for one in peers if one.availability_zone != zone]
-        chosen = self._random.sample(near, min(PEERS_OWN_ZONE, len(near)))
-        chosen += self._random.sample(far, min(PEERS_ELSEWHERE, len(far)))
+        own_zone = [one for one in peers if one.availability_zone == zone]
+        other_zones = [one for one in peers if one.availability_zone != zone]
+        chosen = self._random.sample(own_zone, min(PEERS_OWN_ZONE, len(own_zone)))
+        chosen += self._random.sample(
+            other_zones, min(PEERS_OTHER_ZONES, len(other_zones))
+        )
         return [record.member_address for record in chosen]
--- a/balsamspindle/membership/gossip.py
+++ b/balsamspindle/membership/gossip.py
@@ -1,16 +1,16 @@
-"""Passes news on: on probes and acknowledgements, and to a few neighbours."""
+"""Gossip: spreads news on probes and acknowledgements, and to a few neighbours."""
 
 import random
 
 from balsamspindle.membership.budget import Importance
 from balsamspindle.membership.channel import Channel, Peer
 from balsamspindle.membership.knowledge import Knowledge
-from balsamspindle.membership.nearness import in_zone
+from balsamspindle.membership.nearness import peers_in_zone
 from balsamspindle.wire import Gossip, News, NodeRecord
 
 __all__ = ["Gossiper"]
 
-# Of the own region, first as many of the own zone as there are.
+# Peers of the own zone are among those of the own region and are drawn first.
 NEIGHBOURS_OWN_ZONE = 4
 NEIGHBOURS_OWN_REGION = 6
 NEIGHBOURS_OTHER_REGIONS = 2
@@ -18,16 +18,16 @@
 FANOUT = 2
 PIGGYBACK_MAX_BYTES = 500
 GOSSIP_MAX_BYTES = 4000
-# Rough ratio of a deflated message to its items, to fit it into the cap.
+# Estimated ratio of a message's compressed size to the size of its items.
 DEFLATED_FRACTION = 0.5
 
 
 class Gossiper:
-    """Sends queued news; used by the member task alone.
+    """Sends queued news to peers; used by the member task alone.
 
     Neighbours are a small random sample of the fleet that changes slowly, so
-    that their connections stay open: a fresh connection for each message
-    would cost more bytes than the news itself.
+    that their connections stay open: a new connection for each message would
+    cost more bytes than the news itself.
     """
 
     def __init__(
@@ -37,21 +37,21 @@
         self._knowledge = knowledge
         self._random = rng
         self._neighbours: list[NodeRecord] = []
-        self._turn = 0
-        self._changed_s = float("-inf")
-        channel.register("gossip", Gossip, self._take)
+        self._next_index = 0
+        self._last_change_s = float("-inf")
+        channel.register("gossip", Gossip, self._handle_gossip)
 
     def piggyback(self, now_s: float) -> list[News]:
-        """Return news for a message that is sent anyhow."""
+        """Return queued news to attach to a message that is sent in any case."""
         queue = self._knowledge.queue
         if self._channel.room_bytes(Importance.ROUTINE, now_s) > PIGGYBACK_MAX_BYTES:
-            return queue.take(PIGGYBACK_MAX_BYTES)
+            return queue.next_batch(PIGGYBACK_MAX_BYTES)
         if self._channel.room_bytes(Importance.URGENT, now_s) > PIGGYBACK_MAX_BYTES:
-            return queue.take(PIGGYBACK_MAX_BYTES, urgent_only=True)
+            return queue.next_batch(PIGGYBACK_MAX_BYTES, urgent_only=True)
         return []
 
     def tick(self, now_s: float) -> None:
-        """Send news to a few neighbours, if there is any."""
+        """Send queued news to a few neighbours."""
         self._refresh_neighbours(now_s)
         queue = self._knowledge.queue
         for _ in range(min(FANOUT, len(self._neighbours))):
@@ -60,8 +60,8 @@
             self._send_to_next(queue.has_urgent(), now_s)
 
     def _send_to_next(self, urgent: bool, now_s: float) -> None:
-        self._turn = (self._turn + 1) % len(self._neighbours)
-        address = self._neighbours[self._turn].member_address
+        self._next_index = (self._next_index + 1) % len(self._neighbours)
+        address = self._neighbours[self._next_index].member_address
         importance = Importance.ROUTINE
         room_bytes = self._channel.room_bytes(importance, now_s)
         urgent_only = urgent and room_bytes < PIGGYBACK_MAX_BYTES
@@ -71,21 +71,26 @@
         if room_bytes < PIGGYBACK_MAX_BYTES:
             return
         size_bytes = int(min(room_bytes / DEFLATED_FRACTION, GOSSIP_MAX_BYTES))
-        news = self._knowledge.queue.take(size_bytes, urgent_only)
+        news = self._knowledge.queue.next_batch(size_bytes, urgent_only)
         self._channel.send(address, Gossip(news), now_s, importance)
 
-    def _take(self, peer: Peer, gossip: Gossip, now_s: float) -> None:
+    def _handle_gossip(self, peer: Peer, gossip: Gossip, now_s: float) -> None:
         self._knowledge.take(gossip.news, now_s, spread=True)
 
     def _refresh_neighbours(self, now_s: float) -> None:
-        alive = self._knowledge.directory
+        known_nodes = self._knowledge.directory
         self._neighbours = [
             view.record
-            for view in map(alive.view, [one.node_id for one in self._neighbours])
+            for view in map(
+                known_nodes.view, [neighbour.node_id for neighbour in self._neighbours]
+            )
             if view is not None and not view.is_dead
         ]
-        if now_s - self._changed_s >= NEIGHBOUR_CHANGE_INTERVAL_S and self._neighbours:
-            self._changed_s = now_s
+        if (
+            now_s - self._last_change_s >= NEIGHBOUR_CHANGE_INTERVAL_S
+            and self._neighbours
+        ):
+            self._last_change_s = now_s
             self._neighbours.pop(self._random.randrange(len(self._neighbours)))
         own_region = self._knowledge.own.region
         wanted = NEIGHBOURS_OWN_REGION + NEIGHBOURS_OTHER_REGIONS
@@ -94,15 +99,15 @@
         peers = self._knowledge.peers()
         if len(peers) <= len(self._neighbours):
             return
-        own_zone = in_zone(peers, self._knowledge.own.header)
-        self._fill(own_zone, NEIGHBOURS_OWN_ZONE)
-        near = [node for node in peers if node.region == own_region]
-        far = [node for node in peers if node.region != own_region]
-        self._fill(near, NEIGHBOURS_OWN_REGION)
-        self._fill(far, NEIGHBOURS_OTHER_REGIONS)
+        own_zone = peers_in_zone(peers, self._knowledge.own.header)
+        self._add_neighbours(own_zone, NEIGHBOURS_OWN_ZONE)
+        own_region_peers = [node for node in peers if node.region == own_region]
+        other_region_peers = [node for node in peers if node.region != own_region]
+        self._add_neighbours(own_region_peers, NEIGHBOURS_OWN_REGION)
+        self._add_neighbours(other_region_peers, NEIGHBOURS_OTHER_REGIONS)
 
-    def _fill(self, nodes: list[NodeRecord], wanted: int) -> None:
-        """Take random ones of these nodes until so many are neighbours."""
+    def _add_neighbours(self, nodes: list[NodeRecord], wanted: int) -> None:
+        """Add random ones of these nodes until `wanted` of them are neighbours."""
         node_ids = {node.node_id for node in nodes}
         present = node_ids & {node.node_id for node in self._neighbours}
         for _ in range(2 * wanted):
--- a/balsamspindle/membership/member.py
+++ b/balsamspindle/membership/member.py
@@ -1,4 +1,4 @@
-"""The member task: this node's part in the membership protocol."""
+"""The member task, which runs the membership protocol of one node."""
 
 import random
 import threading
@@ -26,33 +26,34 @@
 __all__ = ["Member"]
 
 TICK_S = 0.2
-# A gap between two ticks that no busy machine explains: the process slept.
-PAUSE_S = 2.0
-# Settings are sent within a bucket of their own. At 45,000 changes a day of a
-# kilobyte each, passed on to 1.25 peers in the mean, a node sends 0.7 KB/s; one
-# change of 2,000 routes, passed on to five peers, takes 300 to 450 KB at once.
+# A longer gap between two ticks means that the process was suspended; a busy machine
+# does not delay a tick that much.
+PAUSE_MIN_S = 2.0
+# Settings have a byte budget of their own. With 45,000 changes a day of 1 KB each,
+# each sent to 1.25 peers on average, a node sends 0.7 KB/s. One change of 2,000
+# routes, sent to five peers, needs 300 to 450 KB at once.
 SETTINGS_BYTES_PER_S = 1_000.0
 SETTINGS_BURST_BYTES = 1_000_000.0
-# As long as scrapers take between two looks.
-LAG_MEMORY_S = 15.0
+# The usual interval between two scrapes of the metrics.
+LAG_WINDOW_S = 15.0
 
 
 class Member:
-    """One node's part in the membership protocol.
+    """Runs the membership protocol of one node.
 
     Parameters
     ----------
     own : NodeRecord
-        This node's first record.
+        Record of this node at its start.
     backend_servers : callable
-        Returns the records of this node's backend servers.
+        Returns the current records of this node's backend servers.
     transport : Transport, default=None
-        ZeroMQ on the member address when None.
+        None for ZeroMQ on the member address.
 
     Attributes
     ----------
     channel : Channel
-        For other parts that exchange messages with peers.
+        Used by other parts of the node to exchange messages with peers.
     """
 
     def __init__(
@@ -73,7 +74,7 @@
         self._now_s = now_s
         self._stopped = threading.Event()
         self._last_tick_s = now_s()
-        self._lag = RecentMax(LAG_MEMORY_S)
+        self._lag = RecentMax(LAG_WINDOW_S)
         self._crash_digest: Callable[[], int] = lambda: 0
         self._store_era: Callable[[], int] = lambda: 0
         self._own = OwnRecord(own)
@@ -100,7 +101,7 @@
             rng,
         )
         self.anti_entropy = AntiEntropy(self.channel, self.knowledge, rng)
-        self.channel.on_peer(self._meet)
+        self.channel.on_peer(self._greet_unknown_peer)
         self.knowledge.start(now_s())
 
     def register(
@@ -108,9 +109,11 @@
         handlers: dict[type, Callable[[Any], None]],
         on_peer_revision: Callable[[str, int], None] | None = None,
     ) -> None:
-        """Hand messages of tagged types, and peers' settings revisions, on.
+        """Register handlers of tagged message types and of settings revisions.
 
-        The callables run in the member task and must return at once.
+        `on_peer_revision` is called with the address and the settings revision
+        of each message's sender. All callables run in the member task and must
+        return at once.
         """
         for message_type, handler in handlers.items():
             kind = message_type.__struct_config__.tag
@@ -123,31 +126,32 @@
             )
 
     def share_crash_digest(
-        self, own: Callable[[], int], on_peer: Callable[[str, int, float], None]
+        self, own_digest: Callable[[], int], on_peer: Callable[[str, int, float], None]
     ) -> None:
-        """Tell with each message what is known of crashes; hear it of peers.
+        """Send a digest of crash records with each message; receive those of peers.
 
         Parameters
         ----------
-        own : callable
+        own_digest : callable
             Returns this node's digest.
         on_peer : callable
-            Told a peer's address and digest, and the present time, in the member
-            task.
+            Called in the member task with a peer's address, its digest and the
+            current time.
         """
-        self._crash_digest = own
+        self._crash_digest = own_digest
         self.channel.on_peer(
             lambda peer, now_s: on_peer(peer.address, peer.crash_digest, now_s)
         )
 
     def share_store_era(
-        self, own: Callable[[], int], on_peer: Callable[[int], None]
+        self, own_era: Callable[[], int], on_peer: Callable[[int], None]
     ) -> None:
-        """Tell with each message the newest era of the store; hear it of peers.
+        """Send the newest store era with each message; receive those of peers.
 
-        Most nodes call the store seldom, and would learn of a new era late.
+        Most nodes call the store rarely and would otherwise learn of a new era
+        late. `on_peer` is called in the member task with a peer's era.
         """
-        self._store_era = own
+        self._store_era = own_era
         self.channel.on_peer(lambda peer, now_s: on_peer(peer.store_era))
 
     def send(
@@ -158,7 +162,8 @@
     ) -> None:
         """Send a message of a registered type; callable from any thread.
 
-        It is dropped when the byte cap has no room: the sender asks again.
+        The message is dropped when the byte cap refuses it; the caller has to
+        send it again.
         """
         self.channel.call_soon(
             lambda: self.channel.send(address, message, self._now_s(), importance)
@@ -169,20 +174,22 @@
         self.send(address, message, Importance.SETTINGS)
 
     def contact(self, addresses: tuple[str, ...]) -> None:
-        """Try nodes at these member addresses; callable from any thread."""
-        self.channel.call_soon(lambda: self._prober.contact(addresses, self._now_s()))
+        """Set the addresses to contact besides the seeds; callable from any thread."""
+        self.channel.call_soon(
+            lambda: self._prober.set_contacts(addresses, self._now_s())
+        )
 
     @property
     def isolated(self) -> bool:
-        """Whether no peer has answered this node lately."""
+        """Whether no peer answered this node within the last few seconds."""
         return self._prober.isolated
 
     def lag_s(self, now_s: float) -> float:
-        """Return the longest delay of a tick lately: how busy this process is."""
+        """Return the longest recent delay of a tick; large in an overloaded process."""
         return self._lag.value(now_s)
 
     def run(self) -> None:
-        """Take part until `stop` is called."""
+        """Run the protocol until `stop` is called, then close the transport."""
         while not self._stopped.is_set():
             wait_s = self._last_tick_s + TICK_S - self._now_s()
             self.channel.receive(wait_s, self._now_s)
@@ -191,12 +198,12 @@
         self._transport.close()
 
     def tick(self, now_s: float) -> None:
-        """Do what is due."""
+        """Run all periodic work that is due."""
         gap_s = now_s - self._last_tick_s
         self._last_tick_s = now_s
         self._lag.note(gap_s - TICK_S, now_s)
-        if gap_s > PAUSE_S:
-            self._wake_up(gap_s, now_s)
+        if gap_s > PAUSE_MIN_S:
+            self._resume_after_pause(gap_s, now_s)
         self.knowledge.refresh(self._backend_servers(), now_s)
         self._prober.tick(now_s)
         self.knowledge.expire(now_s)
@@ -204,35 +211,35 @@
         self.anti_entropy.tick(now_s)
 
     def stop(self) -> None:
-        """End `run` soon."""
+        """Make `run` return soon; callable from any thread."""
         self._stopped.set()
         self._transport.wake()
 
     def leave(self) -> None:
-        """Tell the peers that this node is going."""
+        """Announce to the peers that this node is leaving; callable from any thread."""
         self.channel.call_soon(self._leave)
 
     def _leave(self) -> None:
         self.knowledge.leave(self._now_s())
         self.tick(self._now_s())
 
-    def _wake_up(self, gap_s: float, now_s: float) -> None:
-        """Take up the work after this process did not run for a while.
+    def _resume_after_pause(self, gap_s: float, now_s: float) -> None:
+        """Reset this node's state after the process was suspended.
 
-        All its timers ran out while it slept: acting on them would declare
-        nodes dead that answered well meanwhile. The others may hold this node
-        dead. So it drops its timers and its claims about others, says that
-        it is alive and compares what it knows.
+        All timers expired meanwhile, and acting on them would declare healthy
+        nodes dead. The peers may have declared this node dead. So this node
+        discards its probes, suspicions and queued verdicts, announces that it is
+        alive and compares its directory with a peer's soon.
         """
         self._events.emit("node_woke_up", gap_s=f"{gap_s:.1f}")
         self.knowledge.suspicions.clear()
-        self.knowledge.queue.remove_claims()
-        self._prober.restart(now_s)
+        self.knowledge.queue.remove_verdicts()
+        self._prober.reset(now_s)
         self.knowledge.assert_alive(now_s)
         self.anti_entropy.hurry(now_s)
 
-    def _meet(self, peer: Peer, now_s: float) -> None:
-        """Compare soon with a peer that this node does not know."""
+    def _greet_unknown_peer(self, peer: Peer, now_s: float) -> None:
+        """Start a comparison of directories with a peer that is not known yet."""
         if self.knowledge.directory.view(peer.node_id) is None:
             self.anti_entropy.greet(peer, now_s)
 
--- a/balsamspindle/membership/news.py
+++ b/balsamspindle/membership/news.py
@@ -1,8 +1,9 @@
-"""News that waits to be passed on: the most important first, each a few times.
+"""Queue of membership news to send to peers, by priority, each item a few times.
 
-A newer item about the same thing replaces the older one, so the queue is
-bounded by what there is to say and not by how often it changed. What falls
-out is repaired by anti-entropy: nothing is lost for good.
+A newer item about the same subject (a node, a backend server, or one node's
+verdict on another) replaces the older one, so the queue is bounded by the
+number of subjects and not by how often they change. Items that are evicted from
+a full queue are not lost: anti-entropy delivers them later.
 """
 
 import math
@@ -24,7 +25,7 @@
 
 
 class Priority(IntEnum):
-    """What goes first when bytes are short."""
+    """Order in which items are sent when the byte cap does not allow all."""
 
     URGENT = 0
     NORMAL = 1
@@ -34,18 +35,19 @@
 class _Item(NamedTuple):
     news: News
     size_bytes: int
-    left: int
+    remaining_sends: int
 
 
-Key = tuple[str, str]
+ItemKey = tuple[str, str]
 
 
 def transmissions(priority: Priority, nodes: int) -> int:
-    """Return how often one node passes an item on in a fleet of a size.
+    """Return how often each node sends an item in a fleet of `nodes` nodes.
 
-    An epidemic reaches all but a few after a number of rounds that grows with
-    the logarithm of the fleet. Urgent news is repeated until it is very
-    unlikely that a node misses it; for the rest anti-entropy is cheaper.
+    Gossip reaches all but a few nodes after a number of rounds that grows with
+    the logarithm of the fleet's size. Urgent news is sent until it is very
+    unlikely that a node misses it; for other news it is cheaper to let
+    anti-entropy reach the remaining nodes.
     """
     digits = math.ceil(math.log10(nodes + 1))
     if priority is Priority.URGENT:
@@ -54,99 +56,103 @@
 
 
 class NewsQueue:
-    """News of one node, by priority; used by the member task alone.
+    """News that one node has to send, by priority; used by the member task alone.
 
     Attributes
     ----------
     overflowed : int
-        Items that fell out since the queue was full.
+        Number of items evicted because the queue was full.
     """
 
     def __init__(self) -> None:
-        self._items: dict[Priority, OrderedDict[Key, _Item]] = {
+        self._items: dict[Priority, OrderedDict[ItemKey, _Item]] = {
             priority: OrderedDict() for priority in Priority
         }
-        self._priorities: dict[Key, Priority] = {}
+        self._priorities: dict[ItemKey, Priority] = {}
         self.overflowed = 0
 
     def __len__(self) -> int:
         return len(self._priorities)
 
     def has_urgent(self) -> bool:
-        """Tell whether urgent news waits."""
+        """Return whether urgent news is queued."""
         return bool(self._items[Priority.URGENT])
 
     def add(self, news: News, priority: Priority, nodes: int) -> None:
-        """Queue one item in place of an older one about the same thing."""
+        """Queue an item; it replaces an older one about the same subject."""
         key = _key(news)
         self.remove(key)
         if len(self._priorities) >= QUEUED_MAX:
-            self._overflow()
+            self._evict_one()
         item = _Item(news, len(_encoder.encode(news)), transmissions(priority, nodes))
         items = self._items[priority]
         items[key] = item
-        # Fresh news goes before news that was passed on already.
+        # New items are sent before those that were sent already.
         items.move_to_end(key, last=False)
         self._priorities[key] = priority
 
     def heard_again(self, news: News) -> None:
-        """Count news that a peer repeated: there it need not go any more.
+        """Reduce an item's remaining transmissions: a peer sent the same item.
 
-        In a burst most transmissions would go to nodes that know already.
+        That peer does not need it any more. Without this, most transmissions in
+        a burst of news would go to nodes that already have it. Urgent items
+        keep their count.
         """
         key = _key(news)
         priority = self._priorities.get(key)
         if priority in (None, Priority.URGENT):
             return
         items = self._items[priority]
-        if items[key].left <= 1:
+        if items[key].remaining_sends <= 1:
             self.remove(key)
         else:
-            items[key] = items[key]._replace(left=items[key].left - 1)
+            items[key] = items[key]._replace(
+                remaining_sends=items[key].remaining_sends - 1
+            )
 
-    def remove(self, key: Key) -> None:
-        """Drop what is queued about one thing."""
+    def remove(self, key: ItemKey) -> None:
+        """Remove the item about one subject, if any."""
         priority = self._priorities.pop(key, None)
         if priority is not None:
             del self._items[priority][key]
 
-    def remove_claims(self) -> None:
-        """Drop all claims about other nodes."""
+    def remove_verdicts(self) -> None:
+        """Remove all verdicts on other nodes."""
         for key in [key for key in self._priorities if key[1].startswith("claim/")]:
             self.remove(key)
 
-    def take(self, size_max_bytes: int, urgent_only: bool = False) -> list[News]:
-        """Return the items to pass on now and count this transmission."""
-        taken: list[News] = []
-        left_bytes = size_max_bytes
+    def next_batch(self, size_max_bytes: int, urgent_only: bool = False) -> list[News]:
+        """Return the items to send now and count this as one transmission of each."""
+        batch: list[News] = []
+        remaining_bytes = size_max_bytes
         for priority in Priority:
             if urgent_only and priority is not Priority.URGENT:
                 break
-            left_bytes = self._take_of(priority, left_bytes, taken)
-        return _merged(taken)
+            remaining_bytes = self._add_items(priority, remaining_bytes, batch)
+        return _merge_entries(batch)
 
     def waiting(self) -> Counter[str]:
-        """Return the number of items by priority."""
+        """Return the number of queued items by priority."""
         return Counter(
             {priority.name.lower(): len(self._items[priority]) for priority in Priority}
         )
 
-    def _take_of(self, priority, left_bytes: int, taken: list[News]) -> int:
+    def _add_items(self, priority, remaining_bytes: int, batch: list[News]) -> int:
         items = self._items[priority]
         for _ in range(len(items)):
             key, item = next(iter(items.items()))
-            if item.size_bytes > left_bytes:
+            if item.size_bytes > remaining_bytes:
                 break
-            left_bytes -= item.size_bytes
-            taken.append(item.news)
-            if item.left <= 1:
+            remaining_bytes -= item.size_bytes
+            batch.append(item.news)
+            if item.remaining_sends <= 1:
                 self.remove(key)
             else:
-                items[key] = item._replace(left=item.left - 1)
+                items[key] = item._replace(remaining_sends=item.remaining_sends - 1)
                 items.move_to_end(key)
-        return left_bytes
+        return remaining_bytes
 
-    def _overflow(self) -> None:
+    def _evict_one(self) -> None:
         for priority in reversed(Priority):
             if self._items[priority]:
                 self.remove(next(reversed(self._items[priority])))
@@ -154,7 +160,7 @@
                 return
 
 
-def _key(news: News) -> Key:
+def _key(news: News) -> ItemKey:
     match news:
         case VerdictNews(node_id=node_id, by=by):
             return node_id, f"claim/{by}"
@@ -164,10 +170,10 @@
             return node_id, "node"
 
 
-def _merged(taken: list[News]) -> list[News]:
-    """Put entries of the same node into one item: its name travels once."""
+def _merge_entries(batch: list[News]) -> list[News]:
+    """Merge entries of the same node into one item, which has its id only once."""
     merged: dict[tuple, News] = {}
-    for number, news in enumerate(taken):
+    for number, news in enumerate(batch):
         match news:
             case NodeNews(header=None):
                 key = (news.node_id, news.incarnation)
--- a/balsamspindle/membership/recent_max.py
+++ b/balsamspindle/membership/recent_max.py
@@ -1,32 +1,35 @@
-"""The largest of the latest values."""
+"""Maximum of the recent values of a series."""
 
 __all__ = ["RecentMax"]
 
 
 class RecentMax:
-    """Keeps the largest value of the last one to two spans of time."""
+    """Maximum over the last one to two windows of time.
 
-    def __init__(self, memory_s: float) -> None:
-        self._memory_s = memory_s
-        self._since_s = 0.0
-        self._before = 0.0
-        self._now = 0.0
+    Only the maxima of the current and of the previous window are kept.
+    """
+
+    def __init__(self, window_s: float) -> None:
+        self._window_s = window_s
+        self._window_start_s = 0.0
+        self._previous_max = 0.0
+        self._current_max = 0.0
 
     def note(self, value: float, now_s: float) -> None:
-        """Take a value."""
-        self._turn(now_s)
-        self._now = max(self._now, value)
+        """Add a value."""
+        self._rotate(now_s)
+        self._current_max = max(self._current_max, value)
 
     def value(self, now_s: float) -> float:
-        """Return the largest; 0 without any."""
-        self._turn(now_s)
-        return max(self._before, self._now)
-
-    def _turn(self, now_s: float) -> None:
-        if now_s - self._since_s > 2 * self._memory_s:
-            self._before = 0.0
-        elif now_s - self._since_s > self._memory_s:
-            self._before = self._now
+        """Return the maximum; 0 if there are no recent values."""
+        self._rotate(now_s)
+        return max(self._previous_max, self._current_max)
+
+    def _rotate(self, now_s: float) -> None:
+        if now_s - self._window_start_s > 2 * self._window_s:
+            self._previous_max = 0.0
+        elif now_s - self._window_start_s > self._window_s:
+            self._previous_max = self._current_max
         else:
             return
-        self._since_s, self._now = now_s, 0.0
+        self._window_start_s, self._current_max = now_s, 0.0
--- a/balsamspindle/membership/suspicion.py
+++ b/balsamspindle/membership/suspicion.py
@@ -1,4 +1,4 @@
-"""Who is suspected of being dead, by whom, and when that becomes a verdict."""
+"""Suspicions: which nodes are suspected to be dead, by which nodes, and until when."""
 
 import math
 from typing import NamedTuple
@@ -9,43 +9,43 @@
 
 TIMEOUT_MIN_S = 2.0
 TIMEOUT_MAX_S = 8.0
-# Independent nodes besides the first that shorten the time-out to its least.
+# With this many independent suspecters besides the first one, the time-out is at
+# its minimum.
 CONFIRMATIONS = 3
-# A death needs this many who say so: one node whose own link is broken, or
-# whose task is slow, never kills another.
+# Suspecters needed to declare a node dead. With one, a node with a broken link
+# or a slow member task could have healthy nodes declared dead.
 SUSPECTERS_MIN = 2
 
 
 def timeout_s(suspecters: int, confirmations: int) -> float:
-    """Return how long a suspected node has to refute.
+    """Return how long a suspected node has to refute the suspicion.
 
     Parameters
     ----------
     suspecters : int
-        Nodes that suspect it, the first one included.
+        Nodes that suspect the node, including the first one.
     confirmations : int
-        Further suspecters that can be expected: `CONFIRMATIONS`, or fewer in
-        a small fleet.
+        Further suspecters to expect: `CONFIRMATIONS`, or fewer in a small fleet.
 
     Notes
     -----
-    As in Lifeguard (Dadgar et al., 2017): it shrinks with the logarithm of
-    the number of independent suspecters.
+    As in Lifeguard (Dadgar et al., 2017), the time-out shrinks with the
+    logarithm of the number of independent suspecters.
     """
     if confirmations <= 0:
         return TIMEOUT_MIN_S
-    share = math.log(max(suspecters, 1)) / math.log(confirmations + 1)
+    fraction = math.log(max(suspecters, 1)) / math.log(confirmations + 1)
     span_s = TIMEOUT_MAX_S - TIMEOUT_MIN_S
-    return max(TIMEOUT_MIN_S, TIMEOUT_MAX_S - span_s * share)
+    return max(TIMEOUT_MIN_S, TIMEOUT_MAX_S - span_s * fraction)
 
 
 class Expired(NamedTuple):
-    """A suspicion whose time is over.
+    """A suspicion whose time-out has passed.
 
     Attributes
     ----------
     confirmed : bool
-        Enough nodes said so: the node is dead.
+        Whether enough nodes suspected the node to declare it dead.
     """
 
     node_id: str
@@ -76,23 +76,27 @@
         suspicion = self._suspicions.get(node_id)
         return None if suspicion is None else suspicion.epoch
 
-    def add(self, node_id: str, epoch: Epoch, by: str, now_s: float) -> bool:
-        """Note one suspecter; return True when that is worth passing on."""
+    def add(self, node_id: str, epoch: Epoch, suspecter_id: str, now_s: float) -> bool:
+        """Record a suspecter; return True if the suspicion should be spread."""
         known = self._suspicions.get(node_id)
         if known is None or epoch > known.epoch:
-            self._suspicions[node_id] = _Suspicion(epoch, now_s, frozenset({by}))
+            self._suspicions[node_id] = _Suspicion(
+                epoch, now_s, frozenset({suspecter_id})
+            )
             return True
         if (
             epoch < known.epoch
-            or by in known.suspecters
+            or suspecter_id in known.suspecters
             or len(known.suspecters) > CONFIRMATIONS
         ):
             return False
-        self._suspicions[node_id] = known._replace(suspecters=known.suspecters | {by})
+        self._suspicions[node_id] = known._replace(
+            suspecters=known.suspecters | {suspecter_id}
+        )
         return True
 
     def refute(self, node_id: str, epoch: Epoch) -> bool:
-        """End a suspicion that is older than what the node says of itself."""
+        """Remove a suspicion older than `epoch`, which the node itself announced."""
         known = self._suspicions.get(node_id)
         if known is None or epoch <= known.epoch:
             return False
@@ -100,20 +104,20 @@
         return True
 
     def drop(self, node_id: str) -> None:
-        """End a suspicion."""
+        """Remove the suspicion of a node, if there is one."""
         self._suspicions.pop(node_id, None)
 
     def clear(self) -> None:
-        """End all suspicions without a verdict."""
+        """Remove all suspicions without declaring any node dead."""
         self._suspicions.clear()
 
     def expire(self, confirmations: int, now_s: float) -> list[Expired]:
-        """Take out the suspicions whose time is over."""
+        """Remove the suspicions whose time-out has passed, and return them."""
         expired = [
             Expired(node_id, one.epoch, len(one.suspecters) >= SUSPECTERS_MIN)
             for node_id, one in self._suspicions.items()
             if now_s - one.started_s >= timeout_s(len(one.suspecters), confirmations)
         ]
-        for verdict in expired:
-            del self._suspicions[verdict.node_id]
+        for suspicion in expired:
+            del self._suspicions[suspicion.node_id]
         return expired
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -1,4 +1,4 @@
-"""Membership under faults: several real members, a fake network and clock."""
+"""Membership under faults: real members on a simulated network and clock."""
 
 import random
 
@@ -58,10 +58,11 @@
         self.network.kill(leaving)
         self.assert_all_alive(10, [other])
 
-    def test_a_link_broken_in_one_direction_kills_nobody(self):
-        # A's messages to B are lost, all other links work. A caller would see
-        # B's capacity missing everywhere. A's probes of B stay unanswered, as
-        # do its acknowledgements to B; a helper's probe of B is answered.
+    def test_a_link_broken_in_one_direction_causes_no_deaths(self):
+        # A's messages to B are lost, all other links work. A's probes of B, and
+        # B's probes of A, are not answered directly, but indirect probes by
+        # other nodes are. If B were declared dead on the direct probes alone,
+        # the fleet would lose B's capacity.
         a, b, *_ = self.start(8)
         self.network.passes = lambda source, target: (source, target) != (a, b)
         self.network.run(180)
@@ -69,10 +70,10 @@
         self.assertEqual(0, count_events(self.nodes, "node_suspected"))
         self.assert_all_alive(1)
 
-    def test_two_nodes_that_only_miss_each_other_kill_nobody(self):
-        # A and B can't talk at all, and A is the only one to find B silent
-        # through a helper that is overloaded. One suspecter is no proof: the
-        # suspicion reaches B, which refutes it.
+    def test_repeated_suspicions_by_a_single_node_cause_no_death(self):
+        # A's probes of B fail repeatedly, and so do the indirect probes, while
+        # all other nodes reach B. A single suspecter is not enough to declare
+        # B dead: the suspicion reaches B, which refutes it.
         a, b, *_ = self.start(8)
         for _ in range(20):
             a.member.knowledge.failed_probe(
@@ -82,9 +83,9 @@
         self.assertEqual(0, count_events(self.nodes, "node_dead"))
         self.assertIn(b.node_id, a.alive())
 
-    def test_a_node_that_hears_nobody_suspects_itself(self):
-        # B sends, but receives nothing. It must not spread that all others
-        # are dead; the others take B out once and do not flap.
+    def test_a_node_that_receives_nothing_declares_no_node_dead(self):
+        # B can send but receives nothing. It must not declare the others dead;
+        # each of the others declares B dead exactly once.
         b, *others = self.start(8)
         self.network.passes = lambda source, target: target is not b
         self.network.run(120)
@@ -96,10 +97,11 @@
         self.assert_all_alive(30)
         self.assertFalse(b.member.isolated)
 
-    def test_a_node_that_nobody_can_call_does_not_flap(self):
-        # Nobody can open a connection to B, so no request reaches its gate.
-        # B's own connections work both ways: it reads that it is held dead.
-        # If it refuted that, it would be dead and alive in turns everywhere.
+    def test_a_node_that_no_peer_can_connect_to_does_not_flap(self):
+        # No node can open a connection to B, so no request reaches its gate.
+        # B's own connections work both ways, so it learns that it was declared
+        # dead. If it refuted that, the other nodes would see it alternate
+        # between dead and alive.
         b, *others = self.start(8)
         self.network.opens = lambda source, target: target is not b
         self.network.run(180)
@@ -108,9 +110,9 @@
         self.network.opens = lambda source, target: True
         self.assert_all_alive(30)
 
-    def test_a_node_that_nobody_hears_comes_back_when_the_link_heals(self):
-        # B receives, but what it sends is lost: it reads that it is suspected
-        # and can't refute. Others hold it dead once, not again and again.
+    def test_a_node_whose_messages_are_lost_returns_when_the_link_heals(self):
+        # B receives, but all that it sends is lost: it learns that it is
+        # suspected and cannot refute it. The others declare it dead only once.
         b, *others = self.start(8)
         self.network.passes = lambda source, target: source is not b
         self.network.run(120)
@@ -119,8 +121,9 @@
         self.network.passes = lambda source, target: True
         self.assert_all_alive(3)
 
-    def test_two_halves_that_hold_each_other_dead_reunite(self):
-        # Neither half probes nodes that it holds dead, and no seed names them.
+    def test_two_halves_that_declared_each_other_dead_reunite(self):
+        # No node has seed addresses, and dead nodes are not probed regularly. The
+        # halves find each other only because dead nodes are pinged now and then.
         self.network = MemberNetwork()
         self.nodes = [self.network.add(number) for number in range(8)]
         self.network.introduce(self.nodes)
@@ -134,61 +137,66 @@
         self.network.passes = lambda source, target: True
         self.assert_all_alive(30)
 
-    def test_the_smaller_side_of_a_partition_declares_nobody_dead(self):
-        # Three of nine are cut off. Together they could confirm each other's
-        # suspicions of the six, and would find no backend server any more.
+    def test_the_smaller_side_of_a_partition_declares_at_most_half_dead(self):
+        # Three of nine nodes are cut off. If they confirmed each other's
+        # suspicions of the other six, they would be left without most of the
+        # backend servers.
         nodes = self.start(9)
-        few = nodes[:3]
-        self.network.passes = lambda source, target: (source in few) == (target in few)
+        minority = nodes[:3]
+        self.network.passes = lambda source, target: (
+            (source in minority) == (target in minority)
+        )
         self.network.run(120)
-        # Deaths of half their region at the most, as they saw it at first.
-        for node in few:
+        # They may declare at most half of the nodes of their region dead.
+        for node in minority:
             self.assertGreaterEqual(len(node.alive()), 5)
         self.network.passes = lambda source, target: True
         self.assert_all_alive(90)
 
-    def test_a_woken_node_declares_nobody_dead_and_is_back_at_once(self):
-        # A process is stopped for longer than all time-outs, with probes and
-        # suspicions under way. When it runs again all its timers have run
-        # out. The fleet holds it dead meanwhile and one server has left.
-        sleeper, changed, *others = self.start(8)
+    def test_a_resumed_node_declares_no_node_dead_and_rejoins(self):
+        # A process is suspended for longer than all time-outs while it has
+        # unanswered probes and a suspicion. When it resumes, all its timers have
+        # expired, the others have declared it dead, and one backend server is
+        # gone.
+        suspended, changed, *others = self.start(8)
         changed.serve(2)
         self.network.run(10)
         victim = others[0]
-        sleeper.member.knowledge.failed_probe(
-            sleeper.directory.view(victim.node_id).record, self.network.now_s
+        suspended.member.knowledge.failed_probe(
+            suspended.directory.view(victim.node_id).record, self.network.now_s
         )
-        sleeper.member.knowledge.take(
+        suspended.member.knowledge.take(
             [VerdictNews(victim.node_id, 1000, 0, Verdict.SUSPECT, others[1].node_id)],
             self.network.now_s,
             spread=True,
         )
-        self.network.pause(sleeper)
+        self.network.pause(suspended)
         self.network.run(60)
-        self.assertNotIn(sleeper.node_id, others[0].alive())
+        self.assertNotIn(suspended.node_id, others[0].alive())
         changed.servers = changed.servers[:1]
         self.network.run(10)
-        self.network.resume(sleeper)
+        self.network.resume(suspended)
         self.assert_all_alive(15)
         self.network.run(10)
-        self.assertEqual(0, sleeper.events.counts["node_dead"])
-        records = {r.node_id: r for r in sleeper.directory.records()}
+        self.assertEqual(0, suspended.events.counts["node_dead"])
+        records = {r.node_id: r for r in suspended.directory.records()}
         self.assertEqual(1, len(records[changed.node_id].backend_servers))
 
-    def test_a_failed_probe_of_the_past_says_nothing_of_the_present(self):
-        # A probe goes out while B is down and fails after B is back. Counted
-        # against the new B, it makes a suspicion of each node that returns.
+    def test_a_failed_probe_does_not_count_against_a_later_epoch(self):
+        # A probe is sent while B is down and times out after B is back. If it
+        # counted against B's new epoch, each node that returns would be
+        # suspected.
         a, b, *_ = self.start(4)
-        past = a.directory.view(b.node_id).record
+        past_record = a.directory.view(b.node_id).record
         b.member.knowledge.assert_alive(self.network.now_s)
         self.network.run(5)
-        a.member.knowledge.failed_probe(past, self.network.now_s)
+        a.member.knowledge.failed_probe(past_record, self.network.now_s)
         self.assertEqual(0, a.events.counts["node_suspected"])
 
-    def test_a_replaced_node_outbids_its_own_past(self):
-        # The VM is replaced and its wall clock is behind: the new process
-        # takes a lower incarnation than its past one. Peers would pass over
-        # all that it says, and callers would be sent to servers long gone.
+    def test_a_replaced_node_raises_a_lower_incarnation(self):
+        # A replaced VM has a wall clock that is behind, so its process starts with
+        # a lower incarnation than the previous one. Unless it raises it, peers
+        # ignore its records and route requests to servers that no longer exist.
         old, *others = self.start(5)
         old.serve(3, boot_id="old")
         self.network.run(10)
@@ -202,10 +210,11 @@
             record = node.directory.view(new.node_id).full_record()
             self.assertEqual(1, len(record.backend_servers))
 
-    def test_regions_apart_for_an_hour_declare_nobody_dead(self):
-        # Two regions lose each other for an hour. Their nodes all fail to
-        # answer at once; to declare them dead would empty the directory of
-        # half the fleet. One node really dies meanwhile: its region says so.
+    def test_disconnected_regions_do_not_declare_each_other_dead(self):
+        # Two regions are disconnected for an hour, and no node of one answers
+        # probes of the other. To declare them dead would remove half of the
+        # fleet from each directory. One node does crash meanwhile: only the
+        # nodes of its own region may declare it dead.
         self.network = MemberNetwork()
         east = [self.network.add(n, "e", "east") for n in range(1)]
         seeds = east[:1]
@@ -230,60 +239,62 @@
         self.network.passes = lambda source, target: True
         self.assert_all_alive(60, east + west)
 
-    def test_a_zone_back_at_once_stays_within_the_byte_cap(self):
-        # A third of the nodes and all their backend servers come back at the
-        # same moment. Nobody sends more than its cap. Acknowledgements are
-        # not crowded out, so no living node is suspected for long or taken
-        # for dead; in the end everybody knows every server.
-        cap = 1500.0
-        nodes = self.start(24, member_bytes_per_s=cap)
+    def test_a_zone_that_returns_at_once_stays_within_the_byte_cap(self):
+        # A third of the nodes come back at the same moment with all their backend
+        # servers. No node may exceed its byte cap. Answers to probes must still
+        # be sent, so that no live node is declared dead or has to refute a
+        # suspicion; in the end every node knows every server.
+        cap_bytes_per_s = 1500.0
+        nodes = self.start(24, member_bytes_per_s=cap_bytes_per_s)
         zone = nodes[16:]
         for node in zone:
             self.network.kill(node)
         self.assert_all_alive(90, nodes[:16])
-        back = [
+        returned = [
             self.network.add(
                 node.number,
                 "zone-2",
                 seeds=nodes[:2],
                 incarnation=2000,
-                member_bytes_per_s=cap,
+                member_bytes_per_s=cap_bytes_per_s,
             )
             for node in zone
         ]
-        for node in back:
+        for node in returned:
             node.serve(60, boot_id="2")
-        everybody = nodes[:16] + back
-        deaths = count_events(everybody, "node_dead")
-        refuted = count_events(everybody, "claim_refuted")
+        all_nodes = nodes[:16] + returned
+        deaths = count_events(all_nodes, "node_dead")
+        refuted = count_events(all_nodes, "claim_refuted")
         for _ in range(12):
-            spent = [node.member.budget.spent_bytes for node in everybody]
+            spent = [node.member.budget.spent_bytes for node in all_nodes]
             self.network.run(10)
-            for node, before in zip(everybody, spent, strict=True):
+            for node, before in zip(all_nodes, spent, strict=True):
                 sent_bytes = node.member.budget.spent_bytes - before
-                self.assertLessEqual(sent_bytes, cap * (10 + BURST_S))
-        self.assertTrue(all(node.knows("2", one) for node in everybody for one in back))
-        self.assertEqual(deaths, count_events(everybody, "node_dead"))
-        self.assertEqual(refuted, count_events(everybody, "claim_refuted"))
+                self.assertLessEqual(sent_bytes, cap_bytes_per_s * (10 + BURST_S))
+        self.assertTrue(
+            all(node.knows("2", one) for node in all_nodes for one in returned)
+        )
+        self.assertEqual(deaths, count_events(all_nodes, "node_dead"))
+        self.assertEqual(refuted, count_events(all_nodes, "claim_refuted"))
 
-    def test_one_changed_server_does_not_cost_the_whole_record(self):
+    def test_a_changed_server_is_sent_without_the_whole_record(self):
         self.network = MemberNetwork()
         node = self.network.add(0)
         node.serve(25)
         self.network.run(1)
         queue = node.member.knowledge.queue
-        while queue.take(100_000):
+        while queue.next_batch(100_000):
             pass
         first, *others = node.servers
         node.servers = (first._replace(boot_id="2"), *others)
         self.network.run(1)
-        delta = len(msgspec.msgpack.encode(queue.take(100_000)))
+        delta = len(msgspec.msgpack.encode(queue.next_batch(100_000)))
         whole = len(msgspec.msgpack.encode(node.member.knowledge.own.whole()))
         self.assertLess(delta * 10, whole)
 
-    def test_strange_frames_change_nothing_and_end_nothing(self):
-        # Garbage, cut-off and foreign frames reach the member socket. One
-        # that raised would end the member task, and with it the node.
+    def test_malformed_frames_are_dropped(self):
+        # Random, truncated and unknown frames reach the member socket. An
+        # exception would end the member task, and with it the node.
         node, other = self.start(2)
         rng = random.Random(7)
         good = encode_member("ping", other.member._sender(), [0, "", []])
@@ -305,7 +316,7 @@
         self.assertEqual(before, node.directory.records())
         self.assertEqual(1, node.member.channel.counts["dropped_unknown_kind"])
 
-    def test_unknown_trailing_fields_of_a_later_version_are_passed_over(self):
+    def test_unknown_trailing_fields_of_a_later_version_are_ignored(self):
         node, other = self.start(2)
         frame = encode_member("ping", other.member._sender(), [5, "", [], "new", 1])
         received = node.member.channel.counts["received"]
@@ -320,28 +331,29 @@
         return NodeNews("node-1", 1, servers=[ServerEntry(number + 1, record)])
 
     def test_urgent_news_goes_before_a_backlog(self):
-        # A burst of restarts fills the queue. A server that drains must not
-        # get new work for as long as it takes to tell of all restarts.
+        # A burst of restarts fills the queue. If news of a draining server waited
+        # behind it, the server would receive new work until the queue is sent.
         queue = NewsQueue()
         for number in range(1000):
             queue.add(self.entry(number), Priority.NORMAL, 100)
         queue.add(self.entry(5, "draining"), Priority.URGENT, 100)
-        first = queue.take(200)[0]
+        first = queue.next_batch(200)[0]
         self.assertEqual("draining", first.servers[0].record.state)
 
-    def test_newer_news_replaces_older_and_each_is_sent_a_bounded_time(self):
+    def test_newer_news_replaces_older_and_is_sent_a_bounded_number_of_times(self):
         queue = NewsQueue()
         for _ in range(100):
             queue.add(self.entry(1), Priority.NORMAL, 1000)
         sent = 0
-        while queue.take(1000):
+        while queue.next_batch(1000):
             sent += 1
         self.assertLessEqual(sent, 8)
 
 
 class SuspicionsTests(TestCase):
-    def test_one_suspecter_never_makes_a_death_and_more_are_quicker(self):
-        # A node whose own link or task is at fault finds all others silent.
+    def test_a_death_needs_several_suspecters_and_more_shorten_the_timeout(self):
+        # A node with a broken link or a slow task receives no answer from any
+        # other node.
         suspicions = Suspicions()
         epoch = Epoch(1, 0)
         suspicions.add("lonely", epoch, "node-1", 0.0)
