--- a/balsamspindle/membership/channel.py
+++ b/balsamspindle/membership/channel.py
@@ -1,12 +1,12 @@
 """Typed messages between members, within the byte cap.
 
-Other parts of the node ride on it::
+Other parts of the node send and receive messages over it::
 
     channel.register("settings_pull", SettingsPull, self._answer)
     channel.send(address, SettingsPull("10.0.0.1:7946", 41), now_s)
 
 A handler is called in the member task with the peer, the decoded message and
-the present time.
+the current time on the monotonic clock.
 """
 
 import queue
@@ -26,7 +26,7 @@
 __all__ = ["Channel", "Handler", "Peer"]
 
 DROP_EVENT_INTERVAL_S = 1.0
-CLOCK_EVENT_S = 60.0
+CLOCK_EVENT_INTERVAL_S = 60.0
 
 
 class Peer(NamedTuple):
@@ -35,15 +35,15 @@
     Attributes
     ----------
     address : str
-        Its member address.
+        Member address of the sender.
     settings_revision : int
-        In force there when it sent; -1 for none.
+        Revision in force at the sender; -1 for none.
     route : Route
-        The connection that the message came on.
+        Connection on which the message was received.
     crash_digest : int
-        Of what it knows of crashed backend servers.
+        Digest of the sender's records of crashed backend servers.
     store_era : int
-        The newest that it heard of.
+        Newest era of the store that the sender knows.
     """
 
     node_id: str
@@ -58,29 +58,29 @@
 Handler = Callable[[Peer, Any, float], None]
 
 
-class _Kind(NamedTuple):
+class _MessageKind(NamedTuple):
     decoder: msgspec.msgpack.Decoder
     handler: Handler
 
 
 class Channel:
-    """Sends and takes the member messages of one node.
+    """Sends and receives the member messages of one node.
 
     Parameters
     ----------
     sender : callable
-        Returns what each message says of this node.
-    budget, settings_budget : ByteBudget
-        Of all messages, and the one that messages of settings use first.
-    on_peer : callable
-        Called with each peer and the present time before the message's own
-        handler: hears the peer's settings revision.
+        Returns the `Sender` that each message carries.
+    budget : ByteBudget
+        Byte cap of all messages.
+    settings_budget : ByteBudget or None
+        Bytes that only messages of settings may use. They use `budget` only
+        when these are spent.
 
     Attributes
     ----------
     counts : Counter
-        Messages by ``sent``, ``received``, ``over_cap``, ``not_sent`` and
-        ``dropped_...``.
+        Number of messages by ``sent``, ``received``, ``over_cap``,
+        ``not_sent`` and ``dropped_...``.
     """
 
     def __init__(
@@ -96,22 +96,25 @@
         self._budget = budget
         self._settings_budget = settings_budget
         self._events = events
-        self._kinds: dict[str, _Kind] = {}
-        self._names: dict[type, str] = {}
+        self._kinds: dict[str, _MessageKind] = {}
+        self._kinds_by_type: dict[type, str] = {}
         self._calls: queue.SimpleQueue[Callable[[], None]] = queue.SimpleQueue()
         self._drop_event_s = float("-inf")
         self._clock_event_s = float("-inf")
-        self._on_peer: list[Callable[[Peer, float], None]] = []
+        self._peer_handlers: list[Callable[[Peer, float], None]] = []
         self.counts: Counter[str] = Counter()
 
     def register(self, kind: str, message_type: type, handler: Handler) -> None:
-        """Take messages of a kind; register before the member task runs."""
-        self._kinds[kind] = _Kind(msgspec.msgpack.Decoder(message_type), handler)
-        self._names[message_type] = kind
+        """Register a kind of message and its handler, before the member task runs."""
+        self._kinds[kind] = _MessageKind(msgspec.msgpack.Decoder(message_type), handler)
+        self._kinds_by_type[message_type] = kind
 
     def on_peer(self, handler: Callable[[Peer, float], None]) -> None:
-        """Have each message's sender told to `handler`."""
-        self._on_peer.append(handler)
+        """Register a handler that is called with the sender of each message.
+
+        It runs before the message's own handler.
+        """
+        self._peer_handlers.append(handler)
 
     def send(
         self,
@@ -125,12 +128,12 @@
         Returns
         -------
         bool
-            False when the byte cap or the connection did not take it; it is
-            not kept.
+            False when the byte cap or the connection refused the message. It
+            is not retried.
         """
         frame = self._frame(message)
         cost_bytes = self._transport.cost_bytes(address, len(frame))
-        return self._pay(cost_bytes, now_s, importance) and self._count_sent(
+        return self._spend(cost_bytes, now_s, importance) and self._count_sent(
             self._transport.send(address, frame)
         )
 
@@ -141,24 +144,27 @@
         now_s: float,
         importance: Importance = Importance.ROUTINE,
     ) -> bool:
-        """Send back on the connection that the peer's message came on."""
+        """Send a message on the connection that the peer's message came on."""
         frame = self._frame(message)
         cost_bytes = self._transport.cost_bytes(peer.route.address, len(frame))
-        return self._pay(cost_bytes, now_s, importance) and self._count_sent(
+        return self._spend(cost_bytes, now_s, importance) and self._count_sent(
             self._transport.answer(peer.route, frame)
         )
 
     def room_bytes(self, importance: Importance, now_s: float) -> int:
-        """Return how many bytes a message may take now."""
+        """Return the size of the largest message that may be sent now."""
         return self._budget.room_bytes(importance, now_s)
 
     def call_soon(self, function: Callable[[], None]) -> None:
-        """Run a function in the member task; callable from any thread."""
+        """Schedule a call in the member task; callable from any thread."""
         self._calls.put(function)
         self._transport.wake()
 
     def receive(self, wait_s: float, now_s: Callable[[], float]) -> int:
-        """Wait for frames, handle them, and return their number."""
+        """Wait for frames, handle them and return their number.
+
+        Also runs the calls that were scheduled with `call_soon`.
+        """
         received = self._transport.receive(wait_s)
         while not self._calls.empty():
             self._calls.get()()
@@ -167,15 +173,15 @@
         return len(received)
 
     def take(self, route: Route, frame: bytes, now_s: float) -> None:
-        """Handle one frame; what can't be read is counted and dropped."""
+        """Handle one frame; one that cannot be decoded is counted and dropped."""
         match decode_member(frame):
             case Result(tag="ok", ok=envelope):
-                self._take_envelope(route, envelope, now_s)
+                self._handle_envelope(route, envelope, now_s)
             case Result(error=error):
                 self.drop("garbage", error.message, now_s)
 
     def drop(self, why: str, cause: str, now_s: float) -> None:
-        """Count a dropped message and tell of it, at most once a second."""
+        """Count a dropped message and emit an event, at most one a second."""
         self.counts[f"dropped_{why}"] += 1
         if now_s - self._drop_event_s < DROP_EVENT_INTERVAL_S:
             return
@@ -183,14 +189,14 @@
         total = self.counts[f"dropped_{why}"]
         self._events.emit("message_dropped", why=why, total=total, cause=cause)
 
-    def _take_envelope(self, route: Route, envelope: Envelope, now_s: float):
+    def _handle_envelope(self, route: Route, envelope: Envelope, now_s: float):
         kind = self._kinds.get(envelope.kind)
         if kind is None:
             self.drop("unknown_kind", envelope.kind[:40], now_s)
             return
         sender = envelope.sender
         if sender.node_id == self._sender().node_id:
-            self.drop("own", "a message of this node itself", now_s)
+            self.drop("own", "a message sent by this node itself", now_s)
             return
         try:
             message = kind.decoder.decode(envelope.body)
@@ -208,7 +214,7 @@
             sender.crash_digest,
             sender.store_era,
         )
-        for handler in self._on_peer:
+        for handler in self._peer_handlers:
             handler(peer, now_s)
         kind.handler(peer, message, now_s)
 
@@ -216,19 +222,24 @@
         clock, wall_s = self._events.clock, time.time()
         refused = clock.refused
         clock.observe(sender.hlc, wall_s)
-        if clock.refused == refused or now_s - self._clock_event_s < CLOCK_EVENT_S:
+        if (
+            clock.refused == refused
+            or now_s - self._clock_event_s < CLOCK_EVENT_INTERVAL_S
+        ):
             return
         self._clock_event_s = now_s
         ahead_s = f"{clock.ahead_s(sender.hlc, wall_s):.1f}"
         self._events.emit("clock_ahead", peer=sender.node_id, ahead_s=ahead_s)
 
     def _frame(self, message) -> bytes:
-        return encode_member(self._names[type(message)], self._sender(), message)
+        return encode_member(
+            self._kinds_by_type[type(message)], self._sender(), message
+        )
 
-    def _pay(self, cost_bytes: int, now_s: float, importance: Importance) -> bool:
+    def _spend(self, cost_bytes: int, now_s: float, importance: Importance) -> bool:
         if importance is Importance.SETTINGS:
-            own = self._settings_budget
-            if own is not None and own.take(cost_bytes, now_s, importance):
+            budget = self._settings_budget
+            if budget is not None and budget.take(cost_bytes, now_s, importance):
                 return True
             importance = Importance.URGENT
         if self._budget.take(cost_bytes, now_s, importance):
@@ -236,6 +247,6 @@
         self.counts["over_cap"] += 1
         return False
 
-    def _count_sent(self, taken: bool) -> bool:
-        self.counts["sent" if taken else "not_sent"] += 1
-        return taken
+    def _count_sent(self, accepted: bool) -> bool:
+        self.counts["sent" if accepted else "not_sent"] += 1
+        return accepted
--- a/balsamspindle/membership/transport.py
+++ b/balsamspindle/membership/transport.py
@@ -1,4 +1,4 @@
-"""How member frames travel: an interface, and ZeroMQ behind it."""
+"""Transport of member frames: the interface and its ZeroMQ implementation."""
 
 import os
 from collections import OrderedDict
@@ -13,68 +13,72 @@
     protect_listener,
 )
 
-__all__ = ["Received", "Route", "Transport", "ZmqTransport"]
+__all__ = ["ReceivedFrame", "Route", "Transport", "ZmqTransport"]
 
-OPEN_PEERS_MAX = 64
+OPEN_CONNECTIONS_MAX = 64
 SEND_QUEUE_MAX = 64
 RECEIVE_QUEUE_MAX = 2000
 RECEIVE_BATCH_MAX = 200
 HANDSHAKE_TIMEOUT_MS = 2000
-# Payload aside: ZMTP framing, TCP and IP headers of the message and its ACK.
+# Bytes of a message besides its payload: ZMTP framing, and the TCP and IP headers of
+# the message and of its ACK.
 MESSAGE_OVERHEAD_BYTES = 80
-# TCP and ZMTP handshakes of one new connection, our half.
+# This node's part of the TCP and ZMTP handshakes of a new connection.
 CONNECT_OVERHEAD_BYTES = 400
-# CURVE's further handshake messages, our half.
+# This node's part of the additional CURVE handshake.
 CURVE_OVERHEAD_BYTES = 500
 
 
 class Route(NamedTuple):
-    """Where an answer to a received frame goes.
+    """Connection on which a frame was received, used to send an answer.
 
     Attributes
     ----------
     address : str
-        Set for frames that came on a connection that this node opened.
+        Address of the peer, if this node opened the connection; else empty.
     routing_id : bytes
-        Set for frames that came on a connection that the peer opened.
+        ROUTER id of the peer, if the peer opened the connection; else empty.
     """
 
     address: str = ""
     routing_id: bytes = b""
 
 
-class Received(NamedTuple):
-    """One frame and the route back."""
+class ReceivedFrame(NamedTuple):
+    """A frame and the connection that it was received on."""
 
     route: Route
     frame: bytes
 
 
 class Transport:
-    """Carries frames between members; not reliable, may lose any of them."""
+    """Carries frames between members; unreliable, any frame may be lost."""
 
     def cost_bytes(self, address: str, size_bytes: int) -> int:
-        """Return what sending a frame costs on the network."""
+        """Return the bytes that sending a frame takes on the network."""
         raise NotImplementedError
 
     def send(self, address: str, frame: bytes) -> bool:
-        """Send to a member address; False when it was not taken."""
+        """Send a frame to a member address; return False if it was refused."""
         raise NotImplementedError
 
     def answer(self, route: Route, frame: bytes) -> bool:
-        """Send on the connection that a frame came on."""
+        """Send a frame on the connection that another one was received on.
+
+        Returns False if it was refused.
+        """
         raise NotImplementedError
 
-    def receive(self, wait_s: float) -> list[Received]:
-        """Return frames, waiting for the first or a `wake`."""
+    def receive(self, wait_s: float) -> list[ReceivedFrame]:
+        """Wait up to `wait_s` for a frame or a `wake`; return the received frames."""
         raise NotImplementedError
 
     def forget(self, address: str) -> None:
-        """Close the connection to an address; the next send opens one."""
+        """Close the connection to an address; the next send opens a new one."""
         raise NotImplementedError
 
     def wake(self) -> None:
-        """End a `receive` that waits; callable from any thread."""
+        """Make a waiting `receive` return; callable from any thread."""
         raise NotImplementedError
 
     def close(self) -> None:
@@ -83,13 +87,14 @@
 
 
 class ZmqTransport(Transport):
-    """One ROUTER to listen, and a bounded number of DEALERs to ask.
+    """Listens on one ROUTER socket and connects with a DEALER socket per peer.
 
-    A node may ask any of thousands of peers. Connections beyond
-    `OPEN_PEERS_MAX` are closed, the longest unused first: without the bound
-    the open sockets, and their threads' memory, grow with the fleet.
+    A node may send to any of thousands of peers. When more than
+    `OPEN_CONNECTIONS_MAX` connections are open, the least recently used one is
+    closed: without this bound the number of sockets, and the memory of the I/O
+    threads, would grow with the fleet.
 
-    All but `wake` is called from one thread.
+    All methods but `wake` must be called from the same thread.
     """
 
     def __init__(
@@ -100,10 +105,10 @@
         self._connect_bytes = CONNECT_OVERHEAD_BYTES
         if keys is not None:
             self._connect_bytes += CURVE_OVERHEAD_BYTES
-        self._peers: OrderedDict[str, zmq.Socket] = OrderedDict()
+        self._connections: OrderedDict[str, zmq.Socket] = OrderedDict()
         self._addresses: dict[zmq.Socket, str] = {}
         self._wake_fd = os.eventfd(0, os.EFD_NONBLOCK)
-        self._router = self._socket(zmq.ROUTER)
+        self._router = self._create_socket(zmq.ROUTER)
         protect_listener(self._router, keys)
         self._router.bind(f"tcp://{address}")
         self._poller = zmq.Poller()
@@ -111,21 +116,21 @@
         self._poller.register(self._wake_fd, zmq.POLLIN)
         self.connects = 0
 
-    def open_peers(self) -> int:
+    def open_connections(self) -> int:
         """Return the number of connections that this node opened."""
-        return len(self._peers)
+        return len(self._connections)
 
     def cost_bytes(self, address, size_bytes):
         """See `Transport.cost_bytes`."""
-        known = not address or address in self._peers
+        known = not address or address in self._connections
         connect_bytes = 0 if known else self._connect_bytes
         return size_bytes + MESSAGE_OVERHEAD_BYTES + connect_bytes
 
     def send(self, address, frame):
         """See `Transport.send`."""
         try:
-            socket = self._peers.get(address) or self._open(address)
-            self._peers.move_to_end(address)
+            socket = self._connections.get(address) or self._connect(address)
+            self._connections.move_to_end(address)
             socket.send(frame, zmq.NOBLOCK)
         except zmq.ZMQError:
             return False
@@ -143,69 +148,69 @@
 
     def receive(self, wait_s):
         """See `Transport.receive`."""
-        received: list[Received] = []
+        received: list[ReceivedFrame] = []
         for source, _ in self._poller.poll(max(0, int(wait_s * 1000))):
             if source == self._wake_fd:
                 os.eventfd_read(self._wake_fd)
             else:
-                self._read(source, received)
+                self._receive_frames(source, received)
         return received
 
     def forget(self, address):
         """See `Transport.forget`."""
-        socket = self._peers.pop(address, None)
+        socket = self._connections.pop(address, None)
         if socket is not None:
-            self._close(socket)
+            self._close_socket(socket)
 
     def wake(self):
         """See `Transport.wake`."""
         try:
             os.eventfd_write(self._wake_fd, 1)
         except OSError:
-            # Closed: nobody waits any more.
+            # The transport is closed, so no `receive` is waiting.
             pass
 
     def close(self):
         """See `Transport.close`."""
-        for address in list(self._peers):
+        for address in list(self._connections):
             self.forget(address)
         self._router.close()
         wake_fd, self._wake_fd = self._wake_fd, -1
         os.close(wake_fd)
 
-    def _open(self, address) -> zmq.Socket:
-        while len(self._peers) >= OPEN_PEERS_MAX:
-            self.forget(next(iter(self._peers)))
-        socket = self._socket(zmq.DEALER)
+    def _connect(self, address) -> zmq.Socket:
+        while len(self._connections) >= OPEN_CONNECTIONS_MAX:
+            self.forget(next(iter(self._connections)))
+        socket = self._create_socket(zmq.DEALER)
         protect_connection(socket, self._keys)
         try:
             socket.connect(f"tcp://{address}")
         except zmq.ZMQError:
             socket.close()
             raise
-        self._peers[address] = socket
+        self._connections[address] = socket
         self._addresses[socket] = address
         self._poller.register(socket, zmq.POLLIN)
         self.connects += 1
         return socket
 
-    def _socket(self, kind) -> zmq.Socket:
+    def _create_socket(self, kind) -> zmq.Socket:
         socket = self._context.socket(kind)
         socket.setsockopt(zmq.LINGER, 0)
         socket.setsockopt(zmq.SNDHWM, SEND_QUEUE_MAX)
         socket.setsockopt(zmq.RCVHWM, RECEIVE_QUEUE_MAX)
         socket.setsockopt(zmq.HANDSHAKE_IVL, HANDSHAKE_TIMEOUT_MS)
-        # The library drops a connection that sends more, before the bytes
-        # take memory here.
+        # ZeroMQ closes a connection that sends a larger message, before the
+        # message takes memory in this process.
         socket.setsockopt(zmq.MAXMSGSIZE, MEMBER_MESSAGE_MAX_BYTES)
         return socket
 
-    def _close(self, socket) -> None:
+    def _close_socket(self, socket) -> None:
         self._poller.unregister(socket)
         del self._addresses[socket]
         socket.close()
 
-    def _read(self, socket, received: list[Received]) -> None:
+    def _receive_frames(self, socket, received: list[ReceivedFrame]) -> None:
         address = self._addresses.get(socket, "")
         for _ in range(RECEIVE_BATCH_MAX):
             try:
@@ -213,6 +218,6 @@
             except zmq.ZMQError:
                 return
             if address:
-                received.append(Received(Route(address=address), frames[-1]))
+                received.append(ReceivedFrame(Route(address=address), frames[-1]))
             else:
-                received.append(Received(Route(routing_id=frames[0]), frames[-1]))
+                received.append(ReceivedFrame(Route(routing_id=frames[0]), frames[-1]))
--- a/tests/member_network.py
+++ b/tests/member_network.py
@@ -1,7 +1,7 @@
-"""Several real `Member` objects in one process, on a clock that tests move.
+"""Several real `Member` objects in one process, on a simulated clock.
 
-Only the transport is a fake: frames wait in a list until their time. A link
-can be cut in one direction.
+Only the transport is simulated: frames are queued until their time of
+delivery. A connection can be cut in one direction.
 """
 
 import heapq
@@ -22,15 +22,15 @@
 from balsamspindle.wire import BackendServerRecord
 
 LATENCY_S = 0.0015
-OPEN_PEERS = 64
+OPEN_CONNECTIONS = 64
 FIRST_INCARNATION = 1_000
 
 
 class FixedClock:
-    """A clock that always says the same.
+    """A clock that always returns the same time.
 
-    The size of deflated frames depends on the time in them, and the byte cap
-    on the sizes: with the real clock no run would be like another.
+    The compressed size of a frame depends on the time in it, and the byte cap
+    counts these sizes: with the real clock, runs would differ from each other.
     """
 
     refused = 0
@@ -43,7 +43,7 @@
 
 
 class RecordedEvents:
-    """Takes events in place of an `EventLog`."""
+    """Records events in memory, in place of an `EventLog`."""
 
     def __init__(self) -> None:
         self.clock = FixedClock()
@@ -57,13 +57,13 @@
 
 
 class MemoryTransport(Transport):
-    """One member's end of a `MemberNetwork`."""
+    """The transport of one member of a `MemberNetwork`."""
 
     def __init__(self, network: "MemberNetwork", address: str) -> None:
         self._network = network
         self.address = address
         self._open: dict[str, None] = {}
-        # Whether frames pass on connections that this end opens.
+        # Whether frames are delivered on connections that this member opens.
         self.can_open: Callable[[str], bool] = lambda address: True
         self.received_bytes = 0
 
@@ -76,7 +76,7 @@
     def send(self, address, frame):
         self._open.pop(address, None)
         self._open[address] = None
-        if len(self._open) > OPEN_PEERS:
+        if len(self._open) > OPEN_CONNECTIONS:
             self._open.pop(next(iter(self._open)))
         if self.can_open(address):
             self._network.post(self.address, address, frame)
@@ -100,7 +100,7 @@
 
 
 class FakeNode:
-    """A member with its directory, its events and its backend servers."""
+    """A real member with its directory and events, and made-up backend servers."""
 
     def __init__(self, network, number, zone, region, incarnation, **settings):
         self.number = number
@@ -136,11 +136,11 @@
         )
 
     def alive(self) -> set[str]:
-        """Return the ids of the nodes that this one takes for alive."""
+        """Return the ids of the nodes that are alive in this node's directory."""
         return {record.node_id for record in self.directory.alive()}
 
     def serve(self, count: int, services: int = 50, boot_id: str = "1") -> None:
-        """Have backend servers announced at this node."""
+        """Replace this node's backend servers by `count` new ones."""
         self.servers = tuple(
             BackendServerRecord(
                 f"server-{self.number:05d}-{one:02d}",
@@ -153,7 +153,7 @@
         )
 
     def knows(self, boot_id: str, of: "FakeNode") -> bool:
-        """Tell whether this node knows all of another's present servers."""
+        """Return whether this node knows the current servers of another one."""
         view = self.directory.view(of.node_id)
         if view is None or view.is_dead:
             return not of.servers
@@ -166,13 +166,13 @@
 
 
 class MemberNetwork:
-    """Moves frames and the clock."""
+    """Delivers frames between nodes and advances the simulated clock."""
 
     def __init__(self) -> None:
         self.now_s = 1_000.0
         self.nodes: dict[str, FakeNode] = {}
         self.passes: Callable[[FakeNode, FakeNode], bool] = lambda source, target: True
-        # Like `passes`, for frames on connections that their sender opened.
+        # Like `passes`, but only for connections that the source node opened.
         self.opens: Callable[[FakeNode, FakeNode], bool] = lambda source, target: True
         self._pending: list = []
         self._sequence = itertools.count()
@@ -181,17 +181,17 @@
     def add(
         self, number, zone="zone-1", region="test", seeds=(), **options
     ) -> FakeNode:
-        """Start a node; one of the same number is replaced."""
+        """Start a node; it replaces a node that has the same number."""
         incarnation = options.pop("incarnation", FIRST_INCARNATION)
         options["seed_addresses"] = tuple(node.address for node in seeds)
         node = FakeNode(self, number, zone, region, incarnation, **options)
         self.nodes[node.address] = node
-        # Ticks of different nodes fall at different times.
-        self._at(self.now_s + TICK_S * ((number * 37 % 100) / 100), node, None)
+        # Different nodes tick at different times.
+        self._schedule(self.now_s + TICK_S * ((number * 37 % 100) / 100), node, None)
         return node
 
     def add_many(self, count, zones=3, **options) -> list[FakeNode]:
-        """Start nodes that know each other by their first three."""
+        """Start nodes that have the first three of them as seeds."""
         nodes: list[FakeNode] = []
         for number in range(count):
             zone = f"zone-{number % zones}"
@@ -199,50 +199,54 @@
         return nodes
 
     def introduce(self, nodes) -> None:
-        """Let nodes know each other without exchanging messages first."""
-        wholes = [node.member.knowledge.own.whole() for node in nodes]
+        """Add all nodes to each other's directories without any messages."""
+        records = [node.member.knowledge.own.whole() for node in nodes]
         for node in nodes:
-            for whole in wholes:
-                node.directory.apply(whole, self.now_s)
+            for record in records:
+                node.directory.apply(record, self.now_s)
 
-    def can_open(self, near: FakeNode, address: str) -> bool:
-        """Tell whether frames pass on a connection from one node to another."""
-        far = self.nodes.get(address)
-        return far is None or self.opens(near, far)
+    def can_open(self, source: FakeNode, address: str) -> bool:
+        """Return whether frames are delivered on a connection that a node opens."""
+        target = self.nodes.get(address)
+        return target is None or self.opens(source, target)
 
     def post(self, source: str, target: str, frame: bytes) -> None:
-        """Send a frame, unless the link is cut or nobody is there."""
+        """Queue a frame for delivery unless the link is cut or the target is down."""
         self.frames += 1
-        near, far = self.nodes.get(source), self.nodes.get(target)
-        if near is None or far is None or not self.passes(near, far):
+        source_node, target_node = self.nodes.get(source), self.nodes.get(target)
+        if (
+            source_node is None
+            or target_node is None
+            or not self.passes(source_node, target_node)
+        ):
             return
-        self._at(self.now_s + LATENCY_S, far, (source, frame))
+        self._schedule(self.now_s + LATENCY_S, target_node, (source, frame))
 
     def run(self, duration_s: float, until: Callable[[], bool] | None = None) -> bool:
-        """Let time pass; end early when `until` holds, looked at each tick."""
+        """Advance the clock; stop once `until`, which is checked each tick, holds."""
         end_s = self.now_s + duration_s
-        look_s = self.now_s
+        next_check_s = self.now_s
         while self._pending and self._pending[0][0] <= end_s:
             at_s, _, node, delivery = heapq.heappop(self._pending)
             self.now_s = max(self.now_s, at_s)
             self._step(node, delivery)
-            if until is not None and self.now_s >= look_s:
-                look_s = self.now_s + TICK_S
+            if until is not None and self.now_s >= next_check_s:
+                next_check_s = self.now_s + TICK_S
                 if until():
                     return True
         self.now_s = end_s
         return until is not None and until()
 
     def pause(self, node: FakeNode) -> None:
-        """Stop a node's process; frames to it wait."""
+        """Suspend a node's process; frames to it are delivered when it resumes."""
         node.running = False
 
     def resume(self, node: FakeNode) -> None:
-        """Let a paused process run on."""
+        """Resume a suspended process."""
         node.running = True
 
     def kill(self, node: FakeNode) -> None:
-        """End a node at once."""
+        """Terminate a node without notice to the others."""
         if self.nodes.get(node.address) is node:
             del self.nodes[node.address]
 
@@ -250,21 +254,21 @@
         if self.nodes.get(node.address) is not node:
             return
         if not node.running:
-            self._at(self.now_s + TICK_S, node, delivery)
+            self._schedule(self.now_s + TICK_S, node, delivery)
             return
         if delivery is None:
             node.member.tick(self.now_s)
-            self._at(self.now_s + TICK_S, node, None)
+            self._schedule(self.now_s + TICK_S, node, None)
             return
         source, frame = delivery
         node.transport.received_bytes += len(frame) + MESSAGE_OVERHEAD_BYTES
         route = Route(routing_id=source.encode())
         node.member.channel.take(route, frame, self.now_s)
 
-    def _at(self, at_s: float, node: FakeNode, delivery) -> None:
+    def _schedule(self, at_s: float, node: FakeNode, delivery) -> None:
         heapq.heappush(self._pending, (at_s, next(self._sequence), node, delivery))
 
 
 def count_events(nodes, event: str) -> int:
-    """Return how often nodes emitted an event."""
+    """Return how often the nodes emitted an event in total."""
     return sum(node.events.counts[event] for node in nodes)
--- a/tests/test_member_processes.py
+++ b/tests/test_member_processes.py
@@ -1,4 +1,4 @@
-"""Membership between real node processes: one-way partitions and pauses."""
+"""Membership of real node processes: one-way partitions and suspended processes."""
 
 import signal
 import time
@@ -7,7 +7,7 @@
 import zmq
 from testtools import TestCase
 
-from balsamspindle.membership.transport import OPEN_PEERS_MAX, ZmqTransport
+from balsamspindle.membership.transport import OPEN_CONNECTIONS_MAX, ZmqTransport
 from balsamspindle.wire import Sender
 from tests.relay import Flow, Relay
 from tests.utils import Fleet, free_address, wait_until
@@ -20,7 +20,7 @@
         self.addCleanup(self.fleet.__exit__)
 
     def start_nodes(self, count, relayed=()):
-        """Start nodes without a platform; some behind a relay of their own."""
+        """Start nodes without a platform, each one in `relayed` behind a relay."""
         self.relays = {}
         nodes = []
         for number in range(count):
@@ -40,18 +40,18 @@
             nodes.append(self.fleet.start_node(f"node-{number}", "zone", **changes))
         self.nodes = nodes
         for node in nodes:
-            self.wait_sees(node, nodes)
+            self.wait_until_lists(node, nodes)
         return nodes
 
-    def ids_seen(self, node):
+    def listed_ids(self, node):
         status = node.status()
         return None if status is None else {one["node_id"] for one in status["nodes"]}
 
-    def wait_sees(self, node, nodes):
+    def wait_until_lists(self, node, nodes):
         expected = {one.settings["node_id"] for one in nodes}
         wait_until(
-            lambda: self.ids_seen(node) == expected,
-            f"{node.settings['node_id']} sees {sorted(expected)}",
+            lambda: self.listed_ids(node) == expected,
+            f"{node.settings['node_id']} lists {sorted(expected)}",
             30,
         )
 
@@ -59,9 +59,8 @@
         lines = node.log_path.read_text().splitlines()
         return [line for line in lines if f" event={event} " in line + " "]
 
-    def test_an_address_that_no_socket_takes_is_not_learned(self):
-        # A record with an impossible address would be tried again and again,
-        # by members and by requests.
+    def test_an_invalid_address_is_rejected(self):
+        # Members and requests would try an impossible address again and again.
         for address in ("999.1.1.1:80", "1.2.3.4:99999", "nonsense", "1.2.3.4:80\n"):
             with self.assertRaises(msgspec.ValidationError):
                 msgspec.convert(["node", 1, address], Sender)
@@ -72,21 +71,21 @@
         self.addCleanup(context.term)
         transport = ZmqTransport(context, free_address())
         self.addCleanup(transport.close)
-        for number in range(OPEN_PEERS_MAX * 2):
+        for number in range(OPEN_CONNECTIONS_MAX * 2):
             transport.send(f"127.0.0.1:{20_000 + number}", b"x")
-        self.assertEqual(OPEN_PEERS_MAX, transport.open_peers())
+        self.assertEqual(OPEN_CONNECTIONS_MAX, transport.open_connections())
 
-    def test_a_killed_node_is_found_dead_by_the_others(self):
+    def test_a_killed_node_is_declared_dead_by_the_others(self):
         nodes = self.start_nodes(4)
         nodes[3].kill()
         for node in nodes[:3]:
-            self.wait_sees(node, nodes[:3])
+            self.wait_until_lists(node, nodes[:3])
 
-    def test_a_node_that_nobody_can_call_does_not_flap(self):
-        # What others send to node-0 vanishes on connections that stay open;
-        # node-0's own connections work both ways. The others take it out
-        # once; it declares nobody dead and does not refute its own death as
-        # long as nobody reaches its address.
+    def test_a_node_that_no_peer_can_connect_to_does_not_flap(self):
+        # Frames of others to node-0 are lost on connections that stay open;
+        # connections that node-0 opens work both ways. The others declare it
+        # dead once each. It must not declare any of them dead, and must not
+        # refute its own death while no peer reaches its address.
         nodes = self.start_nodes(4, relayed={0})
         self.relays[0].forward = Flow.DROP
         time.sleep(20)
@@ -97,26 +96,26 @@
         self.relays[0].forward = Flow.PASS
         self.relays[0].cut()
         for node in nodes:
-            self.wait_sees(node, nodes)
+            self.wait_until_lists(node, nodes)
 
-    def test_a_stopped_process_that_runs_on_declares_nobody_dead(self):
-        # SIGSTOP for longer than all time-outs: the others hold node-0 dead.
-        # After SIGCONT all its timers have run out at once; it must drop
-        # them, refute its own death and know of the node that died meanwhile.
+    def test_a_resumed_process_declares_no_node_dead(self):
+        # node-0 is suspended by SIGSTOP for longer than all time-outs, and the
+        # others declare it dead. After SIGCONT all its timers have expired; it
+        # must discard them, refute its own death and declare no other node dead.
         nodes = self.start_nodes(4)
         nodes[0].signal(signal.SIGSTOP)
         for node in nodes[1:]:
-            self.wait_sees(node, nodes[1:])
+            self.wait_until_lists(node, nodes[1:])
         nodes[0].signal(signal.SIGCONT)
         for node in nodes:
-            self.wait_sees(node, nodes)
-        # Events reach the log a little later than they happen.
+            self.wait_until_lists(node, nodes)
+        # Events are written to the log with a short delay.
         wait_until(
             lambda: (
                 self.events(nodes[0], "claim_refuted")
                 or self.events(nodes[0], "node_woke_up")
             ),
-            "the woken node says so",
+            "node-0 logs that it woke up or refuted its death",
         )
         time.sleep(3)
         self.assertEqual(1, len(self.events(nodes[0], "node_woke_up")))
--- a/tests/test_node_trust.py
+++ b/tests/test_node_trust.py
@@ -1,4 +1,4 @@
-"""Nodes with fleet keys: a stranger's messages change nothing."""
+"""Nodes with fleet keys ignore messages from hosts without the key."""
 
 import time
 
@@ -19,7 +19,7 @@
 )
 from tests.utils import call, start_fleet, wait_until
 
-STRANGER_WAIT_S = 3.0
+REJECTION_WAIT_S = 3.0
 SETTINGS = {
     "crew/services/contracts": {},
     "crew/routes/sign": {
@@ -50,10 +50,10 @@
         )
         self.fleet.wait_ready(self.nodes, ["contract-0"])
 
-    def strangers(self):
-        """Return sockets without keys, and with a key that nobody allowed."""
+    def foreign_sockets(self):
+        """Return one socket without keys and one with a key that is not allowed."""
         context = zmq.Context()
-        # Also for those that are collected before the context ends.
+        # Also set for sockets that are garbage-collected before the context ends.
         context.linger = 0
         self.addCleanup(context.destroy, 0)
         plain = context.socket(zmq.DEALER)
@@ -88,34 +88,34 @@
             )
         )
 
-    def test_nodes_with_the_key_serve_each_other_and_end_in_order(self):
+    def test_nodes_with_the_key_serve_each_other_and_stop_cleanly(self):
         answer = call(self.nodes[1].caller_address, "/contracts/1", "POST", b"x")
         self.assertEqual("answered", answer.outcome)
         self.assertEqual(0, self.nodes[1].stop())
 
-    def test_a_strangers_messages_change_nothing(self):
-        # A machine that reaches the nodes' addresses sends news of a node of
-        # its own, and a request straight to the gate. It would draw callers'
-        # requests to itself, or run work that no caller asked for.
+    def test_a_foreign_hosts_messages_are_ignored(self):
+        # A foreign host that reaches the nodes' addresses announces a node of its
+        # own and sends a dispatch directly to a gate. If they were accepted, the
+        # host would receive callers' requests and run work at backend servers.
         settings = self.nodes[0].settings
-        for socket in self.strangers():
+        for socket in self.foreign_sockets():
             for address, frame in (
                 (settings["member_address"], self.forged_news()),
                 (settings["link_address"], self.forged_dispatch()),
             ):
                 socket.connect(f"tcp://{address}")
                 socket.send(frame)
-                time.sleep(STRANGER_WAIT_S / 2)
+                time.sleep(REJECTION_WAIT_S / 2)
                 socket.disconnect(f"tcp://{address}")
-        time.sleep(STRANGER_WAIT_S / 2)
+        time.sleep(REJECTION_WAIT_S / 2)
         self.assertEqual({}, self.server.runs())
         for node in self.nodes:
             seen = {one["node_id"] for one in node.status()["nodes"]}
             self.assertEqual({"node-0", "node-1"}, seen)
 
-    def test_a_node_without_the_key_joins_nobody(self):
-        stranger = self.fleet.start_node("node-9", "zone", platform_address=None)
-        wait_until(stranger.status, "the stranger runs")
-        time.sleep(STRANGER_WAIT_S)
-        self.assertEqual(1, len(stranger.status()["nodes"]))
+    def test_a_node_without_the_key_cannot_join(self):
+        foreign_node = self.fleet.start_node("node-9", "zone", platform_address=None)
+        wait_until(foreign_node.status, "node-9, which has no key, runs")
+        time.sleep(REJECTION_WAIT_S)
+        self.assertEqual(1, len(foreign_node.status()["nodes"]))
         self.assertEqual(2, len(self.nodes[0].status()["nodes"]))
