--- a/balsamspindle/membership/budget.py
+++ b/balsamspindle/membership/budget.py
@@ -63,7 +63,7 @@
         self.spent_bytes = 0
         self.refused = 0
 
-    def take(self, size_bytes: int, now_s: float, importance: Importance) -> bool:
+    def try_spend(self, size_bytes: int, now_s: float, importance: Importance) -> bool:
         """Spend bytes; return False, and spend none, if too few are available."""
         with self._lock:
             self._refill(now_s)
@@ -75,7 +75,7 @@
             self.spent_bytes += size_bytes
             return True
 
-    def room_bytes(self, importance: Importance, now_s: float) -> int:
+    def available_bytes(self, importance: Importance, now_s: float) -> int:
         """Return the size of the largest message that may be sent now."""
         with self._lock:
             self._refill(now_s)
--- a/balsamspindle/membership/channel.py
+++ b/balsamspindle/membership/channel.py
@@ -151,9 +151,9 @@
             self._transport.answer(peer.route, frame)
         )
 
-    def room_bytes(self, importance: Importance, now_s: float) -> int:
+    def available_bytes(self, importance: Importance, now_s: float) -> int:
         """Return the size of the largest message that may be sent now."""
-        return self._budget.room_bytes(importance, now_s)
+        return self._budget.available_bytes(importance, now_s)
 
     def call_soon(self, function: Callable[[], None]) -> None:
         """Schedule a call in the member task; callable from any thread."""
@@ -169,18 +169,18 @@
         while not self._calls.empty():
             self._calls.get()()
         for route, frame in received:
-            self.take(route, frame, now_s())
+            self.receive_frame(route, frame, now_s())
         return len(received)
 
-    def take(self, route: Route, frame: bytes, now_s: float) -> None:
+    def receive_frame(self, route: Route, frame: bytes, now_s: float) -> None:
         """Handle one frame; one that cannot be decoded is counted and dropped."""
         match decode_member(frame):
             case Result(tag="ok", ok=envelope):
                 self._handle_envelope(route, envelope, now_s)
             case Result(error=error):
-                self.drop("garbage", error.message, now_s)
+                self.record_drop("garbage", error.message, now_s)
 
-    def drop(self, why: str, cause: str, now_s: float) -> None:
+    def record_drop(self, why: str, cause: str, now_s: float) -> None:
         """Count a dropped message and emit an event, at most one a second."""
         self.counts[f"dropped_{why}"] += 1
         if now_s - self._drop_event_s < DROP_EVENT_INTERVAL_S:
@@ -192,16 +192,16 @@
     def _handle_envelope(self, route: Route, envelope: Envelope, now_s: float):
         kind = self._kinds.get(envelope.kind)
         if kind is None:
-            self.drop("unknown_kind", envelope.kind[:40], now_s)
+            self.record_drop("unknown_kind", envelope.kind[:40], now_s)
             return
         sender = envelope.sender
         if sender.node_id == self._sender().node_id:
-            self.drop("own", "a message sent by this node itself", now_s)
+            self.record_drop("own", "a message sent by this node itself", now_s)
             return
         try:
             message = kind.decoder.decode(envelope.body)
         except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as error:
-            self.drop("garbage", f"{envelope.kind}: {error}", now_s)
+            self.record_drop("garbage", f"{envelope.kind}: {error}", now_s)
             return
         self.counts["received"] += 1
         self._observe_clock(sender, now_s)
@@ -239,10 +239,10 @@
     def _spend(self, cost_bytes: int, now_s: float, importance: Importance) -> bool:
         if importance is Importance.SETTINGS:
             budget = self._settings_budget
-            if budget is not None and budget.take(cost_bytes, now_s, importance):
+            if budget is not None and budget.try_spend(cost_bytes, now_s, importance):
                 return True
             importance = Importance.URGENT
-        if self._budget.take(cost_bytes, now_s, importance):
+        if self._budget.try_spend(cost_bytes, now_s, importance):
             return True
         self.counts["over_cap"] += 1
         return False
--- a/balsamspindle/membership/gossip.py
+++ b/balsamspindle/membership/gossip.py
@@ -5,7 +5,7 @@
 from balsamspindle.membership.budget import Importance
 from balsamspindle.membership.channel import Channel, Peer
 from balsamspindle.membership.knowledge import Knowledge
-from balsamspindle.membership.nearness import peers_in_zone
+from balsamspindle.membership.peer_selection import peers_in_zone
 from balsamspindle.wire import Gossip, News, NodeRecord
 
 __all__ = ["Gossiper"]
@@ -44,9 +44,15 @@
     def piggyback(self, now_s: float) -> list[News]:
         """Return queued news to attach to a message that is sent in any case."""
         queue = self._knowledge.queue
-        if self._channel.room_bytes(Importance.ROUTINE, now_s) > PIGGYBACK_MAX_BYTES:
+        if (
+            self._channel.available_bytes(Importance.ROUTINE, now_s)
+            > PIGGYBACK_MAX_BYTES
+        ):
             return queue.next_batch(PIGGYBACK_MAX_BYTES)
-        if self._channel.room_bytes(Importance.URGENT, now_s) > PIGGYBACK_MAX_BYTES:
+        if (
+            self._channel.available_bytes(Importance.URGENT, now_s)
+            > PIGGYBACK_MAX_BYTES
+        ):
             return queue.next_batch(PIGGYBACK_MAX_BYTES, urgent_only=True)
         return []
 
@@ -63,14 +69,14 @@
         self._next_index = (self._next_index + 1) % len(self._neighbours)
         address = self._neighbours[self._next_index].member_address
         importance = Importance.ROUTINE
-        room_bytes = self._channel.room_bytes(importance, now_s)
-        urgent_only = urgent and room_bytes < PIGGYBACK_MAX_BYTES
+        available_bytes = self._channel.available_bytes(importance, now_s)
+        urgent_only = urgent and available_bytes < PIGGYBACK_MAX_BYTES
         if urgent_only:
             importance = Importance.URGENT
-            room_bytes = self._channel.room_bytes(importance, now_s)
-        if room_bytes < PIGGYBACK_MAX_BYTES:
+            available_bytes = self._channel.available_bytes(importance, now_s)
+        if available_bytes < PIGGYBACK_MAX_BYTES:
             return
-        size_bytes = int(min(room_bytes / DEFLATED_FRACTION, GOSSIP_MAX_BYTES))
+        size_bytes = int(min(available_bytes / DEFLATED_FRACTION, GOSSIP_MAX_BYTES))
         news = self._knowledge.queue.next_batch(size_bytes, urgent_only)
         self._channel.send(address, Gossip(news), now_s, importance)
 
--- a/balsamspindle/membership/knowledge.py
+++ b/balsamspindle/membership/knowledge.py
@@ -3,7 +3,7 @@
 import msgspec
 
 from balsamspindle.membership.directory import Directory
-from balsamspindle.membership.news import NewsQueue, Priority
+from balsamspindle.membership.news_queue import NewsQueue, Priority
 from balsamspindle.membership.node_view import (
     Changes,
     Epoch,
@@ -11,7 +11,11 @@
     ServerChange,
 )
 from balsamspindle.membership.own_record import OwnRecord
-from balsamspindle.membership.suspicion import CONFIRMATIONS, Expired, Suspicions
+from balsamspindle.membership.suspicion import (
+    CONFIRMATIONS,
+    ExpiredSuspicion,
+    Suspicions,
+)
 from balsamspindle.timeline import EventLog
 from balsamspindle.wire import (
     BackendServerRecord,
@@ -126,7 +130,7 @@
             # It came back, or refuted, after the probe was sent.
             return
         if self.is_leaving(node.node_id):
-            self._declare(Expired(node.node_id, view.epoch, True), now_s)
+            self._declare(ExpiredSuspicion(node.node_id, view.epoch, True), now_s)
             return
         if not self._may_judge(view.record):
             # Another region's link may be down: its own nodes say who died.
@@ -203,7 +207,7 @@
         new = {change.entry for change in changes.servers}
         for entry in news.servers:
             if entry not in new:
-                self.queue.heard_again(
+                self.queue.record_duplicate(
                     NodeNews(news.node_id, news.incarnation, servers=[entry])
                 )
 
@@ -253,7 +257,7 @@
             return
         dead = claim.verdict is Verdict.DEAD
         if dead and not self._too_many_deaths(claim.node_id, now_s):
-            self._declare(Expired(claim.node_id, epoch, True), now_s, claim.by)
+            self._declare(ExpiredSuspicion(claim.node_id, epoch, True), now_s, claim.by)
         else:
             self._suspect(claim.node_id, epoch, claim.by, now_s)
 
@@ -291,7 +295,9 @@
         claim = VerdictNews(node_id, *epoch, Verdict.SUSPECT, by)
         self.queue.add(claim, Priority.URGENT, self._size())
 
-    def _declare(self, verdict: Expired, now_s: float, by: str | None = None) -> None:
+    def _declare(
+        self, verdict: ExpiredSuspicion, now_s: float, by: str | None = None
+    ) -> None:
         view = self.directory.view(verdict.node_id)
         if not self.directory.declare_dead(verdict.node_id, verdict.epoch, now_s):
             return
--- a/balsamspindle/membership/member.py
+++ b/balsamspindle/membership/member.py
@@ -173,7 +173,7 @@
         """Send a message of settings; callable from any thread."""
         self.send(address, message, Importance.SETTINGS)
 
-    def contact(self, addresses: tuple[str, ...]) -> None:
+    def set_contacts(self, addresses: tuple[str, ...]) -> None:
         """Set the addresses to contact besides the seeds; callable from any thread."""
         self.channel.call_soon(
             lambda: self._prober.set_contacts(addresses, self._now_s())
@@ -201,7 +201,7 @@
         """Run all periodic work that is due."""
         gap_s = now_s - self._last_tick_s
         self._last_tick_s = now_s
-        self._lag.note(gap_s - TICK_S, now_s)
+        self._lag.record(gap_s - TICK_S, now_s)
         if gap_s > PAUSE_MIN_S:
             self._resume_after_pause(gap_s, now_s)
         self.knowledge.refresh(self._backend_servers(), now_s)
--- a/balsamspindle/membership/news.py
+++ b/balsamspindle/membership/news_queue.py
@@ -91,7 +91,7 @@
         items.move_to_end(key, last=False)
         self._priorities[key] = priority
 
-    def heard_again(self, news: News) -> None:
+    def record_duplicate(self, news: News) -> None:
         """Reduce an item's remaining transmissions: a peer sent the same item.
 
         That peer does not need it any more. Without this, most transmissions in
@@ -131,7 +131,7 @@
             remaining_bytes = self._add_items(priority, remaining_bytes, batch)
         return _merge_entries(batch)
 
-    def waiting(self) -> Counter[str]:
+    def count_by_priority(self) -> Counter[str]:
         """Return the number of queued items by priority."""
         return Counter(
             {priority.name.lower(): len(self._items[priority]) for priority in Priority}
--- a/balsamspindle/membership/probing.py
+++ b/balsamspindle/membership/probing.py
@@ -10,7 +10,7 @@
 from balsamspindle.membership.channel import Channel, Peer
 from balsamspindle.membership.gossip import Gossiper
 from balsamspindle.membership.knowledge import Knowledge
-from balsamspindle.membership.nearness import (
+from balsamspindle.membership.peer_selection import (
     OTHER_ZONE_EVERY,
     other_zone_targets,
     peers_in_zone,
@@ -221,7 +221,7 @@
     ) -> bool:
         """Ask other peers to ping a node; return False if the byte cap refused."""
         # The peer may be healthy and only the connection broken.
-        self._transport.forget(node.member_address)
+        self._transport.disconnect(node.member_address)
         others = [
             peer
             for peer in self._knowledge.peers()
@@ -307,7 +307,7 @@
         self._request_self_check(now_s)
         if ping.target not in ("", self._knowledge.own.node_id):
             # The ping was meant for a node that no longer has this address.
-            self._channel.drop("other_target", ping.target, now_s)
+            self._channel.record_drop("other_target", ping.target, now_s)
             return
         ack = Ack(ping.sequence, news=self._news_for(peer.node_id, now_s))
         self._channel.answer(peer, ack, now_s, Importance.ANSWER)
--- a/balsamspindle/membership/recent_max.py
+++ b/balsamspindle/membership/recent_max.py
@@ -15,7 +15,7 @@
         self._previous_max = 0.0
         self._current_max = 0.0
 
-    def note(self, value: float, now_s: float) -> None:
+    def record(self, value: float, now_s: float) -> None:
         """Add a value."""
         self._rotate(now_s)
         self._current_max = max(self._current_max, value)
--- a/balsamspindle/membership/suspicion.py
+++ b/balsamspindle/membership/suspicion.py
@@ -39,7 +39,7 @@
     return max(TIMEOUT_MIN_S, TIMEOUT_MAX_S - span_s * fraction)
 
 
-class Expired(NamedTuple):
+class ExpiredSuspicion(NamedTuple):
     """A suspicion whose time-out has passed.
 
     Attributes
@@ -111,10 +111,10 @@
         """Remove all suspicions without declaring any node dead."""
         self._suspicions.clear()
 
-    def expire(self, confirmations: int, now_s: float) -> list[Expired]:
+    def expire(self, confirmations: int, now_s: float) -> list[ExpiredSuspicion]:
         """Remove the suspicions whose time-out has passed, and return them."""
         expired = [
-            Expired(node_id, one.epoch, len(one.suspecters) >= SUSPECTERS_MIN)
+            ExpiredSuspicion(node_id, one.epoch, len(one.suspecters) >= SUSPECTERS_MIN)
             for node_id, one in self._suspicions.items()
             if now_s - one.started_s >= timeout_s(len(one.suspecters), confirmations)
         ]
--- a/balsamspindle/membership/sync.py
+++ b/balsamspindle/membership/sync.py
@@ -15,7 +15,7 @@
 from balsamspindle.membership.budget import Importance
 from balsamspindle.membership.channel import Channel, Peer
 from balsamspindle.membership.knowledge import Knowledge
-from balsamspindle.membership.nearness import choose_peer, sample_peers
+from balsamspindle.membership.peer_selection import choose_peer, sample_peers
 from balsamspindle.wire import (
     News,
     NodeRecord,
@@ -131,7 +131,7 @@
         directory = self._knowledge.directory
         differing = directory.differing(request.buckets)
         if differing is None:
-            self._channel.drop("garbage", "digests of a wrong size", now_s)
+            self._channel.record_drop("garbage", "digests of a wrong size", now_s)
             return
         differing = [b for b in differing if b % request.step == request.first]
         if not differing:
@@ -228,8 +228,8 @@
         A page over them is refused as a whole, again and again: the peer
         would never get it.
         """
-        room_bytes = self._channel.room_bytes(Importance.ROUTINE, now_s)
-        return _fitting(news, min(PAGE_MAX_BYTES, PAGE_DEFLATES_BY * room_bytes))
+        available_bytes = self._channel.available_bytes(Importance.ROUTINE, now_s)
+        return _fitting(news, min(PAGE_MAX_BYTES, PAGE_DEFLATES_BY * available_bytes))
 
     def _page(self, peer: Peer, page: Page, now_s: float) -> None:
         self.pages += 1
--- a/balsamspindle/membership/transport.py
+++ b/balsamspindle/membership/transport.py
@@ -73,7 +73,7 @@
         """Wait up to `wait_s` for a frame or a `wake`; return the received frames."""
         raise NotImplementedError
 
-    def forget(self, address: str) -> None:
+    def disconnect(self, address: str) -> None:
         """Close the connection to an address; the next send opens a new one."""
         raise NotImplementedError
 
@@ -156,8 +156,8 @@
                 self._receive_frames(source, received)
         return received
 
-    def forget(self, address):
-        """See `Transport.forget`."""
+    def disconnect(self, address):
+        """See `Transport.disconnect`."""
         socket = self._connections.pop(address, None)
         if socket is not None:
             self._close_socket(socket)
@@ -173,14 +173,14 @@
     def close(self):
         """See `Transport.close`."""
         for address in list(self._connections):
-            self.forget(address)
+            self.disconnect(address)
         self._router.close()
         wake_fd, self._wake_fd = self._wake_fd, -1
         os.close(wake_fd)
 
     def _connect(self, address) -> zmq.Socket:
         while len(self._connections) >= OPEN_CONNECTIONS_MAX:
-            self.forget(next(iter(self._connections)))
+            self.disconnect(next(iter(self._connections)))
         socket = self._create_socket(zmq.DEALER)
         protect_connection(socket, self._keys)
         try:
--- a/balsamspindle/node/gate_budgets.py
+++ b/balsamspindle/node/gate_budgets.py
@@ -43,5 +43,5 @@
     def _count(self, service: str, now_s: float) -> float:
         places = self._directory.placements(service)
         recent = self._gates.setdefault(service, RecentMax(WINDOW_S))
-        recent.note(len({place.node.node_id for place in places}), now_s)
+        recent.record(len({place.node.node_id for place in places}), now_s)
         return recent.value(now_s)
--- a/balsamspindle/node/store_parts.py
+++ b/balsamspindle/node/store_parts.py
@@ -98,7 +98,7 @@
             self._guarded("registry"),
             self._own,
             self._directory,
-            member.contact,
+            member.set_contacts,
             lambda: member.isolated,
             self._events,
         )
--- a/bench/capacity/bad_days.py
+++ b/bench/capacity/bad_days.py
@@ -98,7 +98,7 @@
 
 
 def _waiting(mirror: Mirror) -> int:
-    return sum(mirror.member.knowledge.queue.waiting().values())
+    return sum(mirror.member.knowledge.queue.count_by_priority().values())
 
 
 def _burst() -> dict[str, float]:
--- a/bench/capacity/joining.py
+++ b/bench/capacity/joining.py
@@ -124,9 +124,9 @@
             self._receive(address, encode_member("ack", peer, ack))
         elif envelope.kind in ("sync_request", "pull", "page"):
             route = Route(routing_id=b"joiner")
-            self._source.channel.take(route, frame, self.now_s)
+            self._source.channel.receive_frame(route, frame, self.now_s)
 
     def _receive(self, address: str, frame: bytes) -> None:
         self.received_bytes += len(frame)
         route = Route(routing_id=address.encode())
-        self.joiner.channel.take(route, frame, self.now_s)
+        self.joiner.channel.receive_frame(route, frame, self.now_s)
--- a/bench/capacity/mirror.py
+++ b/bench/capacity/mirror.py
@@ -96,7 +96,7 @@
         frame = encode_member(kind, peer, message)
         route = Route(routing_id=peer.address.encode())
         started_s = time.process_time()
-        self.member.channel.take(route, frame, self.now_s)
+        self.member.channel.receive_frame(route, frame, self.now_s)
         self.cpu_s += time.process_time() - started_s
 
     def change(self) -> NodeNews:
--- a/bench/membership.py
+++ b/bench/membership.py
@@ -44,7 +44,7 @@
     network = MemberNetwork()
     nodes = [network.add(number, f"zone-{number % 3}") for number in range(size)]
     for node in nodes:
-        node.serve(SERVERS_PER_NODE, services=max(1, size // 4))
+        node.set_servers(SERVERS_PER_NODE, services=max(1, size // 4))
         node.member.knowledge.refresh(node.servers, network.now_s)
     network.introduce(nodes)
     network.run(30)
@@ -145,13 +145,14 @@
     back = []
     for node in nodes[-count:]:
         new = network.add(node.number, "zone-0", seeds=nodes[:3], incarnation=5_000)
-        new.serve(TARGET_SERVERS_PER_NODE, boot_id="2")
+        new.set_servers(TARGET_SERVERS_PER_NODE, boot_id="2")
         back.append(new)
     stayed = nodes[:-count]
     before = [node.member.budget.spent_bytes for node in stayed]
     started_s = network.now_s
     done = network.run(
-        300, lambda: all(node.knows("2", one) for node in stayed for one in back)
+        300,
+        lambda: all(node.knows_servers("2", one) for node in stayed for one in back),
     )
     took_s = network.now_s - started_s
     spent = [
@@ -166,7 +167,7 @@
         "false_deaths": sum(
             fields["peer"] in {node.node_id for node in stayed}
             for node in stayed
-            for event, fields in node.events.seen
+            for event, fields in node.events.emitted
             if event == "node_dead"
         ),
     }
--- a/bench/membership_sockets.py
+++ b/bench/membership_sockets.py
@@ -33,7 +33,7 @@
     message_us = 1e6 * (time.process_time() - started) / ZMQ_MESSAGES
     started = time.process_time()
     for _ in range(ZMQ_CONNECTS):
-        near.forget(address)
+        near.disconnect(address)
         _echo(near, far, address)
     connect_us = 1e6 * (time.process_time() - started) / ZMQ_CONNECTS
     near.close()
--- a/tests/member_network.py
+++ b/tests/member_network.py
@@ -47,12 +47,12 @@
 
     def __init__(self) -> None:
         self.clock = FixedClock()
-        self.seen: list[tuple[str, dict]] = []
+        self.emitted: list[tuple[str, dict]] = []
         self.counts: Counter[str] = Counter()
 
     def emit(self, event: str, **fields) -> int:
         self.counts[event] += 1
-        self.seen.append((event, fields))
+        self.emitted.append((event, fields))
         return 0
 
 
@@ -64,7 +64,7 @@
         self.address = address
         self._open: dict[str, None] = {}
         # Whether frames are delivered on connections that this member opens.
-        self.can_open: Callable[[str], bool] = lambda address: True
+        self.can_connect: Callable[[str], bool] = lambda address: True
         self.received_bytes = 0
 
     def cost_bytes(self, address, size_bytes):
@@ -78,7 +78,7 @@
         self._open[address] = None
         if len(self._open) > OPEN_CONNECTIONS:
             self._open.pop(next(iter(self._open)))
-        if self.can_open(address):
+        if self.can_connect(address):
             self._network.post(self.address, address, frame)
         return True
 
@@ -89,7 +89,7 @@
     def receive(self, wait_s):
         return []
 
-    def forget(self, address):
+    def disconnect(self, address):
         self._open.pop(address, None)
 
     def wake(self):
@@ -111,7 +111,7 @@
         self.events = RecordedEvents()
         self.configuration = CurrentConfiguration()
         self.transport = MemoryTransport(network, self.address)
-        self.transport.can_open = lambda address: network.can_open(self, address)
+        self.transport.can_connect = lambda address: network.can_connect(self, address)
         self.running = True
         self.settings = NodeSettings(
             self.node_id,
@@ -139,7 +139,7 @@
         """Return the ids of the nodes that are alive in this node's directory."""
         return {record.node_id for record in self.directory.alive()}
 
-    def serve(self, count: int, services: int = 50, boot_id: str = "1") -> None:
+    def set_servers(self, count: int, services: int = 50, boot_id: str = "1") -> None:
         """Replace this node's backend servers by `count` new ones."""
         self.servers = tuple(
             BackendServerRecord(
@@ -152,7 +152,7 @@
             for one in range(count)
         )
 
-    def knows(self, boot_id: str, of: "FakeNode") -> bool:
+    def knows_servers(self, boot_id: str, of: "FakeNode") -> bool:
         """Return whether this node knows the current servers of another one."""
         view = self.directory.view(of.node_id)
         if view is None or view.is_dead:
@@ -171,9 +171,13 @@
     def __init__(self) -> None:
         self.now_s = 1_000.0
         self.nodes: dict[str, FakeNode] = {}
-        self.passes: Callable[[FakeNode, FakeNode], bool] = lambda source, target: True
-        # Like `passes`, but only for connections that the source node opened.
-        self.opens: Callable[[FakeNode, FakeNode], bool] = lambda source, target: True
+        self.delivers: Callable[[FakeNode, FakeNode], bool] = lambda source, target: (
+            True
+        )
+        # Like `delivers`, but only for connections that the source node opened.
+        self.allows_connection: Callable[[FakeNode, FakeNode], bool] = (
+            lambda source, target: True
+        )
         self._pending: list = []
         self._sequence = itertools.count()
         self.frames = 0
@@ -205,10 +209,10 @@
             for record in records:
                 node.directory.apply(record, self.now_s)
 
-    def can_open(self, source: FakeNode, address: str) -> bool:
+    def can_connect(self, source: FakeNode, address: str) -> bool:
         """Return whether frames are delivered on a connection that a node opens."""
         target = self.nodes.get(address)
-        return target is None or self.opens(source, target)
+        return target is None or self.allows_connection(source, target)
 
     def post(self, source: str, target: str, frame: bytes) -> None:
         """Queue a frame for delivery unless the link is cut or the target is down."""
@@ -217,7 +221,7 @@
         if (
             source_node is None
             or target_node is None
-            or not self.passes(source_node, target_node)
+            or not self.delivers(source_node, target_node)
         ):
             return
         self._schedule(self.now_s + LATENCY_S, target_node, (source, frame))
@@ -263,7 +267,7 @@
         source, frame = delivery
         node.transport.received_bytes += len(frame) + MESSAGE_OVERHEAD_BYTES
         route = Route(routing_id=source.encode())
-        node.member.channel.take(route, frame, self.now_s)
+        node.member.channel.receive_frame(route, frame, self.now_s)
 
     def _schedule(self, at_s: float, node: FakeNode, delivery) -> None:
         heapq.heappush(self._pending, (at_s, next(self._sequence), node, delivery))
--- a/tests/test_crash_spread.py
+++ b/tests/test_crash_spread.py
@@ -98,11 +98,11 @@
     """News that came while it was cut off are not repeated for it."""
     fleet = Fleet(9)
     cut = fleet.nodes[4]
-    fleet.network.passes = lambda source, target: cut not in (source, target)
+    fleet.network.delivers = lambda source, target: cut not in (source, target)
     fleet.quarantine([fleet.nodes[0], fleet.nodes[1], fleet.nodes[2]])
     fleet.network.run(1.0)
     assert not fleet.knows(cut)
-    fleet.network.passes = lambda source, target: True
+    fleet.network.delivers = lambda source, target: True
     assert fleet.network.run(KNOWN_WITHIN_S, lambda: fleet.knows(cut))
 
 
--- a/tests/test_gauges.py
+++ b/tests/test_gauges.py
@@ -41,7 +41,7 @@
 
     def test_a_long_delay_is_told_for_a_while(self):
         lag = RecentMax(10.0)
-        lag.note(0.5, 1.0)
-        lag.note(0.1, 9.0)
+        lag.record(0.5, 1.0)
+        lag.record(0.1, 9.0)
         self.assertEqual(0.5, lag.value(12.0))
         self.assertEqual(0.0, lag.value(100.0))
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -6,7 +6,7 @@
 from testtools import TestCase
 
 from balsamspindle.membership.budget import BURST_S
-from balsamspindle.membership.news import NewsQueue, Priority
+from balsamspindle.membership.news_queue import NewsQueue, Priority
 from balsamspindle.membership.node_view import Epoch
 from balsamspindle.membership.suspicion import (
     TIMEOUT_MAX_S,
@@ -64,7 +64,7 @@
         # other nodes are. If B were declared dead on the direct probes alone,
         # the fleet would lose B's capacity.
         a, b, *_ = self.start(8)
-        self.network.passes = lambda source, target: (source, target) != (a, b)
+        self.network.delivers = lambda source, target: (source, target) != (a, b)
         self.network.run(180)
         self.assertEqual(0, count_events(self.nodes, "node_dead"))
         self.assertEqual(0, count_events(self.nodes, "node_suspected"))
@@ -87,13 +87,13 @@
         # B can send but receives nothing. It must not declare the others dead;
         # each of the others declares B dead exactly once.
         b, *others = self.start(8)
-        self.network.passes = lambda source, target: target is not b
+        self.network.delivers = lambda source, target: target is not b
         self.network.run(120)
         self.assertEqual(0, b.events.counts["node_dead"])
         self.assertLessEqual(b.events.counts["node_suspected"], 1)
         self.assertTrue(b.member.isolated)
         self.assertEqual(len(others), count_events(others, "node_dead"))
-        self.network.passes = lambda source, target: True
+        self.network.delivers = lambda source, target: True
         self.assert_all_alive(30)
         self.assertFalse(b.member.isolated)
 
@@ -103,22 +103,22 @@
         # dead. If it refuted that, the other nodes would see it alternate
         # between dead and alive.
         b, *others = self.start(8)
-        self.network.opens = lambda source, target: target is not b
+        self.network.allows_connection = lambda source, target: target is not b
         self.network.run(180)
         self.assertEqual(len(others), count_events(others, "node_dead"))
         self.assertFalse(any(b.node_id in node.alive() for node in others))
-        self.network.opens = lambda source, target: True
+        self.network.allows_connection = lambda source, target: True
         self.assert_all_alive(30)
 
     def test_a_node_whose_messages_are_lost_returns_when_the_link_heals(self):
         # B receives, but all that it sends is lost: it learns that it is
         # suspected and cannot refute it. The others declare it dead only once.
         b, *others = self.start(8)
-        self.network.passes = lambda source, target: source is not b
+        self.network.delivers = lambda source, target: source is not b
         self.network.run(120)
         self.assertEqual(0, b.events.counts["node_dead"])
         self.assertEqual(len(others), count_events(others, "node_dead"))
-        self.network.passes = lambda source, target: True
+        self.network.delivers = lambda source, target: True
         self.assert_all_alive(3)
 
     def test_two_halves_that_declared_each_other_dead_reunite(self):
@@ -128,13 +128,13 @@
         self.nodes = [self.network.add(number) for number in range(8)]
         self.network.introduce(self.nodes)
         half = self.nodes[:4]
-        self.network.passes = lambda source, target: (
+        self.network.delivers = lambda source, target: (
             (source in half) == (target in half)
         )
         self.assert_all_alive(120, half)
         self.assert_all_alive(120, self.nodes[4:])
         self.network.run(30)
-        self.network.passes = lambda source, target: True
+        self.network.delivers = lambda source, target: True
         self.assert_all_alive(30)
 
     def test_the_smaller_side_of_a_partition_declares_at_most_half_dead(self):
@@ -143,14 +143,14 @@
         # backend servers.
         nodes = self.start(9)
         minority = nodes[:3]
-        self.network.passes = lambda source, target: (
+        self.network.delivers = lambda source, target: (
             (source in minority) == (target in minority)
         )
         self.network.run(120)
         # They may declare at most half of the nodes of their region dead.
         for node in minority:
             self.assertGreaterEqual(len(node.alive()), 5)
-        self.network.passes = lambda source, target: True
+        self.network.delivers = lambda source, target: True
         self.assert_all_alive(90)
 
     def test_a_resumed_node_declares_no_node_dead_and_rejoins(self):
@@ -159,7 +159,7 @@
         # expired, the others have declared it dead, and one backend server is
         # gone.
         suspended, changed, *others = self.start(8)
-        changed.serve(2)
+        changed.set_servers(2)
         self.network.run(10)
         victim = others[0]
         suspended.member.knowledge.failed_probe(
@@ -198,13 +198,15 @@
         # a lower incarnation than the previous one. Unless it raises it, peers
         # ignore its records and route requests to servers that no longer exist.
         old, *others = self.start(5)
-        old.serve(3, boot_id="old")
+        old.set_servers(3, boot_id="old")
         self.network.run(10)
         self.network.kill(old)
         new = self.network.add(0, "zone-0", seeds=others[:2], incarnation=7)
-        new.serve(1, boot_id="new")
+        new.set_servers(1, boot_id="new")
         self.assertTrue(
-            self.network.run(3, lambda: all(node.knows("new", new) for node in others))
+            self.network.run(
+                3, lambda: all(node.knows_servers("new", new) for node in others)
+            )
         )
         for node in others:
             record = node.directory.view(new.node_id).full_record()
@@ -222,7 +224,7 @@
         west = [self.network.add(n, "w", "west", seeds) for n in range(10, 15)]
         self.nodes = east + west
         self.assert_all_alive()
-        self.network.passes = lambda source, target: (
+        self.network.delivers = lambda source, target: (
             (source in east) == (target in east)
         )
         self.network.run(600)
@@ -232,11 +234,11 @@
         dead = [
             fields["peer"]
             for node in self.nodes
-            for event, fields in node.events.seen
+            for event, fields in node.events.emitted
             if event == "node_dead"
         ]
         self.assertEqual({victim.node_id}, set(dead))
-        self.network.passes = lambda source, target: True
+        self.network.delivers = lambda source, target: True
         self.assert_all_alive(60, east + west)
 
     def test_a_zone_that_returns_at_once_stays_within_the_byte_cap(self):
@@ -261,7 +263,7 @@
             for node in zone
         ]
         for node in returned:
-            node.serve(60, boot_id="2")
+            node.set_servers(60, boot_id="2")
         all_nodes = nodes[:16] + returned
         deaths = count_events(all_nodes, "node_dead")
         refuted = count_events(all_nodes, "claim_refuted")
@@ -272,7 +274,7 @@
                 sent_bytes = node.member.budget.spent_bytes - before
                 self.assertLessEqual(sent_bytes, cap_bytes_per_s * (10 + BURST_S))
         self.assertTrue(
-            all(node.knows("2", one) for node in all_nodes for one in returned)
+            all(node.knows_servers("2", one) for node in all_nodes for one in returned)
         )
         self.assertEqual(deaths, count_events(all_nodes, "node_dead"))
         self.assertEqual(refuted, count_events(all_nodes, "claim_refuted"))
@@ -280,7 +282,7 @@
     def test_a_changed_server_is_sent_without_the_whole_record(self):
         self.network = MemberNetwork()
         node = self.network.add(0)
-        node.serve(25)
+        node.set_servers(25)
         self.network.run(1)
         queue = node.member.knowledge.queue
         while queue.next_batch(100_000):
@@ -306,7 +308,7 @@
         frames.append(b"\x01" + b"\x00" * (5 * 1024 * 1024))
         before = node.directory.records()
         for frame in frames:
-            node.member.channel.take(None, frame, self.network.now_s)
+            node.member.channel.receive_frame(None, frame, self.network.now_s)
         dropped = sum(
             count
             for why, count in node.member.channel.counts.items()
@@ -321,7 +323,7 @@
         frame = encode_member("ping", other.member._sender(), [5, "", [], "new", 1])
         received = node.member.channel.counts["received"]
         route = Route(routing_id=other.address.encode())
-        node.member.channel.take(route, frame, self.network.now_s)
+        node.member.channel.receive_frame(route, frame, self.network.now_s)
         self.assertEqual(received + 1, node.member.channel.counts["received"])
 
 
--- a/tests/test_registry.py
+++ b/tests/test_registry.py
@@ -53,7 +53,7 @@
             self.tables,
             node.settings.own_record(1),
             node.directory,
-            node.member.contact,
+            node.member.set_contacts,
             lambda: node.member.isolated,
             node.events,
         )
--- a/tests/test_settings_pages.py
+++ b/tests/test_settings_pages.py
@@ -52,7 +52,7 @@
         frame = encode_member(kind, Sender("node-0", 1, ADDRESS), message)
         cost_bytes = len(frame) + MESSAGE_OVERHEAD_BYTES + CONNECT_OVERHEAD_BYTES
         self.assertTrue(
-            budget.take(cost_bytes, 0.0, Importance.URGENT), f"{cost_bytes} bytes"
+            budget.try_spend(cost_bytes, 0.0, Importance.URGENT), f"{cost_bytes} bytes"
         )
 
     def test_each_page_of_all_settings_can_be_sent(self):
--- a/tests/test_start_at_size.py
+++ b/tests/test_start_at_size.py
@@ -31,8 +31,8 @@
         crossed = self._count_crossed_bytes(network)
         first = tuple(node.address for node in nodes[:FIRST])
         for node in nodes:
-            node.serve(1, services=3)
-            node.member.contact(first)
+            node.set_servers(1, services=3)
+            node.member.set_contacts(first)
             node.member.channel.receive(0.0, lambda: network.now_s)
         network.run(KNOWN_WITHIN_S)
         known = sorted(len(node.alive()) for node in nodes)
