--- a/balsamspindle/services/__init__.py
+++ b/balsamspindle/services/__init__.py
@@ -1,5 +1,5 @@
-"""A service: its routes, and the choice among its backend servers.
+"""The choice of a backend server for a request to a service.
 
-Start with `picker.py`; it chooses from a `view.py`, in which `floor.py` says
-which suspects are left out. `routes.py` finds the route of a request.
+Start with `picker.py`. It chooses from a `ServiceView` (`view.py`), which omits the
+backend servers that `floor.py` decided to eject.
 """
--- a/balsamspindle/services/answer_sizes.py
+++ b/balsamspindle/services/answer_sizes.py
@@ -1,4 +1,4 @@
-"""How large the answers of each route are, as an ingress has seen them."""
+"""The mean size of each route's answers at one ingress."""
 
 import threading
 
@@ -6,20 +6,20 @@
 
 __all__ = ["AnswerSizes"]
 
-# Of the newest answer in the mean.
-SAMPLE_SHARE = 0.1
+# Weight of the newest answer in the moving average.
+NEWEST_WEIGHT = 0.1
 ROUTES_MAX = 10_000
 
 
 class AnswerSizes:
-    """The mean size of a route's answers; safe from all threads."""
+    """Exponential moving averages of the answer sizes by route; thread-safe."""
 
     def __init__(self) -> None:
         self._lock = threading.Lock()
         self._mean_bytes: dict[tuple[str, str], float] = {}
 
     def note(self, route: RouteDocument, size_bytes: int) -> None:
-        """Take one answer."""
+        """Add an answer to its route's average."""
         key = _key(route)
         with self._lock:
             mean_bytes = self._mean_bytes.get(key)
@@ -27,11 +27,11 @@
                 if len(self._mean_bytes) >= ROUTES_MAX:
                     del self._mean_bytes[next(iter(self._mean_bytes))]
                 mean_bytes = size_bytes
-            mean_bytes += SAMPLE_SHARE * (size_bytes - mean_bytes)
+            mean_bytes += NEWEST_WEIGHT * (size_bytes - mean_bytes)
             self._mean_bytes[key] = mean_bytes
 
     def mean_bytes(self, route: RouteDocument) -> float:
-        """Return the mean size; 0 before the first answer."""
+        """Return the mean size of a route's answers; 0 before the first answer."""
         return self._mean_bytes.get(_key(route), 0.0)
 
 
--- a/balsamspindle/services/explanation.py
+++ b/balsamspindle/services/explanation.py
@@ -1,4 +1,4 @@
-"""Why a node sends a service's requests where it sends them, in words."""
+"""A readable explanation of which backend servers a node uses for a service."""
 
 from collections.abc import Mapping, Sequence
 
@@ -34,11 +34,12 @@
     Attributes
     ----------
     capacity_slots : float
-        Slots usable now, a cold start counted.
+        Slots usable now; fewer than `slots` during a cold start.
     takes_work : bool
-        Whether this node sends requests to it.
+        Whether this node sends requests to the backend server.
     evidence : list of str
-        Why not, or what speaks against it; empty when nothing does.
+        Why the node sends no requests to it, or signs that it may be unhealthy;
+        empty when there are none.
     """
 
     backend_server_id: str
@@ -60,14 +61,14 @@
     node_id : str
         The node whose view this is.
     settings_revision : int
-        Revision in force there.
+        Revision of the settings in force at the node.
     is_defined : bool
         Whether the settings in force define the service.
     cause : str
-        Why the decision on its suspects came out as it did.
+        Reason for the decision on the service's suspects.
     known_slots, floor_slots, in_use_slots : float
-        Slots of all known backend servers, those below which ejection never
-        goes, and those that take this node's work.
+        Slots of all known backend servers, the number below which ejection must
+        not bring the slots in use, and the slots that this node uses.
     """
 
     service: str
@@ -96,9 +97,10 @@
     Parameters
     ----------
     decision : FloorDecision
-        What the node does with the service's suspects.
+        Which of the service's suspects the node leaves out and which it keeps.
     reports : mapping of str to HealthReport
-        For the backend servers beside this node, whose work its gate sees.
+        Health reports by backend server id, for the backend servers of this
+        node's own gate.
     """
     left_out = {(out.node_id, out.backend_server_id): out for out in decision.left_out}
     rows = []
@@ -128,9 +130,9 @@
     placement: Placement, left_out: Suspect | None, report: HealthReport | None
 ) -> BackendServerExplanation:
     node, server = placement
-    obstacles = _obstacles(placement, left_out)
-    doubts = _doubts(placement, left_out)
-    seen = [] if report is None else _seen_by_gate(report)
+    exclusions = _exclusion_reasons(placement, left_out)
+    warnings = _warnings(placement, left_out)
+    gate_evidence = [] if report is None else _gate_evidence(report)
     return BackendServerExplanation(
         server.backend_server_id,
         node.node_id,
@@ -139,42 +141,44 @@
         server.slots,
         capacity_slots(placement),
         server.suspicion,
-        not obstacles,
-        obstacles + doubts + seen,
+        not exclusions,
+        exclusions + warnings + gate_evidence,
     )
 
 
-def _obstacles(placement: Placement, left_out: Suspect | None) -> list[str]:
+def _exclusion_reasons(placement: Placement, left_out: Suspect | None) -> list[str]:
+    """Return why the node sends no requests to a backend server."""
     node, server = placement
-    obstacles = []
+    reasons = []
     if server.state != BackendServerState.READY:
-        obstacles.append(f"it is {server.state}")
+        reasons.append(f"it is {server.state}")
     if node.state != NodeState.ALIVE:
-        obstacles.append(f"its node is {node.state}")
+        reasons.append(f"its node is {node.state}")
     if left_out is not None and left_out.suspicion >= SUSPECTED:
-        obstacles.append(
+        reasons.append(
             f"left out: its gate saw work fail, suspicion {left_out.suspicion:.2f} "
             f"of {SUSPECTED:g}"
         )
-    return obstacles
+    return reasons
 
 
-def _doubts(placement: Placement, left_out: Suspect | None) -> list[str]:
+def _warnings(placement: Placement, left_out: Suspect | None) -> list[str]:
+    """Return signs that a backend server in use is unhealthy, on trial or cold."""
     server = placement.backend_server
-    doubts = []
+    warnings = []
     if left_out is not None and left_out.suspicion < SUSPECTED:
-        doubts.append("on trial: gets a few idempotent requests only")
+        warnings.append("on trial: gets a few idempotent requests only")
     elif left_out is None and server.suspicion >= SUSPECTED:
-        doubts.append(f"suspicion {server.suspicion:.2f}, kept all the same")
+        warnings.append(f"suspicion {server.suspicion:.2f}, kept all the same")
     elif left_out is None and server.suspicion > 0:
-        doubts.append(f"suspicion {server.suspicion:.2f} of {SUSPECTED:g}")
+        warnings.append(f"suspicion {server.suspicion:.2f} of {SUSPECTED:g}")
     if server.capacity < 1:
-        doubts.append(f"cold start: {server.capacity:.0%} of its slots")
-    return doubts
+        warnings.append(f"cold start: {server.capacity:.0%} of its slots")
+    return warnings
 
 
-def _seen_by_gate(report: HealthReport) -> list[str]:
-    """Return what the gate beside the backend server saw of its work."""
+def _gate_evidence(report: HealthReport) -> list[str]:
+    """Return the results that the backend server's gate counted, and its score."""
     if not report.evidence:
         return []
     results = ", ".join(
--- a/balsamspindle/services/floor.py
+++ b/balsamspindle/services/floor.py
@@ -1,13 +1,15 @@
-"""Which suspected backend servers of a service are left out: the floor.
-
-Each picker decides on its own view, without agreement, so that the floor
-holds with the platform down and when views differ.
-
-The base is the *known capacity*: the full slots of every backend server in the
-view, draining, leaving and cold ones included. *Capacity in use* is slots times
-ramp of those that are ready and not left out. A backend server that is left out
-counts as lost however sick it looks, for suspicion may be wrong. So a drain or
-a cold start uses up the allowance for ejections and never adds to it.
+"""Decides which suspected backend servers of a service to eject.
+
+Ejection must not bring the capacity in use below the service's floor, a fraction of
+its known capacity. Each picker decides from its own view, without coordination, so
+that the floor holds while the platform is down and when views differ.
+
+*Known capacity* is the full slots of every backend server in the view, including
+those that are draining, leaving or in a cold start. *Capacity in use* is the slots,
+scaled by the cold-start ramp, of the backend servers that are ready and not left out.
+A backend server that is left out counts as lost capacity however unhealthy it looks,
+because a suspicion may be wrong. So drains and cold starts reduce the number of
+ejections that the floor allows, and never increase it.
 """
 
 from collections.abc import Iterable, Sequence
@@ -29,18 +31,18 @@
     "is_ready",
 ]
 
-# Suspicions of a backend server over its detection threshold, and of one that
-# is being readmitted and should get no more than trial requests.
+# Suspicion from which a backend server is over its detection threshold.
 SUSPECTED = 1.0
+# Suspicion of a backend server that is being readmitted and gets trial requests only.
 ON_TRIAL = 0.5
-# When this part of the ready capacity is suspected, the likelier cause is one
-# that they share (the network, the load), and ejection would only move the
-# load onto the rest.
+# When this fraction of the ready capacity is suspected, a shared cause (the network,
+# the load) is likelier than many failures, and ejection would only move the load to
+# the remaining backend servers.
 SHARED_CAUSE_FRACTION = 0.8
 
 
 class FloorCause(StrEnum):
-    """Why a decision came out as it did."""
+    """The reason for a `FloorDecision`."""
 
     NOBODY_SUSPECTED = "nobody_suspected"
     SUSPECTS_LEFT_OUT = "suspects_left_out"
@@ -49,14 +51,14 @@
 
 
 class Suspect(NamedTuple):
-    """One backend server that is over its detection threshold or on trial.
+    """A backend server that is over its detection threshold or on trial.
 
     Attributes
     ----------
     suspicion : float
-        As its gate tells it; 1 is the service's detection threshold.
+        As reported by its gate; 1 is the service's detection threshold.
     capacity_slots : float
-        What leaving it out takes away.
+        Capacity that is lost if the backend server is left out.
     """
 
     backend_server_id: str
@@ -66,20 +68,20 @@
 
 
 class FloorDecision(NamedTuple):
-    """What one picker does with one service's suspects, and why.
+    """Which of a service's suspects a picker leaves out and keeps, and why.
 
     Attributes
     ----------
     known_slots : float
-        The base: full slots of all known backend servers.
+        Full slots of all known backend servers; the floor is a fraction of them.
     floor_slots : float
-        Capacity that ejection never goes below.
+        Capacity below which ejection must not bring the capacity in use.
     ready_slots : float
-        Slots times ramp of those that take new work, suspects included.
+        Slots times ramp of the backend servers that take new work, suspects included.
     in_use_slots : float
-        What is left of `ready_slots` without those left out.
+        `ready_slots` without the capacity of the backend servers left out.
     left_out, kept : tuple of Suspect
-        Suspects, the most suspected first.
+        The most suspected first.
     """
 
     cause: FloorCause
@@ -93,7 +95,7 @@
 
 
 def is_ready(placement: Placement) -> bool:
-    """Tell whether a backend server takes new work, sick or not."""
+    """Tell whether a backend server takes new work, whatever its suspicion."""
     return (
         placement.backend_server.state == BackendServerState.READY
         and placement.node.state == NodeState.ALIVE
@@ -101,10 +103,10 @@
 
 
 def capacity_slots(placement: Placement) -> float:
-    """Return the slots usable now, the ramp of a cold start counted."""
+    """Return the slots usable now, scaled by the ramp of a cold start."""
     ramp = placement.backend_server.capacity
-    # A record comes off the wire; a NaN would make every sum of capacities a
-    # NaN, and each comparison with the floor false.
+    # The ramp comes from another node and may be NaN. Then each sum of capacities
+    # would be NaN, and each comparison with the floor false.
     ramp = min(1.0, ramp) if ramp > 0 else 0.0
     return _slots(placement) * ramp
 
@@ -119,13 +121,13 @@
     placements : sequence of Placement
         All known backend servers of one service, whatever their state.
     floor_fraction : float
-        Of the known capacity, from 0 to 1.
+        Fraction of the known capacity that must stay in use, from 0 to 1.
 
     Returns
     -------
     FloorDecision
         Its `in_use_slots` is at least the lesser of `floor_slots` and
-        `ready_slots`: ejection itself never goes below the floor.
+        `ready_slots`: ejection itself never breaks the floor.
     """
     ready = [placement for placement in placements if is_ready(placement)]
     suspects = _suspects(ready)
@@ -154,7 +156,7 @@
 
 
 def _suspects(ready: Iterable[Placement]) -> list[Suspect]:
-    """Return the suspected ones, the most suspected first, ties by id."""
+    """Return the suspects, the most suspected first, equal ones sorted by id."""
     suspects = [
         Suspect(
             placement.backend_server.backend_server_id,
@@ -176,7 +178,7 @@
 
 
 def _is_shared(suspects: list[Suspect], ready_slots: float) -> bool:
-    """Tell whether nearly everything looks sick."""
+    """Tell whether so much capacity is suspected that a shared cause is likely."""
     suspected = [suspect for suspect in suspects if suspect.suspicion >= SUSPECTED]
     suspected_slots = sum(suspect.capacity_slots for suspect in suspected)
     return bool(suspected) and suspected_slots >= SHARED_CAUSE_FRACTION * ready_slots
@@ -185,13 +187,13 @@
 def _split(
     suspects: list[Suspect], ready_slots: float, floor_slots: float
 ) -> tuple[list[Suspect], list[Suspect]]:
-    """Split suspects into those left out and those that the floor keeps."""
+    """Split suspects into those left out and those kept because of the floor."""
     left_out: list[Suspect] = []
     kept: list[Suspect] = []
     in_use_slots = ready_slots
     for suspect in suspects:
         if in_use_slots - suspect.capacity_slots < floor_slots:
-            # Kept; a smaller one further on may still fit.
+            # A later suspect with less capacity may still be left out.
             kept.append(suspect)
             continue
         in_use_slots -= suspect.capacity_slots
--- a/balsamspindle/services/free_slots.py
+++ b/balsamspindle/services/free_slots.py
@@ -1,4 +1,4 @@
-"""What an ingress believes about free slots, from the replies that it got."""
+"""Estimates the free slots of backend servers from the replies to an ingress."""
 
 import threading
 from collections import OrderedDict
@@ -11,62 +11,63 @@
 FREE_SLOTS_TTL_S = 1.0
 
 
-class _Heard(NamedTuple):
+class _Report(NamedTuple):
     free_slots: int
-    heard_s: float
-    # Own attempts in flight when it was heard: these are counted in it.
+    received_s: float
+    # Own attempts in flight at that time, whose slots `free_slots` already excludes.
     own_in_flight: int
 
 
 class FreeSlotViews:
-    """Free slots as piggybacked on the last reply of each backend server.
+    """The free slots that the last reply of each backend server reported.
 
-    What was heard is believed for `FREE_SLOTS_TTL_S`; after that a backend
-    server counts as free. Believed for ever, one that was busy once would
-    lose every choice, send no reply that says otherwise, and starve.
+    A report expires after `FREE_SLOTS_TTL_S`; from then on a backend server counts
+    as free. Without expiry, a backend server that was busy once would never be
+    chosen again, send no reply that corrects the report, and starve.
 
-    Own attempts that started since then are taken off. Without that, a burst
-    of requests between two replies would all go to the same backend server.
+    Own attempts that started since the report are subtracted. Otherwise a burst of
+    requests between two replies would all go to the same backend server.
     """
 
     def __init__(self) -> None:
         self._lock = threading.Lock()
-        self._heard: OrderedDict[str, _Heard] = OrderedDict()
-        self._own: dict[str, int] = {}
+        self._reports: OrderedDict[str, _Report] = OrderedDict()
+        self._own_in_flight: dict[str, int] = {}
 
     def started(self, backend_server_id: str) -> None:
-        """Count an own attempt."""
+        """Count the start of an own attempt."""
         with self._lock:
-            self._own[backend_server_id] = self._own.get(backend_server_id, 0) + 1
+            self._own_in_flight[backend_server_id] = (
+                self._own_in_flight.get(backend_server_id, 0) + 1
+            )
 
     def ended(self, backend_server_id: str) -> None:
         """Count the end of an own attempt."""
         with self._lock:
-            own = self._own.pop(backend_server_id) - 1
+            own = self._own_in_flight.pop(backend_server_id) - 1
             if own:
-                self._own[backend_server_id] = own
+                self._own_in_flight[backend_server_id] = own
 
     def note(self, backend_server_id: str, free_slots: int, now_s: float) -> None:
-        """Take what a reply said."""
+        """Record the free slots that a reply reported."""
         with self._lock:
-            own = self._own.get(backend_server_id, 0)
-            self._heard[backend_server_id] = _Heard(free_slots, now_s, own)
-            self._heard.move_to_end(backend_server_id)
-            self._forget_old(now_s)
+            own = self._own_in_flight.get(backend_server_id, 0)
+            self._reports[backend_server_id] = _Report(free_slots, now_s, own)
+            self._reports.move_to_end(backend_server_id)
+            self._discard_expired(now_s)
 
     def free_slots(self, placement: Placement, now_s: float) -> float:
-        """Return the free slots of a backend server, as far as known."""
+        """Return the estimated free slots of a backend server."""
         server = placement.backend_server
-        own = self._own.get(server.backend_server_id, 0)
-        heard = self._heard.get(server.backend_server_id)
-        if heard is None or now_s - heard.heard_s > FREE_SLOTS_TTL_S:
+        own = self._own_in_flight.get(server.backend_server_id, 0)
+        report = self._reports.get(server.backend_server_id)
+        if report is None or now_s - report.received_s > FREE_SLOTS_TTL_S:
             return server.slots * server.capacity - own
-        return heard.free_slots - max(0, own - heard.own_in_flight)
+        return report.free_slots - max(0, own - report.own_in_flight)
 
-    def _forget_old(self, now_s: float) -> None:
-        """Keep no entry that nobody believes any more."""
-        while self._heard:
-            oldest = next(iter(self._heard.values()))
-            if now_s - oldest.heard_s <= FREE_SLOTS_TTL_S:
+    def _discard_expired(self, now_s: float) -> None:
+        while self._reports:
+            oldest = next(iter(self._reports.values()))
+            if now_s - oldest.received_s <= FREE_SLOTS_TTL_S:
                 return
-            self._heard.popitem(last=False)
+            self._reports.popitem(last=False)
--- a/balsamspindle/services/peer_evidence.py
+++ b/balsamspindle/services/peer_evidence.py
@@ -1,7 +1,7 @@
-"""What an ingress sees of a service's backend servers, to compare them by.
+"""Tracks how a service's backend servers answer one ingress, for comparison.
 
-A gate sees only the work of its own backend servers. Whether the others of
-the service fail or are slow, too, it learns from the ingresses: each dispatch
+A gate sees only the work of its own backend servers. To learn whether the service's
+other backend servers also fail or are slow, it relies on the ingresses: each dispatch
 carries a summary of the others (`PeerEvidence`).
 """
 
@@ -12,46 +12,47 @@
 
 __all__ = ["PeerEvidenceTracker"]
 
-# What a backend server's latest answer said is believed for this time.
-BELIEVED_S = 10.0
-# Its limit changes little and is kept longer.
-FORGET_S = 600.0
-# In limits, for an attempt in flight.
+# How long the judgement of a backend server's latest answer is used.
+JUDGEMENT_VALID_S = 10.0
+# How long its latency limit, which changes little, is kept.
+LIMIT_EXPIRY_S = 600.0
+# An attempt in flight for this many latency limits counts as hanging.
 HANGING_FACTOR = 2.0
 
 
-class _Seen:
-    """The latest of one backend server."""
+class _ServerEvidence:
+    """The latest judgement and latency limit of one backend server."""
 
-    __slots__ = ("bad", "heard_s", "in_flight", "limit_ms")
+    __slots__ = ("bad", "in_flight", "judged_s", "limit_ms")
 
     def __init__(self) -> None:
         self.bad = False
-        self.heard_s = float("-inf")
+        self.judged_s = float("-inf")
         self.limit_ms = 0.0
+        # Start times of the attempts in flight, the oldest first.
         self.in_flight: list[float] = []
 
-    def is_believed(self, now_s: float) -> bool:
-        return now_s - self.heard_s <= BELIEVED_S
+    def is_recent(self, now_s: float) -> bool:
+        return now_s - self.judged_s <= JUDGEMENT_VALID_S
 
     def hangs(self, now_s: float) -> bool:
-        """Tell whether an attempt is in flight for longer than is normal."""
+        """Tell whether the oldest attempt in flight takes unusually long."""
         if not self.in_flight or not self.limit_ms:
             return False
         return (now_s - self.in_flight[0]) * 1000 > HANGING_FACTOR * self.limit_ms
 
 
 class PeerEvidenceTracker:
-    """The latest of each backend server that this ingress uses."""
+    """Evidence on each backend server that this ingress uses; thread-safe."""
 
     def __init__(self) -> None:
         self._lock = threading.Lock()
-        self._services: dict[str, dict[str, _Seen]] = {}
+        self._services: dict[str, dict[str, _ServerEvidence]] = {}
 
     def started(self, service: str, backend_server_id: str, now_s: float) -> None:
-        """Note that an attempt was sent."""
+        """Record that an attempt was sent."""
         with self._lock:
-            self._seen(service, backend_server_id).in_flight.append(now_s)
+            self._evidence(service, backend_server_id).in_flight.append(now_s)
 
     def ended(
         self,
@@ -61,48 +62,51 @@
         reply: Reply | None,
         now_s: float,
     ) -> None:
-        """Note an attempt's end.
+        """Record the end of an attempt.
 
         Parameters
         ----------
         reply : Reply or None
-            Tells what the gate judged. Without a judgement (the link failed,
-            the work was shed) the end says nothing of the backend server.
+            Carries the gate's judgement. Without a judgement (the link failed, the
+            work was shed) the end is no evidence on the backend server.
         """
         with self._lock:
-            seen = self._seen(service, backend_server_id)
-            if started_s in seen.in_flight:
-                seen.in_flight.remove(started_s)
+            evidence = self._evidence(service, backend_server_id)
+            if started_s in evidence.in_flight:
+                evidence.in_flight.remove(started_s)
             if reply is None:
                 return
             if reply.limit_ms > 0:
-                seen.limit_ms = reply.limit_ms
+                evidence.limit_ms = reply.limit_ms
             if reply.bad is not None:
-                seen.bad = reply.bad
-                seen.heard_s = now_s
+                evidence.bad = reply.bad
+                evidence.judged_s = now_s
 
     def about(self, service: str, backend_server_id: str, now_s: float) -> PeerEvidence:
-        """Summarize the service's other backend servers."""
+        """Return a summary of the service's other backend servers."""
         heard = bad = 0
         limits_ms = []
         with self._lock:
             servers = self._services.get(service, {})
-            for server_id, seen in list(servers.items()):
-                if now_s - seen.heard_s > FORGET_S and not seen.in_flight:
+            for server_id, evidence in list(servers.items()):
+                if (
+                    now_s - evidence.judged_s > LIMIT_EXPIRY_S
+                    and not evidence.in_flight
+                ):
                     del servers[server_id]
                     continue
                 if server_id == backend_server_id:
                     continue
-                if seen.limit_ms:
-                    limits_ms.append(seen.limit_ms)
-                hangs = seen.hangs(now_s)
-                if hangs or seen.is_believed(now_s):
+                if evidence.limit_ms:
+                    limits_ms.append(evidence.limit_ms)
+                hangs = evidence.hangs(now_s)
+                if hangs or evidence.is_recent(now_s):
                     heard += 1
-                    bad += hangs or seen.bad
-        # One limit may be that of the one sick backend server.
+                    bad += hangs or evidence.bad
+        # A single limit may come from an unhealthy backend server.
         limit_ms = statistics.median(limits_ms) if len(limits_ms) > 1 else 0.0
         return PeerEvidence(heard, bad, limit_ms)
 
-    def _seen(self, service: str, backend_server_id: str) -> _Seen:
+    def _evidence(self, service: str, backend_server_id: str) -> _ServerEvidence:
         servers = self._services.setdefault(service, {})
-        return servers.setdefault(backend_server_id, _Seen())
+        return servers.setdefault(backend_server_id, _ServerEvidence())
--- a/balsamspindle/services/picker.py
+++ b/balsamspindle/services/picker.py
@@ -1,4 +1,4 @@
-"""Which backend server gets a request."""
+"""Chooses the backend server for a request."""
 
 import random
 from collections.abc import Callable, Sequence, Set
@@ -16,26 +16,27 @@
 
 _NO_BACKEND_SERVER = BackendServerRecord("-", "-", "-", 0, "-")
 
-# Draws of two in a tier before it counts as busy.
+# Draws of two backend servers without a free slot after which a tier counts as busy.
 DRAWS_MAX = 3
 
 
 class Picker:
     """Chooses backend servers for one node's ingress.
 
-    A view is kept for each service that is asked for, and made anew when the
-    directory's placements of the service or the floor changed. The cost of a
-    choice does not depend on the number of backend servers.
+    The view of a service is cached, and rebuilt when the service's placements in the
+    directory or its floor change. So the cost of a choice does not depend on the
+    number of backend servers.
 
     Parameters
     ----------
     own : NodeRecord
-        The node that asks.
+        The record of the picker's node.
     directory : Directory
     configuration : CurrentConfiguration
-        Where the services' floors stand.
+        Contains the services' floors.
     on_decision : callable, default=nothing
-        Told a service and what its floor lets be left out, when that changed.
+        Called with a service and its floor decision, the first one and each whose
+        cause differs from the one before.
     """
 
     def __init__(
@@ -64,26 +65,26 @@
         Parameters
         ----------
         excluded : set of str
-            Ids of backend servers that this request does not go to.
+            Ids of backend servers that must not get this request.
         free_slots : callable
-            Returns what is believed about a backend server's free slots.
+            Returns the estimated free slots of a backend server.
 
         Returns
         -------
         Placement or None
-            None when no backend server takes work. One without free slots
-            when all that were drawn are busy: it may queue the request.
+            None when no backend server takes work. When all backend servers drawn
+            are busy, one without free slots, which may queue the request.
         """
         view = self.view(service)
-        if _takes_trial(view, execution, rng):
+        if _draw_trial(view, execution, rng):
             placement = _choose(view.trials, excluded, free_slots, rng)
             if placement is not None:
                 return placement
         placement = None
         for tier in view.tiers:
             placement = _choose(tier, excluded, free_slots, rng) or placement
-            # A busy tier spills over to the next wider one, so that a
-            # preference for the own zone does not overload a small one.
+            # A busy tier spills over to the next wider one, so that the preference
+            # for the own zone does not overload a zone with few backend servers.
             if placement is not None and free_slots(placement) > 0:
                 return placement
         return placement
@@ -91,23 +92,23 @@
     def near_and_far(
         self, service: str, execution: Execution
     ) -> tuple[Sequence[Placement], Sequence[Placement]]:
-        """Return the places of the own zone, the own VM's first, and the others.
+        """Return the placements in the own zone, the own VM's first, and the others.
 
-        Those on trial are among them for what may be repeated; their gates
-        say whether they take it.
+        For idempotent requests the second list includes backend servers on trial;
+        their gates decide whether to accept the request.
         """
         view = self.view(service)
         near = (*view.tiers[0], *view.tiers[1])
-        far = [place for place in view.tiers[-1] if place not in near]
+        far = [placement for placement in view.tiers[-1] if placement not in near]
         if execution is Execution.IDEMPOTENT:
             far.extend(view.trials)
         return near, far
 
     def at_node(self, node_id: str, service: str) -> Placement | None:
-        """Return a place at one node's gate; None when the node is not known.
+        """Return a placement at a node's gate; None when the node is not known.
 
-        The gate may have no backend server of the service any more: then the
-        place names none, and the gate can still tell what it ran.
+        When the gate no longer has a backend server of the service, the placement
+        names none; the gate can still report what it ran.
         """
         for placement in self._directory.placements(service):
             if placement.node.node_id == node_id:
@@ -118,7 +119,7 @@
         return None
 
     def view(self, service: str) -> ServiceView:
-        """Return the present view of a service."""
+        """Return the current view of a service."""
         floor_fraction = self._floor_fraction(service)
         placements = self._directory.placements(service)
         view = self._views.get(service)
@@ -126,32 +127,32 @@
             if view.placements is placements:
                 return view
             if view.placements == placements:
-                # Indexed anew, without a change to this service.
+                # The directory was reindexed without a change to this service.
                 view = view._replace(placements=placements)
                 self._views[service] = view
                 return view
-        known, view = view, make_view(placements, self._own, floor_fraction)
+        previous, view = view, make_view(placements, self._own, floor_fraction)
         self._views[service] = view
-        if known is None or known.decision.cause is not view.decision.cause:
+        if previous is None or previous.decision.cause is not view.decision.cause:
             self._on_decision(service, view.decision)
         return view
 
     def explain(self, service: str) -> FloorDecision:
-        """Return who is left out of a service, and why."""
+        """Return which suspects of a service are left out, and why."""
         return self.view(service).decision
 
     def _floor_fraction(self, service: str) -> float:
         configuration = self._configuration.get()
         document = configuration and configuration.services.get(service)
-        # A service that is not in the settings (yet): eject nobody.
+        # A service that the settings do not define (yet): eject no backend server.
         return document.floor_fraction if document else 1.0
 
 
-def _takes_trial(view: ServiceView, execution: Execution, rng: random.Random) -> bool:
-    """Tell whether a request goes to a backend server on trial.
+def _draw_trial(view: ServiceView, execution: Execution, rng: random.Random) -> bool:
+    """Draw whether a request goes to a backend server on trial.
 
-    A trial may fail without telling whether it ran. A non-idempotent request
-    could not go elsewhere then, and its caller would be left with `unknown`.
+    Non-idempotent requests do not: a trial may fail without showing whether the
+    request ran. It could not be retried then, and its caller would get `unknown`.
     """
     if not view.trials or execution is not Execution.IDEMPOTENT:
         return False
@@ -159,20 +160,20 @@
 
 
 def choose_freest(
-    places: Sequence[Placement],
+    placements: Sequence[Placement],
     excluded: Set[str],
     free_slots: FreeSlots,
     rng: random.Random,
 ) -> Placement | None:
-    """Return the place with the most free slots, any of them among equals."""
-    left = [
-        place
-        for place in places
-        if place.backend_server.backend_server_id not in excluded
+    """Return the placement with the most free slots, a random one among equals."""
+    remaining = [
+        placement
+        for placement in placements
+        if placement.backend_server.backend_server_id not in excluded
     ]
-    if not left:
+    if not remaining:
         return None
-    return max(left, key=lambda place: (free_slots(place), rng.random()))
+    return max(remaining, key=lambda placement: (free_slots(placement), rng.random()))
 
 
 def _choose(
@@ -181,7 +182,11 @@
     free_slots: FreeSlots,
     rng: random.Random,
 ) -> Placement | None:
-    """Return one with a free slot if a few draws find one, else a busy one."""
+    """Return the freer of two random placements; draw again while both are busy.
+
+    After `DRAWS_MAX` draws, return a busy placement. Return None when all of the tier
+    are excluded.
+    """
     if excluded:
         tier = [
             placement
--- a/balsamspindle/services/queue_hints.py
+++ b/balsamspindle/services/queue_hints.py
@@ -1,43 +1,44 @@
-"""How long gates said that their queues are, as an ingress heard it lately."""
+"""Queue waits that gates reported when they refused requests of an ingress."""
 
 import threading
 
 __all__ = ["QueueHints"]
 
-# A queue changes within the time of a request or two; an older hint would keep
-# work from a gate that has long been free.
-BELIEVED_MAX_S = 0.5
-KEPT_MAX = 10_000
-_NOT_TOLD = (0.0, float("-inf"))
+# A queue changes within the time of a request or two; an older hint would keep work
+# from a gate that has free slots again.
+HINT_VALID_MAX_S = 0.5
+HINTS_MAX = 10_000
+_NO_HINT = (0.0, float("-inf"))
 
 
 class QueueHints:
-    """The waits that gates told when they refused; safe from all threads."""
+    """The queue wait by backend server, each valid for a short time; thread-safe."""
 
     def __init__(self) -> None:
         self._lock = threading.Lock()
-        self._told: dict[str, tuple[float, float]] = {}
+        # The wait in milliseconds and the time until which it is valid.
+        self._hints: dict[str, tuple[float, float]] = {}
 
     def note(self, backend_server_id: str, wait_ms: float, now_s: float) -> None:
-        """Take what a refusal said."""
-        until_s = now_s + min(wait_ms / 1000, BELIEVED_MAX_S)
+        """Record the wait that a refusal reported."""
+        until_s = now_s + min(wait_ms / 1000, HINT_VALID_MAX_S)
         with self._lock:
-            self._told.pop(backend_server_id, None)
-            self._told[backend_server_id] = wait_ms, until_s
-            if len(self._told) > KEPT_MAX:
-                del self._told[next(iter(self._told))]
+            self._hints.pop(backend_server_id, None)
+            self._hints[backend_server_id] = wait_ms, until_s
+            if len(self._hints) > HINTS_MAX:
+                del self._hints[next(iter(self._hints))]
 
     def wait_ms(self, backend_server_id: str, now_s: float) -> float | None:
-        """Return how long a queue is believed to be; None when not known."""
+        """Return the wait in a backend server's queue; None without a valid hint."""
         with self._lock:
-            told_ms, until_s = self._told.get(backend_server_id, _NOT_TOLD)
-        return told_ms if until_s > now_s else None
+            hint_ms, until_s = self._hints.get(backend_server_id, _NO_HINT)
+        return hint_ms if until_s > now_s else None
 
     def longer_than(self, wait_ms: float, now_s: float) -> set[str]:
-        """Return the backend servers whose queues are believed to be longer."""
+        """Return the ids of backend servers whose hints exceed a wait."""
         with self._lock:
             return {
                 server_id
-                for server_id, (told_ms, until_s) in self._told.items()
-                if told_ms > wait_ms and until_s > now_s
+                for server_id, (hint_ms, until_s) in self._hints.items()
+                if hint_ms > wait_ms and until_s > now_s
             }
--- a/balsamspindle/services/shares.py
+++ b/balsamspindle/services/shares.py
@@ -1,10 +1,9 @@
-"""Which service of a route that several share gets the next request.
+"""Distributes the requests of a route among several services by weight.
 
-Smooth weighted round robin: over any run of requests each service's count
-stays within one of its share, where random draws would be off by the square
-root of the run. A fleet of nodes each with a turn of its own would still be
-off together if all began with the same service, so each node begins at a
-random point of the turn.
+Smooth weighted round robin: over any sequence of requests, the number that each
+service gets differs from its share by at most one, where random draws would differ by
+the square root of the number of requests. If the round robins of all nodes began with
+the same service, their differences would add up, so each begins at a random point.
 """
 
 import random
@@ -16,12 +15,12 @@
 
 __all__ = ["ServiceShares"]
 
-# Routes whose turns are kept; one that was not used for the longest goes.
+# Routes whose round robins are kept; the least recently used one is discarded.
 ROUTES_MAX = 10_000
 
 
-class _Turn:
-    """The turn of one route's services."""
+class _WeightedRoundRobin:
+    """The round robin among one route's services."""
 
     def __init__(self, route: RouteDocument, rng: random.Random) -> None:
         self.shares: tuple[ServiceShare, ...] = route.shares
@@ -41,21 +40,23 @@
 
 
 class ServiceShares:
-    """The turns of all shared routes at one ingress; safe from all threads."""
+    """The round robins of all routes with shares at one ingress; thread-safe."""
 
     def __init__(self, rng: random.Random) -> None:
         self._random = rng
         self._lock = threading.Lock()
-        self._turns: dict[RouteDocument, _Turn] = {}
+        # In order of use, the most recent last.
+        self._round_robins: dict[RouteDocument, _WeightedRoundRobin] = {}
 
     def choose(self, route: RouteDocument) -> RouteDocument:
-        """Return the route with the one service that this request goes to."""
+        """Return the route with the service for one request in place of its shares."""
         if not route.shares:
             return route
         with self._lock:
-            turn = self._turns.pop(route, None) or _Turn(route, self._random)
-            # The newest last.
-            self._turns[route] = turn
-            if len(self._turns) > ROUTES_MAX:
-                del self._turns[next(iter(self._turns))]
-            return turn.next()
+            round_robin = self._round_robins.pop(route, None) or _WeightedRoundRobin(
+                route, self._random
+            )
+            self._round_robins[route] = round_robin
+            if len(self._round_robins) > ROUTES_MAX:
+                del self._round_robins[next(iter(self._round_robins))]
+            return round_robin.next()
--- a/balsamspindle/services/suspects.py
+++ b/balsamspindle/services/suspects.py
@@ -1,4 +1,4 @@
-"""Which backend servers' gates keep work away now, as an ingress heard it."""
+"""Backend servers that are held out by their gates, as replies to an ingress report."""
 
 import threading
 from typing import NamedTuple
@@ -7,55 +7,56 @@
 
 __all__ = ["Suspects"]
 
-KEPT_MAX = 10_000
-# One error alone is as likely a healthy backend server's, which fails one request
-# in a hundred, as the first of one that fell sick; two in a row hardly are.
+HOLD_OUTS_MAX = 10_000
+# A single error is as likely to come from a healthy backend server, which fails one
+# request in a hundred, as to be the first of an unhealthy one; two in a row are not.
 FAILING_IN_A_ROW = 2
 
 
-class _Suspect(NamedTuple):
+class _HoldOut(NamedTuple):
     until_s: float
     bad_in_a_row: int
 
 
 class Suspects:
-    """Until when each gate said that it refuses usual work.
+    """The time until which each backend server is held out; thread-safe.
 
-    Each reply tells it, refusals and answers alike, so an ingress asks a gate
-    in vain at most once in a hold-out. It is a hint: the gate decides.
+    Each reply carries it, refusals and answers alike, so a gate refuses an ingress at
+    most once in a hold-out. It is a hint only: the gate decides.
     """
 
     def __init__(self) -> None:
         self._lock = threading.Lock()
-        self._suspects: dict[str, _Suspect] = {}
+        self._hold_outs: dict[str, _HoldOut] = {}
 
     def note(self, backend_server_id: str, held_out: HeldOut, now_s: float) -> None:
-        """Take what a reply said."""
-        if not held_out.held_out_ms and backend_server_id not in self._suspects:
+        """Record the hold-out that a reply reported, or its end."""
+        if not held_out.held_out_ms and backend_server_id not in self._hold_outs:
             return
         with self._lock:
-            self._suspects.pop(backend_server_id, None)
+            self._hold_outs.pop(backend_server_id, None)
             if held_out.held_out_ms:
                 until_s = now_s + held_out.held_out_ms / 1000
-                suspect = _Suspect(until_s, held_out.bad_in_a_row)
-                self._suspects[backend_server_id] = suspect
-                if len(self._suspects) > KEPT_MAX:
-                    del self._suspects[next(iter(self._suspects))]
+                hold_out = _HoldOut(until_s, held_out.bad_in_a_row)
+                self._hold_outs[backend_server_id] = hold_out
+                if len(self._hold_outs) > HOLD_OUTS_MAX:
+                    del self._hold_outs[next(iter(self._hold_outs))]
 
     def at(self, now_s: float) -> set[str]:
-        """Return the ids of those that refuse work now."""
-        return self._with(0, now_s)
+        """Return the ids of the backend servers that are held out now."""
+        return self._select(0, now_s)
 
     def failing(self, now_s: float) -> set[str]:
-        """Return the ids of those that are hardly well: more than one error."""
-        return self._with(FAILING_IN_A_ROW, now_s)
+        """Return the ids of those held out after several bad results in a row."""
+        return self._select(FAILING_IN_A_ROW, now_s)
 
-    def _with(self, bad_in_a_row_min: int, now_s: float) -> set[str]:
-        if not self._suspects:
+    def _select(self, bad_in_a_row_min: int, now_s: float) -> set[str]:
+        if not self._hold_outs:
             return set()
         with self._lock:
             return {
                 backend_server_id
-                for backend_server_id, suspect in self._suspects.items()
-                if suspect.until_s > now_s and suspect.bad_in_a_row >= bad_in_a_row_min
+                for backend_server_id, hold_out in self._hold_outs.items()
+                if hold_out.until_s > now_s
+                and hold_out.bad_in_a_row >= bad_in_a_row_min
             }
--- a/balsamspindle/services/view.py
+++ b/balsamspindle/services/view.py
@@ -1,8 +1,8 @@
-"""One picker's view of a service, worked out once for each change of it.
+"""A picker's view of a service, computed once for each change of the service.
 
-A request chooses from tuples that are ready to draw from: at hundreds of
-backend servers a service, building lists for each request would cost more
-than the rest of the choice.
+The view holds tuples from which a request's backend server is drawn. With hundreds of
+backend servers in a service, building lists for each request would cost more than the
+rest of the choice.
 """
 
 from collections.abc import Sequence
@@ -20,30 +20,30 @@
 
 __all__ = ["ServiceView", "make_view"]
 
-# Of a usable backend server's requests, what one on trial gets.
+# Requests to a backend server on trial, as a fraction of those to a usable one.
 TRIAL_SHARE = 0.2
 
 Tiers = tuple[tuple[Placement, ...], ...]
 
 
 class ServiceView(NamedTuple):
-    """The backend servers that one picker may choose, nearest first.
+    """The backend servers that a picker may choose, in tiers by distance.
 
     Attributes
     ----------
     placements : sequence of Placement
-        What the view was made from.
+        All placements of the service, from which the view was made.
     floor_fraction : float
-        What the decision was made with.
+        The floor with which the decision was made.
     decision : FloorDecision
-        Who is left out, and why; on all of the service, not on the subset.
+        Made on the whole service, not on the node's subset.
     tiers : tuple of tuple of Placement
         Own VM, rest of the own availability zone, rest of the own region,
         and last the whole subset.
     trials : tuple of Placement
-        Those on trial that the floor does not need.
+        Backend servers on trial whose capacity the floor does not need.
     trial_chance : float
-        Part of the idempotent requests that goes to them.
+        Probability that an idempotent request goes to one of `trials`.
     """
 
     placements: Sequence[Placement]
@@ -57,7 +57,7 @@
 def make_view(
     placements: Sequence[Placement], own: NodeRecord, floor_fraction: float
 ) -> ServiceView:
-    """Work out a view; costs a few steps for each placement."""
+    """Compute a view, in time proportional to the number of placements."""
     decision = decide_floor(placements, floor_fraction)
     left_out = {
         (suspect.node_id, suspect.backend_server_id): suspect
--- a/tests/test_floor.py
+++ b/tests/test_floor.py
@@ -1,4 +1,4 @@
-"""The floor: properties of the decision over every mix of states and views."""
+"""The floor: properties of the decision over random mixes of states and views."""
 
 import math
 
@@ -42,7 +42,7 @@
 
 
 def usable_slots(placements) -> float:
-    """Capacity worked out again, on its own."""
+    """Compute the ready capacity independently of the code under test."""
     total = 0.0
     for node, server in placements:
         if node.state == "alive" and server.state == "ready":
@@ -63,7 +63,7 @@
 @exhaustive
 @given(views, fractions)
 def test_ejection_never_takes_capacity_in_use_below_the_floor(view, fraction):
-    """The promise itself, for any mix of sick, draining, cold and leaving."""
+    """Holds for any mix of unhealthy, draining, cold and leaving backend servers."""
     decision = decide_floor(view, fraction)
     floor = fraction * sum(known.backend_server.slots for known in view)
     in_use = usable_slots(without(view, decision))
@@ -74,7 +74,7 @@
 @exhaustive
 @given(views, fractions, st.sets(st.integers(0, 13)))
 def test_each_of_two_split_views_keeps_its_own_floor(view, fraction, half):
-    """A partition shows two pickers two parts of a service; neither asks."""
+    """In a partition, two pickers see different parts of a service and decide alone."""
     for part in (
         [known for number, known in enumerate(view) if number in half],
         [known for number, known in enumerate(view) if number not in half],
@@ -116,8 +116,8 @@
     assert decision.cause is FloorCause.FLOOR_BINDS
 
 
-def test_drained_and_cold_ones_use_up_the_allowance():
-    """Six of ten drained or cold: a sick one more would halve what is left."""
+def test_draining_and_cold_backend_servers_reduce_the_allowed_ejections():
+    """Three of ten are draining and one is cold: the floor allows no ejection."""
     view = [placement(0, SICK), *(placement(number) for number in range(1, 6))]
     view += [placement(number, state="draining") for number in range(6, 9)]
     view += [placement(9, ramp=0.1)]
@@ -126,8 +126,8 @@
     assert decision.cause is FloorCause.FLOOR_BINDS
 
 
-def test_one_on_trial_is_used_in_full_when_the_floor_needs_it():
-    """Half sick and one back on trial: holding it back would break the floor."""
+def test_a_backend_server_on_trial_is_used_in_full_when_the_floor_needs_it():
+    """With four of ten unhealthy, leaving out one on trial would break the floor."""
     view = [placement(number, SICK) for number in range(4)]
     view += [placement(4, ON_TRIAL), *(placement(number) for number in range(5, 10))]
     decision = decide_floor(view, 0.6)
@@ -135,7 +135,7 @@
     assert decide_floor(view[2:], 0.6).kept == ()
 
 
-def test_when_everything_looks_sick_nobody_is_ejected():
+def test_no_backend_server_is_ejected_when_nearly_all_are_suspected():
     view = [placement(number, SICK) for number in range(9)] + [placement(9)]
     decision = decide_floor(view, 0.1)
     assert decision.left_out == ()
--- a/tests/test_picker.py
+++ b/tests/test_picker.py
@@ -1,4 +1,4 @@
-"""The choice of a backend server: nearness, spill-over, subsets, staleness."""
+"""The choice of a backend server: tiers, spill-over, subsets, expired reports."""
 
 import random
 from collections import Counter
@@ -18,7 +18,7 @@
 
 
 class FakeDirectory:
-    """Placements of one service; counts how often a view is made of them."""
+    """Returns the same placements for each service; a test may replace them."""
 
     def __init__(self, placements) -> None:
         self.view = tuple(placements)
@@ -61,10 +61,10 @@
 
 
 def test_a_small_zone_spills_over_instead_of_overloading():
-    """All callers sit in a zone with one of ten backend servers' slots.
+    """Callers in a zone with one of ten backend servers do not queue at that one.
 
-    Each request holds its slot for 40 further ones. A preference without
-    spill-over would queue nearly all of them at the one near server.
+    Each request holds its slot while 40 more are sent. With a preference for the own
+    zone but no spill-over, nearly all would queue at the near backend server.
     """
     view = [placement(0), *(placement(number + 1) for number in range(0, 27, 3))]
     picker = make_picker(view, own=placement(99).node)
@@ -82,7 +82,7 @@
     assert queued == 0
 
 
-def test_one_that_is_left_out_or_excluded_gets_nothing():
+def test_a_backend_server_that_is_left_out_or_excluded_gets_no_request():
     view = [placement(0, SICK), *(placement(number) for number in range(1, 6))]
     assert "server-0" not in pick_many(make_picker(view), all_free)
     excluded = {f"server-{number}" for number in range(2, 6)}
@@ -91,19 +91,19 @@
     }
 
 
-def test_one_on_trial_gets_a_few_requests_and_no_non_idempotent_one():
+def test_a_backend_server_on_trial_gets_few_requests_and_only_idempotent_ones():
     view = [placement(0, ON_TRIAL), *(placement(number) for number in range(1, 6))]
     counts = pick_many(make_picker(view), lambda known: known.node.node_id[-1] != "3")
     assert 0 < counts["server-0"] < REQUESTS / len(view) / 2
     assert "server-0" not in pick_many(make_picker(view), all_free, NON_IDEMPOTENT)
 
 
-def test_one_on_trial_that_the_floor_needs_gets_all_work():
+def test_a_backend_server_on_trial_that_the_floor_needs_gets_all_requests():
     alone = make_picker([placement(0, ON_TRIAL)])
     assert set(pick_many(alone, all_free, NON_IDEMPOTENT)) == {"server-0"}
 
 
-def test_a_view_is_made_anew_only_when_the_service_changed():
+def test_a_view_is_rebuilt_only_when_the_service_changed():
     picker = make_picker([placement(number) for number in range(9)])
     first = picker.view(SERVICE)
     assert picker.view(SERVICE) is first
@@ -114,18 +114,18 @@
 
 
 def test_a_backend_server_that_was_busy_once_does_not_starve():
-    """What was heard is all there is, and nobody who is not chosen replies."""
+    """Reports expire: without requests, no reply would ever replace an old report."""
     busy = placement(0)
     views = FreeSlotViews()
     views.note("server-0", 0, now_s=10.0)
     assert views.free_slots(busy, now_s=10.5) == 0
     assert views.free_slots(busy, now_s=10.1 + FREE_SLOTS_TTL_S) == 6
     views.note("server-1", 3, now_s=20.0)
-    assert list(views._heard) == ["server-1"]
+    assert list(views._reports) == ["server-1"]
 
 
 def test_subsets_are_bounded_even_and_move_little():
-    """Who is in a node's subset must not depend on who else is, much."""
+    """Removing one backend server changes at most one entry of each node's subset."""
     view = [placement(number) for number in range(200)]
     nodes = [placement(number).node for number in range(1000, 1600)]
     subsets = [subset(view, own) for own in nodes]
