--- a/balsamspindle/crashes/__init__.py
+++ b/balsamspindle/crashes/__init__.py
@@ -1,12 +1,14 @@
-"""Requests that crash the backend servers which run them, and what is done then.
+"""Detects requests that crash backend servers, and quarantines them.
 
-A limit on the attempts of one request does not hold for its repeats: each comes with
-a new request id, at any node, and finds backend servers that were started anew.
-Requests are told apart by their content instead (`balsamspindle.requests.content`).
-`balsamspindle.backend_servers.crash_watch` sees at a gate that a backend server ended
-and which requests ran there. `book.py` keeps these crashes and who is quarantined by
-them, `verdicts.py` decides that, and `spread.py` and `keeper.py` bring it to all
-nodes, now and after they were restarted.
+A limit on the attempts of one request does not cover a caller's repeats of it: each
+repeat has a new request id, may arrive at any node, and finds restarted backend
+servers. So requests are identified by their content (`balsamspindle.requests.content`).
+
+At a gate, `balsamspindle.backend_servers.crash_watch` detects that a backend server
+ended and which requests were running there. `book.py` keeps these crashes and the
+quarantines, and `verdicts.py` decides which request is the cause. `spread.py` shares
+both with the other nodes, and `keeper.py` stores quarantines so that they survive a
+restart of the whole fleet.
 """
 
 from balsamspindle.crashes.book import CrashBook
--- a/balsamspindle/crashes/attribution.py
+++ b/balsamspindle/crashes/attribution.py
@@ -1,12 +1,19 @@
-"""Who is blamed for which crash, given all that a node knows."""
+"""Attributes each crash that a node knows to the request that caused it, if any."""
 
 from collections.abc import Callable, Collection
 from dataclasses import dataclass
 
 from balsamspindle.crashes.records import Crash
-from balsamspindle.crashes.verdicts import NO_CASE, WAVE_S, Case, Hit, chance, leader
+from balsamspindle.crashes.verdicts import (
+    NO_CASE,
+    RATE_LEAD_S,
+    AttributedCrash,
+    Case,
+    coincidence_probability,
+    likeliest_cause,
+)
 
-__all__ = ["Blame", "KnownCrash"]
+__all__ = ["CrashAttribution", "KnownCrash"]
 
 
 @dataclass
@@ -16,9 +23,9 @@
     Attributes
     ----------
     at_s : float
-        On this node's monotonic clock.
+        Time of the crash, on this node's monotonic clock.
     runs : dict of int to float
-        How long each content had run; those that are answered later are taken out.
+        Run times in seconds by content; contents that are answered later are removed.
     """
 
     crash: Crash
@@ -26,13 +33,15 @@
     runs: dict[int, float]
 
 
-class Blame:
-    """One look at all crashes; made anew when they or the quarantines change.
+class CrashAttribution:
+    """Attributes crashes to contents.
+
+    Results are cached: create a new instance when crashes or quarantines change.
 
     Parameters
     ----------
     is_quarantined : callable
-        Tells whether a content is known to crash backend servers.
+        Tells whether a content is quarantined.
     servers : callable
         Returns the number of a service's backend servers.
     """
@@ -46,45 +55,51 @@
         self._crashes = crashes
         self._is_quarantined = is_quarantined
         self._servers = servers
-        self._chances: dict[int, float] = {}
+        self._probabilities: dict[int, float] = {}
 
-    def leader(self, known: KnownCrash) -> int | None:
-        """Return the content that is blamed for a crash, if there is one."""
+    def cause_of(self, known: KnownCrash) -> int | None:
+        """Return the content to which a crash is attributed; None when unclear."""
         quarantined = self._quarantined_in(known)
-        chances = dict.fromkeys(known.runs, 1.0)
+        probabilities = dict.fromkeys(known.runs, 1.0)
         if not quarantined:
-            chances = {content: self._chance(content) for content in known.runs}
-        return leader(chances, quarantined)
-
-    def case(self, content: int) -> Case:
-        """Return what speaks for a request being the cause of crashes."""
-        return self._case_of(
+            probabilities = {
+                content: self._probability(content) for content in known.runs
+            }
+        return likeliest_cause(probabilities, quarantined)
+
+    def evidence(self, content: int) -> Case:
+        """Return the evidence that a content causes the crashes attributed to it."""
+        return self._evidence_for(
             content,
             [
                 known
                 for known in self._crashes
-                if content in known.runs and self.leader(known) == content
+                if content in known.runs and self.cause_of(known) == content
             ],
         )
 
-    def _chance(self, content: int) -> float:
-        """Return how likely all crashes of a request are by chance."""
-        if content not in self._chances:
+    def _probability(self, content: int) -> float:
+        """Return the probability that a content was at its crashes by coincidence."""
+        if content not in self._probabilities:
             unexplained = [
                 known
                 for known in self._crashes
                 if content in known.runs and not self._quarantined_in(known)
             ]
-            self._chances[content] = chance(self._case_of(content, unexplained))
-        return self._chances[content]
+            self._probabilities[content] = coincidence_probability(
+                self._evidence_for(content, unexplained)
+            )
+        return self._probabilities[content]
 
-    def _case_of(self, content: int, blamed: list[KnownCrash]) -> Case:
-        if not blamed:
+    def _evidence_for(self, content: int, attributed: list[KnownCrash]) -> Case:
+        if not attributed:
             return NO_CASE
-        hits = sorted(Hit(known.at_s, known.runs[content]) for known in blamed)
-        services = {known.crash.service for known in blamed}
+        hits = sorted(
+            AttributedCrash(known.at_s, known.runs[content]) for known in attributed
+        )
+        services = {known.crash.service for known in attributed}
         crashes = sum(
-            hits[0].at_s - WAVE_S <= known.at_s <= hits[-1].at_s
+            hits[0].at_s - RATE_LEAD_S <= known.at_s <= hits[-1].at_s
             and known.crash.service in services
             and not self._quarantined_in(known)
             for known in self._crashes
--- a/balsamspindle/crashes/book.py
+++ b/balsamspindle/crashes/book.py
@@ -1,4 +1,4 @@
-"""What one node knows of crashes, and of the requests that cause them."""
+"""The crashes that one node knows, and the requests quarantined as their causes."""
 
 import threading
 from collections import Counter, OrderedDict
@@ -8,8 +8,8 @@
 import msgspec
 import xxhash
 
-from balsamspindle.crashes.blame import Blame, KnownCrash
-from balsamspindle.crashes.recent_answers import ANSWER_HOLDS_S, RecentAnswers
+from balsamspindle.crashes.attribution import CrashAttribution, KnownCrash
+from balsamspindle.crashes.recent_answers import ANSWER_VALID_S, RecentAnswers
 from balsamspindle.crashes.records import (
     CALM,
     Crash,
@@ -22,52 +22,53 @@
 
 __all__ = ["CrashBook"]
 
-CRASHES_KEPT = 256
-CRASH_KEPT_S = 600.0
-RUNS_KEPT = 32
-# Backend servers that ended under a request before it is watched more closely.
+CRASHES_MAX = 256
+CRASH_EXPIRY_S = 600.0
+RUNS_MAX = 32
+# Crashes while a request ran from which the request counts as a suspect.
 SUSPECT_CRASHES = 2
-# How long a quarantined request is sent to no backend server, the first time. When
-# that is over it is tried: the backend server's fault may be mended. One crash
-# quarantines it again, for twice as long.
+# How long a newly quarantined request is blocked, that is, sent to no backend server.
+# Then it is tried again, since the backend server's fault may be mended; one more
+# crash quarantines it again, for twice as long.
 BLOCKED_S = 600.0
 BLOCKED_MAX_S = 86_400.0
-QUARANTINES_KEPT = 1000
-QUARANTINE_KEPT_S = 2 * BLOCKED_MAX_S
-# A crash is taken for as much later than it was: news of it travels.
-NEWS_LATE_S = 1.0
+QUARANTINES_MAX = 1000
+QUARANTINE_EXPIRY_S = 2 * BLOCKED_MAX_S
+# The estimated time of a crash is up to this much too late, as its report takes time to
+# arrive. An answer up to this long before the estimate may have come after the crash.
+REPORT_DELAY_MAX_S = 1.0
 EXPIRE_INTERVAL_S = 1.0
 
 
 @dataclass
 class _Quarantined:
-    """A quarantine; the higher term holds, and in a term that it was lifted."""
+    """A quarantine. The higher term wins; in the same term a lifted one wins."""
 
     term: int
     until_s: float
     is_lifted: bool
-    noted_s: float
+    recorded_s: float
 
 
 class CrashBook:
-    """Crashes and quarantines of the whole fleet; safe from all threads.
+    """Crashes and quarantines of the whole fleet; thread-safe.
 
-    What two nodes know is joined without an order: crashes are added, runs are
-    taken off them when their content was answered, and of two quarantines the later
-    one holds. So all nodes come to the same, by whatever way they hear.
+    Merging is commutative and idempotent, so nodes converge in whatever order updates
+    arrive: crashes are added, a run is removed from its crash when its content was
+    answered, and of two quarantines the one with the later term wins.
 
-    Most requests that are lost in a crash are answered at their next try and never
-    lost again. That is told to nobody: it would be six news for each crash. It is
-    told when such a request is lost once more.
+    Most requests that are lost in a crash are answered at their next attempt and never
+    lost again. Such answers are not shared, as that would cost six updates for each
+    crash; they are shared when the request is lost once more.
 
     Parameters
     ----------
     servers : callable
         Returns the number of a service's backend servers.
     on_quarantine : callable
-        Told a quarantine, or that it was lifted, the backend servers that ended, and
-        the case where it was judged here, when it is new here. Called with the
-        book's lock held: it must return at once.
+        Called with each quarantine that is new or newly lifted here, the ids of the
+        backend servers that ended while the request ran, and the evidence if the
+        decision was made here. It is called with the lock held and must not block.
     """
 
     def __init__(
@@ -80,7 +81,7 @@
         self._lock = threading.RLock()
         self._crashes: OrderedDict[tuple[str, int], KnownCrash] = OrderedDict()
         self._counts: Counter[int] = Counter()
-        # Crashes off which a content was taken, for as long as they are kept.
+        # By content: keys of the kept crashes from which its run was removed.
         self._cleared: dict[int, set[tuple[str, int]]] = {}
         self._quarantined: OrderedDict[int, _Quarantined] = OrderedDict()
         self._answers = RecentAnswers()
@@ -88,8 +89,8 @@
         self._expired_s = float("-inf")
 
     def standing(self, content: int, now_s: float) -> Standing:
-        """Return how a request's content stands."""
-        # Read without the lock: this is asked before each attempt of each request.
+        """Return whether a content is suspected or blocked."""
+        # Read without the lock: this is called before each attempt of each request.
         if content not in self._counts and content not in self._quarantined:
             return CALM
         with self._lock:
@@ -106,36 +107,36 @@
         return (backend_server_id, start) in self._crashes
 
     def is_explained(self, backend_server_id: str, start: int) -> bool:
-        """Tell whether a quarantined request is blamed for a backend server's end."""
+        """Tell whether a quarantined request ran when a backend server ended."""
         with self._lock:
             known = self._crashes.get((backend_server_id, start))
             return known is not None and any(map(self._is_quarantined, known.runs))
 
     def take(self, news: CrashNews, now_s: float) -> CrashNews:
-        """Take what somebody knows; return what of it is new here."""
+        """Merge an update; return the part of it that is new here."""
         with self._lock:
             self._expire(now_s)
             crashes = [
-                self._told(self._crashes[one.key], now_s)
-                for one in news.crashes
-                if self._take_crash(one, now_s)
+                self._export_crash(self._crashes[crash.key], now_s)
+                for crash in news.crashes
+                if self._merge_crash(crash, now_s)
             ]
             crashes += self._cleared_before(crashes, now_s)
             quarantines = [
-                self._told_quarantine(one.content, now_s)
-                for one in news.quarantines
-                if self._take_quarantine(one, now_s)
+                self._export_quarantine(quarantine.content, now_s)
+                for quarantine in news.quarantines
+                if self._merge_quarantine(quarantine, now_s)
             ]
             if crashes:
-                self._judge(crashes, now_s)
+                self._quarantine_causes(crashes, now_s)
             if crashes or quarantines:
                 self._digest = None
             return CrashNews(crashes, quarantines)
 
     def answered(self, content: int, now_s: float) -> CrashNews:
-        """Take that a backend server answered a request; return what changed."""
-        # Also where no crash is known: news of one that was before may yet come.
-        self._answers.note(content, now_s)
+        """Record an answer to a request; return what changed and should be shared."""
+        # Also while no crash is known: a report of an earlier one may still arrive.
+        self._answers.record(content, now_s)
         if content not in self._counts and content not in self._quarantined:
             return CrashNews()
         with self._lock:
@@ -144,45 +145,45 @@
             cleared = []
             for known in self._crashes.values():
                 if content in known.runs:
-                    self._drop_run(known, content)
-                    cleared.append(self._told(known, now_s))
+                    self._remove_run(known, content)
+                    cleared.append(self._export_crash(known, now_s))
             quarantines = []
             quarantined = self._quarantined.get(content)
             if quarantined is not None and not quarantined.is_lifted:
                 quarantined.is_lifted = True
-                quarantines.append(self._told_quarantine(content, now_s))
+                quarantines.append(self._export_quarantine(content, now_s))
                 self._on_quarantine(quarantines[0], [], NO_CASE)
-            self._judge(cleared, now_s)
+            self._quarantine_causes(cleared, now_s)
             self._digest = None
             return CrashNews(cleared if is_watched else [], quarantines)
 
     def retract(self, key: tuple[str, int], now_s: float) -> CrashNews:
-        """Take that a backend server did not end; return what changed."""
+        """Record that a reported crash was none; return what changed."""
         with self._lock:
             known = self._crashes.get(key)
             if known is None or not known.runs:
                 return CrashNews()
             for content in list(known.runs):
-                self._drop_run(known, content)
+                self._remove_run(known, content)
             self._digest = None
-            return CrashNews([self._told(known, now_s)])
+            return CrashNews([self._export_crash(known, now_s)])
 
-    def all(self, now_s: float, age_max_s: float = CRASH_KEPT_S) -> CrashNews:
-        """Return all that is known here, of crashes up to an age."""
+    def all(self, now_s: float, age_max_s: float = CRASH_EXPIRY_S) -> CrashNews:
+        """Return all quarantines, and the crashes up to a maximum age."""
         with self._lock:
             self._expire(now_s)
             crashes = [
-                self._told(known, now_s)
+                self._export_crash(known, now_s)
                 for known in self._crashes.values()
                 if now_s - known.at_s <= age_max_s
             ]
             quarantines = [
-                self._told_quarantine(one, now_s) for one in self._quarantined
+                self._export_quarantine(content, now_s) for content in self._quarantined
             ]
             return CrashNews(crashes, quarantines)
 
     def digest(self) -> int:
-        """Return a number that two nodes share when they know the same; 0: nothing."""
+        """Return a hash that is equal on nodes with the same knowledge; 0 if empty."""
         digest = self._digest
         if digest is None:
             with self._lock:
@@ -190,81 +191,87 @@
         return digest
 
     def blocked(self, now_s: float) -> int:
-        """Return how many contents are sent to no backend server."""
+        """Return the number of contents that are blocked now."""
         with self._lock:
             return sum(
-                not one.is_lifted and one.until_s > now_s
-                for one in self._quarantined.values()
+                not quarantined.is_lifted and quarantined.until_s > now_s
+                for quarantined in self._quarantined.values()
             )
 
-    def _take_crash(self, crash: Crash, now_s: float) -> bool:
+    def _merge_crash(self, crash: Crash, now_s: float) -> bool:
+        """Merge a crash; return whether it changed anything here."""
         at_s = now_s - crash.age_ms / 1000
-        if now_s - at_s >= CRASH_KEPT_S:
+        if now_s - at_s >= CRASH_EXPIRY_S:
             return False
-        told = {run.content: run.ran_ms / 1000 for run in crash.runs[:RUNS_KEPT]}
+        run_times_s = {run.content: run.ran_ms / 1000 for run in crash.runs[:RUNS_MAX]}
         known = self._crashes.get(crash.key)
         if known is not None:
-            answered = [content for content in known.runs if content not in told]
+            answered = [content for content in known.runs if content not in run_times_s]
             for content in answered:
-                self._drop_run(known, content)
+                self._remove_run(known, content)
             return bool(answered)
-        known = self._crashes[crash.key] = KnownCrash(crash, at_s, told)
-        self._counts.update(told.keys())
-        for content in list(told):
-            if self._answers.answered_s(content) > at_s - NEWS_LATE_S:
-                self._drop_run(known, content)
-        if len(self._crashes) > CRASHES_KEPT:
-            self._forget(next(iter(self._crashes)))
+        known = self._crashes[crash.key] = KnownCrash(crash, at_s, run_times_s)
+        self._counts.update(run_times_s.keys())
+        for content in list(run_times_s):
+            if self._answers.answered_s(content) > at_s - REPORT_DELAY_MAX_S:
+                self._remove_run(known, content)
+        if len(self._crashes) > CRASHES_MAX:
+            self._remove_crash(next(iter(self._crashes)))
         return True
 
-    def _take_quarantine(self, told: Quarantine, now_s: float) -> bool:
-        known = self._quarantined.get(told.content)
+    def _merge_quarantine(self, received: Quarantine, now_s: float) -> bool:
+        """Merge a quarantine; return whether it changed anything here."""
+        known = self._quarantined.get(received.content)
         if known is not None and (known.term, known.is_lifted) >= (
-            told.term,
-            told.is_lifted,
+            received.term,
+            received.is_lifted,
         ):
             return False
-        left_s = min(told.left_ms / 1000, BLOCKED_MAX_S)
-        is_lifted = told.is_lifted or self._was_answered(told.content, now_s)
-        self._quarantine(told.content, told.term, now_s + left_s, is_lifted, now_s)
+        remaining_s = min(received.left_ms / 1000, BLOCKED_MAX_S)
+        is_lifted = received.is_lifted or self._was_answered(received.content, now_s)
+        self._quarantine(
+            received.content, received.term, now_s + remaining_s, is_lifted, now_s
+        )
         return True
 
     def _was_answered(self, content: int, now_s: float) -> bool:
-        """Tell whether an answer is so new that others may not know of it."""
-        return now_s - self._answers.answered_s(content) < ANSWER_HOLDS_S
+        """Tell whether an answer is so recent that other nodes may not know it yet."""
+        return now_s - self._answers.answered_s(content) < ANSWER_VALID_S
 
-    def _judge(self, crashes: Iterable[Crash], now_s: float) -> None:
-        """Quarantine the causes of crashes that are new, or have fewer runs now."""
-        blame = self._blame()
+    def _quarantine_causes(self, crashes: Iterable[Crash], now_s: float) -> None:
+        """Quarantine the causes of crashes that are new or had runs removed."""
+        attribution = self._attribution()
         for content in {run.content for crash in crashes for run in crash.runs}:
             quarantined = self._quarantined.get(content)
             if quarantined is not None and not quarantined.is_lifted:
-                if self._has_crashed_again(content, quarantined, blame):
+                if self._has_crashed_again(content, quarantined, attribution):
                     self._quarantine_again(content, quarantined.term + 1, now_s)
-                    blame = self._blame()
+                    attribution = self._attribution()
                 continue
             if self._counts[content] < CRASHES_MIN:
                 continue
-            case = blame.case(content)
+            case = attribution.evidence(content)
             if is_cause(case):
                 term = 1 if quarantined is None else quarantined.term + 1
                 self._quarantine_again(content, term, now_s, case)
-                blame = self._blame()
+                attribution = self._attribution()
 
-    def _blame(self) -> Blame:
-        return Blame(self._crashes.values(), self._is_quarantined, self._servers)
+    def _attribution(self) -> CrashAttribution:
+        return CrashAttribution(
+            self._crashes.values(), self._is_quarantined, self._servers
+        )
 
     def _is_quarantined(self, content: int) -> bool:
-        """Tell whether a content is quarantined, also while it may be tried."""
+        """Tell whether a content's quarantine is not lifted, blocked now or not."""
         quarantined = self._quarantined.get(content)
         return quarantined is not None and not quarantined.is_lifted
 
     def _has_crashed_again(
-        self, content: int, quarantined: _Quarantined, blame: Blame
+        self, content: int, quarantined: _Quarantined, attribution: CrashAttribution
     ) -> bool:
-        """Tell whether it was tried after its time, and crashed a backend server."""
+        """Tell whether a content crashed a backend server after its block ended."""
         return any(
-            known.at_s > quarantined.until_s and blame.leader(known) == content
+            known.at_s > quarantined.until_s and attribution.cause_of(known) == content
             for known in self._crashes.values()
             if content in known.runs
         )
@@ -286,21 +293,23 @@
     ) -> None:
         self._quarantined.pop(content, None)
         self._quarantined[content] = _Quarantined(term, until_s, is_lifted, now_s)
-        if len(self._quarantined) > QUARANTINES_KEPT:
+        if len(self._quarantined) > QUARANTINES_MAX:
             self._quarantined.popitem(last=False)
         ended = [
             known.crash.backend_server_id
             for known in self._crashes.values()
             if content in known.runs
         ]
-        self._on_quarantine(self._told_quarantine(content, now_s), ended, case)
+        self._on_quarantine(self._export_quarantine(content, now_s), ended, case)
 
-    def _told_quarantine(self, content: int, now_s: float) -> Quarantine:
-        one = self._quarantined[content]
-        left_ms = max(0, round((one.until_s - now_s) * 1000))
-        return Quarantine(content, one.term, left_ms, one.is_lifted)
+    def _export_quarantine(self, content: int, now_s: float) -> Quarantine:
+        quarantined = self._quarantined[content]
+        remaining_ms = max(0, round((quarantined.until_s - now_s) * 1000))
+        return Quarantine(
+            content, quarantined.term, remaining_ms, quarantined.is_lifted
+        )
 
-    def _told(self, known: KnownCrash, now_s: float) -> Crash:
+    def _export_crash(self, known: KnownCrash, now_s: float) -> Crash:
         runs = tuple(
             CrashedRun(content, round(ran_s * 1000))
             for content, ran_s in known.runs.items()
@@ -309,13 +318,13 @@
         return known.crash._replace(age_ms=age_ms, runs=runs)
 
     def _cleared_before(self, crashes: list[Crash], now_s: float) -> list[Crash]:
-        """Return the earlier crashes of which new ones' requests were cleared."""
+        """Return the other crashes from which contents of these were removed."""
         contents = {run.content for crash in crashes for run in crash.runs}
         keys = set().union(*(self._cleared.get(one, ()) for one in contents))
         keys -= {crash.key for crash in crashes}
-        return [self._told(self._crashes[key], now_s) for key in sorted(keys)]
+        return [self._export_crash(self._crashes[key], now_s) for key in sorted(keys)]
 
-    def _drop_run(self, known: KnownCrash, content: int) -> None:
+    def _remove_run(self, known: KnownCrash, content: int) -> None:
         self._cleared.setdefault(content, set()).add(known.crash.key)
         self._uncount(known, content)
 
@@ -325,7 +334,7 @@
         if not self._counts[content]:
             del self._counts[content]
 
-    def _forget(self, key: tuple[str, int]) -> None:
+    def _remove_crash(self, key: tuple[str, int]) -> None:
         known = self._crashes[key]
         for content in list(known.runs):
             self._uncount(known, content)
@@ -343,30 +352,31 @@
         old = [
             key
             for key, known in self._crashes.items()
-            if now_s - known.at_s >= CRASH_KEPT_S
+            if now_s - known.at_s >= CRASH_EXPIRY_S
         ]
         for key in old:
-            self._forget(key)
+            self._remove_crash(key)
         old_quarantines = [
             content
-            for content, one in self._quarantined.items()
-            if now_s - one.noted_s >= QUARANTINE_KEPT_S
+            for content, quarantined in self._quarantined.items()
+            if now_s - quarantined.recorded_s >= QUARANTINE_EXPIRY_S
         ]
         for content in old_quarantines:
             del self._quarantined[content]
             self._digest = None
 
     def _compute_digest(self) -> int:
-        # A content that was lost once says nothing yet, answered or not.
-        known = [
-            (key, sorted(run for run in one.runs if self._counts[run] > 1))
-            for key, one in sorted(self._crashes.items())
+        # Contents that were lost only once are left out: whether they were answered
+        # since is not shared.
+        crashes = [
+            (key, sorted(run for run in known.runs if self._counts[run] > 1))
+            for key, known in sorted(self._crashes.items())
         ]
-        quarantined = [
-            (content, one.term, one.is_lifted)
-            for content, one in sorted(self._quarantined.items())
+        quarantines = [
+            (content, quarantined.term, quarantined.is_lifted)
+            for content, quarantined in sorted(self._quarantined.items())
         ]
-        if not known and not quarantined:
+        if not crashes and not quarantines:
             return 0
-        encoded = msgspec.msgpack.encode((known, quarantined))
+        encoded = msgspec.msgpack.encode((crashes, quarantines))
         return xxhash.xxh32_intdigest(encoded) or 1
--- a/balsamspindle/crashes/keeper.py
+++ b/balsamspindle/crashes/keeper.py
@@ -1,9 +1,10 @@
-"""Quarantines in the platform's tables: for a fleet all of whose nodes restarted.
+"""Stores quarantines in the platform's tables, for restarts of the whole fleet.
 
-Nodes tell each other what they know, and keep nothing when their processes end. A
-fleet that lost power as a whole would let a quarantined request crash three backend
-servers once more. So a quarantine is a row, which each node reads when it starts. With
-the platform away the members' news alone has to do, and the row is written later.
+Nodes share quarantines with each other, but keep nothing when their processes end.
+After a power loss of the whole fleet, a quarantined request would crash three backend
+servers again. So each quarantine is a row of a table, which each node reads at its
+start. While the platform is unavailable, nodes rely on sharing; the row is written
+later.
 """
 
 import random
@@ -25,12 +26,12 @@
 __all__ = ["QUARANTINES_TABLE", "QuarantineKeeper", "QuarantineRow"]
 
 QUARANTINES_TABLE = "quarantines"
-# Of all nodes that quarantine a request these write the row: the second one in case the
-# first is cut off from the platform.
+# Nodes that write the row of a quarantine: a second one in case the first cannot reach
+# the platform.
 WRITERS = 2
-# The second one finds the row of the first.
-WRITE_WITHIN_S = 1.0
-TRY_AGAIN_MIN_S, TRY_AGAIN_MAX_S = 0.6, 30.0
+# Writers wait for a random time up to this, so that the second finds the first's row.
+WRITE_DELAY_MAX_S = 1.0
+RETRY_DELAY_MIN_S, RETRY_DELAY_MAX_S = 0.6, 30.0
 PENDING_MAX = 1000
 
 
@@ -40,7 +41,7 @@
     Attributes
     ----------
     until_unix_s : float
-        When the request is tried again, by the writer's wall clock.
+        End of the block of the request, by the writer's wall clock.
     """
 
     term: int
@@ -49,12 +50,12 @@
 
 
 class QuarantineKeeper:
-    """The task that reads quarantines at the start and writes new ones.
+    """A task that reads the stored quarantines at the start and writes new ones.
 
     Parameters
     ----------
     on_news : callable
-        Told what the book did not know, and the present time.
+        Called with the quarantines read that were new here, and the current time.
     """
 
     def __init__(
@@ -78,27 +79,27 @@
         self._stopped = False
 
     def run(self) -> None:
-        """Read once, then write what comes, until `stop` is called."""
-        is_read, try_again_s = False, TRY_AGAIN_MIN_S
+        """Read all rows once, then write new quarantines until `stop` is called."""
+        is_read, retry_delay_s = False, RETRY_DELAY_MIN_S
         while not self._stopped:
             is_read = is_read or self.read(time.monotonic(), time.time())
             if is_read and self.write():
-                try_again_s = TRY_AGAIN_MIN_S
+                retry_delay_s = RETRY_DELAY_MIN_S
                 with self._changed:
                     self._changed.wait_for(lambda: self._pending or self._stopped)
-                self._wait(self._random.uniform(0, WRITE_WITHIN_S))
+                self._wait(self._random.uniform(0, WRITE_DELAY_MAX_S))
                 continue
-            self._wait(try_again_s * self._random.uniform(0.5, 1.5))
-            try_again_s = min(2 * try_again_s, TRY_AGAIN_MAX_S)
+            self._wait(retry_delay_s * self._random.uniform(0.5, 1.5))
+            retry_delay_s = min(2 * retry_delay_s, RETRY_DELAY_MAX_S)
 
     def stop(self) -> None:
-        """End `run` soon."""
+        """Make `run` return soon; pending rows may stay unwritten."""
         with self._changed:
             self._stopped = True
             self._changed.notify_all()
 
     def note(self, quarantine: Quarantine, now_unix_s: float) -> None:
-        """Take a quarantine that is new here; write it if this node is to."""
+        """Queue a new or lifted quarantine for writing if this node is its writer."""
         if not self._is_writer(quarantine.content):
             return
         until_unix_s = now_unix_s + quarantine.left_ms / 1000
@@ -110,26 +111,26 @@
             self._changed.notify_all()
 
     def read(self, now_s: float, now_unix_s: float) -> bool:
-        """Take all rows into the book; False when the platform does not answer."""
+        """Merge all rows; return False when the platform does not answer."""
         match self._tables.scan(QUARANTINES_TABLE):
             case Result(tag="ok", ok=rows):
                 pass
             case Result(error=error):
                 self._events.emit("quarantines_unread", cause=error.message)
                 return False
-        read = [_parsed_quarantine(row, now_unix_s) for row in rows]
-        news = CrashNews([], [one for one in read if one is not None])
-        if read:
+        parsed = [_parse_quarantine(row, now_unix_s) for row in rows]
+        news = CrashNews([], [one for one in parsed if one is not None])
+        if parsed:
             self._events.emit(
                 "quarantines_read",
                 quarantines=len(news.quarantines),
-                unreadable=len(read) - len(news.quarantines) or None,
+                unreadable=len(parsed) - len(news.quarantines) or None,
             )
         self._on_news(self._book.take(news, now_s), now_s)
         return True
 
     def write(self) -> bool:
-        """Write what waits; False when something is left."""
+        """Write the pending rows; return False when one could not be written."""
         with self._changed:
             pending = dict(self._pending)
         for content, row in pending.items():
@@ -141,18 +142,18 @@
         return True
 
     def _write_one(self, content: int, row: QuarantineRow) -> bool:
-        """Write one row, unless the one that is there says as much."""
+        """Write one row, unless the stored one is as recent."""
         key = _key(content)
         match self._tables.read(QUARANTINES_TABLE, [key]):
-            case Result(tag="ok", ok=[present]):
-                known = _parse(present)
+            case Result(tag="ok", ok=[stored]):
+                known = _parse_row(stored)
             case Result(error=error):
                 self._events.emit("quarantine_unwritten", cause=error.message)
                 return False
         if known is not None and _order(known) >= _order(row):
             return True
         transaction = Transaction(
-            [Check(QUARANTINES_TABLE, key, present.version)],
+            [Check(QUARANTINES_TABLE, key, stored.version)],
             [Put(QUARANTINES_TABLE, key, msgspec.to_builtins(row))],
         )
         match self._tables.transact(transaction):
@@ -160,8 +161,8 @@
                 self._events.emit("quarantine_written", content=key, term=row.term)
                 return True
             case Result(error=error):
-                # The other writer came first, or the reply was lost: what is there
-                # is read at the next try.
+                # The other writer was faster, or the reply was lost. The next try reads
+                # the row again.
                 self._events.emit("quarantine_unwritten", cause=repr(error))
         return False
 
@@ -188,21 +189,22 @@
     return f"{content:016x}"
 
 
-def _parse(row: Row) -> QuarantineRow | None:
-    """Return a row's value, None where it is missing or not readable."""
+def _parse_row(row: Row) -> QuarantineRow | None:
+    """Return a row's value; None when it is missing or invalid."""
     try:
         return msgspec.convert(row.value, QuarantineRow)
     except msgspec.ValidationError:
         return None
 
 
-def _parsed_quarantine(row: Row, now_unix_s: float) -> Quarantine | None:
-    value = _parse(row)
+def _parse_quarantine(row: Row, now_unix_s: float) -> Quarantine | None:
+    """Return the quarantine in a row; None when its key or value is invalid."""
+    value = _parse_row(row)
     if value is None:
         return None
     try:
         content = int(row.key, 16)
     except ValueError:
         return None
-    left_ms = max(0, round((value.until_unix_s - now_unix_s) * 1000))
-    return Quarantine(content, value.term, left_ms, value.is_lifted)
+    remaining_ms = max(0, round((value.until_unix_s - now_unix_s) * 1000))
+    return Quarantine(content, value.term, remaining_ms, value.is_lifted)
--- a/balsamspindle/crashes/live_servers.py
+++ b/balsamspindle/crashes/live_servers.py
@@ -1,4 +1,4 @@
-"""How many backend servers of a service there are while some of them crash."""
+"""Counts the backend servers of a service while some of them crash."""
 
 from collections import Counter
 from collections.abc import Callable, Iterable
@@ -12,16 +12,16 @@
 def count_live_servers(
     placements: Iterable[Placement], has_ended: Callable[[str, int], bool]
 ) -> int:
-    """Return the number of backend servers, each counted once whatever its starts.
+    """Return the number of backend servers, without those that have ended.
 
-    One that crashed is known for some seconds beside its replacement, which has an id
-    of its own. A node whose backend servers have all ended counts as one: it is about
-    to have one again.
+    After a crash the directory lists the backend server for some seconds beside its
+    replacement, which has an id of its own. A node whose backend servers have all ended
+    counts as having one, as a replacement is about to start.
 
     Parameters
     ----------
     has_ended : callable
-        Takes the id of a backend server and of its start.
+        Takes the ids of a backend server and of its start; tells whether it has ended.
     """
     nodes, live = set(), Counter()
     for node, server in placements:
--- a/balsamspindle/crashes/recent_answers.py
+++ b/balsamspindle/crashes/recent_answers.py
@@ -1,34 +1,34 @@
-"""Which requests were answered lately, known crash or not."""
+"""Remembers which requests were answered recently."""
 
 import math
 
-__all__ = ["ANSWER_HOLDS_S", "RecentAnswers"]
+__all__ = ["ANSWER_VALID_S", "RecentAnswers"]
 
-# News of a crash, and of a quarantine, may come so much later than an answer.
-ANSWER_HOLDS_S = 10.0
+# A crash or quarantine may be reported this long after its request was answered.
+ANSWER_VALID_S = 10.0
 ANSWERS_MAX = 10_000
 
 
 class RecentAnswers:
-    """Remembers answers for `ANSWER_HOLDS_S` and up to twice that.
+    """Remembers answers for `ANSWER_VALID_S` to twice as long; thread-safe.
 
-    Load: each answer of each request. Two tables take turns, so that nothing is
-    searched for old entries and no lock is taken; two threads that turn them at the
-    same moment lose one table.
+    It is called for each answer to each request. Entries go into one of two tables,
+    which are rotated, so that there is no search for old entries and no lock. If two
+    threads rotate the tables at the same moment, one table of answers is lost.
     """
 
     def __init__(self) -> None:
         self._new: dict[int, float] = {}
         self._old: dict[int, float] = {}
-        self._turned_s = -math.inf
+        self._rotated_s = -math.inf
 
-    def note(self, content: int, now_s: float) -> None:
-        """Take that a request was answered."""
-        if now_s - self._turned_s > ANSWER_HOLDS_S or len(self._new) >= ANSWERS_MAX:
-            self._old, self._new, self._turned_s = self._new, {}, now_s
+    def record(self, content: int, now_s: float) -> None:
+        """Record that a request was answered."""
+        if now_s - self._rotated_s > ANSWER_VALID_S or len(self._new) >= ANSWERS_MAX:
+            self._old, self._new, self._rotated_s = self._new, {}, now_s
         self._new[content] = now_s
 
     def answered_s(self, content: int) -> float:
-        """Return when a request was answered last; minus infinity for not lately."""
+        """Return the time of a request's last answer; minus infinity if not known."""
         found = self._new.get(content)
         return self._old.get(content, -math.inf) if found is None else found
--- a/balsamspindle/crashes/records.py
+++ b/balsamspindle/crashes/records.py
@@ -1,4 +1,4 @@
-"""What nodes tell each other of crashes."""
+"""Records of crashes and quarantines, and the message that shares them."""
 
 from typing import NamedTuple
 
@@ -18,14 +18,14 @@
 
 
 class CrashedRun(NamedTuple):
-    """A request that ran at a backend server when it ended.
+    """A request that was running at a backend server when the server ended.
 
     Attributes
     ----------
     content : int
-        See `content_id`.
+        Hash of the request's content, from `content_id`.
     ran_ms : int
-        How long it had run.
+        How long the request had been running.
     """
 
     content: int
@@ -33,16 +33,16 @@
 
 
 class Crash(NamedTuple):
-    """The end of one start of a backend server, with requests running there.
+    """The end of a backend server, with the requests that were running there.
 
     Attributes
     ----------
     start : int
-        Tells the starts of one backend server apart.
+        Identifies the start of the backend server that ended, see `start_id`.
     age_ms : int
-        How long ago it was, when this is told.
+        Time from the crash to the sending of this record.
     runs : tuple of CrashedRun
-        Without those whose content has been answered since.
+        Without the runs whose content has been answered since.
     """
 
     backend_server_id: str
@@ -53,21 +53,23 @@
 
     @property
     def key(self) -> tuple[str, int]:
-        """What names it in the whole fleet."""
+        """Identifies the crash in the whole fleet."""
         return self.backend_server_id, self.start
 
 
 class Quarantine(NamedTuple):
-    """That a request's content crashes backend servers.
+    """The quarantine of a request that crashes backend servers.
 
     Attributes
     ----------
+    content : int
+        Hash of the request's content, from `content_id`.
     term : int
-        How often it was quarantined.
+        How often the content has been quarantined.
     left_ms : int
-        For how long it is sent to no backend server, when this is told.
+        How long the request stays blocked after the sending of this record.
     is_lifted : bool
-        It has been answered since.
+        Whether the request has been answered since.
     """
 
     content: int
@@ -77,21 +79,21 @@
 
 
 class CrashNews(msgspec.Struct, array_like=True, tag="crashes", frozen=True):
-    """Node to node: what is known of crashes, or what is new of it."""
+    """Message between nodes: all crashes and quarantines known, or the new ones."""
 
     crashes: list[Crash] = []
     quarantines: list[Quarantine] = []
 
 
 class Standing(NamedTuple):
-    """How a request's content stands now.
+    """Whether a content is suspected of crashing backend servers, or blocked.
 
     Attributes
     ----------
     is_suspect : bool
-        Backend servers ended under it more than once, and none answered it.
+        Whether several backend servers ended while running it and none answered it.
     blocked_ms : float
-        For how long it is sent to no backend server; 0 when it may be sent.
+        How long it must not be sent to a backend server; 0 when it may be sent.
     """
 
     is_suspect: bool = False
@@ -102,18 +104,18 @@
 
 
 class RunEnd(NamedTuple):
-    """How a run ended, as far as it tells of a crash.
+    """How a run ended, as far as this is evidence for or against a crash.
 
     Attributes
     ----------
     is_success : bool
-        The backend server answered it with success.
+        Whether the backend server answered with success.
     is_answer : bool
-        It answered at all, so it lives.
+        Whether the backend server answered at all, which shows that it is alive.
     is_lost : bool
-        It may have been running when the backend server ended.
+        Whether the run may have been in progress when the backend server ended.
     is_broken : bool
-        Its connection ended without an answer.
+        Whether the connection ended without an answer.
     """
 
     is_success: bool = False
@@ -123,5 +125,5 @@
 
 
 def start_id(boot_id: str) -> int:
-    """Return a short name of one start of a backend server."""
+    """Return a 32-bit hash of a boot id, which identifies a backend server's start."""
     return xxhash.xxh32_intdigest(boot_id.encode())
--- a/balsamspindle/crashes/retry_waits.py
+++ b/balsamspindle/crashes/retry_waits.py
@@ -1,4 +1,4 @@
-"""When a request that was lost with a backend server is tried again."""
+"""The delay before the retry of a request that was lost in a crash."""
 
 import random
 
@@ -8,23 +8,24 @@
 __all__ = ["retry_wait_s"]
 
 WAIT_MAX_S = 0.4
-# No more of the time that a request has left.
+# Longest wait as a fraction of the time until the request's deadline.
 WAIT_PART_MAX = 0.1
 
 
 def retry_wait_s(standing: Standing, left_s: float, rng: random.Random) -> float:
-    """Return how long a lost request waits before its next attempt.
+    """Return how long a request that was lost in a crash waits before its next attempt.
 
-    One that was lost more than once may be the cause. Retried at once, it would follow
-    a wave of crashes from one backend server to the next, and how long it ran at each
-    would tell nothing. After a random wait only a cause is lost after the same time.
+    A request that was lost more than once may be the cause of the crashes. Retried
+    without delay, it would follow a wave of crashes from one backend server to the
+    next, and its run times would show nothing. After a random wait, only a cause is
+    lost after the same run time again.
 
     Parameters
     ----------
     standing : Standing
-        Of the request's content, with the latest loss.
+        Of the request's content, with the latest loss counted.
     left_s : float
-        Until the request's deadline.
+        Time until the request's deadline.
     rng : random.Random
     """
     if not standing.is_suspect:
--- a/balsamspindle/crashes/spread.py
+++ b/balsamspindle/crashes/spread.py
@@ -1,10 +1,11 @@
-"""Brings what one node learns of crashes to all nodes within a second.
+"""Shares crashes and quarantines with all nodes within a second.
 
-Who hears news passes them on once, to a few peers: so they reach nearly all within
-some hops of milliseconds, also while the platform is away. With each message between
-members goes a digest of what its sender knows; where two differ and no news are under
-way, they send each other all of it. So a node that missed news, was cut off or has
-just started knows as much as the others within about a second of its first message.
+A node forwards each update that is new to it once, to a few peers. So updates reach
+nearly all nodes within a few hops of milliseconds, also while the platform is
+unavailable. Each message between members carries a digest of what its sender knows.
+When the digests of two nodes differ and no update is under way, they send each other
+all that they know. So a node that missed updates, was cut off or has just started
+catches up within about a second of its first message.
 """
 
 import threading
@@ -19,26 +20,28 @@
 
 __all__ = ["CrashSpread"]
 
-# While own knowledge is that new the peer's may be on its way here.
-SETTLES_WITHIN_S = 0.4
+# A peer's differing digest is ignored for this long after a change here, as the update
+# that makes them equal may be under way.
+SETTLE_TIME_S = 0.4
 REPAIR_INTERVAL_S = 0.8
-REPAIRED_KEPT = 1000
-# What a peer is likely to have missed; where it knows less it is sent all.
+REPAIRED_PEERS_MAX = 1000
+# The first repair of a peer sends crashes up to this age, which it is likely to have
+# missed; further repairs send all.
 RECENT_S = 15.0
-# What one message tells; with six runs each some 5 KB.
+# With six runs each, this many crashes take about 5 KB.
 CRASHES_PER_MESSAGE = 40
 QUARANTINES_PER_MESSAGE = 100
 
 
 class CrashSpread:
-    """Sends and takes news of crashes; safe from all threads.
+    """Sends and receives updates on crashes and quarantines; thread-safe.
 
     Parameters
     ----------
     send : callable
-        Takes a member address and a message; safe from any thread.
+        Takes a member address and a message; must be thread-safe.
     clock : callable
-        Tells the present time.
+        Returns the current time.
     """
 
     def __init__(
@@ -55,50 +58,50 @@
         self._clock = clock
         self._lock = threading.Lock()
         self._changed_s = float("-inf")
-        # When peers were sent something for their digest, while it differs.
+        # Times of the last repairs, by address of the peers whose digests differ.
         self._repaired_s: OrderedDict[str, float] = OrderedDict()
 
     def tell(self, news: CrashNews, now_s: float) -> None:
-        """Pass on what is new here."""
+        """Send what is new here to a few peers."""
         if not news.crashes and not news.quarantines:
             return
         with self._lock:
             self._changed_s = now_s
             addresses = self._fanout.choose()
         for address in addresses:
-            self._send_all(address, news)
+            self._send_in_parts(address, news)
 
     def take(self, news: CrashNews) -> None:
-        """Take a peer's news and pass on what was not known here."""
+        """Merge a peer's update and forward the part of it that is new here."""
         now_s = self._clock()
         self.tell(self._book.take(news, now_s), now_s)
 
     def compare(self, address: str, digest: int, now_s: float) -> None:
-        """Take a peer's digest; send it all where it knows something else."""
+        """Send a peer what is known here if its digest differs from this node's."""
         is_same = digest == self._book.digest()
         with self._lock:
             if is_same:
                 self._repaired_s.pop(address, None)
                 return
-            if now_s - self._changed_s < SETTLES_WITHIN_S:
+            if now_s - self._changed_s < SETTLE_TIME_S:
                 return
             repaired_s = self._repaired_s.get(address)
             if repaired_s is not None and now_s - repaired_s < REPAIR_INTERVAL_S:
                 return
             self._repaired_s[address] = now_s
             self._repaired_s.move_to_end(address)
-            if len(self._repaired_s) > REPAIRED_KEPT:
+            if len(self._repaired_s) > REPAIRED_PEERS_MAX:
                 self._repaired_s.popitem(last=False)
         if repaired_s is None:
-            self._send_all(address, self._book.all(now_s, RECENT_S))
+            self._send_in_parts(address, self._book.all(now_s, RECENT_S))
         else:
-            self._send_all(address, self._book.all(now_s))
+            self._send_in_parts(address, self._book.all(now_s))
 
-    def _send_all(self, address: str, news: CrashNews) -> None:
-        """Send news in messages that each fit a node's byte cap.
+    def _send_in_parts(self, address: str, news: CrashNews) -> None:
+        """Send an update in messages small enough for a node's byte limit.
 
-        One goes in any case: an empty one shows the peer by its digest that this
-        node knows less.
+        At least one message is sent, even if empty: its digest shows the peer that
+        this node knows less.
         """
         crashes, quarantines = news.crashes, news.quarantines
         is_first = True
--- a/balsamspindle/crashes/verdicts.py
+++ b/balsamspindle/crashes/verdicts.py
@@ -1,4 +1,4 @@
-"""Which request crashed backend servers, and which only ran beside it."""
+"""Distinguishes requests that crash backend servers from those running beside them."""
 
 import heapq
 import itertools
@@ -10,51 +10,56 @@
     "CRASHES_MIN",
     "NO_CASE",
     "RETRIED_WITHIN_S",
-    "WAVE_S",
+    "RATE_LEAD_S",
     "Case",
-    "Hit",
-    "chance",
+    "AttributedCrash",
+    "coincidence_probability",
     "is_cause",
-    "leader",
+    "likeliest_cause",
 ]
 
-# Fewer are a coincidence too often.
+# Crashes attributed to a request before it can be the cause; fewer are too often a
+# coincidence.
 CRASHES_MIN = 3
-# How likely it may be that so many crashes strike one request by chance.
-CHANCE_MAX = 1e-5
-# So many, after the same time each, are enough whatever else crashes meanwhile.
-CRASHES_ENOUGH = 6
-SAME_TIME_FACTOR, SAME_TIME_S = 2.0, 0.1
-# The rate of crashes is taken over the time of the request's own ones and this much
-# before. Taken over longer, a wave of two seconds counts as a calm time.
-WAVE_S = 1.0
-# By so much a crash is likelier one request's fault than that of the next likely.
-LEADER_FACTOR = 10.0
-# Run times that differ by no more are the same.
-SAME_RAN_MIN_S = 0.01
-# The same time each time is no proof alone: limits of time end runs so, too.
-SAME_TIME_CHANCE_MIN = 1e-3
-# The shortest time that a run counts for: clocks are read late on a busy VM.
-RAN_MIN_S = 0.05
-# Crashes so near each other may have one cause. A request that causes them all, in
-# copies begun together, has run for about the same time in each.
-TOGETHER_S = 0.1
-SAME_RAN_PART, SAME_RAN_S = 0.2, 0.03
-# A run that began so soon after a crash is the retry of the run that was lost in it.
+# A request is the cause when its crashes are less probable than this by coincidence.
+COINCIDENCE_MAX = 1e-5
+# This many crashes, each after a similar run time, are sufficient evidence whatever the
+# rate of other crashes.
+CRASHES_SUFFICIENT = 6
+SIMILAR_TIME_FACTOR, SIMILAR_TIME_S = 2.0, 0.1
+# The crash rate is computed from this long before the first crash attributed to the
+# request to the last one. With a longer window, a wave of crashes of two seconds would
+# not raise the rate enough.
+RATE_LEAD_S = 1.0
+# A crash is attributed to a request only if the next likely cause is at least this many
+# times as probable to be there by coincidence.
+CAUSE_LEAD_FACTOR = 10.0
+# Run times that differ by less count as equal.
+EQUAL_RUN_TIME_S = 0.01
+# Lower limit of the probability of similar run times. They are no proof by themselves:
+# timeouts also end runs after equal times.
+SIMILAR_TIMES_PROBABILITY_MIN = 1e-3
+# Shorter run times count as this long, since clocks are read late on a busy VM.
+RUN_TIME_MIN_S = 0.05
+# Crashes within this time may have one common reason, such as the loss of a rack. A
+# request that causes them all, in copies started together, has similar run times.
+SIMULTANEOUS_S = 0.1
+SIMILAR_RUN_FRACTION, SIMILAR_RUN_S = 0.2, 0.03
+# A run that began within this time after a crash is a retry of the run lost in it.
 RETRIED_WITHIN_S = 0.1
-# Two nodes agree on the time of a crash as well as that.
-CLOCKS_DIFFER_S = 0.03
+# Largest difference between two nodes in the time of one crash.
+CLOCK_DIFFERENCE_MAX_S = 0.03
 
 
-class Hit(NamedTuple):
-    """A crash for which a request is the likeliest cause.
+class AttributedCrash(NamedTuple):
+    """A crash of which a request is the likeliest cause.
 
     Attributes
     ----------
     at_s : float
-        When it was.
+        Time of the crash.
     ran_s : float
-        How long the request had run.
+        How long the request had been running.
     """
 
     at_s: float
@@ -62,20 +67,20 @@
 
 
 class Case(NamedTuple):
-    """What speaks for a request being the cause of crashes.
+    """The evidence that a request causes crashes.
 
     Attributes
     ----------
-    hits : sequence of Hit
-        The crashes that it is blamed for, in the order of time.
+    hits : sequence of AttributedCrash
+        The crashes attributed to the request, in the order of time.
     crashes : int
-        Of the same service that no other request is quarantined for, from `WAVE_S`
-        before the first hit to the last one.
+        Number of crashes of the same services, except those in which a quarantined
+        request ran, from `RATE_LEAD_S` before the first hit to the last one.
     servers : int
-        Backend servers of the service.
+        Number of backend servers of these services.
     """
 
-    hits: Sequence[Hit] = ()
+    hits: Sequence[AttributedCrash] = ()
     crashes: int = 0
     servers: int = 0
 
@@ -83,120 +88,129 @@
 NO_CASE = Case()
 
 
-def leader(chances: Mapping[int, float], quarantined: Collection[int]) -> int | None:
-    """Return the content that is the likeliest cause of one crash, if there is one.
+def likeliest_cause(
+    probabilities: Mapping[int, float], quarantined: Collection[int]
+) -> int | None:
+    """Return the content that is the likeliest cause of a crash; None when unclear.
 
-    A request that ran beside the cause, even several times, shares its crashes with
-    it, and with several causes may have more crashes than each of them. It was lost at
-    any moment of its work, and the cause always after the same time. So the one whose
-    crashes are the least likely by chance is blamed, and all others are not, for this
-    crash. Where two come close, neither is.
+    A request that ran beside the cause several times shares these crashes with it, and
+    beside several causes it may have more crashes than each of them. But it was lost
+    after various run times, and a cause always after the same. So a crash is attributed
+    only to the request whose crashes are the least probable by coincidence, and to none
+    when two are close.
 
     Parameters
     ----------
-    chances : mapping of int to float
-        Contents that ran when it happened, without those answered since, and how
-        likely their crashes are by chance.
+    probabilities : mapping of int to float
+        The contents that were running and have not been answered since, each with the
+        probability that it was at all its crashes by coincidence.
     quarantined : collection of int
         Contents known to crash backend servers.
     """
-    known = [content for content in chances if content in quarantined]
+    known = [content for content in probabilities if content in quarantined]
     if known:
         return known[0] if len(known) == 1 else None
-    match heapq.nsmallest(2, chances, key=chances.__getitem__):
+    match heapq.nsmallest(2, probabilities, key=probabilities.__getitem__):
         case [only]:
             return only
-        case [first, second] if chances[first] * LEADER_FACTOR <= chances[second]:
+        case [first, second] if (
+            probabilities[first] * CAUSE_LEAD_FACTOR <= probabilities[second]
+        ):
             return first
     return None
 
 
-def independent(hits: Sequence[Hit]) -> list[Hit]:
-    """Return one hit of those that a loss of several backend servers may explain.
+def independent_hits(hits: Sequence[AttributedCrash]) -> list[AttributedCrash]:
+    """Return the hits, only one of each group that may have one common reason.
 
-    A rack or an availability zone takes backend servers with it at one moment. A
-    request that had copies on some of them would be quarantined by that alone.
+    The loss of a rack or an availability zone ends several backend servers at the same
+    moment. A request with copies on some of them would be quarantined for that alone.
     """
-    kept: list[Hit] = []
+    kept: list[AttributedCrash] = []
     for hit in hits:
-        if kept and hit.at_s - kept[-1].at_s < TOGETHER_S:
-            apart_s = abs(hit.ran_s - kept[-1].ran_s)
-            if apart_s > SAME_RAN_S + SAME_RAN_PART * hit.ran_s:
+        if kept and hit.at_s - kept[-1].at_s < SIMULTANEOUS_S:
+            difference_s = abs(hit.ran_s - kept[-1].ran_s)
+            if difference_s > SIMILAR_RUN_S + SIMILAR_RUN_FRACTION * hit.ran_s:
                 continue
         kept.append(hit)
     return kept
 
 
 def is_cause(case: Case) -> bool:
-    """Tell whether a request causes the crashes that it is blamed for.
+    """Tell whether a request causes the crashes that are attributed to it.
 
-    In a wave of crashes that has another cause, a request meets a crash by chance
-    about as often as the rate of crashes times the time that it ran. A request that
-    crashes backend servers meets far more than that. Its own crashes count in the
-    rate: what many ask for runs nearly everywhere, and is there at each crash.
+    In a wave of crashes with another cause, the expected number of crashes that a
+    request meets by coincidence is the crash rate times its total run time. A request
+    that crashes backend servers meets far more. The rate includes the request's own
+    crashes: a request that many callers send runs at nearly all backend servers, and
+    so is there at each crash.
     """
-    if len(case.hits) >= CRASHES_ENOUGH and _crash_after_same_time(case.hits):
+    if len(case.hits) >= CRASHES_SUFFICIENT and _has_similar_run_times(case.hits):
         return True
-    has_enough = len(independent(case.hits)) >= CRASHES_MIN
-    return has_enough and chance(case) < CHANCE_MAX
+    has_enough = len(independent_hits(case.hits)) >= CRASHES_MIN
+    return has_enough and coincidence_probability(case) < COINCIDENCE_MAX
 
 
-def _crash_after_same_time(hits: Sequence[Hit]) -> bool:
-    """Tell whether each crash came after about the same time.
+def _has_similar_run_times(hits: Sequence[AttributedCrash]) -> bool:
+    """Tell whether all crashes came after about the same run time.
 
-    Who is there by chance is lost at any moment of its work. A backend server that
-    has just started takes about twice as long until a request crashes it.
+    A request that is there by coincidence is lost after various run times. A factor of
+    two is allowed, since a request takes about twice as long to crash a backend server
+    that has just started.
     """
     ran_s = [hit.ran_s for hit in hits]
-    return max(ran_s) <= SAME_TIME_FACTOR * min(ran_s) + SAME_TIME_S
+    return max(ran_s) <= SIMILAR_TIME_FACTOR * min(ran_s) + SIMILAR_TIME_S
 
 
-def chance(case: Case) -> float:
-    """Return how likely a request is there by chance, at crashes of other reasons."""
-    hits = independent(case.hits)
+def coincidence_probability(case: Case) -> float:
+    """Return the probability that a request was at its crashes by coincidence."""
+    hits = independent_hits(case.hits)
     count = len(hits)
-    window_s = hits[-1].at_s - hits[0].at_s + WAVE_S
+    window_s = hits[-1].at_s - hits[0].at_s + RATE_LEAD_S
     rate = case.crashes / (window_s * max(1, case.servers))
-    expected = rate * sum(max(hit.ran_s, RAN_MIN_S) for hit in hits)
-    return _chance_of_so_many(count, expected) * _chance_of_same_time(hits)
+    expected = rate * sum(max(hit.ran_s, RUN_TIME_MIN_S) for hit in hits)
+    return _count_probability(count, expected) * _similar_times_probability(hits)
 
 
-def _chance_of_so_many(count: int, expected: float) -> float:
-    """Return how likely so many crashes, or more, strike where some are expected."""
+def _count_probability(count: int, expected: float) -> float:
+    """Return the Poisson probability of a number of crashes; 1 if it is expected."""
     if expected >= count:
         return 1.0
-    # Of more still it is less than as much again.
+    # Larger counts are left out. While `expected` is less than half of `count`, they
+    # are together less probable than this one.
     return expected**count * math.exp(-expected) / math.factorial(count)
 
 
-def _chance_of_same_time(hits: Sequence[Hit]) -> float:
-    """Return how likely crashes at any moment come after such similar times.
+def _similar_times_probability(hits: Sequence[AttributedCrash]) -> float:
+    """Return the probability that crashes at random times give such similar run times.
 
-    A cause is also there at crashes of other reasons: those may be left out, and the
-    choice of them makes the rest as much likelier.
+    A cause may also be there at crashes for other reasons. So the most similar run
+    times are selected, of each possible number of hits, and the probability of their
+    similarity is multiplied by the number of ways to select as many.
     """
-    ran_s = sorted(hit.ran_s for hit in _begun_at_any_moment(hits))
-    longest_s = max(ran_s[-1], RAN_MIN_S)
-    chances = [1.0]
+    ran_s = sorted(hit.ran_s for hit in _without_prompt_retries(hits))
+    longest_s = max(ran_s[-1], RUN_TIME_MIN_S)
+    probabilities = [1.0]
     for size in range(min(CRASHES_MIN, len(ran_s)), len(ran_s) + 1):
         spans_s = [
             ran_s[first + size - 1] - ran_s[first]
             for first in range(len(ran_s) - size + 1)
         ]
-        similar = max(min(spans_s), SAME_RAN_MIN_S) / longest_s
-        chances.append(math.comb(len(ran_s), size) * similar ** (size - 1))
-    return max(min(chances), SAME_TIME_CHANCE_MIN)
+        similarity = max(min(spans_s), EQUAL_RUN_TIME_S) / longest_s
+        probabilities.append(math.comb(len(ran_s), size) * similarity ** (size - 1))
+    return max(min(probabilities), SIMILAR_TIMES_PROBABILITY_MIN)
 
 
-def _begun_at_any_moment(hits: Sequence[Hit]) -> list[Hit]:
-    """Return the hits of runs that did not begin with the crash before.
+def _without_prompt_retries(hits: Sequence[AttributedCrash]) -> list[AttributedCrash]:
+    """Return the hits without those of retries that began at the crash before.
 
-    A retry that follows at once lasts as long as the two crashes are apart. A wave that
-    goes from one backend server to the next at a regular pace would look like a cause.
+    The run time of such a retry is the time between the two crashes. In a wave that
+    ends one backend server after the other at regular intervals, all run times would be
+    equal, and the request would look like a cause.
     """
     kept = list(hits[:1])
-    for before, hit in itertools.pairwise(hits):
-        began_after_s = hit.at_s - hit.ran_s - before.at_s
-        if not -CLOCKS_DIFFER_S <= began_after_s < RETRIED_WITHIN_S:
+    for previous, hit in itertools.pairwise(hits):
+        began_after_s = hit.at_s - hit.ran_s - previous.at_s
+        if not -CLOCK_DIFFERENCE_MAX_S <= began_after_s < RETRIED_WITHIN_S:
             kept.append(hit)
     return kept
--- a/tests/crash_world.py
+++ b/tests/crash_world.py
@@ -1,4 +1,4 @@
-"""A service whose backend servers crash, in steps of time: who is quarantined."""
+"""A simulation of a service whose backend servers crash, in steps of time."""
 
 import heapq
 import random
@@ -12,7 +12,7 @@
 
 SERVERS, INNOCENTS = 6, 8
 WORKS_S = (0.05, 0.3, 1.0, 2.0)
-STEP_S, PLAYED_S = 0.01, 12.0
+STEP_S, DURATION_S = 0.01, 12.0
 DOWN_S = 0.8
 RESEND_MIN_S, RESEND_MAX_S = 0.1, 0.6
 ATTEMPTS = 3
@@ -21,23 +21,23 @@
 
 
 class CrashWorld:
-    """Some requests that crash what runs them, beside others, in waves of crashes.
+    """Requests that crash backend servers, and others, in waves of crashes.
 
-    Each is sent again and again, and retried where it was lost. Suspects run at
-    backend servers of their own.
+    Each request is sent repeatedly, and retried when it is lost. Two suspects never run
+    at the same backend server.
 
     Attributes
     ----------
     crashes : Counter
-        Of each cause.
+        Number of crashes by causing request.
     wrong, right : set of int
-        Innocents and causes that were quarantined.
+        Quarantined requests that crash no backend server, and those that do.
     """
 
     def __init__(self, seed: int, causes: int) -> None:
         self._rng = random.Random(seed)
         self._now_s = 0.0
-        self._book = CrashBook(lambda service: SERVERS, self._note)
+        self._book = CrashBook(lambda service: SERVERS, self._record_quarantine)
         self._causes = {1 + n: self._rng.uniform(0.02, 0.4) for n in range(causes)}
         self._works = {100 + n: self._rng.choice(WORKS_S) for n in range(INNOCENTS)}
         self._up_s = [0.0] * SERVERS
@@ -56,9 +56,9 @@
         self.wrong: set[int] = set()
         self.right: set[int] = set()
 
-    def play(self) -> None:
-        """Let the time pass."""
-        while self._now_s < PLAYED_S:
+    def run(self) -> None:
+        """Run the simulation to its end."""
+        while self._now_s < DURATION_S:
             while self._strikes and self._strikes[0][0] <= self._now_s:
                 self._crash(self._strikes.pop(0)[1])
             while self._due and self._due[0][0] <= self._now_s:
@@ -67,19 +67,21 @@
                 self._end_runs(server)
             self._now_s += STEP_S
 
-    def _note(self, quarantine, ended, case) -> None:
+    def _record_quarantine(self, quarantine, ended, case) -> None:
         known = self.wrong if quarantine.content in self._works else self.right
         known.add(quarantine.content)
 
     def _draw_strikes(self) -> list[tuple[float, int]]:
-        """Draw crashes for no reason: waves, single ones, and three at once."""
+        """Draw crashes that no request causes: single ones, waves, three at once."""
         rng = self._rng
-        strikes = [(rng.uniform(0, PLAYED_S), rng.randrange(SERVERS)) for _ in range(3)]
+        strikes = [
+            (rng.uniform(0, DURATION_S), rng.randrange(SERVERS)) for _ in range(3)
+        ]
         for _ in range(2):
-            began_s, lasts_s = rng.uniform(0, PLAYED_S), rng.uniform(0.3, 2.0)
+            began_s, lasts_s = rng.uniform(0, DURATION_S), rng.uniform(0.3, 2.0)
             for number, server in enumerate(rng.sample(range(SERVERS), 4)):
                 strikes.append((began_s + number * lasts_s / 4, server))
-        at_s = rng.uniform(0, PLAYED_S)
+        at_s = rng.uniform(0, DURATION_S)
         return strikes + [(at_s, one) for one in rng.sample(range(SERVERS), 3)]
 
     def _send(self, content: int) -> None:
@@ -127,16 +129,16 @@
     def _crash(self, server: int) -> None:
         if self._up_s[server] > self._now_s:
             return
-        told = [
+        runs = [
             CrashedRun(content, round((self._now_s - began_s) * 1000))
             for content, (began_s, _) in self._running[server].items()
         ]
         self._running[server] = {}
         self._up_s[server] = self._now_s + DOWN_S
         self._starts += 1
-        crash = Crash(f"server-{server}", self._starts, "crew", 0, tuple(told))
+        crash = Crash(f"server-{server}", self._starts, "crew", 0, tuple(runs))
         self._book.take(CrashNews([crash]), BEGINS_S + self._now_s)
-        for run in told:
+        for run in runs:
             self._retry(run.content)
 
     def _retry(self, content: int) -> None:
--- a/tests/crashing_server.py
+++ b/tests/crashing_server.py
@@ -1,4 +1,4 @@
-"""A backend server that some requests crash, and that comes back after that."""
+"""A backend server that some requests crash, and that restarts afterwards."""
 
 import json
 import socket
@@ -15,19 +15,19 @@
 
 HEAD_END = b"\r\n\r\n"
 ANNOUNCE_INTERVAL_S = 0.3
-# Closing with this option resets a connection, as the end of a process does.
+# With this SO_LINGER value a close resets the connection, as the end of a process does.
 RESET_ON_CLOSE = struct.pack("ii", 1, 0)
 
 
 class Run(NamedTuple):
-    """One request that a backend server began to run.
+    """A request that a backend server began to run.
 
     Attributes
     ----------
     began_s : float
         On the monotonic clock.
     request_id : str
-        Of the caller's attempt.
+        Value of the X-Request-Id header.
     """
 
     began_s: float
@@ -37,25 +37,25 @@
 
 
 class CrashingServer:
-    """Announces itself to the node beside it, works, and crashes when told.
+    """Announces itself to its node, serves requests, and crashes on some of them.
 
     Parameters
     ----------
     announce_address : str
-        Where the node takes announcements.
+        Address at which the node receives announcements.
     work_s : callable
-        Takes a target; returns how long a request of it runs.
+        Takes a target; returns how long its requests run.
     crashes_after_s : callable
-        Takes a run; returns after which time it crashes the backend server, or
-        None where it does not.
+        Takes a run; returns the time until it crashes the backend server, or None
+        if it does not.
     down_s : float
-        How long it is away after a crash.
+        Time from a crash to the restart.
 
     Attributes
     ----------
     runs : list of Run
     crashed_s : list of float
-        When it crashed, on the monotonic clock.
+        Times of its crashes, on the monotonic clock.
     """
 
     def __init__(
@@ -81,12 +81,12 @@
         threading.Thread(target=self._announce, daemon=True).start()
 
     def stop(self) -> None:
-        """End it for good."""
+        """End without a restart."""
         self._stopped.set()
-        self.crash(comes_back=False)
+        self.crash(restarts=False)
 
-    def crash(self, comes_back: bool = True) -> None:
-        """End at once, with all connections; come back as a new start later."""
+    def crash(self, restarts: bool = True) -> None:
+        """End at once, resetting all connections; restart with a new id later."""
         with self._lock:
             if self._listener is None:
                 return
@@ -97,7 +97,7 @@
         listener.close()
         for connection in connections:
             _reset(connection)
-        if comes_back:
+        if restarts:
             timer = threading.Timer(self._down_s, self._start)
             timer.daemon = True
             timer.start()
@@ -155,7 +155,7 @@
             while self._answer(connection):
                 pass
         except OSError:
-            # It crashed meanwhile, or the caller left.
+            # The backend server crashed meanwhile, or the caller disconnected.
             pass
         finally:
             with self._lock:
@@ -202,5 +202,5 @@
         connection.shutdown(socket.SHUT_RDWR)
         connection.close()
     except OSError:
-        # Its caller, or the thread that served it, closed it meanwhile.
+        # The caller or the serving thread closed the connection meanwhile.
         pass
--- a/tests/test_crash_keeper.py
+++ b/tests/test_crash_keeper.py
@@ -1,4 +1,4 @@
-"""Quarantines in the store: for a fleet all of whose nodes restarted."""
+"""Quarantines in the store, for restarts of the whole fleet."""
 
 import io
 
@@ -39,11 +39,11 @@
         book.take(CrashNews([crash]), NOW_S)
 
 
-def test_a_fleet_that_lost_all_memory_still_refuses_what_crashed_it():
-    """All nodes lose power; a caller sends the request that crashed backend servers.
+def test_a_quarantine_holds_after_a_restart_of_the_whole_fleet():
+    """A request that crashed backend servers is refused after all nodes lost power.
 
-    No node remembers it. With the row it is refused, without one it would crash
-    three more of them.
+    No node has it in memory. Without the stored row it would crash three more backend
+    servers.
     """
     store = PlatformInProcess()
     try:
@@ -64,7 +64,7 @@
         store.stop()
 
 
-def test_with_the_store_away_the_row_is_written_when_it_is_back():
+def test_a_row_is_written_when_the_store_is_available_again():
     store = PlatformInProcess()
     keeper, book = make_keeper(store.address)
     try:
@@ -81,8 +81,8 @@
         store.stop()
 
 
-def test_a_row_that_says_more_is_not_undone():
-    """Two nodes write; the later quarantine holds, whoever comes last."""
+def test_a_row_with_a_later_term_is_not_overwritten():
+    """Two nodes write; the later quarantine wins in whatever order they write."""
     store = PlatformInProcess()
     try:
         tables = HttpTableService(store.address)
@@ -96,7 +96,7 @@
         store.stop()
 
 
-def test_rows_of_other_writers_are_passed_over():
+def test_invalid_rows_are_skipped():
     store = PlatformInProcess()
     try:
         tables = HttpTableService(store.address)
--- a/tests/test_crash_spread.py
+++ b/tests/test_crash_spread.py
@@ -1,4 +1,4 @@
-"""How fast all nodes know of crashes, and what it costs, in networks of members."""
+"""How fast quarantines reach all nodes, and the traffic this takes."""
 
 import random
 
@@ -9,13 +9,13 @@
 from tests.member_network import MemberNetwork
 
 SERVICE, CAUSE = "crew/vacancies", 1
-# The users' bound from the third crash to the last node that may send it.
+# Longest time allowed from the third crash until all nodes refuse the request.
 KNOWN_WITHIN_S = 3.0
 CALM_S = 5.0
 
 
 class Fleet:
-    """Members with their books, on a clock that the test moves."""
+    """Members that share crashes, on a simulated clock."""
 
     def __init__(self, nodes: int, zones: int = 3) -> None:
         self.network = MemberNetwork()
@@ -64,18 +64,18 @@
         return all(map(self.knows, self.network.nodes.values()))
 
 
-def test_all_nodes_know_who_crashed_three_backend_servers_within_the_bound():
-    """A caller's repeat at any node runs into the same backend servers.
+def test_all_nodes_know_the_cause_of_three_crashes_within_the_limit():
+    """Three gates saw one crash each, so none of them alone can find the cause.
 
-    Three gates saw one crash each; none of them alone can tell.
+    A caller may repeat the request at any node.
     """
     fleet = Fleet(21)
     fleet.quarantine(random.Random(1).sample(fleet.nodes, 3))
     assert fleet.network.run(KNOWN_WITHIN_S, fleet.all_know)
 
 
-def test_a_fleet_of_233_knows_as_fast_and_pays_a_bounded_price():
-    """At size each node sends what one crash costs to five peers, and not to all."""
+def test_a_fleet_of_233_nodes_knows_as_fast_and_with_bounded_traffic():
+    """In a large fleet each node forwards an update to five peers, not to all."""
     fleet = Fleet(233, 5)
     before = sum(node.member.budget.spent_bytes for node in fleet.nodes)
     calm_s = fleet.network.now_s
@@ -89,13 +89,14 @@
     spent = sum(node.member.budget.spent_bytes for node in fleet.nodes) - before
     spent -= per_s * (fleet.network.now_s - began_s)
     per_node_and_crash = spent / 233 / 3
-    # A crash, and the answers to those who ran beside it: six news of some 300
-    # bytes with the envelope, to five peers each. A second's cap is 9,000.
+    # A crash, and the answers to the requests that ran beside its cause: six updates
+    # of about 300 bytes with the envelope, to five peers each. A node's limit is 9,000
+    # bytes in a second.
     assert per_node_and_crash < 9_000, per_node_and_crash
 
 
-def test_a_node_that_was_cut_off_knows_soon_after():
-    """News that came while it was cut off are not repeated for it."""
+def test_a_node_that_was_cut_off_catches_up():
+    """Updates sent during a partition are not sent again; the digests differ."""
     fleet = Fleet(9)
     cut = fleet.nodes[4]
     fleet.network.delivers = lambda source, target: cut not in (source, target)
@@ -106,8 +107,8 @@
     assert fleet.network.run(KNOWN_WITHIN_S, lambda: fleet.knows(cut))
 
 
-def test_a_restarted_node_knows_soon():
-    """Its memory is gone, and its first callers bring the same request again."""
+def test_a_restarted_node_catches_up():
+    """It has nothing in memory, and callers may send it the same request again."""
     fleet = Fleet(9)
     fleet.quarantine([fleet.nodes[0], fleet.nodes[1], fleet.nodes[2]])
     fleet.network.run(1.0)
@@ -121,8 +122,8 @@
     assert fleet.network.run(KNOWN_WITHIN_S, lambda: fleet.knows(new))
 
 
-def test_what_one_gate_takes_back_is_taken_back_by_all():
-    """A request that was answered is refused by none, were its news first or last."""
+def test_an_answer_at_one_node_lifts_the_quarantine_at_all():
+    """A request that was answered is refused by no node, in any order of updates."""
     fleet = Fleet(9)
     fleet.quarantine([fleet.nodes[0], fleet.nodes[1]])
     now_s = fleet.network.now_s
@@ -130,15 +131,16 @@
     cleared = fleet.books[node.address].answered(CAUSE, now_s)
     fleet.spreads[node.address].tell(cleared, now_s)
     fleet.crash(fleet.nodes[5], 9)
-    # The gate of the third crash quarantines it before it hears of the answer.
+    # The node of the third crash quarantines the request before the answer is known
+    # there.
     assert fleet.knows(fleet.nodes[5])
     fleet.network.run(KNOWN_WITHIN_S)
     assert not any(map(fleet.knows, fleet.nodes))
     assert len({book.digest() for book in fleet.books.values()}) == 1
 
 
-def test_those_who_are_answered_at_their_next_try_cost_no_news():
-    """A crash ends six runs; told of each answer, it would cost seven times as much."""
+def test_answers_to_requests_lost_once_are_not_shared():
+    """A crash ends six runs; sharing each answer would take seven times the traffic."""
     fleet = Fleet(21)
     before = fleet.network.frames
     fleet.network.run(2.0)
@@ -150,8 +152,8 @@
     assert len({book.digest() for book in fleet.books.values()}) == 1
 
 
-def test_an_answer_that_was_told_to_nobody_counts_when_it_matters():
-    """A lookup is lost, answered at one gate, and lost twice more at others."""
+def test_an_answer_that_was_not_shared_counts_after_further_losses():
+    """A lookup is lost, answered at one node, and lost twice more at other nodes."""
     fleet = Fleet(9)
     for number, node in enumerate(fleet.nodes[:3]):
         fleet.crash(node, number)
--- a/tests/test_crash_worlds.py
+++ b/tests/test_crash_worlds.py
@@ -1,27 +1,29 @@
-"""Played services whose backend servers crash: who is refused, and for how many."""
+"""Simulated services whose backend servers crash: which requests are refused, when."""
 
 from tests.crash_world import CrashWorld
 
 
-def test_callers_beside_several_causes_are_hardly_ever_refused():
-    # Guards against a refusal of who ran beside more than one cause.
+def test_requests_beside_several_causes_are_hardly_ever_refused():
+    # Guards against the quarantine of a request that ran beside more than one cause.
     worlds = [CrashWorld(seed, causes=3) for seed in range(60)]
     for world in worlds:
-        world.play()
+        world.run()
     assert sum(bool(world.wrong) for world in worlds) <= len(worlds) / 20
     assert all(len(world.right) == 3 for world in worlds)
-    # Three crashes show each of them in a calm time.
+    # Three crashes are enough to find a cause when there are few other crashes.
     crashes = sum(world.crashes.total() for world in worlds)
     assert crashes <= 5 * 3 * len(worlds)
 
 
-def test_callers_in_any_wave_are_hardly_ever_refused():
-    # Guards against a refusal of who causes nothing, beside none or several causes.
+def test_requests_in_any_wave_of_crashes_are_hardly_ever_refused():
+    # Guards against the quarantine of a request that causes no crash, while there are
+    # none, one or several causes.
     worlds = [CrashWorld(seed, causes) for causes in (0, 1, 3) for seed in range(200)]
     for world in worlds:
-        world.play()
+        world.run()
     assert sum(len(world.wrong) for world in worlds) <= len(worlds) / 500
-    # Three crashes show a cause, and two more where others crash as often.
+    # Three crashes are enough to find a cause, and two more if there are as many other
+    # crashes.
     crashes = [count for world in worlds for count in world.crashes.values()]
     assert sum(crashes) <= 4 * len(crashes)
     assert max(crashes) <= 6
--- a/tests/test_crashing_requests.py
+++ b/tests/test_crashing_requests.py
@@ -1,4 +1,4 @@
-"""What an ingress does with requests that crash backend servers, before fake gates."""
+"""How an ingress handles requests that crash backend servers, with fake gates."""
 
 import time
 
@@ -26,7 +26,7 @@
         super().setUp()
         self.book = CrashBook(lambda service: 5)
         self.forwarder._crash_book = self.book
-        # Gates grant the repeats, and these have plenty.
+        # Gates grant retries; this budget is never used up.
         self.forwarder._retries = RetryPolicy(
             lambda service: RetryBudget(fleet_per_s_min=100.0)
         )
@@ -36,14 +36,14 @@
         self.book.take(CrashNews([crash]), time.monotonic())
 
     def _crash_and_answer(self, dispatch):
-        """Crash the backend server, as its gate reports it."""
+        """Record a crash and reply, as the gate of the crashed backend server does."""
         self._crash(self._dispatches(), dispatch.content)
         return crashed(dispatch)
 
     def _forward(self, **route):
         return self._request(content=CONTENT, **route)
 
-    def test_a_quarantined_request_is_refused_at_once_and_told_when_to_come_back(self):
+    def test_a_quarantined_request_is_refused_at_once_with_a_retry_after(self):
         for number in range(3):
             self._crash(number)
         reply = self._forward()
@@ -53,40 +53,41 @@
         self.assertGreater(reply.retry_after_ms, 500_000)
         self.assertEqual(0, self._dispatches())
 
-    def test_one_request_that_may_be_repeated_crashes_three_and_no_more(self):
-        # Its route would allow more. What it did by itself counts like what its
-        # caller's other requests did, before each next attempt.
+    def test_one_idempotent_request_crashes_no_more_than_three_backend_servers(self):
+        # Its route would allow five attempts. Crashes of its own attempts count before
+        # each next attempt, like those of its caller's earlier requests.
         self.answers = dict.fromkeys(self.NAMES, self._crash_and_answer)
         reply = self._forward(attempts_max=5)
         self.assertEqual(3, self._dispatches())
-        # It has run: its caller must not hear that it has not.
+        # It has run, so the outcome must not be NOT_RUN.
         self.assertEqual(
             (Outcome.UNKNOWN, Reason.CRASHES_SERVERS), (reply.outcome, reply.reason)
         )
 
     def test_a_request_lost_twice_does_not_follow_the_crash_at_once(self):
-        # Guards against a retry where a wave of crashes strikes next.
+        # Guards against a retry that follows a wave of crashes to the next backend
+        # server.
         times_s = []
 
-        def crash_and_note(dispatch):
+        def record_and_crash(dispatch):
             times_s.append(time.monotonic())
             return self._crash_and_answer(dispatch)
 
-        self.answers = dict.fromkeys(self.NAMES, crash_and_note)
+        self.answers = dict.fromkeys(self.NAMES, record_and_crash)
         self._forward(attempts_max=3)
         first_s, second_s, third_s = times_s
         self.assertLess(second_s - first_s, third_s - second_s)
         self.assertGreaterEqual(third_s - second_s, RETRIED_WITHIN_S)
 
-    def test_an_ingress_remembers_the_answers_of_its_callers(self):
-        # Guards against an answer that is forgotten with the node of its gate.
+    def test_an_ingress_remembers_the_answers_to_its_callers(self):
+        # Guards against the loss of an answer when the node of its gate is lost.
         self.assertEqual(Outcome.ANSWERED, self._forward().outcome)
         for number in range(3):
             self._crash(number)
         standing = self.book.standing(CONTENT, time.monotonic())
         self.assertFalse(standing.is_suspect)
 
-    def test_the_fourth_repeat_is_sent_nowhere_and_others_are(self):
+    def test_a_fourth_request_is_not_dispatched_and_other_contents_are(self):
         self.answers = dict.fromkeys(self.NAMES, self._crash_and_answer)
         for _ in range(3):
             self._forward(execution=Execution.NON_IDEMPOTENT)
@@ -95,9 +96,9 @@
         self.assertEqual(3, self._dispatches())
         self.assertEqual(Outcome.ANSWERED, self._request(content=8).outcome)
 
-    def test_who_was_lost_in_a_crash_is_repeated_before_heavier_requests(self):
-        # It failed by another one's fault; the service's repeats are not kept from
-        # it for requests that failed by themselves.
+    def test_the_retry_of_a_request_lost_in_a_crash_is_marked_as_cut(self):
+        # It failed through another request's fault. So gates also grant it retries
+        # that are reserved for heavier requests.
         self.answers = dict.fromkeys(self.NAMES, crashed)
         self._forward(attempts_max=2)
         dispatches = [one for gate in self.gates.values() for one in gate.dispatches]
--- a/tests/test_crashing_requests_processes.py
+++ b/tests/test_crashing_requests_processes.py
@@ -16,18 +16,18 @@
 NODES = 6
 SLOTS = 4
 CRASHING, INNOCENT = "/vacancies/broken", "/vacancies/whole"
-# How long its run takes until it crashes a backend server, and how long that is away.
+# Run time until the request crashes a backend server, and time until it restarts.
 CRASHES_AFTER_S, DOWN_S = 0.08, 0.8
 CRASHES_TOLERATED = 3
-# After the third crash all nodes know of it within this time.
+# Time after the third crash within which all nodes must know of the quarantine.
 KNOWN_WITHIN_S = 3.0
 RUNS_AFTER_MAX = 3
 RESEND_EVERY_S = 0.15
-WATCHED_S = 9.0
+DURATION_S = 9.0
 
 
 def configuration() -> dict:
-    """Return one route of requests that may be repeated and one of others."""
+    """Return settings with a route for idempotent requests and one for the others."""
     common = {
         "hostname": HOST,
         "timeout": "10s",
@@ -50,12 +50,11 @@
 
 
 class CrashingRequestTests(TestCase):
-    """Callers send the same request again and again, each time as a new one.
+    """Callers repeat a request that crashes backend servers, with new request ids.
 
-    The cause was a limit that held for one request and not for its repeats. Evidence:
-    in the log of a failure each request kept to its own attempts, none had a second one
-    beside it, and whenever one of them ran all runs at its backend server ended at the
-    same moment, about 100 ms after it had begun and after 0.1 to 1.8 s of the others.
+    Guards against a limit on attempts that covers one request but not its repeats. Each
+    request stays within its attempts, yet each run ends all runs at its backend server,
+    about 100 ms after it began; the other runs end after 0.1 to 1.8 s.
     """
 
     def setUp(self):
@@ -94,16 +93,16 @@
         return answer or HttpAnswer(0, {}, b"")
 
     def _repeat(self, target: str, method: str = "GET", body=None) -> list[HttpAnswer]:
-        """Send one request at all nodes in turn; return what its caller was told."""
-        told = []
+        """Send a request to all nodes in turn until the end; return the answers."""
+        answers = []
         with ThreadPoolExecutor(64) as executor:
             sent = []
             for node in itertools.cycle(self.nodes):
                 if self._done.wait(RESEND_EVERY_S):
                     break
                 sent.append(executor.submit(self._send, node, target, method, body))
-            told = [one.result() for one in sent]
-        return told
+            answers = [one.result() for one in sent]
+        return answers
 
     def _crashes(self) -> list[float]:
         return sorted(at for server in self.servers for at in server.crashed_s)
@@ -119,30 +118,29 @@
             if run.target == target and run.began_s > known_s
         ]
 
-    def _play(self, *targets_methods_bodies) -> list[list[HttpAnswer]]:
+    def _repeat_all(self, *targets_methods_bodies) -> list[list[HttpAnswer]]:
         with ThreadPoolExecutor(len(targets_methods_bodies)) as executor:
-            playing = [
+            running = [
                 executor.submit(self._repeat, *one) for one in targets_methods_bodies
             ]
-            time.sleep(WATCHED_S)
+            time.sleep(DURATION_S)
             self._done.set()
-            return [one.result() for one in playing]
-
-    def test_a_lookup_that_crashes_its_backend_servers_is_soon_sent_to_none(self):
-        # Callers of a service are told 502 for seconds, one after the other: a
-        # lookup crashes each backend server that begins to run it, and whoever
-        # runs there with it loses its run. Its caller sends it again as a new
-        # request, at any node, and no node knows what it did before.
-        told, _ = self._play((CRASHING,), (INNOCENT,))
+            return [one.result() for one in running]
+
+    def test_a_lookup_that_crashes_its_backend_servers_is_soon_refused(self):
+        # Guards against seconds of 502 answers: a lookup crashes each backend server
+        # that starts to run it, with all other requests that run there. Its caller
+        # sends it again as a new request to any node, and no node recognizes it.
+        answers, _ = self._repeat_all((CRASHING,), (INNOCENT,))
         after = self._runs_after_the_third_crash(CRASHING)
         self.assertLessEqual(len(after), RUNS_AFTER_MAX)
-        self.assertIn(503, Counter(answer.status for answer in told))
+        self.assertIn(503, Counter(answer.status for answer in answers))
 
-    def test_a_fleet_that_was_killed_as_a_whole_does_not_begin_anew(self):
-        # All nodes are killed and start again, with nothing in memory. The next of
-        # the same lookups would crash three backend servers more; the store has
-        # what became of the first ones.
-        self._play((CRASHING,))
+    def test_a_quarantine_survives_the_kill_of_all_nodes(self):
+        # All nodes are killed and start again, with nothing in memory. Without the
+        # quarantine in the store, the same lookup would crash three more backend
+        # servers.
+        self._repeat_all((CRASHING,))
         wait_until(lambda: self._logged("quarantine_written"), "the store has it")
         for node in self.nodes:
             node.kill()
@@ -155,9 +153,9 @@
             )
         self._done.clear()
         crashes = len(self._crashes())
-        told = [self._send(node, CRASHING) for node in self.nodes]
-        self.assertEqual({503}, {answer.status for answer in told})
-        self.assertEqual({"not_run"}, {answer.outcome for answer in told})
+        answers = [self._send(node, CRASHING) for node in self.nodes]
+        self.assertEqual({503}, {answer.status for answer in answers})
+        self.assertEqual({"not_run"}, {answer.outcome for answer in answers})
         self.assertEqual(crashes, len(self._crashes()))
 
     def _logged(self, event: str) -> bool:
@@ -165,18 +163,18 @@
             f"event={event} " in node.log_path.read_text() for node in self.nodes
         )
 
-    def test_those_who_run_beside_it_are_served(self):
-        # Lookups of a second run at all backend servers while others crash these
-        # again and again; each of them is lost now and then, and sent again by its
-        # caller with the same path. None of them is taken for the cause.
+    def test_requests_beside_the_causes_are_served(self):
+        # Lookups of a second run at all backend servers while other requests crash
+        # these repeatedly. Each lookup is lost now and then, and its caller sends it
+        # again with the same path. None of the lookups is taken for a cause.
         targets = [f"{INNOCENT}/{number}" for number in range(8)]
         for server in self.servers:
             server._work_s = lambda target: 1.0 if target in targets else 0.2
-        playing = [(f"{CRASHING}/{number}",) for number in range(3)]
-        told = self._play(*playing, *((target,) for target in targets))
+        causes = [(f"{CRASHING}/{number}",) for number in range(3)]
+        results = self._repeat_all(*causes, *((target,) for target in targets))
         refused = [
             answer.json()["reason"]
-            for answers in told[len(playing) :]
+            for answers in results[len(causes) :]
             for answer in answers
             if answer.status >= 500 and answer.body
         ]
@@ -190,9 +188,9 @@
             ]
         )
 
-    def test_an_offer_that_crashes_its_backend_servers_is_soon_sent_to_none(self):
-        # The same with a request that must not run twice: its node never repeats
-        # it, and its caller's next one has the same path and body.
+    def test_an_offer_that_crashes_its_backend_servers_is_soon_refused(self):
+        # A non-idempotent request, which its node does not retry; its caller repeats
+        # it with the same path and body.
         target = f"/offers{CRASHING}"
         for server in self.servers:
             server._crashes_after_s = lambda run: (
@@ -200,6 +198,6 @@
                 if (run.target, run.body) == (target, b"signed")
                 else None
             )
-        self._play((target, "POST", b"signed"), (INNOCENT,))
+        self._repeat_all((target, "POST", b"signed"), (INNOCENT,))
         after = self._runs_after_the_third_crash(target)
         self.assertLessEqual(len(after), RUNS_AFTER_MAX)
--- a/tests/test_recent_answers.py
+++ b/tests/test_recent_answers.py
@@ -1,27 +1,27 @@
-"""How long an answer is remembered."""
+"""The time for which answers are remembered, and their maximum number."""
 
 from balsamspindle.crashes.recent_answers import (
-    ANSWER_HOLDS_S,
+    ANSWER_VALID_S,
     ANSWERS_MAX,
     RecentAnswers,
 )
 
 
-def test_an_answer_is_remembered_for_its_time_and_not_for_ever():
+def test_an_answer_is_remembered_for_a_limited_time():
     answers = RecentAnswers()
-    answers.note(1, 100.0)
+    answers.record(1, 100.0)
     for after_s in (0.5, 1.0):
-        answers.note(2, 100.0 + after_s * ANSWER_HOLDS_S)
+        answers.record(2, 100.0 + after_s * ANSWER_VALID_S)
         assert answers.answered_s(1) == 100.0
     for after_s in (1.5, 3.0):
-        answers.note(2, 100.0 + after_s * ANSWER_HOLDS_S)
+        answers.record(2, 100.0 + after_s * ANSWER_VALID_S)
     assert answers.answered_s(1) < 0
-    assert answers.answered_s(2) == 100.0 + 3.0 * ANSWER_HOLDS_S
+    assert answers.answered_s(2) == 100.0 + 3.0 * ANSWER_VALID_S
 
 
-def test_no_more_are_kept_than_two_tables_hold():
+def test_no_more_answers_are_kept_than_two_tables_hold():
     answers = RecentAnswers()
     for content in range(5 * ANSWERS_MAX):
-        answers.note(content, 100.0)
+        answers.record(content, 100.0)
     kept = [one for one in range(5 * ANSWERS_MAX) if answers.answered_s(one) > 0]
     assert ANSWERS_MAX <= len(kept) <= 2 * ANSWERS_MAX
