--- a/balsamspindle/backend_servers/crash_watch.py
+++ b/balsamspindle/backend_servers/crash_watch.py
@@ -12,11 +12,11 @@
     BackendServerState,
     LocalBackendServer,
 )
-from balsamspindle.crashes.book import CrashBook
+from balsamspindle.crashes.history import CrashHistory
 from balsamspindle.crashes.records import (
     Crash,
     CrashedRun,
-    CrashNews,
+    CrashUpdate,
     RunEnd,
     start_id,
 )
@@ -80,10 +80,10 @@
 
     Parameters
     ----------
-    book : CrashBook
+    history : CrashHistory
         Where crashes and answers are noted.
-    on_news : callable
-        Told what changed in the book, and the present time.
+    on_update : callable
+        Told what changed in the history, and the present time.
     is_down : callable, default=refuses_connections
         Tells whether nobody listens at an address.
     """
@@ -91,13 +91,13 @@
     def __init__(
         self,
         events: EventLog,
-        book: CrashBook,
-        on_news: Callable[[CrashNews, float], None] = lambda news, now_s: None,
+        history: CrashHistory,
+        on_update: Callable[[CrashUpdate, float], None] = lambda update, now_s: None,
         is_down: Callable[[str], bool] | None = None,
     ) -> None:
         self._events = events
-        self._book = book
-        self._on_news = on_news
+        self._history = history
+        self._on_update = on_update
         self._is_down = is_down or refuses_connections
         self._lock = threading.Lock()
         self._starts: OrderedDict[tuple[str, int], _Start] = OrderedDict()
@@ -134,10 +134,10 @@
         if was_wrong:
             # It refused a connection for want of room: requests that it answers
             # ended nothing.
-            self._on_news(self._book.retract(key, now_s), now_s)
+            self._on_update(self._history.retract(key, now_s), now_s)
             self._events.emit("backend_server_crash_retracted", backend_server=key[0])
         if end.is_success and run is not None:
-            self._on_news(self._book.answered(run.content, now_s), now_s)
+            self._on_update(self._history.record_answer(run.content, now_s), now_s)
         return end.is_broken and self._has_ended(server, start, now_s)
 
     def replaced(self, server: LocalBackendServer, now_s: float) -> None:
@@ -191,7 +191,7 @@
             service=crash.service,
             runs=",".join(f"{run.content:016x}:{run.ran_ms}" for run in runs),
         )
-        self._on_news(self._book.take(CrashNews([crash]), now_s), now_s)
+        self._on_update(self._history.merge(CrashUpdate([crash]), now_s), now_s)
 
     def _of(self, key: tuple[str, int]) -> _Start:
         start = self._starts.get(key)
--- a/balsamspindle/backend_servers/gate.py
+++ b/balsamspindle/backend_servers/gate.py
@@ -43,7 +43,7 @@
 )
 from balsamspindle.backend_servers.slots import WorkEnd
 from balsamspindle.backend_servers.suspect_runs import SuspectRuns
-from balsamspindle.crashes.book import CrashBook
+from balsamspindle.crashes.history import CrashHistory
 from balsamspindle.metrics import Hop
 from balsamspindle.protocol.header_names import DEFAULT_HEADER_NAMES, HeaderNames
 from balsamspindle.protocol.outcomes import CancelCause, Execution, Outcome, Reason
@@ -80,9 +80,9 @@
         Failed calls made by the backend servers beside this node.
     grants : RetryGrants, default=grants all repeats
         The default leaves it to the sending nodes to limit repeats.
-    crash_book : CrashBook, default=an empty one
+    crash_history : CrashHistory, default=an empty one
         Records of requests that crash backend servers.
-    crash_watch : CrashWatch, default=one that reports to `crash_book` alone
+    crash_watch : CrashWatch, default=one that reports to `crash_history` alone
     """
 
     def __init__(
@@ -96,10 +96,10 @@
         on_misdirected: Callable[[str], None] = lambda backend_server_id: None,
         failed_calls: FailedCalls | None = None,
         grants: RetryGrants | None = None,
-        crash_book: CrashBook | None = None,
+        crash_history: CrashHistory | None = None,
         crash_watch: CrashWatch | None = None,
     ) -> None:
-        self._crash_book = crash_book or CrashBook(lambda service: 1)
+        self._crash_history = crash_history or CrashHistory(lambda service: 1)
         self._suspect_runs = SuspectRuns()
         self._grants = grants or RetryGrants(lambda *_: RetryBudget())
         self._servers = servers
@@ -116,7 +116,7 @@
             names,
             on_misdirected,
             failed_calls or FailedCalls(),
-            crash_watch or CrashWatch(events, self._crash_book),
+            crash_watch or CrashWatch(events, self._crash_history),
         )
 
     def refuse_new_attempts(self) -> None:
@@ -220,10 +220,10 @@
         """Return whether an attempt would be accepted now; no slot is reserved."""
         held_out = self._observer.held_out(question.backend_server_id, received_s)
         told = Told(question.number, held_out=held_out, gate_time_s=received_s)
-        standing = self._crash_book.standing(question.content, received_s)
-        if standing.blocked_ms:
+        content_status = self._crash_history.status(question.content, received_s)
+        if content_status.blocked_ms:
             return msgspec.structs.replace(
-                told, reason=Reason.CRASHES_SERVERS, wait_ms=standing.blocked_ms
+                told, reason=Reason.CRASHES_SERVERS, wait_ms=content_status.blocked_ms
             )
         if not self._health_admits(question):
             return msgspec.structs.replace(told, reason=Reason.SUSPECTED)
@@ -266,9 +266,9 @@
         received_s = time.monotonic()
         if checksum(dispatch.body) != dispatch.body_checksum:
             return self._refuse(dispatch, Reason.DAMAGED)
-        standing = self._crash_book.standing(dispatch.content, received_s)
-        if standing.blocked_ms:
-            return self._refuse_blocked(dispatch, standing.blocked_ms)
+        content_status = self._crash_history.status(dispatch.content, received_s)
+        if content_status.blocked_ms:
+            return self._refuse_blocked(dispatch, content_status.blocked_ms)
         if not self._health_admits(dispatch):
             return self._refuse(dispatch, Reason.SUSPECTED)
         service, weight = dispatch.service, dispatch.weight
@@ -278,8 +278,8 @@
             service,
             weight,
             received_s,
-            dispatch.is_last_resort or standing.is_suspect,
-            dispatch.was_cut and not standing.is_suspect,
+            dispatch.is_last_resort or content_status.is_suspect,
+            dispatch.was_cut and not content_status.is_suspect,
         ):
             return self._refuse(dispatch, Reason.RETRY_BUDGET)
         reply = self._handle_granted(dispatch, token, deadline_s, received_s)
@@ -320,12 +320,14 @@
         That is checked again here, because copies of a request may wait for slots
         while another copy crashes a backend server.
         """
-        standing = self._crash_book.standing(dispatch.content, time.monotonic())
-        if standing.blocked_ms:
+        content_status = self._crash_history.status(dispatch.content, time.monotonic())
+        if content_status.blocked_ms:
             self._admission.release(admitted, WorkEnd.DONE)
-            return self._refuse_blocked(dispatch, standing.blocked_ms)
+            return self._refuse_blocked(dispatch, content_status.blocked_ms)
         server_id, content = dispatch.backend_server_id, dispatch.content
-        if standing.is_suspect and not self._suspect_runs.begin(server_id, content):
+        if content_status.is_suspect and not self._suspect_runs.begin(
+            server_id, content
+        ):
             self._admission.release(admitted, WorkEnd.DONE)
             return self._refuse(dispatch, Reason.WOULD_WAIT)
         self._grants.run_started(dispatch.is_repeat)
@@ -333,7 +335,7 @@
             return self._runner.run(dispatch, admitted, token, deadline_s, received_s)
         finally:
             self._grants.run_ended(dispatch.is_repeat)
-            if standing.is_suspect:
+            if content_status.is_suspect:
                 self._suspect_runs.end(server_id, content)
 
     def _refuse_blocked(self, dispatch: Dispatch, blocked_ms: float) -> Reply:
--- a/balsamspindle/crashes/attribution.py
+++ b/balsamspindle/crashes/attribution.py
@@ -5,10 +5,10 @@
 
 from balsamspindle.crashes.records import Crash
 from balsamspindle.crashes.verdicts import (
-    NO_CASE,
+    NO_EVIDENCE,
     RATE_LEAD_S,
     AttributedCrash,
-    Case,
+    CauseEvidence,
     coincidence_probability,
     likeliest_cause,
 )
@@ -67,7 +67,7 @@
             }
         return likeliest_cause(probabilities, quarantined)
 
-    def evidence(self, content: int) -> Case:
+    def evidence(self, content: int) -> CauseEvidence:
         """Return the evidence that a content causes the crashes attributed to it."""
         return self._evidence_for(
             content,
@@ -91,20 +91,24 @@
             )
         return self._probabilities[content]
 
-    def _evidence_for(self, content: int, attributed: list[KnownCrash]) -> Case:
+    def _evidence_for(
+        self, content: int, attributed: list[KnownCrash]
+    ) -> CauseEvidence:
         if not attributed:
-            return NO_CASE
-        hits = sorted(
+            return NO_EVIDENCE
+        own_crashes = sorted(
             AttributedCrash(known.at_s, known.runs[content]) for known in attributed
         )
         services = {known.crash.service for known in attributed}
-        crashes = sum(
-            hits[0].at_s - RATE_LEAD_S <= known.at_s <= hits[-1].at_s
+        service_crashes = sum(
+            own_crashes[0].at_s - RATE_LEAD_S <= known.at_s <= own_crashes[-1].at_s
             and known.crash.service in services
             and not self._quarantined_in(known)
             for known in self._crashes
         )
-        return Case(hits, crashes, sum(map(self._servers, services)))
+        return CauseEvidence(
+            own_crashes, service_crashes, sum(map(self._servers, services))
+        )
 
     def _quarantined_in(self, known: KnownCrash) -> list[int]:
         return list(filter(self._is_quarantined, known.runs))
--- a/balsamspindle/crashes/spread.py
+++ b/balsamspindle/crashes/gossip.py
@@ -12,13 +12,13 @@
 from collections import OrderedDict
 from collections.abc import Callable
 
-from balsamspindle.crashes.book import CrashBook
-from balsamspindle.crashes.records import CrashNews
+from balsamspindle.crashes.history import CrashHistory
+from balsamspindle.crashes.records import CrashUpdate
 from balsamspindle.membership.directory import Directory
 from balsamspindle.membership.fanout import Fanout
 from balsamspindle.wire import NodeRecord
 
-__all__ = ["CrashSpread"]
+__all__ = ["CrashGossip"]
 
 # A peer's differing digest is ignored for this long after a change here, as the update
 # that makes them equal may be under way.
@@ -33,7 +33,7 @@
 QUARANTINES_PER_MESSAGE = 100
 
 
-class CrashSpread:
+class CrashGossip:
     """Sends and receives updates on crashes and quarantines; thread-safe.
 
     Parameters
@@ -48,12 +48,12 @@
         self,
         own: NodeRecord,
         directory: Directory,
-        book: CrashBook,
-        send: Callable[[str, CrashNews], None],
+        history: CrashHistory,
+        send: Callable[[str, CrashUpdate], None],
         clock: Callable[[], float],
     ) -> None:
         self._fanout = Fanout(own, directory, "crashes")
-        self._book = book
+        self._history = history
         self._send = send
         self._clock = clock
         self._lock = threading.Lock()
@@ -61,24 +61,24 @@
         # Times of the last repairs, by address of the peers whose digests differ.
         self._repaired_s: OrderedDict[str, float] = OrderedDict()
 
-    def tell(self, news: CrashNews, now_s: float) -> None:
+    def share(self, update: CrashUpdate, now_s: float) -> None:
         """Send what is new here to a few peers."""
-        if not news.crashes and not news.quarantines:
+        if not update.crashes and not update.quarantines:
             return
         with self._lock:
             self._changed_s = now_s
             addresses = self._fanout.choose()
         for address in addresses:
-            self._send_in_parts(address, news)
+            self._send_in_parts(address, update)
 
-    def take(self, news: CrashNews) -> None:
+    def receive(self, update: CrashUpdate) -> None:
         """Merge a peer's update and forward the part of it that is new here."""
         now_s = self._clock()
-        self.tell(self._book.take(news, now_s), now_s)
+        self.share(self._history.merge(update, now_s), now_s)
 
-    def compare(self, address: str, digest: int, now_s: float) -> None:
+    def compare_digest(self, address: str, digest: int, now_s: float) -> None:
         """Send a peer what is known here if its digest differs from this node's."""
-        is_same = digest == self._book.digest()
+        is_same = digest == self._history.digest()
         with self._lock:
             if is_same:
                 self._repaired_s.pop(address, None)
@@ -93,21 +93,21 @@
             if len(self._repaired_s) > REPAIRED_PEERS_MAX:
                 self._repaired_s.popitem(last=False)
         if repaired_s is None:
-            self._send_in_parts(address, self._book.all(now_s, RECENT_S))
+            self._send_in_parts(address, self._history.export(now_s, RECENT_S))
         else:
-            self._send_in_parts(address, self._book.all(now_s))
+            self._send_in_parts(address, self._history.export(now_s))
 
-    def _send_in_parts(self, address: str, news: CrashNews) -> None:
+    def _send_in_parts(self, address: str, update: CrashUpdate) -> None:
         """Send an update in messages small enough for a node's byte limit.
 
         At least one message is sent, even if empty: its digest shows the peer that
         this node knows less.
         """
-        crashes, quarantines = news.crashes, news.quarantines
+        crashes, quarantines = update.crashes, update.quarantines
         is_first = True
         while is_first or crashes or quarantines:
             is_first = False
-            message = CrashNews(
+            message = CrashUpdate(
                 crashes[:CRASHES_PER_MESSAGE], quarantines[:QUARANTINES_PER_MESSAGE]
             )
             self._send(address, message)
--- a/balsamspindle/crashes/book.py
+++ b/balsamspindle/crashes/history.py
@@ -11,16 +11,21 @@
 from balsamspindle.crashes.attribution import CrashAttribution, KnownCrash
 from balsamspindle.crashes.recent_answers import ANSWER_VALID_S, RecentAnswers
 from balsamspindle.crashes.records import (
-    CALM,
+    UNSUSPECTED,
+    ContentStatus,
     Crash,
     CrashedRun,
-    CrashNews,
+    CrashUpdate,
     Quarantine,
-    Standing,
 )
-from balsamspindle.crashes.verdicts import CRASHES_MIN, NO_CASE, Case, is_cause
+from balsamspindle.crashes.verdicts import (
+    CRASHES_MIN,
+    NO_EVIDENCE,
+    CauseEvidence,
+    is_cause,
+)
 
-__all__ = ["CrashBook"]
+__all__ = ["CrashHistory"]
 
 CRASHES_MAX = 256
 CRASH_EXPIRY_S = 600.0
@@ -50,7 +55,7 @@
     recorded_s: float
 
 
-class CrashBook:
+class CrashHistory:
     """Crashes and quarantines of the whole fleet; thread-safe.
 
     Merging is commutative and idempotent, so nodes converge in whatever order updates
@@ -74,7 +79,9 @@
     def __init__(
         self,
         servers: Callable[[str], int],
-        on_quarantine: Callable[[Quarantine, list[str], Case], None] = lambda *_: None,
+        on_quarantine: Callable[
+            [Quarantine, list[str], CauseEvidence], None
+        ] = lambda *_: None,
     ) -> None:
         self._servers = servers
         self._on_quarantine = on_quarantine
@@ -88,19 +95,19 @@
         self._digest: int | None = 0
         self._expired_s = float("-inf")
 
-    def standing(self, content: int, now_s: float) -> Standing:
+    def status(self, content: int, now_s: float) -> ContentStatus:
         """Return whether a content is suspected or blocked."""
         # Read without the lock: this is called before each attempt of each request.
         if content not in self._counts and content not in self._quarantined:
-            return CALM
+            return UNSUSPECTED
         with self._lock:
             self._expire(now_s)
             quarantined = self._quarantined.get(content)
             is_suspect = self._counts[content] >= SUSPECT_CRASHES
             if quarantined is None or quarantined.is_lifted:
-                return Standing(is_suspect)
+                return ContentStatus(is_suspect)
             blocked_ms = max(0.0, (quarantined.until_s - now_s) * 1000)
-            return Standing(True, blocked_ms)
+            return ContentStatus(True, blocked_ms)
 
     def has_ended(self, backend_server_id: str, start: int) -> bool:
         """Tell whether a start of a backend server is known to have ended."""
@@ -112,33 +119,33 @@
             known = self._crashes.get((backend_server_id, start))
             return known is not None and any(map(self._is_quarantined, known.runs))
 
-    def take(self, news: CrashNews, now_s: float) -> CrashNews:
+    def merge(self, update: CrashUpdate, now_s: float) -> CrashUpdate:
         """Merge an update; return the part of it that is new here."""
         with self._lock:
             self._expire(now_s)
             crashes = [
                 self._export_crash(self._crashes[crash.key], now_s)
-                for crash in news.crashes
+                for crash in update.crashes
                 if self._merge_crash(crash, now_s)
             ]
             crashes += self._cleared_before(crashes, now_s)
             quarantines = [
                 self._export_quarantine(quarantine.content, now_s)
-                for quarantine in news.quarantines
+                for quarantine in update.quarantines
                 if self._merge_quarantine(quarantine, now_s)
             ]
             if crashes:
                 self._quarantine_causes(crashes, now_s)
             if crashes or quarantines:
                 self._digest = None
-            return CrashNews(crashes, quarantines)
+            return CrashUpdate(crashes, quarantines)
 
-    def answered(self, content: int, now_s: float) -> CrashNews:
+    def record_answer(self, content: int, now_s: float) -> CrashUpdate:
         """Record an answer to a request; return what changed and should be shared."""
         # Also while no crash is known: a report of an earlier one may still arrive.
         self._answers.record(content, now_s)
         if content not in self._counts and content not in self._quarantined:
-            return CrashNews()
+            return CrashUpdate()
         with self._lock:
             self._expire(now_s)
             is_watched = self._counts[content] >= SUSPECT_CRASHES
@@ -152,23 +159,23 @@
             if quarantined is not None and not quarantined.is_lifted:
                 quarantined.is_lifted = True
                 quarantines.append(self._export_quarantine(content, now_s))
-                self._on_quarantine(quarantines[0], [], NO_CASE)
+                self._on_quarantine(quarantines[0], [], NO_EVIDENCE)
             self._quarantine_causes(cleared, now_s)
             self._digest = None
-            return CrashNews(cleared if is_watched else [], quarantines)
+            return CrashUpdate(cleared if is_watched else [], quarantines)
 
-    def retract(self, key: tuple[str, int], now_s: float) -> CrashNews:
+    def retract(self, key: tuple[str, int], now_s: float) -> CrashUpdate:
         """Record that a reported crash was none; return what changed."""
         with self._lock:
             known = self._crashes.get(key)
             if known is None or not known.runs:
-                return CrashNews()
+                return CrashUpdate()
             for content in list(known.runs):
                 self._remove_run(known, content)
             self._digest = None
-            return CrashNews([self._export_crash(known, now_s)])
+            return CrashUpdate([self._export_crash(known, now_s)])
 
-    def all(self, now_s: float, age_max_s: float = CRASH_EXPIRY_S) -> CrashNews:
+    def export(self, now_s: float, age_max_s: float = CRASH_EXPIRY_S) -> CrashUpdate:
         """Return all quarantines, and the crashes up to a maximum age."""
         with self._lock:
             self._expire(now_s)
@@ -180,7 +187,7 @@
             quarantines = [
                 self._export_quarantine(content, now_s) for content in self._quarantined
             ]
-            return CrashNews(crashes, quarantines)
+            return CrashUpdate(crashes, quarantines)
 
     def digest(self) -> int:
         """Return a hash that is equal on nodes with the same knowledge; 0 if empty."""
@@ -190,7 +197,7 @@
                 digest = self._digest = self._compute_digest()
         return digest
 
-    def blocked(self, now_s: float) -> int:
+    def blocked_count(self, now_s: float) -> int:
         """Return the number of contents that are blocked now."""
         with self._lock:
             return sum(
@@ -250,10 +257,10 @@
                 continue
             if self._counts[content] < CRASHES_MIN:
                 continue
-            case = attribution.evidence(content)
-            if is_cause(case):
+            evidence = attribution.evidence(content)
+            if is_cause(evidence):
                 term = 1 if quarantined is None else quarantined.term + 1
-                self._quarantine_again(content, term, now_s, case)
+                self._quarantine_again(content, term, now_s, evidence)
                 attribution = self._attribution()
 
     def _attribution(self) -> CrashAttribution:
@@ -277,10 +284,14 @@
         )
 
     def _quarantine_again(
-        self, content: int, term: int, now_s: float, case: Case = NO_CASE
+        self,
+        content: int,
+        term: int,
+        now_s: float,
+        evidence: CauseEvidence = NO_EVIDENCE,
     ) -> None:
         blocked_s = min(BLOCKED_S * 2 ** (term - 1), BLOCKED_MAX_S)
-        self._quarantine(content, term, now_s + blocked_s, False, now_s, case)
+        self._quarantine(content, term, now_s + blocked_s, False, now_s, evidence)
 
     def _quarantine(
         self,
@@ -289,7 +300,7 @@
         until_s: float,
         is_lifted: bool,
         now_s: float,
-        case: Case = NO_CASE,
+        evidence: CauseEvidence = NO_EVIDENCE,
     ) -> None:
         self._quarantined.pop(content, None)
         self._quarantined[content] = _Quarantined(term, until_s, is_lifted, now_s)
@@ -300,7 +311,7 @@
             for known in self._crashes.values()
             if content in known.runs
         ]
-        self._on_quarantine(self._export_quarantine(content, now_s), ended, case)
+        self._on_quarantine(self._export_quarantine(content, now_s), ended, evidence)
 
     def _export_quarantine(self, content: int, now_s: float) -> Quarantine:
         quarantined = self._quarantined[content]
--- a/balsamspindle/crashes/keeper.py
+++ b/balsamspindle/crashes/quarantine_store.py
@@ -16,14 +16,14 @@
 import xxhash
 from expression import Result
 
-from balsamspindle.crashes.book import CrashBook
-from balsamspindle.crashes.records import CrashNews, Quarantine
+from balsamspindle.crashes.history import CrashHistory
+from balsamspindle.crashes.records import CrashUpdate, Quarantine
 from balsamspindle.membership.directory import Directory
 from balsamspindle.tables import Check, Put, Row, TableService, Transaction
 from balsamspindle.timeline import EventLog
 from balsamspindle.wire import NodeRecord
 
-__all__ = ["QUARANTINES_TABLE", "QuarantineKeeper", "QuarantineRow"]
+__all__ = ["QUARANTINES_TABLE", "QuarantineStore", "QuarantineRow"]
 
 QUARANTINES_TABLE = "quarantines"
 # Nodes that write the row of a quarantine: a second one in case the first cannot reach
@@ -49,12 +49,12 @@
     is_lifted: bool = False
 
 
-class QuarantineKeeper:
+class QuarantineStore:
     """A task that reads the stored quarantines at the start and writes new ones.
 
     Parameters
     ----------
-    on_news : callable
+    on_update : callable
         Called with the quarantines read that were new here, and the current time.
     """
 
@@ -63,16 +63,16 @@
         tables: TableService,
         own: NodeRecord,
         directory: Directory,
-        book: CrashBook,
+        history: CrashHistory,
         events: EventLog,
-        on_news: Callable[[CrashNews, float], None],
+        on_update: Callable[[CrashUpdate, float], None],
     ) -> None:
         self._tables = tables
         self._own = own
         self._directory = directory
-        self._book = book
+        self._history = history
         self._events = events
-        self._on_news = on_news
+        self._on_update = on_update
         self._random = random.Random(f"{own.node_id}/{own.incarnation}/quarantines")
         self._changed = threading.Condition()
         self._pending: dict[int, QuarantineRow] = {}
@@ -98,7 +98,7 @@
             self._stopped = True
             self._changed.notify_all()
 
-    def note(self, quarantine: Quarantine, now_unix_s: float) -> None:
+    def record(self, quarantine: Quarantine, now_unix_s: float) -> None:
         """Queue a new or lifted quarantine for writing if this node is its writer."""
         if not self._is_writer(quarantine.content):
             return
@@ -119,14 +119,14 @@
                 self._events.emit("quarantines_unread", cause=error.message)
                 return False
         parsed = [_parse_quarantine(row, now_unix_s) for row in rows]
-        news = CrashNews([], [one for one in parsed if one is not None])
+        update = CrashUpdate([], [one for one in parsed if one is not None])
         if parsed:
             self._events.emit(
                 "quarantines_read",
-                quarantines=len(news.quarantines),
-                unreadable=len(parsed) - len(news.quarantines) or None,
+                quarantines=len(update.quarantines),
+                unreadable=len(parsed) - len(update.quarantines) or None,
             )
-        self._on_news(self._book.take(news, now_s), now_s)
+        self._on_update(self._history.merge(update, now_s), now_s)
         return True
 
     def write(self) -> bool:
--- a/balsamspindle/crashes/records.py
+++ b/balsamspindle/crashes/records.py
@@ -6,13 +6,13 @@
 import xxhash
 
 __all__ = [
-    "CALM",
+    "UNSUSPECTED",
     "Quarantine",
     "Crash",
-    "CrashNews",
+    "CrashUpdate",
     "CrashedRun",
     "RunEnd",
-    "Standing",
+    "ContentStatus",
     "start_id",
 ]
 
@@ -78,14 +78,14 @@
     is_lifted: bool = False
 
 
-class CrashNews(msgspec.Struct, array_like=True, tag="crashes", frozen=True):
+class CrashUpdate(msgspec.Struct, array_like=True, tag="crashes", frozen=True):
     """Message between nodes: all crashes and quarantines known, or the new ones."""
 
     crashes: list[Crash] = []
     quarantines: list[Quarantine] = []
 
 
-class Standing(NamedTuple):
+class ContentStatus(NamedTuple):
     """Whether a content is suspected of crashing backend servers, or blocked.
 
     Attributes
@@ -100,7 +100,7 @@
     blocked_ms: float = 0.0
 
 
-CALM = Standing()
+UNSUSPECTED = ContentStatus()
 
 
 class RunEnd(NamedTuple):
--- a/balsamspindle/crashes/retry_waits.py
+++ b/balsamspindle/crashes/retry_waits.py
@@ -2,17 +2,19 @@
 
 import random
 
-from balsamspindle.crashes.records import Standing
+from balsamspindle.crashes.records import ContentStatus
 from balsamspindle.crashes.verdicts import RETRIED_WITHIN_S
 
 __all__ = ["retry_wait_s"]
 
 WAIT_MAX_S = 0.4
 # Longest wait as a fraction of the time until the request's deadline.
-WAIT_PART_MAX = 0.1
+WAIT_FRACTION_MAX = 0.1
 
 
-def retry_wait_s(standing: Standing, left_s: float, rng: random.Random) -> float:
+def retry_wait_s(
+    status: ContentStatus, remaining_s: float, rng: random.Random
+) -> float:
     """Return how long a request that was lost in a crash waits before its next attempt.
 
     A request that was lost more than once may be the cause of the crashes. Retried
@@ -22,13 +24,13 @@
 
     Parameters
     ----------
-    standing : Standing
+    status : ContentStatus
         Of the request's content, with the latest loss counted.
-    left_s : float
+    remaining_s : float
         Time until the request's deadline.
     rng : random.Random
     """
-    if not standing.is_suspect:
+    if not status.is_suspect:
         return 0.0
     wait_s = rng.uniform(RETRIED_WITHIN_S, WAIT_MAX_S)
-    return min(wait_s, max(0.0, left_s) * WAIT_PART_MAX)
+    return min(wait_s, max(0.0, remaining_s) * WAIT_FRACTION_MAX)
--- a/balsamspindle/crashes/verdicts.py
+++ b/balsamspindle/crashes/verdicts.py
@@ -8,10 +8,10 @@
 
 __all__ = [
     "CRASHES_MIN",
-    "NO_CASE",
+    "NO_EVIDENCE",
     "RETRIED_WITHIN_S",
     "RATE_LEAD_S",
-    "Case",
+    "CauseEvidence",
     "AttributedCrash",
     "coincidence_probability",
     "is_cause",
@@ -66,26 +66,26 @@
     ran_s: float
 
 
-class Case(NamedTuple):
+class CauseEvidence(NamedTuple):
     """The evidence that a request causes crashes.
 
     Attributes
     ----------
-    hits : sequence of AttributedCrash
+    crashes : sequence of AttributedCrash
         The crashes attributed to the request, in the order of time.
-    crashes : int
+    service_crashes : int
         Number of crashes of the same services, except those in which a quarantined
-        request ran, from `RATE_LEAD_S` before the first hit to the last one.
+        request ran, from `RATE_LEAD_S` before the first of `crashes` to the last.
     servers : int
         Number of backend servers of these services.
     """
 
-    hits: Sequence[AttributedCrash] = ()
-    crashes: int = 0
+    crashes: Sequence[AttributedCrash] = ()
+    service_crashes: int = 0
     servers: int = 0
 
 
-NO_CASE = Case()
+NO_EVIDENCE = CauseEvidence()
 
 
 def likeliest_cause(
@@ -120,23 +120,23 @@
     return None
 
 
-def independent_hits(hits: Sequence[AttributedCrash]) -> list[AttributedCrash]:
-    """Return the hits, only one of each group that may have one common reason.
+def independent_crashes(crashes: Sequence[AttributedCrash]) -> list[AttributedCrash]:
+    """Return the crashes, only one of each group that may have one common reason.
 
     The loss of a rack or an availability zone ends several backend servers at the same
     moment. A request with copies on some of them would be quarantined for that alone.
     """
     kept: list[AttributedCrash] = []
-    for hit in hits:
-        if kept and hit.at_s - kept[-1].at_s < SIMULTANEOUS_S:
-            difference_s = abs(hit.ran_s - kept[-1].ran_s)
-            if difference_s > SIMILAR_RUN_S + SIMILAR_RUN_FRACTION * hit.ran_s:
+    for crash in crashes:
+        if kept and crash.at_s - kept[-1].at_s < SIMULTANEOUS_S:
+            difference_s = abs(crash.ran_s - kept[-1].ran_s)
+            if difference_s > SIMILAR_RUN_S + SIMILAR_RUN_FRACTION * crash.ran_s:
                 continue
-        kept.append(hit)
+        kept.append(crash)
     return kept
 
 
-def is_cause(case: Case) -> bool:
+def is_cause(evidence: CauseEvidence) -> bool:
     """Tell whether a request causes the crashes that are attributed to it.
 
     In a wave of crashes with another cause, the expected number of crashes that a
@@ -145,31 +145,33 @@
     crashes: a request that many callers send runs at nearly all backend servers, and
     so is there at each crash.
     """
-    if len(case.hits) >= CRASHES_SUFFICIENT and _has_similar_run_times(case.hits):
+    if len(evidence.crashes) >= CRASHES_SUFFICIENT and _has_similar_run_times(
+        evidence.crashes
+    ):
         return True
-    has_enough = len(independent_hits(case.hits)) >= CRASHES_MIN
-    return has_enough and coincidence_probability(case) < COINCIDENCE_MAX
+    has_enough = len(independent_crashes(evidence.crashes)) >= CRASHES_MIN
+    return has_enough and coincidence_probability(evidence) < COINCIDENCE_MAX
 
 
-def _has_similar_run_times(hits: Sequence[AttributedCrash]) -> bool:
+def _has_similar_run_times(crashes: Sequence[AttributedCrash]) -> bool:
     """Tell whether all crashes came after about the same run time.
 
     A request that is there by coincidence is lost after various run times. A factor of
     two is allowed, since a request takes about twice as long to crash a backend server
     that has just started.
     """
-    ran_s = [hit.ran_s for hit in hits]
+    ran_s = [crash.ran_s for crash in crashes]
     return max(ran_s) <= SIMILAR_TIME_FACTOR * min(ran_s) + SIMILAR_TIME_S
 
 
-def coincidence_probability(case: Case) -> float:
+def coincidence_probability(evidence: CauseEvidence) -> float:
     """Return the probability that a request was at its crashes by coincidence."""
-    hits = independent_hits(case.hits)
-    count = len(hits)
-    window_s = hits[-1].at_s - hits[0].at_s + RATE_LEAD_S
-    rate = case.crashes / (window_s * max(1, case.servers))
-    expected = rate * sum(max(hit.ran_s, RUN_TIME_MIN_S) for hit in hits)
-    return _count_probability(count, expected) * _similar_times_probability(hits)
+    crashes = independent_crashes(evidence.crashes)
+    count = len(crashes)
+    window_s = crashes[-1].at_s - crashes[0].at_s + RATE_LEAD_S
+    rate = evidence.service_crashes / (window_s * max(1, evidence.servers))
+    expected = rate * sum(max(crash.ran_s, RUN_TIME_MIN_S) for crash in crashes)
+    return _count_probability(count, expected) * _similar_times_probability(crashes)
 
 
 def _count_probability(count: int, expected: float) -> float:
@@ -181,14 +183,14 @@
     return expected**count * math.exp(-expected) / math.factorial(count)
 
 
-def _similar_times_probability(hits: Sequence[AttributedCrash]) -> float:
+def _similar_times_probability(crashes: Sequence[AttributedCrash]) -> float:
     """Return the probability that crashes at random times give such similar run times.
 
     A cause may also be there at crashes for other reasons. So the most similar run
-    times are selected, of each possible number of hits, and the probability of their
+    times are selected, of each possible number of crashes, and the probability of their
     similarity is multiplied by the number of ways to select as many.
     """
-    ran_s = sorted(hit.ran_s for hit in _without_prompt_retries(hits))
+    ran_s = sorted(crash.ran_s for crash in _without_prompt_retries(crashes))
     longest_s = max(ran_s[-1], RUN_TIME_MIN_S)
     probabilities = [1.0]
     for size in range(min(CRASHES_MIN, len(ran_s)), len(ran_s) + 1):
@@ -201,16 +203,18 @@
     return max(min(probabilities), SIMILAR_TIMES_PROBABILITY_MIN)
 
 
-def _without_prompt_retries(hits: Sequence[AttributedCrash]) -> list[AttributedCrash]:
-    """Return the hits without those of retries that began at the crash before.
+def _without_prompt_retries(
+    crashes: Sequence[AttributedCrash],
+) -> list[AttributedCrash]:
+    """Return the crashes without those of retries that began at the crash before.
 
     The run time of such a retry is the time between the two crashes. In a wave that
     ends one backend server after the other at regular intervals, all run times would be
     equal, and the request would look like a cause.
     """
-    kept = list(hits[:1])
-    for previous, hit in itertools.pairwise(hits):
-        began_after_s = hit.at_s - hit.ran_s - previous.at_s
+    kept = list(crashes[:1])
+    for previous, crash in itertools.pairwise(crashes):
+        began_after_s = crash.at_s - crash.ran_s - previous.at_s
         if not -CLOCK_DIFFERENCE_MAX_S <= began_after_s < RETRIED_WITHIN_S:
-            kept.append(hit)
+            kept.append(crash)
     return kept
--- a/balsamspindle/node/crash_side.py
+++ b/balsamspindle/node/crash_side.py
@@ -3,12 +3,12 @@
 import time
 from collections.abc import Callable
 
-from balsamspindle.crashes import CrashBook, Quarantine
-from balsamspindle.crashes.keeper import QuarantineKeeper
+from balsamspindle.crashes import CrashHistory, Quarantine
+from balsamspindle.crashes.gossip import CrashGossip
 from balsamspindle.crashes.live_servers import count_live_servers
-from balsamspindle.crashes.records import CrashNews
-from balsamspindle.crashes.spread import CrashSpread
-from balsamspindle.crashes.verdicts import Case
+from balsamspindle.crashes.quarantine_store import QuarantineStore
+from balsamspindle.crashes.records import CrashUpdate
+from balsamspindle.crashes.verdicts import CauseEvidence
 from balsamspindle.membership import Directory, Member
 from balsamspindle.timeline import EventLog
 from balsamspindle.wire import NodeRecord
@@ -22,12 +22,12 @@
     Parameters
     ----------
     send : callable
-        Takes a member address and news; safe from any thread.
+        Takes a member address and update; safe from any thread.
 
     Attributes
     ----------
-    book : CrashBook
-    keeper : QuarantineKeeper or None
+    history : CrashHistory
+    quarantine_store : QuarantineStore or None
         Set where the node uses a platform.
     """
 
@@ -36,34 +36,34 @@
         own: NodeRecord,
         directory: Directory,
         events: EventLog,
-        send: Callable[[str, CrashNews], None],
+        send: Callable[[str, CrashUpdate], None],
     ) -> None:
         self._directory = directory
         self._events = events
-        self.keeper: QuarantineKeeper | None = None
-        self.book = CrashBook(self._count_servers, self._note_quarantine)
-        self._spread = CrashSpread(own, directory, self.book, send, time.monotonic)
+        self.quarantine_store: QuarantineStore | None = None
+        self.history = CrashHistory(self._count_servers, self._note_quarantine)
+        self._gossip = CrashGossip(own, directory, self.history, send, time.monotonic)
 
     def share(self, member: Member) -> None:
         """Hear of peers what they know, and tell them."""
-        member.register({CrashNews: self._spread.take})
-        member.share_crash_digest(self.book.digest, self._spread.compare)
+        member.register({CrashUpdate: self._gossip.receive})
+        member.share_crash_digest(self.history.digest, self._gossip.compare_digest)
 
-    def tell(self, news: CrashNews, now_s: float) -> None:
+    def tell(self, update: CrashUpdate, now_s: float) -> None:
         """Pass on what is new here."""
-        self._spread.tell(news, now_s)
+        self._gossip.share(update, now_s)
 
     def stop(self) -> None:
         """Write nothing more into the store."""
-        if self.keeper is not None:
-            self.keeper.stop()
+        if self.quarantine_store is not None:
+            self.quarantine_store.stop()
 
     def _count_servers(self, service: str) -> int:
         placements = self._directory.placements(service)
-        return count_live_servers(placements, self.book.has_ended)
+        return count_live_servers(placements, self.history.has_ended)
 
     def _note_quarantine(
-        self, quarantine: Quarantine, ended: list[str], case: Case
+        self, quarantine: Quarantine, ended: list[str], evidence: CauseEvidence
     ) -> None:
         """Say which request crashes backend servers, and which ones it ended."""
         event = "quarantine_lifted" if quarantine.is_lifted else "request_quarantined"
@@ -73,9 +73,10 @@
             term=quarantine.term,
             blocked_ms=quarantine.left_ms,
             backend_servers=",".join(ended) or None,
-            ran_ms=",".join(f"{hit.ran_s * 1000:.0f}" for hit in case.hits) or None,
-            crashes=case.crashes or None,
-            servers=case.servers or None,
+            ran_ms=",".join(f"{crash.ran_s * 1000:.0f}" for crash in evidence.crashes)
+            or None,
+            crashes=evidence.service_crashes or None,
+            servers=evidence.servers or None,
         )
-        if self.keeper is not None:
-            self.keeper.note(quarantine, time.time())
+        if self.quarantine_store is not None:
+            self.quarantine_store.record(quarantine, time.time())
--- a/balsamspindle/node/gate_side.py
+++ b/balsamspindle/node/gate_side.py
@@ -18,8 +18,8 @@
 from balsamspindle.backend_servers.probes import Prober
 from balsamspindle.backend_servers.retry_grants import RetryGrants
 from balsamspindle.backend_servers.servers import LocalBackendServers
-from balsamspindle.crashes.book import CrashBook
-from balsamspindle.crashes.records import CrashNews
+from balsamspindle.crashes.history import CrashHistory
+from balsamspindle.crashes.records import CrashUpdate
 from balsamspindle.settings.documents import RetryBudget, ServiceDocument
 from balsamspindle.settings.process import NodeSettings
 from balsamspindle.timeline import EventLog
@@ -40,9 +40,9 @@
     retry_budget : callable
         Returns a service's retry budget at a time, with this gate's part of the
         fleet's.
-    crash_book : CrashBook, default=one of its own
+    crash_history : CrashHistory, default=one of its own
         What is known of requests that crash backend servers.
-    on_crash_news : callable
+    on_crash_update : callable
         Told what the gate adds to it, and the present time.
     in_zone : callable
         Returns the number of a service's backend servers in this node's zone.
@@ -62,12 +62,14 @@
         retry_budget: Callable[[str, float], RetryBudget],
         context: zmq.Context,
         events: EventLog,
-        crash_book: CrashBook | None = None,
-        on_crash_news: Callable[[CrashNews, float], None] = lambda news, now_s: None,
+        crash_history: CrashHistory | None = None,
+        on_crash_update: Callable[[CrashUpdate, float], None] = lambda update, now_s: (
+            None
+        ),
         in_zone: Callable[[str], int] = lambda service: 1,
     ) -> None:
         self._events = events
-        crash_book = crash_book or CrashBook(lambda service: 1)
+        crash_history = crash_history or CrashHistory(lambda service: 1)
         self.servers = LocalBackendServers(settings.announcement_ttl_s)
         self.lifetimes = Lifetimes(self.servers, events)
         self.failed_calls = FailedCalls()
@@ -81,7 +83,7 @@
             self.servers,
             ZoneDetection(lambda service: service_document(service).detection, in_zone),
             events,
-            crash_book.is_explained,
+            crash_history.is_explained,
         )
         self._prober = Prober(
             self.servers,
@@ -90,7 +92,7 @@
             lambda service: service_document(service).probe_path,
         )
         self.admission = Admission(self.servers, service_document)
-        crash_watch = CrashWatch(events, crash_book, on_crash_news)
+        crash_watch = CrashWatch(events, crash_history, on_crash_update)
         self.servers.on_replaced = crash_watch.replaced
         self.gate = Gate(
             self.servers,
@@ -102,7 +104,7 @@
             self.lifetimes.misdirected,
             self.failed_calls,
             self.grants,
-            crash_book,
+            crash_history,
             crash_watch,
         )
         self._executor = ThreadPoolExecutor(GATE_WORKERS_MAX, "gate")
--- a/balsamspindle/node/gauges.py
+++ b/balsamspindle/node/gauges.py
@@ -8,7 +8,7 @@
 from balsamspindle.backend_servers.health_monitor import HealthMonitor
 from balsamspindle.backend_servers.retry_grants import RetryGrants
 from balsamspindle.backend_servers.servers import LocalBackendServers
-from balsamspindle.crashes.book import CrashBook
+from balsamspindle.crashes.history import CrashHistory
 from balsamspindle.membership import Directory, Member
 from balsamspindle.requests.retries import RetryPolicy
 from balsamspindle.settings.tree import CurrentConfiguration
@@ -46,9 +46,9 @@
         grants: RetryGrants,
         member: Member,
         guards: list[PlatformGuard],
-        crash_book: CrashBook,
+        crash_history: CrashHistory,
     ) -> None:
-        self._crash_book = crash_book
+        self._crash_history = crash_history
         self._member = member
         self._guards = guards
         self._configuration = configuration
@@ -95,7 +95,7 @@
             Gauge(
                 "balsamspindle_requests_blocked",
                 "Contents of requests that crash backend servers and are sent to none.",
-                self._crash_book.blocked(now_s),
+                self._crash_history.blocked_count(now_s),
             ),
             *self._of_store(),
             *self._of_servers(now_s),
--- a/balsamspindle/node/process.py
+++ b/balsamspindle/node/process.py
@@ -73,7 +73,7 @@
             own,
             self._directory,
             self.events,
-            lambda address, news: self._member.send(address, news),
+            lambda address, update: self._member.send(address, update),
         )
         self._gate_side = GateSide(
             settings,
@@ -81,7 +81,7 @@
             GateBudgets(self._directory, self._service_document).part,
             self._context,
             self.events,
-            self._crashes.book,
+            self._crashes.history,
             self._crashes.tell,
             self._count_in_zone,
         )
@@ -124,8 +124,8 @@
             self._customers.note_read,
         )
         self._registry = parts.registry(self._member)
-        self._crashes.keeper = parts.quarantine_keeper(
-            self._crashes.book, self._crashes.tell
+        self._crashes.quarantine_store = parts.quarantine_store(
+            self._crashes.history, self._crashes.tell
         )
         self._restorer = parts.claim_restorer(
             claims,
@@ -177,8 +177,8 @@
         ]
         if self._registry is not None:
             tasks.append(self._registry.run)
-        if self._crashes.keeper is not None:
-            tasks.append(self._crashes.keeper.run)
+        if self._crashes.quarantine_store is not None:
+            tasks.append(self._crashes.quarantine_store.run)
         if self._restorer is not None:
             tasks.append(self._restorer.run)
         tasks += [server.serve_forever for server in self._served]
@@ -280,7 +280,10 @@
             own, self._directory, self._configuration, self._note_floor
         )
         self._hints = ZoneHints(
-            own, self._directory, self._member.send, lambda: self._forwarder.suspects
+            own,
+            self._directory,
+            self._member.send,
+            lambda: self._forwarder.held_out_servers,
         )
         self._connections = ThreadPoolExecutor(self._settings.connections_max, "caller")
         self._retries = RetryPolicy(
@@ -295,7 +298,7 @@
             claims,
             self._retries,
             on_suspect=self._hints.share,
-            crash_book=self._crashes.book,
+            crash_history=self._crashes.history,
         )
         self._member.register({SuspectHint: self._hints.receive})
         self._ingress = Ingress(
@@ -319,7 +322,7 @@
             self._gate_side.grants,
             self._member,
             self._guards,
-            self._crashes.book,
+            self._crashes.history,
         )
         application = AdminApplication(
             self._gate_side.servers,
@@ -363,7 +366,7 @@
             self._configuration.revision,
             configuration is not None and service in configuration.services,
             self._directory.placements(service),
-            self._picker.explain(service),
+            self._picker.floor_decision(service),
             self._gate_side.health.reports(time.monotonic()),
         )
 
--- a/balsamspindle/node/store_parts.py
+++ b/balsamspindle/node/store_parts.py
@@ -3,9 +3,9 @@
 from collections.abc import Callable
 
 from balsamspindle.backend_servers.ledger import HeldKey
-from balsamspindle.crashes import CrashBook
-from balsamspindle.crashes.keeper import QuarantineKeeper
-from balsamspindle.crashes.records import CrashNews
+from balsamspindle.crashes import CrashHistory
+from balsamspindle.crashes.quarantine_store import QuarantineStore
+from balsamspindle.crashes.records import CrashUpdate
 from balsamspindle.membership import Directory, Member
 from balsamspindle.membership.registry import Registry
 from balsamspindle.node.store_eras import NodeEras
@@ -103,17 +103,17 @@
             self._events,
         )
 
-    def quarantine_keeper(
-        self, crash_book: CrashBook, tell: Callable[[CrashNews, float], None]
-    ) -> QuarantineKeeper | None:
+    def quarantine_store(
+        self, crash_history: CrashHistory, tell: Callable[[CrashUpdate, float], None]
+    ) -> QuarantineStore | None:
         """Return what keeps quarantines over restarts."""
         if self._address is None:
             return None
-        return QuarantineKeeper(
+        return QuarantineStore(
             self._guarded("quarantines"),
             self._own,
             self._directory,
-            crash_book,
+            crash_history,
             self._events,
             tell,
         )
--- a/balsamspindle/requests/attempts.py
+++ b/balsamspindle/requests/attempts.py
@@ -16,11 +16,11 @@
 from balsamspindle.requests.links import LinkPool
 from balsamspindle.requests.retries import is_success
 from balsamspindle.requests.tracking import TrackedAttempt
-from balsamspindle.services.free_slots import FreeSlotViews
+from balsamspindle.services.free_slots import FreeSlotEstimates
+from balsamspindle.services.held_out_servers import HeldOutServers
 from balsamspindle.services.holdouts import HoldOuts
 from balsamspindle.services.peer_evidence import PeerEvidenceTracker
 from balsamspindle.services.queue_hints import QueueHints
-from balsamspindle.services.suspects import Suspects
 from balsamspindle.timeline import EventLog
 from balsamspindle.wire import (
     AttemptId,
@@ -50,7 +50,7 @@
         gate: Gate,
         links: LinkPool,
         events: EventLog,
-        free_slots: FreeSlotViews,
+        free_slots: FreeSlotEstimates,
         clock: Callable[[], float] = time.monotonic,
         on_suspect: Callable[[NodeRecord, str, HeldOut, float], None] | None = None,
     ) -> None:
@@ -66,7 +66,7 @@
         )
         self._peer_evidence = PeerEvidenceTracker()
         self._sequence = itertools.count(1)
-        self.suspects = Suspects()
+        self.held_out_servers = HeldOutServers()
         self.queue_hints = QueueHints()
         self._link_attempts = LinkAttempts(
             own,
@@ -176,7 +176,9 @@
             body_checksum=checksum(request.body),
             idempotency_key=forwarded.idempotency_key,
             hlc=hlc,
-            peers=self._peer_evidence.about(route.service, server_id, self._clock()),
+            peers=self._peer_evidence.summarize(
+                route.service, server_id, self._clock()
+            ),
             caller_service=forwarded.caller_service,
             is_last_resort=forwarded.is_last_resort,
             wait_max_ms=forwarded.wait_max_ms,
@@ -245,7 +247,7 @@
         self, placement: Placement, held_out: HeldOut, now_s: float
     ) -> None:
         server_id = placement.backend_server.backend_server_id
-        self.suspects.note(server_id, held_out, now_s)
+        self.held_out_servers.record(server_id, held_out, now_s)
         self._on_suspect(placement.node, server_id, held_out, now_s)
 
 
--- a/balsamspindle/requests/forwarding.py
+++ b/balsamspindle/requests/forwarding.py
@@ -8,7 +8,7 @@
 import msgspec
 
 from balsamspindle.backend_servers.gate import Gate
-from balsamspindle.crashes.book import CrashBook
+from balsamspindle.crashes.history import CrashHistory
 from balsamspindle.crashes.retry_waits import retry_wait_s
 from balsamspindle.membership.directory import Placement
 from balsamspindle.protocol.outcomes import PROBLEMS, Execution, Outcome, Reason
@@ -30,9 +30,9 @@
     is_success,
 )
 from balsamspindle.services.answer_sizes import AnswerSizes
-from balsamspindle.services.free_slots import FreeSlotViews
+from balsamspindle.services.free_slots import FreeSlotEstimates
+from balsamspindle.services.held_out_servers import HeldOutServers
 from balsamspindle.services.picker import Picker
-from balsamspindle.services.suspects import Suspects
 from balsamspindle.settings.documents import RetryBudget
 from balsamspindle.timeline import EventLog
 from balsamspindle.wire import HeldOut, NodeRecord, Reply
@@ -61,7 +61,7 @@
     on_suspect : callable, optional
         Called when a gate holds a backend server out, with the gate's node, the
         backend server's id, the hold-out and the present time.
-    crash_book : CrashBook, default=an empty one
+    crash_history : CrashHistory, default=an empty one
         Crashes of backend servers, and the requests quarantined because of them.
     """
 
@@ -76,14 +76,14 @@
         retries: RetryPolicy | None = None,
         clock: Callable[[], float] = time.monotonic,
         on_suspect: Callable[[NodeRecord, str, HeldOut, float], None] | None = None,
-        crash_book: CrashBook | None = None,
+        crash_history: CrashHistory | None = None,
     ) -> None:
         self._picker = picker
-        self._crash_book = crash_book or CrashBook(lambda service: 1)
+        self._crash_history = crash_history or CrashHistory(lambda service: 1)
         self._events = events
         self._claims = claims or ClaimsTable(None)
         self._clock = clock
-        self._free_slots = FreeSlotViews()
+        self._free_slots = FreeSlotEstimates()
         self._sender = AttemptSender(
             own, gate, links, events, self._free_slots, clock, on_suspect
         )
@@ -104,9 +104,9 @@
         self._given_up = threading.Event()
 
     @property
-    def suspects(self) -> Suspects:
+    def held_out_servers(self) -> HeldOutServers:
         """Backend servers that their gates hold out."""
-        return self._sender.suspects
+        return self._sender.held_out_servers
 
     def end_by(self, ends_s: float) -> None:
         """Have gates start only attempts that end before this node, at `ends_s`."""
@@ -218,16 +218,16 @@
         Checked before each attempt: earlier attempts, or requests with the same
         content, may have crashed backend servers since the request was received.
         """
-        standing = self._crash_book.standing(forwarded.content, self._clock())
-        if not standing.blocked_ms:
+        status = self._crash_history.status(forwarded.content, self._clock())
+        if not status.blocked_ms:
             return None
         refusal = self._not_run_reply(Reason.CRASHES_SERVERS)
-        return msgspec.structs.replace(refusal, retry_after_ms=standing.blocked_ms)
+        return msgspec.structs.replace(refusal, retry_after_ms=status.blocked_ms)
 
     def _wait_after_crash(self, forwarded: ForwardedRequest, now_s: float) -> None:
-        standing = self._crash_book.standing(forwarded.content, now_s)
+        status = self._crash_history.status(forwarded.content, now_s)
         with self._random_lock:
-            wait_s = retry_wait_s(standing, forwarded.deadline_s - now_s, self._random)
+            wait_s = retry_wait_s(status, forwarded.deadline_s - now_s, self._random)
         self._given_up.wait(wait_s)
 
     def _record_success(
@@ -236,12 +236,12 @@
         """Record an answer's latency and size for the estimates of its route."""
         route = forwarded.route
         # The gate's node may stop before it reports the answer to the fleet.
-        self._crash_book.answered(forwarded.content, self._clock())
+        self._crash_history.record_answer(forwarded.content, self._clock())
         if took_s is not None:
             self._retries.record_answer(
                 route.service, took_s, reply.limit_ms, route_id(route)
             )
-        self._sizes.note(route, len(reply.body))
+        self._sizes.record(route, len(reply.body))
 
     def _record_failure(
         self, forwarded: ForwardedRequest, placement: Placement, reply: Reply
@@ -336,9 +336,9 @@
         """Return whether a suspected backend server could still run a request."""
         if forwarded.refused_as_suspect:
             return True
-        suspects = self._sender.suspects.at(now_s)
+        held_out = self._sender.held_out_servers.held_out(now_s)
         return any(
-            placement.backend_server.backend_server_id in suspects
+            placement.backend_server.backend_server_id in held_out
             for placement in self._picker.view(forwarded.route.service).placements
         )
 
@@ -358,7 +358,7 @@
 
     def _select_at_owner(self, forwarded, claimant: KeyClaimant) -> Selection | None:
         """Return the only gate that may run the request: the owner of its claim."""
-        placement = self._picker.at_node(claimant.owner_id(), forwarded.route.service)
+        placement = self._picker.locate(claimant.owner_id(), forwarded.route.service)
         return None if placement is None else Selection(placement)
 
     def _must_stop(self, forwarded: ForwardedRequest, reply: Reply) -> bool:
--- a/balsamspindle/requests/gate_links.py
+++ b/balsamspindle/requests/gate_links.py
@@ -40,7 +40,7 @@
             self.record_unreachable(placement, now_s)
             return None
         node_id = placement.node.node_id
-        unreachable_s = self.hold_outs.note_success(node_id, now_s)
+        unreachable_s = self.hold_outs.record_success(node_id, now_s)
         if unreachable_s is not None:
             self._events.emit(
                 "gate_reachable", gate=node_id, after_s=f"{unreachable_s:.1f}"
@@ -50,7 +50,7 @@
     def record_unreachable(self, placement: Placement, now_s: float) -> None:
         """Hold out a gate that did not answer."""
         node_id = placement.node.node_id
-        if self.hold_outs.note_failure(node_id, now_s):
+        if self.hold_outs.record_failure(node_id, now_s):
             self._events.emit("gate_unreachable", gate=node_id)
 
     def release(self, link: Link) -> None:
--- a/balsamspindle/requests/placement_selection.py
+++ b/balsamspindle/requests/placement_selection.py
@@ -38,7 +38,7 @@
 from balsamspindle.requests.attempts import AttemptSender
 from balsamspindle.requests.forwarded import ForwardedRequest, Search, Step
 from balsamspindle.services.answer_sizes import AnswerSizes
-from balsamspindle.services.free_slots import FreeSlotViews
+from balsamspindle.services.free_slots import FreeSlotEstimates
 from balsamspindle.services.picker import Picker, choose_freest
 
 __all__ = ["PlacementSelector", "Selection", "near_wait_ms"]
@@ -106,7 +106,7 @@
         self,
         picker: Picker,
         sender: AttemptSender,
-        free_slots: FreeSlotViews,
+        free_slots: FreeSlotEstimates,
         sizes: AnswerSizes,
         rng: random.Random,
     ) -> None:
@@ -120,14 +120,14 @@
     def select(self, forwarded: ForwardedRequest, now_s: float) -> Selection | None:
         """Return the next placement; None when none is left to try."""
         cut_off = self._behind_broken_links(forwarded.route.service, now_s)
-        tried, suspects = set(forwarded.tried), self._sender.suspects
+        tried, held_out_servers = set(forwarded.tried), self._sender.held_out_servers
         if forwarded.is_last_resort:
             # Only suspected backend servers are left. First those with a single
             # error: one that fails all its work has all of its slots free and
             # would be selected for that.
-            passes = [tried | suspects.failing(now_s) | cut_off, tried]
+            passes = [tried | held_out_servers.failing(now_s) | cut_off, tried]
         else:
-            suspected = tried | suspects.at(now_s)
+            suspected = tried | held_out_servers.held_out(now_s)
             # The second pass includes links that may be broken.
             passes = [suspected | cut_off, suspected]
         with self._lock:
@@ -154,7 +154,7 @@
         self, forwarded, excluded: Set[str], now_s: float
     ) -> Selection | None:
         search, route = forwarded.search, forwarded.route
-        near, far = self._picker.near_and_far(route.service, route.execution)
+        near, far = self._picker.split_by_zone(route.service, route.execution)
         wait_ms = near_wait_ms(route.target_ms, self._sizes.mean_bytes(route))
         match search.step:
             case Step.NEAR if search.near_tries < NEAR_TRIES_MAX:
--- a/balsamspindle/requests/tracking.py
+++ b/balsamspindle/requests/tracking.py
@@ -6,7 +6,7 @@
 from balsamspindle.protocol.outcomes import Outcome, Reason
 from balsamspindle.requests.forwarded import ForwardedRequest
 from balsamspindle.requests.retries import is_shed
-from balsamspindle.services.free_slots import FREE_SLOTS_TTL_S, FreeSlotViews
+from balsamspindle.services.free_slots import FREE_SLOTS_TTL_S, FreeSlotEstimates
 from balsamspindle.services.peer_evidence import PeerEvidenceTracker
 from balsamspindle.services.queue_hints import QueueHints
 from balsamspindle.wire import HeldOut, Reply
@@ -33,7 +33,7 @@
         self,
         forwarded: ForwardedRequest,
         placement: Placement,
-        free_slots: FreeSlotViews,
+        free_slots: FreeSlotEstimates,
         peer_evidence: PeerEvidenceTracker,
         record_suspect: Callable[[Placement, HeldOut, float], None],
         queue_hints: QueueHints,
@@ -43,14 +43,14 @@
         self._service: str = forwarded.route.service
         self._placement: Placement = placement
         self._server_id = server_id = placement.backend_server.backend_server_id
-        self._free_slots: FreeSlotViews = free_slots
+        self._free_slots: FreeSlotEstimates = free_slots
         self._peer_evidence: PeerEvidenceTracker = peer_evidence
         self._record_suspect = record_suspect
         self._queue_hints: QueueHints = queue_hints
         self._clock = clock
         self._started_s = clock()
-        free_slots.started(server_id)
-        peer_evidence.started(self._service, server_id, self._started_s)
+        free_slots.record_start(server_id)
+        peer_evidence.record_start(self._service, server_id, self._started_s)
 
     def end(self, reply: Reply | None) -> None:
         """Record how the attempt ended.
@@ -65,10 +65,10 @@
             None if no reply came.
         """
         now_s = self._clock()
-        self._peer_evidence.ended(
+        self._peer_evidence.record_end(
             self._service, self._server_id, self._started_s, reply, now_s
         )
-        self._free_slots.ended(self._server_id)
+        self._free_slots.record_end(self._server_id)
         if reply is not None:
             self._record_suspect(self._placement, reply.held_out, now_s)
             if is_refusal(reply):
@@ -77,13 +77,13 @@
             return
         if reply is not None and reply.reason is Reason.WOULD_WAIT:
             self._forwarded.search.queue_wait_ms[self._server_id] = reply.retry_after_ms
-            self._queue_hints.note(self._server_id, reply.retry_after_ms, now_s)
-            self._free_slots.note(self._server_id, 0, now_s)
+            self._queue_hints.record(self._server_id, reply.retry_after_ms, now_s)
+            self._free_slots.record(self._server_id, 0, now_s)
             return
         failed = reply is None or reply.outcome is Outcome.UNKNOWN or is_shed(reply)
         if failed:
-            self._free_slots.note(
+            self._free_slots.record(
                 self._server_id, 0, now_s - FREE_SLOTS_TTL_S + AVOID_AFTER_FAILURE_S
             )
         else:
-            self._free_slots.note(self._server_id, reply.free_slots, now_s)
+            self._free_slots.record(self._server_id, reply.free_slots, now_s)
--- a/balsamspindle/requests/zone_hints.py
+++ b/balsamspindle/requests/zone_hints.py
@@ -11,7 +11,7 @@
 from collections.abc import Callable
 
 from balsamspindle.membership.directory import Directory
-from balsamspindle.services.suspects import Suspects
+from balsamspindle.services.held_out_servers import HeldOutServers
 from balsamspindle.wire import HeldOut, NodeRecord, SuspectHint
 
 __all__ = ["ZoneHints"]
@@ -32,8 +32,8 @@
     ----------
     send : callable
         Sends a message to a member address; safe from any thread.
-    suspects : callable
-        Returns the suspects to which received hints are added.
+    held_out_servers : callable
+        Returns the held-out backend servers to which received hints are added.
     """
 
     def __init__(
@@ -41,12 +41,12 @@
         own: NodeRecord,
         directory: Directory,
         send: Callable[[str, SuspectHint], None],
-        suspects: Callable[[], Suspects],
+        held_out_servers: Callable[[], HeldOutServers],
     ) -> None:
         self._own = own
         self._directory = directory
         self._send = send
-        self._suspects = suspects
+        self._held_out_servers = held_out_servers
         self._random = random.Random(f"{own.node_id}/{own.incarnation}/hints")
         self._lock = threading.Lock()
         self._reported_until_s: dict[str, float] = {}
@@ -81,7 +81,7 @@
         until_s = now_s + hint.held_out.held_out_ms / 1000
         with self._lock:
             self._reported_until_s[hint.backend_server_id] = until_s
-        self._suspects().note(hint.backend_server_id, hint.held_out, now_s)
+        self._held_out_servers().record(hint.backend_server_id, hint.held_out, now_s)
 
     def _peer_addresses(self) -> list[str]:
         addresses = [
--- a/balsamspindle/services/answer_sizes.py
+++ b/balsamspindle/services/answer_sizes.py
@@ -18,7 +18,7 @@
         self._lock = threading.Lock()
         self._mean_bytes: dict[tuple[str, str], float] = {}
 
-    def note(self, route: RouteDocument, size_bytes: int) -> None:
+    def record(self, route: RouteDocument, size_bytes: int) -> None:
         """Add an answer to its route's average."""
         key = _key(route)
         with self._lock:
--- a/balsamspindle/services/free_slots.py
+++ b/balsamspindle/services/free_slots.py
@@ -6,7 +6,7 @@
 
 from balsamspindle.membership.directory import Placement
 
-__all__ = ["FREE_SLOTS_TTL_S", "FreeSlotViews"]
+__all__ = ["FREE_SLOTS_TTL_S", "FreeSlotEstimates"]
 
 FREE_SLOTS_TTL_S = 1.0
 
@@ -18,7 +18,7 @@
     own_in_flight: int
 
 
-class FreeSlotViews:
+class FreeSlotEstimates:
     """The free slots that the last reply of each backend server reported.
 
     A report expires after `FREE_SLOTS_TTL_S`; from then on a backend server counts
@@ -34,21 +34,21 @@
         self._reports: OrderedDict[str, _Report] = OrderedDict()
         self._own_in_flight: dict[str, int] = {}
 
-    def started(self, backend_server_id: str) -> None:
+    def record_start(self, backend_server_id: str) -> None:
         """Count the start of an own attempt."""
         with self._lock:
             self._own_in_flight[backend_server_id] = (
                 self._own_in_flight.get(backend_server_id, 0) + 1
             )
 
-    def ended(self, backend_server_id: str) -> None:
+    def record_end(self, backend_server_id: str) -> None:
         """Count the end of an own attempt."""
         with self._lock:
             own = self._own_in_flight.pop(backend_server_id) - 1
             if own:
                 self._own_in_flight[backend_server_id] = own
 
-    def note(self, backend_server_id: str, free_slots: int, now_s: float) -> None:
+    def record(self, backend_server_id: str, free_slots: int, now_s: float) -> None:
         """Record the free slots that a reply reported."""
         with self._lock:
             own = self._own_in_flight.get(backend_server_id, 0)
--- a/balsamspindle/services/suspects.py
+++ b/balsamspindle/services/held_out_servers.py
@@ -5,7 +5,7 @@
 
 from balsamspindle.wire import HeldOut
 
-__all__ = ["Suspects"]
+__all__ = ["HeldOutServers"]
 
 HOLD_OUTS_MAX = 10_000
 # A single error is as likely to come from a healthy backend server, which fails one
@@ -18,7 +18,7 @@
     bad_in_a_row: int
 
 
-class Suspects:
+class HeldOutServers:
     """The time until which each backend server is held out; thread-safe.
 
     Each reply carries it, refusals and answers alike, so a gate refuses an ingress at
@@ -29,7 +29,7 @@
         self._lock = threading.Lock()
         self._hold_outs: dict[str, _HoldOut] = {}
 
-    def note(self, backend_server_id: str, held_out: HeldOut, now_s: float) -> None:
+    def record(self, backend_server_id: str, held_out: HeldOut, now_s: float) -> None:
         """Record the hold-out that a reply reported, or its end."""
         if not held_out.held_out_ms and backend_server_id not in self._hold_outs:
             return
@@ -42,7 +42,7 @@
                 if len(self._hold_outs) > HOLD_OUTS_MAX:
                     del self._hold_outs[next(iter(self._hold_outs))]
 
-    def at(self, now_s: float) -> set[str]:
+    def held_out(self, now_s: float) -> set[str]:
         """Return the ids of the backend servers that are held out now."""
         return self._select(0, now_s)
 
--- a/balsamspindle/services/holdouts.py
+++ b/balsamspindle/services/holdouts.py
@@ -42,7 +42,7 @@
     def __bool__(self) -> bool:
         return bool(self._held)
 
-    def note_failure(self, name: str, now_s: float) -> bool:
+    def record_failure(self, name: str, now_s: float) -> bool:
         """Start or prolong a hold-out; return whether it is the name's first failure.
 
         Failures before the end of a hold-out do not prolong it, so that requests which
@@ -60,7 +60,7 @@
                 del self._held[next(iter(self._held))]
             return is_first
 
-    def note_success(self, name: str, now_s: float = 0.0) -> float | None:
+    def record_success(self, name: str, now_s: float = 0.0) -> float | None:
         """Clear a name's failures; return how long ago the first was, None if none."""
         if name not in self._held:
             return None
--- a/balsamspindle/services/peer_evidence.py
+++ b/balsamspindle/services/peer_evidence.py
@@ -49,12 +49,12 @@
         self._lock = threading.Lock()
         self._services: dict[str, dict[str, _ServerEvidence]] = {}
 
-    def started(self, service: str, backend_server_id: str, now_s: float) -> None:
+    def record_start(self, service: str, backend_server_id: str, now_s: float) -> None:
         """Record that an attempt was sent."""
         with self._lock:
             self._evidence(service, backend_server_id).in_flight.append(now_s)
 
-    def ended(
+    def record_end(
         self,
         service: str,
         backend_server_id: str,
@@ -82,7 +82,9 @@
                 evidence.bad = reply.bad
                 evidence.judged_s = now_s
 
-    def about(self, service: str, backend_server_id: str, now_s: float) -> PeerEvidence:
+    def summarize(
+        self, service: str, backend_server_id: str, now_s: float
+    ) -> PeerEvidence:
         """Return a summary of the service's other backend servers."""
         heard = bad = 0
         limits_ms = []
--- a/balsamspindle/services/picker.py
+++ b/balsamspindle/services/picker.py
@@ -89,7 +89,7 @@
                 return placement
         return placement
 
-    def near_and_far(
+    def split_by_zone(
         self, service: str, execution: Execution
     ) -> tuple[Sequence[Placement], Sequence[Placement]]:
         """Return the placements in the own zone, the own VM's first, and the others.
@@ -104,7 +104,7 @@
             far.extend(view.trials)
         return near, far
 
-    def at_node(self, node_id: str, service: str) -> Placement | None:
+    def locate(self, node_id: str, service: str) -> Placement | None:
         """Return a placement at a node's gate; None when the node is not known.
 
         When the gate no longer has a backend server of the service, the placement
@@ -137,7 +137,7 @@
             self._on_decision(service, view.decision)
         return view
 
-    def explain(self, service: str) -> FloorDecision:
+    def floor_decision(self, service: str) -> FloorDecision:
         """Return which suspects of a service are left out, and why."""
         return self.view(service).decision
 
--- a/balsamspindle/services/queue_hints.py
+++ b/balsamspindle/services/queue_hints.py
@@ -19,7 +19,7 @@
         # The wait in milliseconds and the time until which it is valid.
         self._hints: dict[str, tuple[float, float]] = {}
 
-    def note(self, backend_server_id: str, wait_ms: float, now_s: float) -> None:
+    def record(self, backend_server_id: str, wait_ms: float, now_s: float) -> None:
         """Record the wait that a refusal reported."""
         until_s = now_s + min(wait_ms / 1000, HINT_VALID_MAX_S)
         with self._lock:
--- a/balsamspindle/services/subset.py
+++ b/balsamspindle/services/subset.py
@@ -14,14 +14,14 @@
 from balsamspindle.membership.directory import Placement
 from balsamspindle.wire import NodeRecord
 
-__all__ = ["FAR_MIN", "SUBSET_MAX", "subset"]
+__all__ = ["OTHER_ZONES_MIN", "SUBSET_MAX", "subset"]
 
 # Links of a node for one service. Sixteen gates with seven slots each have a free slot
 # at nearly any time, at two thirds of their load and with a third of them unhealthy.
 SUBSET_MAX = 24
 # Entries reserved for other zones when the own zone could fill the subset: they take
 # requests when all gates of the own zone are busy or the zone is lost.
-FAR_MIN = 8
+OTHER_ZONES_MIN = 8
 
 
 def subset(
@@ -42,7 +42,7 @@
     if len(placements) <= size_max:
         return list(placements)
     near = [placement for placement in placements if _is_near(placement, own)]
-    chosen = _lowest_ranked(near, own, max(1, size_max - FAR_MIN))
+    chosen = _lowest_ranked(near, own, max(1, size_max - OTHER_ZONES_MIN))
     far = [placement for placement in placements if not _is_near(placement, own)]
     chosen += _lowest_ranked(far, own, size_max - len(chosen))
     if len(chosen) < size_max:
--- a/bench/detection_detectors.py
+++ b/bench/detection_detectors.py
@@ -74,9 +74,9 @@
         """See `Detector`."""
         tracker = self._trackers[next(self._round) % INGRESSES]
         health = self._health[server]
-        health.record_peer_evidence(tracker.about("s", str(server), now_s), now_s)
+        health.record_peer_evidence(tracker.summarize("s", str(server), now_s), now_s)
         health.record_start(AttemptId("", 0, attempt), now_s)
-        tracker.started("s", str(server), now_s)
+        tracker.record_start("s", str(server), now_s)
         self._attempts[attempt] = tracker, now_s
 
     def ended(self, server, attempt, result, now_s):
@@ -91,7 +91,7 @@
             bad=bad,
             limit_ms=health.own_p99_ms,
         )
-        tracker.ended("s", str(server), started_s, reply, now_s)
+        tracker.record_end("s", str(server), started_s, reply, now_s)
 
     def link_failed(self, server, now_s):
         """Stay with the ingress: it routes around its own link."""
--- a/bench/health_cost.py
+++ b/bench/health_cost.py
@@ -62,8 +62,8 @@
         now_s = number / REQUESTS_PER_S
         server_id = f"server-{number % SUBSET}"
         attempt_id = AttemptId("node", 1, number)
-        peers = tracker.about("s/s", server_id, now_s)
-        tracker.started("s/s", server_id, now_s)
+        peers = tracker.summarize("s/s", server_id, now_s)
+        tracker.record_start("s/s", server_id, now_s)
         monitor.record_peer_evidence(server_id, peers, now_s)
         monitor.record_start(server_id, attempt_id, now_s)
         judgement = monitor.record_end(
@@ -75,7 +75,7 @@
             bad=judgement.bad,
             limit_ms=judgement.limit_ms,
         )
-        tracker.ended("s/s", server_id, now_s, reply, now_s + 0.02)
+        tracker.record_end("s/s", server_id, now_s, reply, now_s + 0.02)
 
 
 def _fill_slots(monitor: HealthMonitor) -> None:
--- a/bench/picker.py
+++ b/bench/picker.py
@@ -17,7 +17,7 @@
 
 from balsamspindle.membership.directory import Placement
 from balsamspindle.protocol.outcomes import Execution
-from balsamspindle.services.free_slots import FreeSlotViews
+from balsamspindle.services.free_slots import FreeSlotEstimates
 from balsamspindle.services.picker import Picker
 from balsamspindle.services.subset import subset
 from balsamspindle.settings.documents import ServiceDocument
@@ -60,7 +60,7 @@
     services = {SERVICE: ServiceDocument()}
     configuration = SimpleNamespace(get=lambda: SimpleNamespace(services=services))
     picker = Picker(own, directory, configuration)
-    slots = FreeSlotViews()
+    slots = FreeSlotEstimates()
     rng = random.Random(1)
 
     def pick() -> None:
--- a/tests/crash_world.py
+++ b/tests/crash_world.py
@@ -4,8 +4,8 @@
 import random
 from collections import Counter
 
-from balsamspindle.crashes.book import CrashBook
-from balsamspindle.crashes.records import Crash, CrashedRun, CrashNews
+from balsamspindle.crashes.history import CrashHistory
+from balsamspindle.crashes.records import Crash, CrashedRun, CrashUpdate
 from balsamspindle.crashes.retry_waits import retry_wait_s
 
 __all__ = ["CrashWorld"]
@@ -37,7 +37,7 @@
     def __init__(self, seed: int, causes: int) -> None:
         self._rng = random.Random(seed)
         self._now_s = 0.0
-        self._book = CrashBook(lambda service: SERVERS, self._record_quarantine)
+        self._history = CrashHistory(lambda service: SERVERS, self._record_quarantine)
         self._causes = {1 + n: self._rng.uniform(0.02, 0.4) for n in range(causes)}
         self._works = {100 + n: self._rng.choice(WORKS_S) for n in range(INNOCENTS)}
         self._up_s = [0.0] * SERVERS
@@ -67,7 +67,7 @@
                 self._end_runs(server)
             self._now_s += STEP_S
 
-    def _record_quarantine(self, quarantine, ended, case) -> None:
+    def _record_quarantine(self, quarantine, ended, evidence) -> None:
         known = self.wrong if quarantine.content in self._works else self.right
         known.add(quarantine.content)
 
@@ -85,12 +85,12 @@
         return strikes + [(at_s, one) for one in rng.sample(range(SERVERS), 3)]
 
     def _send(self, content: int) -> None:
-        standing = self._book.standing(content, BEGINS_S + self._now_s)
-        if standing.blocked_ms:
+        status = self._history.status(content, BEGINS_S + self._now_s)
+        if status.blocked_ms:
             self._send_later(content)
             return
         up = [one for one in range(SERVERS) if self._up_s[one] <= self._now_s]
-        if standing.is_suspect:
+        if status.is_suspect:
             up = [one for one in up if not self._has_other_suspect(one, content)]
         if not up:
             heapq.heappush(self._due, (self._now_s + RESEND_MIN_S, content))
@@ -104,7 +104,7 @@
     def _has_other_suspect(self, server: int, content: int) -> bool:
         now_s = BEGINS_S + self._now_s
         return any(
-            other != content and self._book.standing(other, now_s).is_suspect
+            other != content and self._history.status(other, now_s).is_suspect
             for other in self._running[server]
         )
 
@@ -123,7 +123,7 @@
                 return
             del running[content]
             self._lost[content] = 0
-            self._book.answered(content, BEGINS_S + self._now_s)
+            self._history.record_answer(content, BEGINS_S + self._now_s)
             self._send_later(content)
 
     def _crash(self, server: int) -> None:
@@ -137,7 +137,7 @@
         self._up_s[server] = self._now_s + DOWN_S
         self._starts += 1
         crash = Crash(f"server-{server}", self._starts, "crew", 0, tuple(runs))
-        self._book.take(CrashNews([crash]), BEGINS_S + self._now_s)
+        self._history.merge(CrashUpdate([crash]), BEGINS_S + self._now_s)
         for run in runs:
             self._retry(run.content)
 
@@ -146,6 +146,6 @@
         if not self._lost[content]:
             self._send_later(content)
             return
-        standing = self._book.standing(content, BEGINS_S + self._now_s)
-        wait_s = retry_wait_s(standing, CALLER_WAITS_S, self._rng)
+        status = self._history.status(content, BEGINS_S + self._now_s)
+        wait_s = retry_wait_s(status, CALLER_WAITS_S, self._rng)
         heapq.heappush(self._due, (self._now_s + max(STEP_S, wait_s), content))
--- a/tests/test_crash_keeper.py
+++ b/tests/test_crash_keeper.py
@@ -2,13 +2,13 @@
 
 import io
 
-from balsamspindle.crashes.book import BLOCKED_S, CrashBook
-from balsamspindle.crashes.keeper import (
+from balsamspindle.crashes.history import BLOCKED_S, CrashHistory
+from balsamspindle.crashes.quarantine_store import (
     QUARANTINES_TABLE,
-    QuarantineKeeper,
     QuarantineRow,
+    QuarantineStore,
 )
-from balsamspindle.crashes.records import Crash, CrashedRun, CrashNews, Quarantine
+from balsamspindle.crashes.records import Crash, CrashedRun, CrashUpdate, Quarantine
 from balsamspindle.membership import Directory
 from balsamspindle.platform import HttpTableService
 from balsamspindle.tables import Put, Transaction
@@ -20,23 +20,25 @@
 OWN = NodeRecord("own", 1, 1, "r", "z", "-", "-", "alive")
 
 
-def make_keeper(address: str) -> tuple[QuarantineKeeper, CrashBook]:
-    book = CrashBook(lambda service: 6, lambda one, *_: keeper.note(one, NOW_UNIX_S))
-    keeper = QuarantineKeeper(
+def make_store(address: str) -> tuple[QuarantineStore, CrashHistory]:
+    history = CrashHistory(
+        lambda service: 6, lambda one, *_: quarantine_store.record(one, NOW_UNIX_S)
+    )
+    quarantine_store = QuarantineStore(
         HttpTableService(address),
         OWN,
         Directory(),
-        book,
+        history,
         EventLog("own", 1, HybridClock(), io.StringIO()),
-        lambda news, now_s: None,
+        lambda update, now_s: None,
     )
-    return keeper, book
+    return quarantine_store, history
 
 
-def quarantine(book: CrashBook) -> None:
+def quarantine(history: CrashHistory) -> None:
     for number in range(3):
         crash = Crash(f"server-{number}", 1, "s", 0, (CrashedRun(CONTENT, 90),))
-        book.take(CrashNews([crash]), NOW_S)
+        history.merge(CrashUpdate([crash]), NOW_S)
 
 
 def test_a_quarantine_holds_after_a_restart_of_the_whole_fleet():
@@ -45,61 +47,61 @@
     No node has it in memory. Without the stored row it would crash three more backend
     servers.
     """
-    store = PlatformInProcess()
+    platform = PlatformInProcess()
     try:
-        keeper, book = make_keeper(store.address)
-        quarantine(book)
-        assert keeper.write()
-        keeper, book = make_keeper(store.address)
-        assert not book.standing(CONTENT, NOW_S).blocked_ms
-        assert keeper.read(NOW_S, NOW_UNIX_S + 60)
-        left_ms = book.standing(CONTENT, NOW_S).blocked_ms
+        quarantine_store, history = make_store(platform.address)
+        quarantine(history)
+        assert quarantine_store.write()
+        quarantine_store, history = make_store(platform.address)
+        assert not history.status(CONTENT, NOW_S).blocked_ms
+        assert quarantine_store.read(NOW_S, NOW_UNIX_S + 60)
+        left_ms = history.status(CONTENT, NOW_S).blocked_ms
         assert abs(left_ms - (BLOCKED_S - 60) * 1000) < 10
-        book.answered(CONTENT, NOW_S)
-        assert keeper.write()
-        keeper, book = make_keeper(store.address)
-        keeper.read(NOW_S, NOW_UNIX_S)
-        assert not book.standing(CONTENT, NOW_S).blocked_ms
+        history.record_answer(CONTENT, NOW_S)
+        assert quarantine_store.write()
+        quarantine_store, history = make_store(platform.address)
+        quarantine_store.read(NOW_S, NOW_UNIX_S)
+        assert not history.status(CONTENT, NOW_S).blocked_ms
     finally:
-        store.stop()
+        platform.stop()
 
 
 def test_a_row_is_written_when_the_store_is_available_again():
-    store = PlatformInProcess()
-    keeper, book = make_keeper(store.address)
+    platform = PlatformInProcess()
+    quarantine_store, history = make_store(platform.address)
     try:
-        store.set_fault(mode="down")
-        assert not keeper.read(NOW_S, NOW_UNIX_S)
-        quarantine(book)
-        assert book.standing(CONTENT, NOW_S).blocked_ms
-        assert not keeper.write()
-        store.set_fault(mode="none")
-        assert keeper.write()
-        rows = HttpTableService(store.address).scan(QUARANTINES_TABLE).ok
+        platform.set_fault(mode="down")
+        assert not quarantine_store.read(NOW_S, NOW_UNIX_S)
+        quarantine(history)
+        assert history.status(CONTENT, NOW_S).blocked_ms
+        assert not quarantine_store.write()
+        platform.set_fault(mode="none")
+        assert quarantine_store.write()
+        rows = HttpTableService(platform.address).scan(QUARANTINES_TABLE).ok
         assert [row.key for row in rows] == [f"{CONTENT:016x}"]
     finally:
-        store.stop()
+        platform.stop()
 
 
 def test_a_row_with_a_later_term_is_not_overwritten():
     """Two nodes write; the later quarantine wins in whatever order they write."""
-    store = PlatformInProcess()
+    platform = PlatformInProcess()
     try:
-        tables = HttpTableService(store.address)
-        keeper, _ = make_keeper(store.address)
-        keeper.note(Quarantine(CONTENT, 3, 1000), NOW_UNIX_S)
-        assert keeper.write()
-        keeper.note(Quarantine(CONTENT, 2, 9000), NOW_UNIX_S)
-        assert keeper.write()
+        tables = HttpTableService(platform.address)
+        quarantine_store, _ = make_store(platform.address)
+        quarantine_store.record(Quarantine(CONTENT, 3, 1000), NOW_UNIX_S)
+        assert quarantine_store.write()
+        quarantine_store.record(Quarantine(CONTENT, 2, 9000), NOW_UNIX_S)
+        assert quarantine_store.write()
         assert tables.scan(QUARANTINES_TABLE).ok[0].value["term"] == 3
     finally:
-        store.stop()
+        platform.stop()
 
 
 def test_invalid_rows_are_skipped():
-    store = PlatformInProcess()
+    platform = PlatformInProcess()
     try:
-        tables = HttpTableService(store.address)
+        tables = HttpTableService(platform.address)
         rows = {"zz": {"term": 1}, "0abc": 7, "0def": {"term": "x"}}
         puts = [Put(QUARANTINES_TABLE, key, value) for key, value in rows.items()]
         good = QuarantineRow(1, NOW_UNIX_S + 9)
@@ -111,8 +113,8 @@
             )
         )
         tables.transact(Transaction([], puts))
-        keeper, book = make_keeper(store.address)
-        assert keeper.read(NOW_S, NOW_UNIX_S)
-        assert book.standing(CONTENT, NOW_S).blocked_ms
+        quarantine_store, history = make_store(platform.address)
+        assert quarantine_store.read(NOW_S, NOW_UNIX_S)
+        assert history.status(CONTENT, NOW_S).blocked_ms
     finally:
-        store.stop()
+        platform.stop()
--- a/tests/test_crash_spread.py
+++ b/tests/test_crash_spread.py
@@ -2,9 +2,9 @@
 
 import random
 
-from balsamspindle.crashes.book import CrashBook
-from balsamspindle.crashes.records import Crash, CrashedRun, CrashNews
-from balsamspindle.crashes.spread import CrashSpread
+from balsamspindle.crashes.gossip import CrashGossip
+from balsamspindle.crashes.history import CrashHistory
+from balsamspindle.crashes.records import Crash, CrashedRun, CrashUpdate
 from balsamspindle.membership.budget import Importance
 from tests.member_network import MemberNetwork
 
@@ -19,8 +19,8 @@
 
     def __init__(self, nodes: int, zones: int = 3) -> None:
         self.network = MemberNetwork()
-        self.books: dict[str, CrashBook] = {}
-        self.spreads: dict[str, CrashSpread] = {}
+        self.histories: dict[str, CrashHistory] = {}
+        self.gossips: dict[str, CrashGossip] = {}
         self.nodes = self.network.add_many(nodes, zones)
         self.network.introduce(self.nodes)
         for node in self.nodes:
@@ -28,28 +28,28 @@
         self.network.run(CALM_S)
 
     def join(self, node) -> None:
-        book = self.books[node.address] = CrashBook(lambda service: 6)
-        spread = self.spreads[node.address] = CrashSpread(
+        history = self.histories[node.address] = CrashHistory(lambda service: 6)
+        gossip = self.gossips[node.address] = CrashGossip(
             node.settings.own_record(1),
             node.directory,
-            book,
-            lambda address, news: node.member.channel.send(
-                address, news, self.network.now_s, Importance.URGENT
+            history,
+            lambda address, update: node.member.channel.send(
+                address, update, self.network.now_s, Importance.URGENT
             ),
             lambda: self.network.now_s,
         )
-        node.member.register({CrashNews: spread.take})
-        node.member.share_crash_digest(book.digest, spread.compare)
+        node.member.register({CrashUpdate: gossip.receive})
+        node.member.share_crash_digest(history.digest, gossip.compare_digest)
 
     def crash(self, node, number: int, content: int = CAUSE) -> None:
         runs = tuple(CrashedRun(one, 90) for one in (content, *range(100, 105)))
         crash = Crash(f"server-{number}", 1, SERVICE, 0, runs)
         now_s = self.network.now_s
-        news = self.books[node.address].take(CrashNews([crash]), now_s)
-        self.spreads[node.address].tell(news, now_s)
+        update = self.histories[node.address].merge(CrashUpdate([crash]), now_s)
+        self.gossips[node.address].share(update, now_s)
         for other in range(100, 105):
-            cleared = self.books[node.address].answered(other, now_s)
-            self.spreads[node.address].tell(cleared, now_s)
+            cleared = self.histories[node.address].record_answer(other, now_s)
+            self.gossips[node.address].share(cleared, now_s)
 
     def quarantine(self, reporters) -> None:
         for number, node in enumerate(reporters):
@@ -57,8 +57,8 @@
             self.network.run(0.5)
 
     def knows(self, node) -> bool:
-        standing = self.books[node.address].standing(CAUSE, self.network.now_s)
-        return standing.blocked_ms > 0
+        status = self.histories[node.address].status(CAUSE, self.network.now_s)
+        return status.blocked_ms > 0
 
     def all_know(self) -> bool:
         return all(map(self.knows, self.network.nodes.values()))
@@ -128,15 +128,15 @@
     fleet.quarantine([fleet.nodes[0], fleet.nodes[1]])
     now_s = fleet.network.now_s
     node = fleet.nodes[3]
-    cleared = fleet.books[node.address].answered(CAUSE, now_s)
-    fleet.spreads[node.address].tell(cleared, now_s)
+    cleared = fleet.histories[node.address].record_answer(CAUSE, now_s)
+    fleet.gossips[node.address].share(cleared, now_s)
     fleet.crash(fleet.nodes[5], 9)
     # The node of the third crash quarantines the request before the answer is known
     # there.
     assert fleet.knows(fleet.nodes[5])
     fleet.network.run(KNOWN_WITHIN_S)
     assert not any(map(fleet.knows, fleet.nodes))
-    assert len({book.digest() for book in fleet.books.values()}) == 1
+    assert len({history.digest() for history in fleet.histories.values()}) == 1
 
 
 def test_answers_to_requests_lost_once_are_not_shared():
@@ -149,7 +149,7 @@
     fleet.crash(fleet.nodes[0], 1)
     fleet.network.run(2.0)
     assert fleet.network.frames - before - calm <= 21 * 5
-    assert len({book.digest() for book in fleet.books.values()}) == 1
+    assert len({history.digest() for history in fleet.histories.values()}) == 1
 
 
 def test_an_answer_that_was_not_shared_counts_after_further_losses():
@@ -159,8 +159,8 @@
         fleet.crash(node, number)
         fleet.network.run(1.0)
         if number == 0:
-            book = fleet.books[fleet.nodes[5].address]
-            assert not book.answered(CAUSE, fleet.network.now_s).crashes
+            history = fleet.histories[fleet.nodes[5].address]
+            assert not history.record_answer(CAUSE, fleet.network.now_s).crashes
     fleet.network.run(1.0)
     assert not any(map(fleet.knows, fleet.nodes))
-    assert len({book.digest() for book in fleet.books.values()}) == 1
+    assert len({history.digest() for history in fleet.histories.values()}) == 1
--- a/tests/test_crash_verdicts.py
+++ b/tests/test_crash_verdicts.py
@@ -2,13 +2,13 @@
 
 import random
 
-from balsamspindle.crashes.book import BLOCKED_S, CRASH_EXPIRY_S, CrashBook
+from balsamspindle.crashes.history import BLOCKED_S, CRASH_EXPIRY_S, CrashHistory
 from balsamspindle.crashes.live_servers import count_live_servers
-from balsamspindle.crashes.records import Crash, CrashedRun, CrashNews, start_id
+from balsamspindle.crashes.records import Crash, CrashedRun, CrashUpdate, start_id
 from balsamspindle.crashes.verdicts import (
     SIMILAR_TIMES_PROBABILITY_MIN,
     AttributedCrash,
-    Case,
+    CauseEvidence,
     coincidence_probability,
     is_cause,
 )
@@ -37,15 +37,15 @@
 
 
 class CrashScenario:
-    """A `CrashBook` that gets crashes one after the other, on a simulated clock."""
+    """A `CrashHistory` that gets crashes one after the other, on a simulated clock."""
 
     def __init__(self, servers: int = SERVERS) -> None:
         self.quarantined: list[int] = []
-        self.book = CrashBook(lambda service: servers, self._quarantine)
+        self.history = CrashHistory(lambda service: servers, self._quarantine)
         self.now_s = 1_000.0
         self._starts = 0
 
-    def _quarantine(self, quarantine, ended, case) -> None:
+    def _quarantine(self, quarantine, ended, evidence) -> None:
         self.quarantined.append(quarantine.content)
 
     def crash(self, runs: dict[int, float], after_s: float = 0.5) -> None:
@@ -53,13 +53,13 @@
         self._starts += 1
         crashed = tuple(CrashedRun(one, round(ran * 1000)) for one, ran in runs.items())
         crash = Crash(f"server-{self._starts}", 1, SERVICE, 0, crashed)
-        self.book.take(CrashNews([crash]), self.now_s)
+        self.history.merge(CrashUpdate([crash]), self.now_s)
 
     def answer(self, content: int) -> None:
-        self.book.answered(content, self.now_s)
+        self.history.record_answer(content, self.now_s)
 
     def is_blocked(self, content: int) -> bool:
-        return self.book.standing(content, self.now_s).blocked_ms > 0
+        return self.history.status(content, self.now_s).blocked_ms > 0
 
 
 def test_the_third_crash_quarantines_a_request_that_ran_alone():
@@ -102,12 +102,14 @@
     for number in range(4):
         scenario.answer(2)
         scenario.now_s += 0.3
-        news = CrashNews([Crash(f"s-{number}", 1, SERVICE, 500, (CrashedRun(2, 90),))])
-        told = scenario.book.take(news, scenario.now_s)
+        update = CrashUpdate(
+            [Crash(f"s-{number}", 1, SERVICE, 500, (CrashedRun(2, 90),))]
+        )
+        told = scenario.history.merge(update, scenario.now_s)
         assert [one.runs for one in told.crashes] == [()]
         scenario.now_s += 2.0
     assert not scenario.is_blocked(2)
-    assert not scenario.book.standing(2, scenario.now_s).is_suspect
+    assert not scenario.history.status(2, scenario.now_s).is_suspect
 
 
 def test_an_answer_long_before_a_crash_does_not_clear_it():
@@ -215,7 +217,7 @@
     for _ in range(5):
         scenario.crash({CAUSE: SHORT_S}, after_s=CRASH_EXPIRY_S / 2 + 1)
     assert not scenario.is_blocked(CAUSE)
-    assert len(scenario.book.all(scenario.now_s).crashes) == 2
+    assert len(scenario.history.export(scenario.now_s).crashes) == 2
 
 
 def test_updates_in_any_order_give_the_same_state():
@@ -223,23 +225,23 @@
     for number in range(6):
         scenario.crash({CAUSE: SHORT_S, 10 + number: 0.3}, after_s=0.1)
     scenario.answer(12)
-    news = scenario.book.all(scenario.now_s)
+    update = scenario.history.export(scenario.now_s)
     rng = random.Random(1)
     for _ in range(5):
-        other = CrashBook(lambda service: SERVERS)
-        for part in rng.sample(news.crashes, len(news.crashes)):
-            other.take(CrashNews([part]), scenario.now_s)
-            other.take(CrashNews([part]), scenario.now_s)
-        other.take(CrashNews([], news.quarantines), scenario.now_s)
-        assert other.digest() == scenario.book.digest()
-        assert other.standing(CAUSE, scenario.now_s).blocked_ms
+        other = CrashHistory(lambda service: SERVERS)
+        for part in rng.sample(update.crashes, len(update.crashes)):
+            other.merge(CrashUpdate([part]), scenario.now_s)
+            other.merge(CrashUpdate([part]), scenario.now_s)
+        other.merge(CrashUpdate([], update.quarantines), scenario.now_s)
+        assert other.digest() == scenario.history.digest()
+        assert other.status(CAUSE, scenario.now_s).blocked_ms
 
 
 def test_a_retracted_crash_clears_the_requests_that_ran_there():
     scenario = CrashScenario()
     for _ in range(3):
         scenario.crash({CAUSE: SHORT_S})
-        scenario.book.retract((f"server-{scenario._starts}", 1), scenario.now_s)
+        scenario.history.retract((f"server-{scenario._starts}", 1), scenario.now_s)
     assert not scenario.is_blocked(CAUSE)
 
 
@@ -283,9 +285,9 @@
     scenario, other = CrashScenario(), CrashScenario()
     for _ in range(3):
         scenario.crash({CAUSE: SHORT_S, 2: 0.3})
-    other.book.take(scenario.book.all(scenario.now_s), scenario.now_s)
-    told = scenario.book.answered(2, scenario.now_s)
-    other.book.take(CrashNews(told.crashes), scenario.now_s)
+    other.history.merge(scenario.history.export(scenario.now_s), scenario.now_s)
+    told = scenario.history.record_answer(2, scenario.now_s)
+    other.history.merge(CrashUpdate(told.crashes), scenario.now_s)
     assert other.quarantined == [CAUSE]
 
 
@@ -366,10 +368,10 @@
 def test_fewer_crashes_than_expected_are_no_evidence():
     # Guards against the quarantine of a long request that is lost less often than
     # expected.
-    hits = [AttributedCrash(at_s, 10.0) for at_s in (0.0, 1.0, 2.0)]
-    case = Case(hits, crashes=60, servers=SERVERS)
-    assert coincidence_probability(case) >= SIMILAR_TIMES_PROBABILITY_MIN
-    assert not is_cause(case)
+    crashes = [AttributedCrash(at_s, 10.0) for at_s in (0.0, 1.0, 2.0)]
+    evidence = CauseEvidence(crashes, service_crashes=60, servers=SERVERS)
+    assert coincidence_probability(evidence) >= SIMILAR_TIMES_PROBABILITY_MIN
+    assert not is_cause(evidence)
 
 
 def test_backend_servers_that_have_ended_are_not_counted():
--- a/tests/test_crash_watch.py
+++ b/tests/test_crash_watch.py
@@ -14,8 +14,8 @@
 from balsamspindle.backend_servers.lifetimes import Condition, Lifetimes
 from balsamspindle.backend_servers.retry_grants import RetryGrants
 from balsamspindle.backend_servers.servers import Announcement, LocalBackendServers
-from balsamspindle.crashes.book import CrashBook
-from balsamspindle.crashes.records import Crash, CrashedRun, CrashNews, RunEnd
+from balsamspindle.crashes.history import CrashHistory
+from balsamspindle.crashes.records import Crash, CrashedRun, CrashUpdate, RunEnd
 from balsamspindle.protocol.header_names import HeaderNames
 from balsamspindle.protocol.outcomes import Execution, Outcome, Reason
 from balsamspindle.requests.content import content_id
@@ -43,10 +43,10 @@
         self.servers = LocalBackendServers()
         self._announce("1")
         self.log = EventLog("gate", 7, HybridClock(), io.StringIO())
-        self.book = CrashBook(lambda service: 6)
-        self.news: list[CrashNews] = []
+        self.history = CrashHistory(lambda service: 6)
+        self.update: list[CrashUpdate] = []
         self.watch = CrashWatch(
-            self.log, self.book, lambda news, now_s: self.news.append(news)
+            self.log, self.history, lambda update, now_s: self.update.append(update)
         )
         self.gate = self._make_gate()
         self.executor = ThreadPoolExecutor(8)
@@ -57,7 +57,7 @@
             self.servers,
             BackendServerClient(1000),
             self.log,
-            crash_book=self.book,
+            crash_history=self.history,
             crash_watch=self.watch,
             **options,
         )
@@ -108,7 +108,7 @@
             server_id = f"other-{content}-{number}"
             age_ms = 1000 * (number + 1)
             crash = Crash(server_id, 1, SERVICE, age_ms, (CrashedRun(content, 90),))
-            self.book.take(CrashNews([crash]), time.monotonic())
+            self.history.merge(CrashUpdate([crash]), time.monotonic())
 
     def _logged(self, name):
         events = map(parse_event, self.log.recent(0, 1000).lines)
@@ -127,7 +127,7 @@
             {(Outcome.UNKNOWN, Reason.SERVER_CRASHED)},
             {(reply.outcome, reply.reason) for reply in replies},
         )
-        crashes = [crash for news in self.news for crash in news.crashes]
+        crashes = [crash for update in self.update for crash in update.crashes]
         self.assertEqual(1, len(crashes))
         self.assertEqual({CAUSE, OTHER, 33}, {run.content for run in crashes[0].runs})
         self.assertEqual(1, len(self._logged("backend_server_crashed")))
@@ -139,7 +139,7 @@
         for sequence in range(1, 6):
             reply = self._begin(sequence).result()
             self.assertEqual(Reason.BROKEN_ANSWER, reply.reason)
-        self.assertEqual([], self.news)
+        self.assertEqual([], self.update)
 
     def test_a_crash_right_after_a_broken_answer_is_seen(self):
         # An answer is broken off by a backend server that lives; a moment later the
@@ -158,7 +158,7 @@
         self._wait_running(1)
         self._announce("2")
         self.assertEqual(Reason.SERVER_CRASHED, running.result().reason)
-        self.assertTrue(self.news)
+        self.assertTrue(self.update)
 
     def _announce_another(self, sequence):
         """Announce another backend server at the same address."""
@@ -182,7 +182,7 @@
         self._announce_another(1)
         self.hold.set()
         self.assertEqual(Reason.SERVER_CRASHED, running.result().reason)
-        self.assertTrue(self.news)
+        self.assertTrue(self.update)
 
     def test_one_that_is_replaced_right_after_a_broken_answer_crashed(self):
         # Its supervisor starts another one within a millisecond, before the gate
@@ -190,9 +190,9 @@
         self._first_lifetime()
         self.hold.set()
         self.assertEqual(Reason.BROKEN_ANSWER, self._begin(1).result().reason)
-        self.assertEqual([], self.news)
+        self.assertEqual([], self.update)
         self._announce_another(1)
-        crashes = [crash for news in self.news for crash in news.crashes]
+        crashes = [crash for update in self.update for crash in update.crashes]
         self.assertEqual([CAUSE], [run.content for run in crashes[0].runs])
 
     def test_one_that_crashed_while_it_was_idle_counts_as_a_crash_of_nobody(self):
@@ -200,7 +200,7 @@
         # was there several times was there by chance.
         self._first_lifetime()
         self._announce_another(1)
-        crashes = [crash for news in self.news for crash in news.crashes]
+        crashes = [crash for update in self.update for crash in update.crashes]
         self.assertEqual([()], [crash.runs for crash in crashes])
 
     def test_one_that_drained_before_it_was_replaced_did_not_crash(self):
@@ -209,20 +209,20 @@
         self._begin(1).result()
         self.lifetimes.leave("server")
         self._announce_another(1)
-        self.assertEqual([], self.news)
+        self.assertEqual([], self.update)
 
     def test_one_that_refused_a_connection_and_answers_did_not_crash(self):
         # It takes no more connections while its queue is long. The first run that
         # it answers shows that it lives, and clears all who ran there.
-        watch = CrashWatch(self.log, self.book, is_down=lambda address: True)
+        watch = CrashWatch(self.log, self.history, is_down=lambda address: True)
         self.watch = watch
         self.gate = self._make_gate()
         self.hold.set()
         self.assertEqual(Reason.SERVER_CRASHED, self._begin(1).result().reason)
-        self.assertEqual(1, len(self.book.all(time.monotonic()).crashes[0].runs))
+        self.assertEqual(1, len(self.history.export(time.monotonic()).crashes[0].runs))
         self.server.answer = lambda number: (length_answer(b"whole"), True)
         self.assertEqual(200, self._begin(2, OTHER).result().status)
-        self.assertEqual((), self.book.all(time.monotonic()).crashes[0].runs)
+        self.assertEqual((), self.history.export(time.monotonic()).crashes[0].runs)
 
     def test_an_answer_that_is_read_late_does_not_undo_a_crash(self):
         # A request was answered just before another one crashed its backend server;
@@ -239,7 +239,7 @@
         self.assertTrue(self.watch.ended(server, cause, broken, now_s + 0.1))
         whole = RunEnd(is_success=True, is_answer=True)
         self.watch.ended(server, answered, whole, now_s + 0.12)
-        runs = self.book.all(now_s + 0.2).crashes[0].runs
+        runs = self.history.export(now_s + 0.2).crashes[0].runs
         self.assertIn(CAUSE, [run.content for run in runs])
         self.hold.set()
         first.result(), second.result()
@@ -252,13 +252,13 @@
         self.servers.drain("server")
         self._crash()
         self.assertEqual(Reason.BROKEN_ANSWER, running.result().reason)
-        self.assertEqual([], self.news)
+        self.assertEqual([], self.update)
 
     def test_an_answer_clears_a_request_at_the_gate_that_saw_it(self):
         self._earlier_crashes(2, OTHER)
         self.server.answer = lambda number: (length_answer(b"whole"), True)
         self.assertEqual(200, self._begin(1, OTHER).result().status)
-        self.assertFalse(self.book.standing(OTHER, time.monotonic()).is_suspect)
+        self.assertFalse(self.history.status(OTHER, time.monotonic()).is_suspect)
 
     def test_nobody_listens_where_a_backend_server_ended(self):
         with socket.create_server(("127.0.0.1", 0)) as listener:
--- a/tests/test_crashing_requests.py
+++ b/tests/test_crashing_requests.py
@@ -2,8 +2,8 @@
 
 import time
 
-from balsamspindle.crashes.book import CrashBook
-from balsamspindle.crashes.records import Crash, CrashedRun, CrashNews
+from balsamspindle.crashes.history import CrashHistory
+from balsamspindle.crashes.records import Crash, CrashedRun, CrashUpdate
 from balsamspindle.crashes.verdicts import RETRIED_WITHIN_S
 from balsamspindle.protocol.outcomes import Execution, Outcome, Reason
 from balsamspindle.requests.retries import RetryPolicy
@@ -24,8 +24,8 @@
 
     def setUp(self):
         super().setUp()
-        self.book = CrashBook(lambda service: 5)
-        self.forwarder._crash_book = self.book
+        self.history = CrashHistory(lambda service: 5)
+        self.forwarder._crash_history = self.history
         # Gates grant retries; this budget is never used up.
         self.forwarder._retries = RetryPolicy(
             lambda service: RetryBudget(fleet_per_s_min=100.0)
@@ -33,7 +33,7 @@
 
     def _crash(self, number, content=CONTENT):
         crash = Crash(f"server-{number}", 1, SERVICE, 0, (CrashedRun(content, 90),))
-        self.book.take(CrashNews([crash]), time.monotonic())
+        self.history.merge(CrashUpdate([crash]), time.monotonic())
 
     def _crash_and_answer(self, dispatch):
         """Record a crash and reply, as the gate of the crashed backend server does."""
@@ -84,8 +84,8 @@
         self.assertEqual(Outcome.ANSWERED, self._forward().outcome)
         for number in range(3):
             self._crash(number)
-        standing = self.book.standing(CONTENT, time.monotonic())
-        self.assertFalse(standing.is_suspect)
+        status = self.history.status(CONTENT, time.monotonic())
+        self.assertFalse(status.is_suspect)
 
     def test_a_fourth_request_is_not_dispatched_and_other_contents_are(self):
         self.answers = dict.fromkeys(self.NAMES, self._crash_and_answer)
--- a/tests/test_peer_evidence.py
+++ b/tests/test_peer_evidence.py
@@ -14,37 +14,37 @@
 def tracker_with(judgements: dict[str, bool | None], now_s=1.0, limit_ms=80.0):
     tracker = PeerEvidenceTracker()
     for server_id, bad in judgements.items():
-        tracker.started(SERVICE, server_id, now_s)
-        tracker.ended(SERVICE, server_id, now_s, reply_with(bad, limit_ms), now_s)
+        tracker.record_start(SERVICE, server_id, now_s)
+        tracker.record_end(SERVICE, server_id, now_s, reply_with(bad, limit_ms), now_s)
     return tracker
 
 
 def test_a_backend_server_is_compared_with_the_others_only():
     tracker = tracker_with({"a": True, "b": False, "c": True})
-    assert tracker.about(SERVICE, "a", 1.0) == PeerEvidence(2, 1, 80.0)
-    assert tracker.about(SERVICE, "b", 1.0) == PeerEvidence(2, 2, 80.0)
-    assert tracker.about("crew/other", "a", 1.0) == PeerEvidence()
+    assert tracker.summarize(SERVICE, "a", 1.0) == PeerEvidence(2, 1, 80.0)
+    assert tracker.summarize(SERVICE, "b", 1.0) == PeerEvidence(2, 2, 80.0)
+    assert tracker.summarize("crew/other", "a", 1.0) == PeerEvidence()
 
 
 def test_missing_and_expired_judgements_are_no_evidence():
     """A failed link or shed work must not look like an unhealthy peer."""
     tracker = tracker_with({"a": True, "b": None, "c": True})
-    tracker.started(SERVICE, "c", 2.0)
-    tracker.ended(SERVICE, "c", 2.0, None, 2.5)
-    assert tracker.about(SERVICE, "a", 3.0).heard == 1
-    assert tracker.about(SERVICE, "x", 1.1 + JUDGEMENT_VALID_S) == PeerEvidence(
+    tracker.record_start(SERVICE, "c", 2.0)
+    tracker.record_end(SERVICE, "c", 2.0, None, 2.5)
+    assert tracker.summarize(SERVICE, "a", 3.0).heard == 1
+    assert tracker.summarize(SERVICE, "x", 1.1 + JUDGEMENT_VALID_S) == PeerEvidence(
         0, 0, 80.0
     )
 
 
 def test_a_peer_whose_request_hangs_counts_before_it_ends():
     tracker = tracker_with({"a": False, "b": False, "c": False})
-    tracker.started(SERVICE, "b", 2.0)
-    assert tracker.about(SERVICE, "a", 2.1).bad == 0
-    assert tracker.about(SERVICE, "a", 2.2).bad == 1
+    tracker.record_start(SERVICE, "b", 2.0)
+    assert tracker.summarize(SERVICE, "a", 2.1).bad == 0
+    assert tracker.summarize(SERVICE, "a", 2.2).bad == 1
 
 
 def test_one_slow_peer_does_not_set_the_limit():
     tracker = tracker_with({"a": False, "b": False, "c": False})
-    tracker.ended(SERVICE, "c", 1.0, reply_with(True, 9000.0), 1.0)
-    assert tracker.about(SERVICE, "x", 1.0).limit_ms == 80.0
+    tracker.record_end(SERVICE, "c", 1.0, reply_with(True, 9000.0), 1.0)
+    assert tracker.summarize(SERVICE, "x", 1.0).limit_ms == 80.0
--- a/tests/test_picker.py
+++ b/tests/test_picker.py
@@ -6,7 +6,7 @@
 
 from balsamspindle.protocol.outcomes import Execution
 from balsamspindle.services.floor import ON_TRIAL
-from balsamspindle.services.free_slots import FREE_SLOTS_TTL_S, FreeSlotViews
+from balsamspindle.services.free_slots import FREE_SLOTS_TTL_S, FreeSlotEstimates
 from balsamspindle.services.picker import Picker
 from balsamspindle.services.subset import SUBSET_MAX, subset
 from balsamspindle.settings.documents import ServiceDocument
@@ -116,12 +116,12 @@
 def test_a_backend_server_that_was_busy_once_does_not_starve():
     """Reports expire: without requests, no reply would ever replace an old report."""
     busy = placement(0)
-    views = FreeSlotViews()
-    views.note("server-0", 0, now_s=10.0)
-    assert views.free_slots(busy, now_s=10.5) == 0
-    assert views.free_slots(busy, now_s=10.1 + FREE_SLOTS_TTL_S) == 6
-    views.note("server-1", 3, now_s=20.0)
-    assert list(views._reports) == ["server-1"]
+    estimates = FreeSlotEstimates()
+    estimates.record("server-0", 0, now_s=10.0)
+    assert estimates.free_slots(busy, now_s=10.5) == 0
+    assert estimates.free_slots(busy, now_s=10.1 + FREE_SLOTS_TTL_S) == 6
+    estimates.record("server-1", 3, now_s=20.0)
+    assert list(estimates._reports) == ["server-1"]
 
 
 def test_subsets_are_bounded_even_and_move_little():
--- a/tests/test_placement_at_size.py
+++ b/tests/test_placement_at_size.py
@@ -8,7 +8,7 @@
 
 from balsamspindle.membership.directory import Placement
 from balsamspindle.services.picker import choose_freest
-from balsamspindle.services.subset import FAR_MIN, SUBSET_MAX, subset
+from balsamspindle.services.subset import OTHER_ZONES_MIN, SUBSET_MAX, subset
 from balsamspindle.services.view import make_view
 from balsamspindle.wire import BackendServerRecord, NodeRecord
 
@@ -92,7 +92,7 @@
             own_zone = place.node.availability_zone
             far = [one for one in chosen if one.node.availability_zone != own_zone]
             self.assertEqual(SUBSET_MAX, len(chosen))
-            self.assertGreaterEqual(len(far), FAR_MIN)
+            self.assertGreaterEqual(len(far), OTHER_ZONES_MIN)
 
     def test_a_small_zone_fills_its_subset_from_others(self):
         own = placement(0).node
--- a/tests/test_placement_selection.py
+++ b/tests/test_placement_selection.py
@@ -20,10 +20,10 @@
     near_wait_ms,
 )
 from balsamspindle.services.answer_sizes import AnswerSizes
-from balsamspindle.services.free_slots import FreeSlotViews
+from balsamspindle.services.free_slots import FreeSlotEstimates
+from balsamspindle.services.held_out_servers import HeldOutServers
 from balsamspindle.services.holdouts import HoldOuts
 from balsamspindle.services.queue_hints import QueueHints
-from balsamspindle.services.suspects import Suspects
 from balsamspindle.settings.documents import RouteDocument
 from balsamspindle.wire import BackendServerRecord, HeldOut, NodeRecord
 
@@ -43,7 +43,7 @@
     def __init__(self, near=NEAR) -> None:
         self._near = near
 
-    def near_and_far(self, service, execution):
+    def split_by_zone(self, service, execution):
         return [place(name) for name in self._near], [place(name) for name in FAR]
 
     def view(self, service):
@@ -52,7 +52,7 @@
 
 class _Sender:
     def __init__(self) -> None:
-        self.suspects = Suspects()
+        self.held_out_servers = HeldOutServers()
         self.queue_hints = QueueHints()
         self.link_hold_outs = HoldOuts(1.0, 1.0)
 
@@ -61,13 +61,13 @@
     def setUp(self):
         super().setUp()
         self.sender = _Sender()
-        self.free = FreeSlotViews()
+        self.free = FreeSlotEstimates()
         self.sizes = AnswerSizes()
         self.selector = PlacementSelector(
             _Picker(), self.sender, self.free, self.sizes, random.Random(1)
         )
         route = RouteDocument(SERVICE, Execution.IDEMPOTENT, target_ms=TARGET_MS)
-        self.sizes.note(route, ANSWER_BYTES)
+        self.sizes.record(route, ANSWER_BYTES)
         self.forwarded = ForwardedRequest("r", None, CallerRequest(), route, DEADLINE_S)
 
     def asked(self, waits_ms=None):
@@ -117,7 +117,7 @@
         waits_ms = {**dict.fromkeys(NEAR, 700.0), **dict.fromkeys(FAR, 0.0)}
         self.assertIn(self.asked(waits_ms)[-1][0], NEAR)
         for _ in range(100):
-            self.sizes.note(self.forwarded.route, 400)
+            self.sizes.record(self.forwarded.route, 400)
         self.forwarded.tried.clear()
         self.forwarded.search.restart()
         self.assertIn(self.asked(waits_ms)[-1][0], FAR)
@@ -125,7 +125,7 @@
     def test_a_gate_that_reported_a_long_queue_is_not_asked_again_at_once(self):
         hints = self.sender.queue_hints
         for name in FAR[:-1]:
-            hints.note(name, 2500.0, 0.0)
+            hints.record(name, 2500.0, 0.0)
         waits_ms = {**dict.fromkeys(NEAR, 1500.0), **dict.fromkeys(FAR, 0.0)}
         self.assertEqual(FAR[-1], self.asked(waits_ms)[-1][0])
         self.assertEqual(set(FAR[:-1]), hints.longer_than(2000.0, 0.4))
@@ -195,8 +195,8 @@
         # that does not ask it itself must not go to a suspected backend server, where
         # it fails, and its parent request with it, with 700 ms left.
         for name in NEAR + FAR[1:]:
-            self.sender.suspects.note(name, HeldOut(1000.0, 9), 0.0)
-        self.sender.queue_hints.note(FAR[0], 200.0, 0.0)
+            self.sender.held_out_servers.record(name, HeldOut(1000.0, 9), 0.0)
+        self.sender.queue_hints.record(FAR[0], 200.0, 0.0)
         self.forwarded.route = msgspec.structs.replace(
             self.forwarded.route, target_ms=250.0
         )
@@ -206,8 +206,8 @@
 
     def test_long_queues_reported_to_other_requests_are_not_joined(self):
         for name in NEAR + FAR[1:]:
-            self.sender.suspects.note(name, HeldOut(1000.0, 9), 0.0)
-        self.sender.queue_hints.note(FAR[0], 300.0, 0.0)
+            self.sender.held_out_servers.record(name, HeldOut(1000.0, 9), 0.0)
+        self.sender.queue_hints.record(FAR[0], 300.0, 0.0)
         self.forwarded.route = msgspec.structs.replace(
             self.forwarded.route, target_ms=250.0
         )
@@ -216,7 +216,7 @@
 
     def test_suspected_backend_servers_are_not_asked_while_others_are_left(self):
         for name in NEAR:
-            self.sender.suspects.note(name, HeldOut(1000.0, 1), 0.0)
+            self.sender.held_out_servers.record(name, HeldOut(1000.0, 1), 0.0)
         [(name, _)] = self.asked(dict.fromkeys(FAR, 0.0))
         self.assertIn(name, FAR)
 
@@ -226,8 +226,10 @@
         # busy. Selected by free slots alone, four of five last resorts fail.
         for name in NEAR + FAR:
             failing = name != "far-3"
-            self.sender.suspects.note(name, HeldOut(1000.0, 9 if failing else 1), 0.0)
-        self.free.note("far-3", 1, 0.0)
+            self.sender.held_out_servers.record(
+                name, HeldOut(1000.0, 9 if failing else 1), 0.0
+            )
+        self.free.record("far-3", 1, 0.0)
         self.forwarded.is_last_resort = True
         queue_ms = QUEUE_WAIT_FRACTION * DEADLINE_S * 1000
         self.assertEqual(("far-3", queue_ms), self.asked()[-1])
--- a/tests/test_retries.py
+++ b/tests/test_retries.py
@@ -12,7 +12,7 @@
 from balsamspindle.requests.retries import DENIALS_MAX, RetryPolicy
 from balsamspindle.requests.retry_after import RetryAfterEstimator
 from balsamspindle.requests.retry_tokens import FLOOR_BURST_S, RetryTokens
-from balsamspindle.services.free_slots import FreeSlotViews
+from balsamspindle.services.free_slots import FreeSlotEstimates
 from balsamspindle.services.holdouts import KEPT_MAX, HoldOuts
 from balsamspindle.settings.documents import RetryBudget
 from balsamspindle.wire import (
@@ -194,25 +194,25 @@
         self.placement = Placement(OWN, server)
 
     def test_own_attempts_since_the_last_reply_reduce_the_free_slots(self):
-        views = FreeSlotViews()
-        views.started("server")
-        self.assertEqual(5, views.free_slots(self.placement, 0.0))
-        views.note("server", 2, 0.0)
-        self.assertEqual(2, views.free_slots(self.placement, 0.0))
-        views.started("server")
-        views.started("server")
-        self.assertEqual(0, views.free_slots(self.placement, 0.0))
+        estimates = FreeSlotEstimates()
+        estimates.record_start("server")
+        self.assertEqual(5, estimates.free_slots(self.placement, 0.0))
+        estimates.record("server", 2, 0.0)
+        self.assertEqual(2, estimates.free_slots(self.placement, 0.0))
+        estimates.record_start("server")
+        estimates.record_start("server")
+        self.assertEqual(0, estimates.free_slots(self.placement, 0.0))
         for _ in range(3):
-            views.ended("server")
-        self.assertEqual(2, views.free_slots(self.placement, 0.0))
-        self.assertEqual(6, views.free_slots(self.placement, 60.0))
+            estimates.record_end("server")
+        self.assertEqual(2, estimates.free_slots(self.placement, 0.0))
+        self.assertEqual(6, estimates.free_slots(self.placement, 60.0))
 
     def test_a_link_that_fails_is_avoided_longer_each_time(self):
         holds = HoldOuts(first_s=0.5, max_s=4.0)
         now_s, lengths_s = 0.0, []
         for _ in range(5):
-            holds.note_failure("gate", now_s)
-            holds.note_failure("gate", now_s)
+            holds.record_failure("gate", now_s)
+            holds.record_failure("gate", now_s)
             start_s = now_s
             while holds.is_held("gate", now_s):
                 now_s += 0.125
@@ -221,12 +221,12 @@
         # The first caller of `is_held` may try the link; the others wait for the
         # result.
         self.assertTrue(holds.is_held("gate", now_s))
-        holds.note_success("gate")
+        holds.record_success("gate")
         self.assertFalse(holds.is_held("gate", now_s))
 
     def test_the_number_of_links_held_out_is_bounded(self):
         holds = HoldOuts(0.5, 4.0)
         for number in range(3 * KEPT_MAX):
-            holds.note_failure(f"gate-{number}", 0.0)
+            holds.record_failure(f"gate-{number}", 0.0)
         kept = [holds.is_held(f"gate-{number}", 0.1) for number in range(3 * KEPT_MAX)]
         self.assertEqual(KEPT_MAX, sum(kept))
--- a/tests/test_retry_waits.py
+++ b/tests/test_retry_waits.py
@@ -2,20 +2,20 @@
 
 import random
 
-from balsamspindle.crashes.records import CALM, Standing
+from balsamspindle.crashes.records import UNSUSPECTED, ContentStatus
 from balsamspindle.crashes.retry_waits import (
+    WAIT_FRACTION_MAX,
     WAIT_MAX_S,
-    WAIT_PART_MAX,
     retry_wait_s,
 )
 from balsamspindle.crashes.verdicts import RETRIED_WITHIN_S
 
-SUSPECT = Standing(is_suspect=True)
+SUSPECT = ContentStatus(is_suspect=True)
 RNG = random.Random(1)
 
 
 def test_a_request_lost_once_is_retried_at_once():
-    assert retry_wait_s(CALM, 10.0, RNG) == 0.0
+    assert retry_wait_s(UNSUSPECTED, 10.0, RNG) == 0.0
 
 
 def test_a_suspect_waits_longer_than_a_retry_that_follows_a_crash():
@@ -25,5 +25,5 @@
 
 
 def test_a_request_with_little_time_left_waits_for_a_part_of_it():
-    assert retry_wait_s(SUSPECT, 0.2, RNG) <= 0.2 * WAIT_PART_MAX
+    assert retry_wait_s(SUSPECT, 0.2, RNG) <= 0.2 * WAIT_FRACTION_MAX
     assert retry_wait_s(SUSPECT, -1.0, RNG) == 0.0
--- a/tests/test_shared_slowness_simulated.py
+++ b/tests/test_shared_slowness_simulated.py
@@ -66,9 +66,9 @@
         number = self._random.choice(self._in_use(now_s))
         name, attempt_id = f"server-{number}", AttemptId("node", 1, next(self._ids))
         health = self._health[number]
-        health.record_peer_evidence(self._peers.about(SERVICE, name, now_s), now_s)
+        health.record_peer_evidence(self._peers.summarize(SERVICE, name, now_s), now_s)
         health.record_start(attempt_id, now_s)
-        self._peers.started(SERVICE, name, now_s)
+        self._peers.record_start(SERVICE, name, now_s)
         took_s = self._random.uniform(*NORMAL_LATENCY_MS) / 1000
         took_s += ADDED_LATENCY_S if now_s >= SLOWNESS_START_S else 0.0
         self._schedule(now_s + took_s, self._end_request, number, attempt_id, now_s)
@@ -82,7 +82,7 @@
             bad=None if verdict is Verdict.NOTHING else verdict is Verdict.BAD,
             limit_ms=health.own_p99_ms,
         )
-        self._peers.ended(SERVICE, name, started_s, reply, now_s)
+        self._peers.record_end(SERVICE, name, started_s, reply, now_s)
         self._schedule(now_s + REQUEST_INTERVAL_S, self._send_request)
 
     def _in_use(self, now_s: float) -> list[int]:
--- a/tests/test_zone_hints.py
+++ b/tests/test_zone_hints.py
@@ -6,7 +6,7 @@
 
 from balsamspindle.membership.directory import Directory
 from balsamspindle.requests.zone_hints import PEERS_MAX, ZoneHints
-from balsamspindle.services.suspects import Suspects
+from balsamspindle.services.held_out_servers import HeldOutServers
 from balsamspindle.wire import HeldOut, NodeRecord, SuspectHint
 
 
@@ -22,12 +22,12 @@
         for record in (self.own, node("mate", "here"), node("other", "there")):
             self.directory.update(record, 0.0)
         self.sent = []
-        self.suspects = Suspects()
+        self.held_out_servers = HeldOutServers()
         self.hints = ZoneHints(
             self.own,
             self.directory,
             lambda address, hint: self.sent.append((address, hint)),
-            lambda: self.suspects,
+            lambda: self.held_out_servers,
         )
 
     def share(self, held_out_ms, now_s, zone="there"):
@@ -50,7 +50,7 @@
 
     def test_a_received_hint_is_recorded_and_not_forwarded(self):
         self.hints.receive(SuspectHint("server", HeldOut(60_000.0, 1)))
-        self.assertEqual({"server"}, self.suspects.at(time.monotonic()))
+        self.assertEqual({"server"}, self.held_out_servers.held_out(time.monotonic()))
         self.assertEqual([], self.sent)
 
     def test_hints_are_sent_to_a_limited_number_of_nodes(self):
