--- a/balsamspindle/backend_servers/answers.py
+++ b/balsamspindle/backend_servers/answers.py
@@ -1,4 +1,4 @@
-"""A backend server's answer as its bytes come in: whole or refused."""
+"""Reads a backend server's answer; incomplete and foreign answers are failures."""
 
 from typing import NamedTuple
 
@@ -17,21 +17,21 @@
     "end_to_end_headers",
 ]
 
-# Headers that belong to one connection, and those that the client writes itself.
-_STOPPED_HEADERS = HOP_BY_HOP_HEADERS | {"content-length", "expect"}
+# Headers that apply to one connection only, and headers that the client sets itself.
+_DROPPED_HEADERS = HOP_BY_HOP_HEADERS | {"content-length", "expect"}
 _BODILESS_STATUSES = frozenset({204, 304})
 _CONTROL_CHARACTERS = frozenset("\r\n\0")
 
 
 class BackendAnswer(NamedTuple):
-    """A whole answer of a backend server."""
+    """A complete answer of a backend server."""
 
     status: int
     headers: list[tuple[str, str]]
     body: bytes
 
     def header(self, name: str) -> str | None:
-        """Return a header's value, whatever the case of its name."""
+        """Return a header's value, None if it is missing; the case is ignored."""
         wanted = name.lower()
         for known, value in self.headers:
             if known.lower() == wanted:
@@ -40,16 +40,16 @@
 
 
 class BackendFailure(NamedTuple):
-    """No whole answer.
+    """A call that got no complete and valid answer.
 
     Attributes
     ----------
     sent : bool
-        False only when nothing was handed to a connected socket.
+        False only if no part of the request was written to a connected socket.
     is_foreign : bool
-        An answer came that is not this request's.
+        An answer arrived that does not belong to this request.
     cut_by : CancelCause or None
-        Why it was taken back, when that ended it.
+        Why the call was cancelled; None if it failed by itself.
     """
 
     reason: Reason
@@ -62,30 +62,30 @@
 def end_to_end_headers(
     headers: list[tuple[str, str]], names: HeaderNames = DEFAULT_HEADER_NAMES
 ) -> list[tuple[str, str]]:
-    """Return the headers that may pass this hop."""
-    # What the fleet alone may say of a request stops here, too.
-    stopped = {*_STOPPED_HEADERS, names.outcome.lower()}
+    """Return the headers that may be forwarded beyond this connection."""
+    # Only the proxy itself may set the outcome header.
+    dropped = {*_DROPPED_HEADERS, names.outcome.lower()}
     for name, value in headers:
         if name.lower() == "connection":
-            stopped.update(named_by_connection(value))
-    return [(name, value) for name, value in headers if name.lower() not in stopped]
+            dropped.update(named_by_connection(value))
+    return [(name, value) for name, value in headers if name.lower() not in dropped]
 
 
 class AnswerReader:
-    """Collects one answer from libcurl's callbacks.
+    """Builds one answer from libcurl's callbacks.
 
     Parameters
     ----------
     request_id : str
-        Of the request that the answer is to belong to.
+        Id of the request to which the answer must belong.
     takes_unframed : bool
-        Whether an answer without a length is whole once its connection ended
-        in order. libcurl reports one that was reset as an error.
+        Whether an answer without a length counts as complete when its connection
+        was closed regularly. If it was reset, libcurl reports an error.
 
     Attributes
     ----------
     too_large : bool
-        The body went over its bound.
+        The body is longer than `body_max_bytes`.
     """
 
     def __init__(
@@ -106,9 +106,9 @@
         self._head_done = False
 
     def on_header(self, line: bytes) -> None:
-        """Take one line of a head, or of the trailers."""
+        """Read one line of a head or of the trailers."""
         if line.startswith(b"HTTP/"):
-            # A new head: an interim answer (1xx) ends here.
+            # A new head starts; the one before was an interim answer (1xx).
             self._headers = []
             self._head_done = False
         elif line in (b"\r\n", b"\n"):
@@ -117,10 +117,10 @@
             line = line.removesuffix(b"\n").removesuffix(b"\r")
             name, _, value = line.partition(b":")
             self._headers.append((field_value(name), field_value(value)))
-        # Else a trailer: it comes after the body and is no header.
+        # Any other line is a trailer, which is not a header of the answer.
 
     def on_body(self, chunk: bytes) -> int | None:
-        """Take a part of the body; any number returned ends the call."""
+        """Read a part of the body; return 0 to end the call."""
         self._body_bytes += len(chunk)
         if self._body_bytes > self._body_max_bytes:
             self.too_large = True
@@ -129,26 +129,26 @@
         return None
 
     def answer(self, status: int, method: str) -> BackendAnswer | BackendFailure:
-        """Return the answer, once libcurl has found its end."""
-        fault = self._fault(method == "HEAD" or status in _BODILESS_STATUSES)
-        if fault is not None:
-            return BackendFailure(Reason.BROKEN_ANSWER, True, fault)
+        """Return the complete answer, or why it is invalid, when the call has ended."""
+        error = self._format_error(method == "HEAD" or status in _BODILESS_STATUSES)
+        if error is not None:
+            return BackendFailure(Reason.BROKEN_ANSWER, True, error)
         answer = BackendAnswer(
             status,
             end_to_end_headers(self._headers, self._names),
             b"".join(self._chunks),
         )
-        fault = self._foreign(answer)
-        if fault is not None:
-            return BackendFailure(Reason.BROKEN_ANSWER, True, fault, is_foreign=True)
+        error = self._foreign_cause(answer)
+        if error is not None:
+            return BackendFailure(Reason.BROKEN_ANSWER, True, error, is_foreign=True)
         return answer
 
-    def _foreign(self, answer: BackendAnswer) -> str | None:
-        """Return why an answer is not this request's, None where it is.
+    def _foreign_cause(self, answer: BackendAnswer) -> str | None:
+        """Return why an answer does not belong to this request, None if it does.
 
-        A backend server may send an answer twice. The second one lies in the
-        connection when the next request goes out and looks like its answer:
-        a caller would read somebody else's data.
+        A backend server may send an answer twice. The second copy is then in the
+        connection when the next request is sent and looks like the answer to that
+        request, so that a caller would get another caller's data.
         """
         names, is_success = self._names, 200 <= answer.status < 300
         if names.echoes_request_id:
@@ -159,26 +159,26 @@
             return "the answer is not signed"
         return None
 
-    def _fault(self, bodiless: bool) -> str | None:
+    def _format_error(self, bodiless: bool) -> str | None:
         for name, value in self._headers:
-            # A bare CR is no line end to libcurl, but it may be one to the
-            # caller's client, which would then read a header or a whole
-            # answer that the backend server did not mean.
+            # libcurl does not treat a bare CR as a line end, but the caller's client
+            # may. It would then read a header or a complete answer that the backend
+            # server did not send.
             if not _CONTROL_CHARACTERS.isdisjoint(name + value):
-                return "a header has a control character"
+                return "a header contains a control character"
         if len(set(self._values("content-length"))) > 1:
-            return "the answer has two lengths"
-        if not (bodiless or self._takes_unframed or self._has_end()):
-            # Without a length the end of the connection ends the body, and a
-            # server that dies half way looks just like one that is done.
-            return "the answer has no length"
+            return "the answer has several Content-Length headers with different values"
+        if not (bodiless or self._takes_unframed or self._has_framing()):
+            # Without a length the body ends with the connection, so the answer of a
+            # server that dies half way looks like a complete one.
+            return "the answer has no valid framing (Content-Length or chunked)"
         return None
 
-    def _has_end(self) -> bool:
+    def _has_framing(self) -> bool:
         codings = ",".join(self._values("transfer-encoding")).lower()
         if codings:
             return codings.rpartition(",")[2].strip() == "chunked"
         return bool(self._values("content-length"))
 
-    def _values(self, wanted: str) -> list[str]:
-        return [value for name, value in self._headers if name.lower() == wanted]
+    def _values(self, wanted_name: str) -> list[str]:
+        return [value for name, value in self._headers if name.lower() == wanted_name]
--- a/balsamspindle/backend_servers/attempts.py
+++ b/balsamspindle/backend_servers/attempts.py
@@ -1,4 +1,4 @@
-"""The attempts that a gate has seen: each runs once, or never."""
+"""The attempts that a gate has received: each runs at most once."""
 
 import heapq
 from enum import Enum, auto
@@ -10,13 +10,13 @@
 __all__ = ["ATTEMPTS_MAX", "BEGIN_REASONS", "MEMORY_S", "AttemptTable", "Begin"]
 
 ATTEMPTS_MAX = 100_000
-# How long an attempt is remembered after its deadline. A message that comes
-# later is refused by its deadline, and its ingress waits for no reply.
+# How long an attempt is remembered after its deadline. A message that arrives later
+# is refused because of its deadline, and its ingress no longer waits for a reply.
 MEMORY_S = 5.0
 
 
 class Begin(Enum):
-    """What becomes of an attempt that came in."""
+    """Whether an attempt that arrived may run, and if not, why."""
 
     NEW = auto()
     CANCELLED = auto()
@@ -24,7 +24,7 @@
     NO_ROOM = auto()
 
 
-# Why one that is not run is refused.
+# Reasons for which attempts are refused; duplicates get no reply.
 BEGIN_REASONS = {
     Begin.CANCELLED: Reason.CANCELLED,
     Begin.NO_ROOM: Reason.NO_FREE_SLOT,
@@ -32,14 +32,14 @@
 
 
 class AttemptTable:
-    """Attempts by id; the gate's lock guards it.
+    """Attempts by id; guarded by the gate's lock.
 
-    Memory is bounded by time, not by forgetting the oldest: an attempt that
-    is forgotten before its deadline could run a second time.
+    Entries expire by time and are never evicted early to make room: an attempt that
+    was removed before its deadline could run a second time.
     """
 
     def __init__(self) -> None:
-        # The token of a cancelled attempt stays: its message may still come.
+        # Cancelled attempts keep their entry, as their message may still arrive.
         self._tokens: dict[AttemptId, CancelToken] = {}
         self._begun: set[AttemptId] = set()
         self._expiries: list[tuple[float, AttemptId]] = []
@@ -47,7 +47,7 @@
     def begin(
         self, attempt_id: AttemptId, token: CancelToken, deadline_s: float, now_s: float
     ) -> Begin:
-        """Take an attempt in, once.
+        """Register an attempt when its message arrives; only the first may run.
 
         Parameters
         ----------
@@ -64,7 +64,7 @@
         if len(self._tokens) >= ATTEMPTS_MAX:
             return Begin.NO_ROOM
         self._begun.add(attempt_id)
-        self._remember(attempt_id, token, deadline_s)
+        self._add(attempt_id, token, deadline_s)
         return Begin.NEW
 
     def cancel(
@@ -74,18 +74,18 @@
         now_s: float,
         cause: CancelCause = CancelCause.INGRESS_GAVE_UP,
     ) -> None:
-        """Cancel an attempt; one that has not come in yet never begins."""
+        """Cancel an attempt; one that has not arrived yet will never begin."""
         self._expire(now_s)
         token = self._tokens.get(attempt_id)
         if token is not None:
             token.cancel(cause)
         elif len(self._tokens) < ATTEMPTS_MAX:
-            # Without room the attempt may run for nobody, once: its ingress
-            # said 'unknown' before it cancelled.
-            self._remember(attempt_id, CancelToken(), deadline_s)
+            # If the table is full, the attempt may still run once with nobody waiting
+            # for it. That is safe: its ingress answered 'unknown' before it cancelled.
+            self._add(attempt_id, CancelToken(), deadline_s)
 
     def end_by(self, attempt_id: AttemptId, ends_s: float) -> bool:
-        """Take the word that the node which made an attempt ends then.
+        """Record when the ingress of an attempt ends.
 
         Returns
         -------
@@ -98,11 +98,11 @@
         return token is not None
 
     def cancel_all(self, cause: CancelCause) -> None:
-        """Cancel all attempts that came in."""
+        """Cancel all attempts in the table."""
         for token in self._tokens.values():
             token.cancel(cause)
 
-    def _remember(self, attempt_id, token, deadline_s) -> None:
+    def _add(self, attempt_id, token, deadline_s) -> None:
         self._tokens[attempt_id] = token
         heapq.heappush(self._expiries, (deadline_s + MEMORY_S, attempt_id))
 
--- a/balsamspindle/backend_servers/cancellation.py
+++ b/balsamspindle/backend_servers/cancellation.py
@@ -1,4 +1,4 @@
-"""Taking a call back while it waits for a backend server."""
+"""Cancellation of a call to a backend server from another thread."""
 
 import math
 import socket
@@ -12,14 +12,14 @@
 class CancelToken:
     """Cancels one call from another thread.
 
-    libcurl asks its caller only about once a second whether to go on. Shutting
-    the call's socket down wakes it at once and is what the backend server
-    sees: its connection ends.
+    libcurl checks only about once a second whether it should abort. Shutting down the
+    call's socket wakes it immediately, and also closes the connection to the backend
+    server.
 
     Attributes
     ----------
     cause : CancelCause or None
-        Of the first cancellation; None before.
+        Cause of the first cancellation; None if the call is not cancelled.
     """
 
     def __init__(self) -> None:
@@ -30,37 +30,37 @@
 
     @property
     def cancelled(self) -> bool:
-        """Whether `cancel` was called."""
+        """Whether `cancel` has been called."""
         return self.cause is not None
 
     @property
     def ends_s(self) -> float:
-        """When the node that asked for the call ends; infinity while it stays."""
+        """When the ingress of the call ends; infinity while it is not leaving."""
         return self._ends_s
 
     def end_by(self, ends_s: float) -> None:
-        """Take the word that the node that asked for the call ends then."""
+        """Record when the ingress of the call ends."""
         self._ends_s = ends_s
 
     def cancel(self, cause: CancelCause) -> None:
-        """End the call now, or as soon as it opens or takes a connection."""
+        """End the call now, or as soon as it opens or reuses a connection."""
         with self._lock:
             self.cause = self.cause or cause
             if self._socket is not None:
                 _shut_down(self._socket)
 
     def attach(self, connection: socket.socket | None) -> bool:
-        """Take the socket that the call uses now; False when it is cancelled.
+        """Set the socket that the call uses now; return False if it is cancelled.
 
-        The flag and the socket change under one lock: a cancellation either
-        finds the socket or is found here.
+        The cause and the socket change under one lock, so that a cancellation either
+        finds the socket to shut down or is noticed here.
         """
         with self._lock:
             self._socket = connection
             return not self.cancelled
 
     def detach(self) -> None:
-        """Forget the socket: the call is over."""
+        """Remove the socket after the call has ended."""
         with self._lock:
             self._socket = None
 
@@ -69,5 +69,5 @@
     try:
         connection.shutdown(socket.SHUT_RDWR)
     except OSError:
-        # Not connected yet, or closed by the other end: nothing to cut.
+        # Not connected yet, or already closed by the backend server.
         pass
--- a/balsamspindle/backend_servers/crash_watch.py
+++ b/balsamspindle/backend_servers/crash_watch.py
@@ -1,4 +1,4 @@
-"""Sees at a gate that a backend server ended, and which requests ran there."""
+"""Detects at a gate that a backend server crashed, and which requests ran there."""
 
 import errno
 import socket
@@ -25,16 +25,16 @@
 
 __all__ = ["CrashWatch", "refuses_connections"]
 
-# Runs that were lost so shortly before the others count as lost with them: their
-# callers may have left, or their threads may have been told first.
+# Runs that were lost within this time before a crash was detected count as lost in it.
+# Their callers may have left, or their threads may have noticed the end earlier.
 LOST_TOGETHER_S = 1.0
-# One that is replaced announces its replacement within this time.
+# How long after a crash the replacement of a backend server announces itself at most.
 REPLACED_WITHIN_S = 5.0
 CONNECT_TIMEOUT_S = 0.25
-# An answer that came before the crash is read so long after it, on a busy VM.
-READ_LATE_S = 1.0
-STARTS_KEPT = 64
-RUNS_TOLD = 32
+# How long after a crash an earlier answer may still be read, on a busy VM.
+LATE_READ_S = 1.0
+STARTS_MAX = 64
+REPORTED_RUNS_MAX = 32
 
 
 class _Run(NamedTuple):
@@ -42,50 +42,52 @@
     started_s: float
 
 
-class _Lost(NamedTuple):
+class _LostRun(NamedTuple):
     content: int
     ran_s: float
-    at_s: float
+    lost_s: float
     is_broken: bool
 
 
 @dataclass
 class _Start:
-    """One start of a backend server."""
+    """The runs at one start of a backend server, and whether it has crashed."""
 
     running: dict[AttemptId, _Run] = field(default_factory=dict)
-    lost: deque[_Lost] = field(default_factory=lambda: deque(maxlen=RUNS_TOLD))
-    looked_s: float = float("-inf")
-    looking: threading.Lock = field(default_factory=threading.Lock)
+    lost: deque[_LostRun] = field(
+        default_factory=lambda: deque(maxlen=REPORTED_RUNS_MAX)
+    )
+    probed_s: float = float("-inf")
+    probe_lock: threading.Lock = field(default_factory=threading.Lock)
     ended_s: float | None = None
 
     @property
     def has_ended(self) -> bool:
-        """Whether its end was seen."""
+        """Whether the end of this start was detected."""
         return self.ended_s is not None
 
-    def answers_after_its_end(self, run: _Run | None, now_s: float) -> bool:
-        """Tell whether an answer that came now shows that it did not end."""
+    def is_refuted_by_answer(self, run: _Run | None, now_s: float) -> bool:
+        """Return whether an answer received now shows that this start did not end."""
         if self.ended_s is None or run is None:
             return False
-        return run.started_s > self.ended_s or now_s > self.ended_s + READ_LATE_S
+        return run.started_s > self.ended_s or now_s > self.ended_s + LATE_READ_S
 
 
 class CrashWatch:
-    """Watches the runs at the backend servers of one gate; safe from all threads.
+    """Watches the runs at the backend servers of one gate; thread-safe.
 
-    A run whose connection ends without an answer may be a crash, or an answer that
-    was broken off by a backend server that lives. One that ended refuses
-    connections, or has started anew.
+    A connection that ends without an answer may mean that the backend server crashed,
+    or that it is still running and broke off the answer. After a crash it refuses
+    connections, or has been restarted.
 
     Parameters
     ----------
     history : CrashHistory
-        Where crashes and answers are noted.
+        Records crashes and answers.
     on_update : callable
-        Told what changed in the history, and the present time.
+        Called with the changes of the history, and the present time.
     is_down : callable, default=refuses_connections
-        Tells whether nobody listens at an address.
+        Returns whether no process listens at an address.
     """
 
     def __init__(
@@ -109,9 +111,9 @@
         content: int,
         now_s: float,
     ) -> None:
-        """Take that a request begins to run."""
+        """Record that a request starts to run."""
         with self._lock:
-            start = self._of(_key(server))
+            start = self._start_of(_key(server))
             start.running[attempt_id] = _Run(content, now_s)
 
     def ended(
@@ -121,19 +123,19 @@
         end: RunEnd,
         now_s: float,
     ) -> bool:
-        """Take a run's end; tell whether its backend server ended under it."""
+        """Record the end of a run; return whether the backend server crashed in it."""
         key = _key(server)
         with self._lock:
-            start = self._of(key)
+            start = self._start_of(key)
             run = start.running.pop(attempt_id, None)
             if run is not None and end.is_lost:
                 ran_s = now_s - run.started_s
-                start.lost.append(_Lost(run.content, ran_s, now_s, end.is_broken))
-            was_wrong = end.is_answer and start.answers_after_its_end(run, now_s)
-            start.ended_s = None if was_wrong else start.ended_s
-        if was_wrong:
-            # It refused a connection for want of room: requests that it answers
-            # ended nothing.
+                start.lost.append(_LostRun(run.content, ran_s, now_s, end.is_broken))
+            was_refuted = end.is_answer and start.is_refuted_by_answer(run, now_s)
+            start.ended_s = None if was_refuted else start.ended_s
+        if was_refuted:
+            # The backend server refused a connection for lack of room. It still
+            # answers, so no request crashed it.
             self._on_update(self._history.retract(key, now_s), now_s)
             self._events.emit("backend_server_crash_retracted", backend_server=key[0])
         if end.is_success and run is not None:
@@ -141,45 +143,46 @@
         return end.is_broken and self._has_ended(server, start, now_s)
 
     def replaced(self, server: LocalBackendServer, now_s: float) -> None:
-        """Take that another backend server has an address that this one never left.
+        """Record a crash if another backend server has this one's address now.
 
-        One that is started anew at once listens again before a gate looks. Runs that
-        broke off shortly before were lost with the earlier start.
+        Call it only if this one was not draining. A backend server that is replaced at
+        once accepts connections again before the gate probes it. Runs that broke off
+        shortly before were lost in the crash.
         """
         with self._lock:
-            start = self._of(_key(server))
-            broken_s = [lost.at_s for lost in start.lost if lost.is_broken]
-        with start.looking:
+            start = self._start_of(_key(server))
+            broken_s = [lost.lost_s for lost in start.lost if lost.is_broken]
+        with start.probe_lock:
             if start.has_ended:
                 return
             start.ended_s = now_s
-        # Without a run that was lost it ended while it was idle: no request is the
-        # cause, and it tells how often backend servers crash by themselves.
+        # If no run was lost, it crashed while idle, so no request is the cause. Such
+        # crashes show how often backend servers crash by themselves.
         is_recent = broken_s and now_s - broken_s[-1] <= REPLACED_WITHIN_S
-        self._note_crash(server, start, broken_s[-1] if is_recent else now_s)
+        self._record_crash(server, start, broken_s[-1] if is_recent else now_s)
 
     def _has_ended(
         self, server: LocalBackendServer, start: _Start, now_s: float
     ) -> bool:
-        """Tell whether a backend server ended; note it when it is new."""
-        with start.looking:
+        """Return whether a backend server has ended; record a new crash."""
+        with start.probe_lock:
             if start.has_ended:
                 return True
             if not (server.has_ended or server.is_replaced):
                 if server.state is BackendServerState.DRAINING:
-                    # It said that it would end.
+                    # It had announced its end, so this is no crash.
                     return False
-                if now_s <= start.looked_s:
-                    # It was there after this run had ended.
+                if now_s <= start.probed_s:
+                    # A probe after the end of this run found it running.
                     return False
-                start.looked_s = now_s
+                start.probed_s = now_s
                 if not self._is_down(_address(server)):
                     return False
             start.ended_s = now_s
-        self._note_crash(server, start, now_s)
+        self._record_crash(server, start, now_s)
         return True
 
-    def _note_crash(
+    def _record_crash(
         self, server: LocalBackendServer, start: _Start, now_s: float
     ) -> None:
         with self._lock:
@@ -193,33 +196,35 @@
         )
         self._on_update(self._history.merge(CrashUpdate([crash]), now_s), now_s)
 
-    def _of(self, key: tuple[str, int]) -> _Start:
+    def _start_of(self, key: tuple[str, int]) -> _Start:
         start = self._starts.get(key)
         if start is None:
             start = self._starts[key] = _Start()
-            if len(self._starts) > STARTS_KEPT:
+            if len(self._starts) > STARTS_MAX:
                 self._starts.popitem(last=False)
         return start
 
 
 def _runs_at(start: _Start, now_s: float) -> list[CrashedRun]:
-    """Return the requests that a crash ended, each once, the shortest run first."""
-    ran = {
+    """Return the requests lost in a crash, each once, the shortest run first."""
+    run_times_s = {
         run.content: max(0.0, now_s - run.started_s) for run in start.running.values()
     }
     for lost in start.lost:
-        if now_s - lost.at_s <= LOST_TOGETHER_S:
-            ran[lost.content] = min(lost.ran_s, ran.get(lost.content, lost.ran_s))
-    ran.pop(0, None)
-    shortest = sorted(ran.items(), key=lambda item: item[1])[:RUNS_TOLD]
+        if now_s - lost.lost_s <= LOST_TOGETHER_S:
+            run_times_s[lost.content] = min(
+                lost.ran_s, run_times_s.get(lost.content, lost.ran_s)
+            )
+    run_times_s.pop(0, None)
+    shortest = sorted(run_times_s.items(), key=lambda item: item[1])[:REPORTED_RUNS_MAX]
     return [CrashedRun(content, round(ran_s * 1000)) for content, ran_s in shortest]
 
 
 def refuses_connections(address: str) -> bool:
-    """Tell whether nobody listens at an address.
+    """Return whether no process listens at an address.
 
-    No answer in time is none: a backend server whose queue of connections is full
-    drops them and lives.
+    A timeout does not count: a backend server that is running drops connections when
+    its queue of connections is full.
     """
     host, _, port = address.partition(":")
     with socket.socket() as probe:
--- a/balsamspindle/backend_servers/dispatches.py
+++ b/balsamspindle/backend_servers/dispatches.py
@@ -1,4 +1,4 @@
-"""What a gate reads in an attempt's message."""
+"""Values that a gate derives from the message of an attempt."""
 
 import math
 
@@ -16,7 +16,7 @@
 
 
 def attempt_deadline_s(dispatch: Dispatch, received_s: float) -> float:
-    """Return an attempt's end on this gate's monotonic clock."""
+    """Return the deadline of an attempt on this gate's monotonic clock."""
     by_duration_s = received_s + dispatch.remaining_ms / 1000
     if dispatch.gate_deadline_s is None:
         return by_duration_s
@@ -24,14 +24,14 @@
 
 
 def ingress_ends_s(dispatch: Dispatch, received_s: float) -> float:
-    """Return when the node that made an attempt ends, on this gate's clock."""
+    """Return when the ingress of an attempt ends; infinity while it is not leaving."""
     if dispatch.ingress_left_ms is None:
         return math.inf
     return received_s + dispatch.ingress_left_ms / 1000
 
 
 def is_keyed(dispatch: Dispatch) -> bool:
-    """Tell whether an attempt's key must run once over all gates."""
+    """Return whether an attempt's key may run only once across all gates."""
     return (
         dispatch.idempotency_key is not None
         and dispatch.execution is Execution.NON_IDEMPOTENT
@@ -39,15 +39,18 @@
 
 
 def unseen_outcome(dispatch: Dispatch) -> Outcome:
-    """Return the outcome of an attempt refused before its key was looked at."""
+    """Return the outcome of an attempt that is refused before its key is checked.
+
+    For a keyed attempt it is unknown, as an earlier attempt of the key may have run.
+    """
     return Outcome.UNKNOWN if is_keyed(dispatch) else Outcome.NOT_RUN
 
 
 def told_headers(dispatch: Dispatch, names: HeaderNames) -> list[tuple[str, str]]:
-    """Return the request's headers, with what the backend server is told."""
-    own = (
+    """Return the request's headers, with those that the gate adds."""
+    added = (
         (names.expected_backend_server, dispatch.backend_server_id),
         (names.caller_service, dispatch.caller_service),
         (names.customer, dispatch.customer),
     )
-    return dispatch.headers + [pair for pair in own if all(pair)]
+    return dispatch.headers + [pair for pair in added if all(pair)]
--- a/balsamspindle/backend_servers/lifetimes.py
+++ b/balsamspindle/backend_servers/lifetimes.py
@@ -1,9 +1,8 @@
-"""Which start of a backend server an announcement belongs to, and if it counts.
+"""Decides which start of a backend server an announcement belongs to, and if it counts.
 
-Announcements travel over connections that may hold them up for seconds. One
-of a start that has ended must not bring it back, and one that says "ready"
-must not undo a later "draining". A backend server may start again under the id
-that it had: the time of its start tells the two apart.
+Announcements may arrive seconds late and out of order. A late one must not bring back
+a start that has ended, and a late "ready" must not undo a "draining". A backend server
+may restart under the same id: the time of its start tells the two starts apart.
 """
 
 import threading
@@ -18,27 +17,26 @@
 
 __all__ = ["Condition", "Lifetimes"]
 
-# Starts that are remembered; a node has one backend server at a time.
+# Starts that are remembered; enough, as a node has one backend server at a time.
 LIFETIMES_MAX = 1000
-# A start that another one replaced counts again when the other has been silent
-# for so long: then the other's announcement was the late one. Announcements
-# come every second or two.
+# A start that was replaced by another one counts again when the other has been silent
+# for this time: then the announcement of the other was the late one. Announcements are
+# sent every second or two.
 REPLACED_SILENT_S = 4.0
-_EARLIER_START = "it is of an earlier start"
+_EARLIER_START = "the backend server has started again since"
 
 
 class Condition(NamedTuple):
-    """What a backend server says of its present state.
+    """The present state that a backend server reports.
 
     Attributes
     ----------
     sequence : int
-        Rises with each announcement of a start.
+        Rises with each announcement, and restarts with each start.
     cold_s : float
-        How much longer the backend server is slow after its start.
+        How long the backend server will still be slow because of its start.
     born_ms : int
-        When it started, in Unix milliseconds by its own clock; 0 where it does
-        not say.
+        Unix time of its start by its own clock, in milliseconds; 0 if not reported.
     """
 
     sequence: int
@@ -49,35 +47,35 @@
 
 @dataclass
 class _Lifetime:
-    """What is known of one start of a backend server."""
+    """The last reported state of one start of a backend server."""
 
     born_ms: int
     sequence: int
-    heard_s: float
+    announced_s: float
     has_left: bool = False
     is_draining: bool = False
 
-    def is_latest(self, now_s: float) -> bool:
-        """Tell whether what says that it started earlier is late.
+    def outranks_earlier(self, now_s: float) -> bool:
+        """Return whether announcements with an earlier start time are late ones.
 
-        A backend server's clock may be set back before it starts again. Taken by
-        its time alone the new start would never serve, so it counts when this one
-        has been silent. One that left or drains is never brought back so.
+        The clock of a backend server may be set back before it restarts. By its start
+        time alone the new start would never get work, so it counts once this one is
+        silent. A start that left or drains is never replaced in this way.
         """
-        is_silent = now_s - self.heard_s >= REPLACED_SILENT_S
+        is_silent = now_s - self.announced_s >= REPLACED_SILENT_S
         return self.has_left or self.is_draining or not is_silent
 
 
 class Lifetimes:
-    """Takes announcements in whatever order they arrive."""
+    """Applies announcements, which may arrive late, twice or out of order."""
 
     def __init__(self, servers: LocalBackendServers, events: EventLog) -> None:
         self._servers = servers
         self._events = events
         self._lock = threading.Lock()
-        self._known: OrderedDict[str, _Lifetime] = OrderedDict()
-        # The start that each address belongs to.
-        self._holders: dict[str, str] = {}
+        self._lifetimes: OrderedDict[str, _Lifetime] = OrderedDict()
+        # The id of the backend server that has each address.
+        self._address_holders: dict[str, str] = {}
 
     def announce(
         self,
@@ -86,26 +84,26 @@
         condition: Condition,
         now_s: float,
     ) -> None:
-        """Take an announcement; its `boot_id` is set here."""
+        """Apply an announcement unless it is late; replaces its `boot_id`."""
         with self._lock:
-            cause = self._refusal(server_id, announcement, condition, now_s)
+            cause = self._ignore_cause(server_id, announcement, condition, now_s)
             if cause is not None:
                 self._emit("announcement_ignored", server_id, cause)
                 return
-            self._take(server_id, announcement, condition, now_s)
+            self._apply(server_id, announcement, condition, now_s)
 
     def leave(self, server_id: str, cause: str | None = None, born_ms: int = 0) -> None:
-        """Take the word that a start ends; no announcement of it counts again.
+        """Record that a start is leaving; later announcements of it are ignored.
 
         Parameters
         ----------
         born_ms : int
-            Which start; 0 for the one that is known.
+            Identifies the start; 0 for the latest one known.
         """
         with self._lock:
-            lifetime = self._known.get(server_id)
+            lifetime = self._lifetimes.get(server_id)
             if lifetime is None or lifetime.born_ms < born_ms:
-                lifetime = self._remember(server_id, _Lifetime(born_ms, 0, 0.0))
+                lifetime = self._add(server_id, _Lifetime(born_ms, 0, 0.0))
             elif born_ms and born_ms < lifetime.born_ms:
                 self._emit("announcement_ignored", server_id, _EARLIER_START)
                 return
@@ -114,55 +112,57 @@
             self._emit("backend_server_leaving", server_id, cause)
 
     def misdirected(self, server_id: str) -> None:
-        """Take the word of whoever has the address now: this start is over."""
-        self.leave(server_id, "another one has its address")
+        """Record that a request reached another backend server at this address."""
+        self.leave(server_id, "another backend server has its address")
 
-    def _refusal(
+    def _ignore_cause(
         self,
         server_id: str,
         announcement: Announcement,
         condition: Condition,
         now_s: float,
     ) -> str | None:
-        """Return why an announcement has no effect."""
-        lifetime = self._known.get(server_id)
+        """Return why an announcement is to be ignored, None if it counts."""
+        lifetime = self._lifetimes.get(server_id)
         if lifetime is None:
             return None
         if condition.born_ms < lifetime.born_ms:
-            return _EARLIER_START if lifetime.is_latest(now_s) else None
+            return _EARLIER_START if lifetime.outranks_earlier(now_s) else None
         if condition.born_ms > lifetime.born_ms:
             return None
         if lifetime.has_left:
-            return "it has left"
+            return "the backend server has left"
         if condition.sequence <= lifetime.sequence:
-            return "a later one came before"
-        holder = self._known.get(self._holders.get(announcement.address, ""))
+            return "a later announcement arrived first"
+        holder = self._lifetimes.get(
+            self._address_holders.get(announcement.address, "")
+        )
         if holder is None or holder is lifetime:
             return None
-        if now_s - holder.heard_s < REPLACED_SILENT_S:
-            return "another start has its address"
+        if now_s - holder.announced_s < REPLACED_SILENT_S:
+            return "another backend server has its address"
         return None
 
-    def _take(
+    def _apply(
         self,
         server_id: str,
         announcement: Announcement,
         condition: Condition,
         now_s: float,
     ) -> None:
-        replaced = self._holders.get(announcement.address)
+        replaced = self._address_holders.get(announcement.address)
         if replaced not in (None, server_id):
             self._servers.replace(replaced, now_s)
             self._emit("backend_server_replaced", replaced, f"by {server_id}")
-        lifetime = self._known.get(server_id)
+        lifetime = self._lifetimes.get(server_id)
         if lifetime is None or lifetime.born_ms != condition.born_ms:
-            lifetime = self._remember(
+            lifetime = self._add(
                 server_id, _Lifetime(condition.born_ms, condition.sequence, now_s)
             )
-        self._holders[announcement.address] = server_id
-        lifetime.sequence, lifetime.heard_s = condition.sequence, now_s
+        self._address_holders[announcement.address] = server_id
+        lifetime.sequence, lifetime.announced_s = condition.sequence, now_s
         if replaced not in (None, server_id) and not lifetime.is_draining:
-            # It may have been replaced itself, by a late announcement.
+            # A late announcement of the other one may have drained this one before.
             self._servers.undrain(server_id)
         announcement = msgspec.structs.replace(
             announcement, boot_id=_boot_id(server_id, condition.born_ms)
@@ -177,11 +177,11 @@
             self._servers.drain(server_id)
             self._emit("backend_server_draining", server_id)
 
-    def _remember(self, server_id: str, lifetime: _Lifetime) -> _Lifetime:
-        self._known.pop(server_id, None)
-        self._known[server_id] = lifetime
-        if len(self._known) > LIFETIMES_MAX:
-            self._known.popitem(last=False)
+    def _add(self, server_id: str, lifetime: _Lifetime) -> _Lifetime:
+        self._lifetimes.pop(server_id, None)
+        self._lifetimes[server_id] = lifetime
+        if len(self._lifetimes) > LIFETIMES_MAX:
+            self._lifetimes.popitem(last=False)
         return lifetime
 
     def _emit(self, event: str, server_id: str, cause: str | None = None) -> None:
--- a/balsamspindle/backend_servers/link_server.py
+++ b/balsamspindle/backend_servers/link_server.py
@@ -1,4 +1,4 @@
-"""Attempts from other nodes' ingresses, over ZeroMQ."""
+"""Server for attempts that other nodes' ingresses send over ZeroMQ."""
 
 import threading
 import time
@@ -33,23 +33,23 @@
 
 REPLIES_ENDPOINT = "inproc://link-server-replies"
 POLL_MS = 200
-# Messages taken before replies get their turn.
-DRAIN_MAX = 1000
+# Messages received in one go before replies are sent.
+MESSAGES_PER_POLL_MAX = 1000
 STOP_TIMEOUT_S = 5.0
 LINGER_MS = 2000
-# From the last reply to the end of its connection. A peer that reads both at once
-# drops the reply with the connection.
-REPLY_TAIL_S = 0.05
-# As many as the executor has threads: one more would wait in the executor's
-# queue, which has no end and knows no deadline.
-WAITING_MAX = 256
+# How long a connection stays open after the last reply. A peer that reads the reply
+# and the end of the connection at once drops the reply.
+LAST_REPLY_DELAY_S = 0.05
+# The number of the executor's threads. One more attempt would wait in the executor's
+# queue, which is unbounded and ignores deadlines.
+PENDING_MAX = 256
 
 
 class LinkServer:
-    """Takes attempts from peers, runs them at the gate, sends replies.
+    """Receives attempts from peers, runs them at the gate and sends the replies.
 
-    One task owns the ROUTER socket; each attempt is a task of the executor,
-    which hands its reply back over an inproc socket of its thread.
+    The thread in `run` owns the ROUTER socket. Each attempt runs in a thread of the
+    executor, which passes the reply to `run` over its own inproc socket.
     """
 
     def __init__(
@@ -68,17 +68,16 @@
         self._handlers: dict[type, Callable[[Any], LinkMessage | None]] = {}
         self._stopped = threading.Event()
         self._thread_sockets = threading.local()
-        # Attempts whose replies have not reached the ROUTER; the owning
-        # task's alone.
-        self._waiting = 0
-        # Who made the attempts that are here; told once when this node may end
-        # before they do.
+        # Attempts whose reply `run` has not received yet; only `run` changes it.
+        self._pending = 0
+        # The peers of pending attempts. An entry is removed when its peer is notified
+        # that this node may end before the attempt does.
         self._peers: dict[AttemptId, bytes] = {}
         self._replied_s = 0.0
-        # When the ingresses of attempts end, until the gate has heard.
+        # When the ingresses of attempts end, for attempts unknown to the gate so far.
         self._ends_s: dict[AttemptId, float] = {}
         self._router = context.socket(zmq.ROUTER)
-        # Replies that were handed over still go out when the node stops.
+        # Replies that are still queued are sent when the node stops.
         self._router.setsockopt(zmq.LINGER, LINGER_MS)
         protect_listener(self._router, keys)
         self._router.bind(f"tcp://{address}")
@@ -89,131 +88,135 @@
     def register(
         self, handlers: dict[type, Callable[[Any], LinkMessage | None]]
     ) -> None:
-        """Hand messages of other types on; call it before `run`.
+        """Register handlers of other message types; call it before `run`.
 
-        The callables run in the task that owns the sockets and must return at once,
-        with the answer where there is one.
+        Handlers run in the thread that owns the sockets, so they must not block. A
+        handler returns the answer to send, or None.
         """
         self._handlers.update(handlers)
 
     def run(self) -> None:
-        """Take messages until `stop` is called and all replies are out."""
+        """Handle messages until `stop` is called and all replies are sent."""
         poller = zmq.Poller()
         poller.register(self._router, zmq.POLLIN)
         poller.register(self._replies, zmq.POLLIN)
         stop_s = None
-        while not self._may_end(stop_s):
+        while not self._can_end(stop_s):
             ready = dict(poller.poll(POLL_MS))
             if self._replies in ready:
                 self._send_replies()
             if self._router in ready:
-                self._take_all()
-            self._tell_of_end(time.monotonic())
-            self._pass_ends(time.monotonic())
+                self._receive_all()
+            self._notify_node_ending(time.monotonic())
+            self._pass_ingress_ends(time.monotonic())
             if self._stopped.is_set() and stop_s is None:
                 stop_s = time.monotonic() + STOP_TIMEOUT_S
         self._router.close()
         self._replies.close()
 
     def stop(self) -> None:
-        """End `run` soon, once each attempt has its reply."""
+        """Make `run` return once each attempt has its reply, or after a timeout."""
         self._stopped.set()
 
     def pending(self) -> int:
-        """Return the attempts whose reply was not sent yet."""
-        return self._waiting
+        """Return the number of attempts whose reply was not sent yet."""
+        return self._pending
 
-    def _may_end(self, stop_s: float | None) -> bool:
+    def _can_end(self, stop_s: float | None) -> bool:
         if stop_s is None:
             return False
         now_s = time.monotonic()
-        is_done = not self._waiting and now_s - self._replied_s >= REPLY_TAIL_S
+        is_done = not self._pending and now_s - self._replied_s >= LAST_REPLY_DELAY_S
         return is_done or now_s >= stop_s
 
     def _send_replies(self) -> None:
-        for frames in _drain(self._replies):
-            self._waiting -= 1
-            # An attempt that came twice has no second reply.
+        for frames in _receive_ready(self._replies):
+            self._pending -= 1
+            # Without a reply there is only the peer: the attempt was a duplicate, or
+            # it raised an exception.
             if len(frames) > 1:
                 self._router.send_multipart(frames, copy=False)
                 self._replied_s = time.monotonic()
 
-    def _tell_of_end(self, now_s: float) -> None:
-        """Tell ingresses of attempts that this node may not live to answer.
+    def _notify_node_ending(self, now_s: float) -> None:
+        """Notify ingresses of attempts that may not finish before this node ends.
 
-        Told only when such a run is cut, an ingress would begin to look for
-        another place when most of a caller's time is gone, and its own node may
-        be about to leave as well.
+        An ingress that learns of it only when the run is cut starts to look for another
+        backend server when most of the caller's time is gone, and its own node may be
+        about to leave as well.
         """
         for attempt_id in self._gate.outlasting_attempts(now_s):
             peer = self._peers.pop(attempt_id, None)
             if peer is not None:
                 self._router.send_multipart([peer, encode(GateEnding(attempt_id))])
 
-    def _pass_ends(self, now_s: float) -> None:
-        """Tell the gate when ingresses end, also of attempts that begin late.
+    def _pass_ingress_ends(self, now_s: float) -> None:
+        """Tell the gate when ingresses end, also for attempts that begin later.
 
-        The word comes right behind its attempt, which waits for a thread. Lost, the
-        attempt would be started in the last moments of its ingress.
+        The message can arrive while its attempt still waits for a thread, unknown to
+        the gate. If it were dropped, the attempt could start just before its ingress
+        ends.
         """
         for attempt_id, ends_s in list(self._ends_s.items()):
             is_over = now_s >= ends_s + MEMORY_S
             if self._gate.set_ingress_end(attempt_id, ends_s) or is_over:
                 del self._ends_s[attempt_id]
 
-    def _take_all(self) -> None:
-        """Take all messages that are there, cancellations first.
+    def _receive_all(self) -> None:
+        """Receive all queued messages and handle cancellations before attempts.
 
-        A gate that was stopped for a while finds attempts and, behind them,
-        their cancellations: what was given up meanwhile does not begin.
+        After the process was suspended, attempts are queued with their cancellations
+        behind them. Attempts that were cancelled meanwhile must not begin.
         """
         received_s = time.monotonic()
         dispatches = []
-        for peer, *_, frame in _drain(self._router):
+        for peer, *_, frame in _receive_ready(self._router):
             match decode_link(frame):
                 case Dispatch() as dispatch:
                     dispatches.append((peer, dispatch))
                 case WireError(message):
                     self._events.emit("message_dropped", cause=message)
                 case message:
-                    self._take(peer, message)
+                    self._handle(peer, message)
         for peer, dispatch in dispatches:
-            self._start(peer, dispatch, received_s)
+            self._submit(peer, dispatch, received_s)
 
-    def _take(self, peer: bytes, message: LinkMessage) -> None:
+    def _handle(self, peer: bytes, message: LinkMessage) -> None:
         match message:
             case Cancel(attempt_id, _, gate_deadline_s, cause):
                 self._gate.cancel(attempt_id, gate_deadline_s, cause)
             case IngressEnding(attempt_id, left_ms):
                 self._ends_s[attempt_id] = time.monotonic() + left_ms / 1000
             case Question() as question:
-                told = self._gate.preview(question, time.monotonic())
-                self._router.send_multipart([peer, encode(told)])
+                answer = self._gate.preview(question, time.monotonic())
+                self._router.send_multipart([peer, encode(answer)])
             case Greet():
                 greeting = Greeting(
                     self._events.node_id, self._events.incarnation, time.monotonic()
                 )
                 self._router.send_multipart([peer, encode(greeting)])
             case _:
-                self._hand_on(peer, message)
+                self._call_handler(peer, message)
 
-    def _hand_on(self, peer: bytes, message: LinkMessage) -> None:
-        """Hand a message over to the part of the node that takes it."""
+    def _call_handler(self, peer: bytes, message: LinkMessage) -> None:
+        """Pass a message to the handler that is registered for its type."""
         handler = self._handlers.get(type(message))
         if handler is None:
-            self._events.emit("message_dropped", cause="not for a gate")
+            self._events.emit(
+                "message_dropped", cause="no handler for this type of message"
+            )
             return
-        told = handler(message)
-        if told is not None:
-            self._router.send_multipart([peer, encode(told)])
+        answer = handler(message)
+        if answer is not None:
+            self._router.send_multipart([peer, encode(answer)])
 
-    def _start(self, peer: bytes, dispatch: Dispatch, received_s: float) -> None:
-        if self._waiting >= WAITING_MAX:
+    def _submit(self, peer: bytes, dispatch: Dispatch, received_s: float) -> None:
+        if self._pending >= PENDING_MAX:
             refusal = self._gate.refuse_busy(dispatch, received_s)
             if refusal is not None:
                 self._router.send_multipart([peer, _encode_now(refusal)])
             return
-        self._waiting += 1
+        self._pending += 1
         self._peers[dispatch.attempt_id] = peer
         self._executor.submit(self._run, peer, dispatch, received_s)
 
@@ -229,7 +232,7 @@
             if reply is not None:
                 frames.append(_encode_now(reply))
         except Exception as error:
-            # The ingress hears nothing and says 'unknown', which is true.
+            # The ingress gets no reply, so the outcome is 'unknown', which is correct.
             self._events.emit("attempt_failed", cause=repr(error))
             raise
         finally:
@@ -247,13 +250,13 @@
 
 
 def _encode_now(reply: Reply) -> bytes:
-    """Return a reply with the gate's present time."""
+    """Encode a reply with the gate's present time."""
     return encode(msgspec.structs.replace(reply, gate_time_s=time.monotonic()))
 
 
-def _drain(socket: zmq.Socket) -> Iterator[list[bytes]]:
-    """Yield the messages that are there now."""
-    for _ in range(DRAIN_MAX):
+def _receive_ready(socket: zmq.Socket) -> Iterator[list[bytes]]:
+    """Yield the messages that can be received without waiting."""
+    for _ in range(MESSAGES_PER_POLL_MAX):
         try:
             yield socket.recv_multipart(zmq.NOBLOCK)
         except zmq.Again:
--- a/balsamspindle/backend_servers/runner.py
+++ b/balsamspindle/backend_servers/runner.py
@@ -1,7 +1,7 @@
-"""One run at a backend server: the call, and what its end says.
+"""Runs an attempt at a backend server and reports how the call ended.
 
-The end of a call is told to the watch for crashes, to the judge of health and to the
-slots, in this order.
+The end of a call is reported to the crash watch, then to the health observer, and then
+to the admission, which frees the slot.
 """
 
 import time
@@ -67,7 +67,7 @@
         deadline_s: float,
         received_s: float,
     ) -> Reply:
-        """Call the backend server, judge what came, and free the slot."""
+        """Call the backend server, classify the result, and free the slot."""
         server = admitted.server
         self._events.emit(
             "attempt_dispatched",
@@ -96,13 +96,13 @@
                     token,
                     dispatch.request_id,
                 )
-                result = self._read(server, result)
+                result = self._classify(server, result)
         finally:
             has_crashed = self._crash_watch.ended(
                 server, attempt_id, run_end(result), time.monotonic()
             )
-            # Judged before the slot is free: the next in the queue would start
-            # at a backend server that has just shown to be sick.
+            # Update the health before the slot is freed. Otherwise the next attempt in
+            # the queue could start at a backend server that just proved unhealthy.
             judgement = self._observer.record_end(
                 server_id, attempt_id, self._evidence(result), time.monotonic()
             )
@@ -113,17 +113,24 @@
         return self._reply(dispatch, result, free_slots, judgement, ran_s)
 
     def _evidence(self, result: BackendAnswer | BackendFailure | None) -> WorkResult:
-        """Return what a call's end says of the backend server's health."""
+        """Return what a call's end shows about the backend server's health.
+
+        An error that may follow from a failed call that the backend server itself made
+        does not count against it.
+        """
         evidence = work_result(result)
         is_explained = self._failed_calls.explains_error(time.monotonic())
         if evidence is WorkResult.ERROR and is_explained:
             return WorkResult.CANCELLED
         return evidence
 
-    def _read(
+    def _classify(
         self, server: LocalBackendServer, result: BackendAnswer | BackendFailure
     ) -> BackendAnswer | BackendFailure:
-        """Take an answer that refuses for what it proves."""
+        """Return the result with a refusal replaced by the failure that it means.
+
+        Reports a backend server whose address now belongs to another one.
+        """
         if isinstance(result, BackendAnswer) and is_misdirected(result, self._names):
             self._on_misdirected(server.backend_server_id)
         return classify_result(result, server.has_ended, self._names)
--- a/balsamspindle/backend_servers/servers.py
+++ b/balsamspindle/backend_servers/servers.py
@@ -1,4 +1,4 @@
-"""The backend servers that announced themselves to this node."""
+"""The backend servers that are announced to this node."""
 
 import threading
 from collections.abc import Callable
@@ -21,20 +21,20 @@
 ]
 
 ANNOUNCEMENT_TTL_S = 5.0
-DRAINED_BOOTS_MAX = 1_000
+DRAINED_BOOT_IDS_MAX = 1_000
 
 
 class BackendServerState(StrEnum):
-    """Whether a backend server takes new work."""
+    """Whether a backend server accepts new work; only `READY` does."""
 
     READY = "ready"
     DRAINING = "draining"
-    # Its announcements stopped while it had work.
+    # Its announcements stopped while requests were running there.
     SILENT = "silent"
 
 
 class Announcement(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """What a backend server says of itself.
+    """The description that a backend server gives of itself.
 
     Attributes
     ----------
@@ -43,9 +43,9 @@
     address : str
         IP:port of its HTTP server.
     slots : int
-        Requests that it runs at once.
+        Number of requests that it can run at once.
     boot_id : str
-        Differs after each restart.
+        Differs for each start.
     """
 
     service: str
@@ -55,16 +55,16 @@
 
 
 class LocalBackendServer:
-    """One announced backend server; guarded by the lock of its collection.
+    """A backend server as last announced; guarded by `LocalBackendServers.changed`.
 
     Attributes
     ----------
     running : set of CancelToken
-        Of its attempts that have a slot.
+        Tokens of its attempts that have a slot.
     has_ended : bool
-        It has started anew: what ran here gets no answer.
+        The backend server has restarted; requests of this start get no answer.
     is_replaced : bool
-        Another one has its address, which it had not left before.
+        Another backend server has its address, though this one was not draining.
     """
 
     def __init__(self, backend_server_id, announcement, now_s, cold_s=0.0):
@@ -73,7 +73,7 @@
         self.state = BackendServerState.READY
         self.started_s: float = now_s
         self.announced_s: float = now_s
-        # Till then it is slower than it will be, by its own word.
+        # By its own announcement it is slower than usual until then.
         self.cold_until_s: float = now_s + cold_s
         self.in_flight = 0
         self.running: set[CancelToken] = set()
@@ -83,18 +83,24 @@
         self.suspicion = 0.0
 
     def end(self) -> None:
-        """Give up what runs here: this start of the backend server is over.
+        """Cancel all attempts that run here, as this start has ended.
 
-        One that loses power sends no reset. Its callers would wait until their
-        deadline for an answer that can't come; told now, what may be repeated
-        is repeated while there is time.
+        A backend server that loses power does not reset its connections, so attempts
+        would wait until their deadline for an answer that cannot come. Cancelled now,
+        they can be repeated while there is time if their route allows it.
         """
         self.has_ended = True
         for token in self.running:
             token.cancel(CancelCause.SERVER_RESTARTED)
 
     def record(self, capacity: float = 1.0) -> BackendServerRecord:
-        """Return what the fleet is told."""
+        """Return the record that is sent to the other nodes.
+
+        Parameters
+        ----------
+        capacity : float
+            Fraction of the slots that is usable now.
+        """
         return BackendServerRecord(
             self.backend_server_id,
             self.announcement.service,
@@ -112,16 +118,17 @@
     Parameters
     ----------
     announcement_ttl_s : float
-        How long one is believed to live without announcing itself.
+        How long a backend server counts as live after its last announcement.
 
     Attributes
     ----------
     changed : threading.Condition
-        Its lock guards all of them; it is notified at each change.
+        Its lock guards all backend servers; it is notified of each change.
     version : int
-        Rises with each change that the fleet has to hear.
+        Rises with each change that must be sent to the other nodes.
     on_replaced : callable
-        Told a backend server whose address another one took, and the present time.
+        Called with a backend server whose address another one has now, and the
+        present time.
     """
 
     def __init__(self, announcement_ttl_s: float = ANNOUNCEMENT_TTL_S) -> None:
@@ -130,11 +137,11 @@
         self.version = 0
         self.on_replaced: Callable[[LocalBackendServer, float], None] = lambda *_: None
         self._servers: dict[str, LocalBackendServer] = {}
-        # Boots that were drained. Without this memory a pause of the
-        # announcements, or of this process, would end a drain: the backend
-        # server is forgotten, announced again, and gets work while its
-        # operator shuts it down.
-        self._drained_boots: dict[str, str] = {}
+        # Boot ids of drained backend servers. Without them a pause of the
+        # announcements, or of this process, would end a drain: the backend server
+        # would be removed, announced again, and get work while its operator shuts it
+        # down.
+        self._drained_boot_ids: dict[str, str] = {}
 
     def announce(
         self,
@@ -143,14 +150,17 @@
         now_s: float,
         cold_s: float = 0.0,
     ) -> bool:
-        """Take an announcement; return True when it is a new (re)start."""
+        """Record an announcement; return True if it differs from the last one.
+
+        It differs at a start or restart, or when a field such as `slots` changed.
+        """
         with self.changed:
             server = self._servers.get(backend_server_id)
             if server is not None and server.announcement == announcement:
                 server.announced_s = now_s
                 if server.state is BackendServerState.SILENT:
                     server.state = self._announced_state(server)
-                    self._note_change()
+                    self._record_change()
                 return False
             if server is not None and server.announcement.boot_id != (
                 announcement.boot_id
@@ -159,55 +169,60 @@
             server = LocalBackendServer(backend_server_id, announcement, now_s, cold_s)
             server.state = self._announced_state(server)
             self._servers[backend_server_id] = server
-            self._note_change()
+            self._record_change()
             return True
 
     def drain(self, backend_server_id: str) -> bool:
-        """Let a backend server take no new work; False when it is unknown."""
+        """Stop new work for a backend server; return False if it is unknown."""
         with self.changed:
             server = self._servers.get(backend_server_id)
             if server is not None:
-                self._remember_drain(server)
+                self._add_drained(server)
             return self._set_state(backend_server_id, BackendServerState.DRAINING)
 
     def replace(self, backend_server_id: str, now_s: float) -> None:
-        """Take that another backend server has the address of this one."""
+        """Drain a backend server whose address another backend server has now."""
         with self.changed:
             server = self._servers.get(backend_server_id)
-            is_new = (
+            is_unexpected = (
                 server is not None
                 and server.state is not BackendServerState.DRAINING
                 and not server.is_replaced
             )
-            if is_new:
+            if is_unexpected:
                 server.is_replaced = True
         self.drain(backend_server_id)
-        if is_new:
+        if is_unexpected:
             self.on_replaced(server, now_s)
 
     def undrain(self, backend_server_id: str) -> bool:
-        """Let a draining backend server take work again."""
+        """Let a draining backend server get work again; False if it is unknown."""
         with self.changed:
-            self._drained_boots.pop(backend_server_id, None)
+            self._drained_boot_ids.pop(backend_server_id, None)
             return self._set_state(backend_server_id, BackendServerState.READY)
 
     def set_suspicion(self, backend_server_id: str, suspicion: float) -> bool:
-        """Set what the fleet is told; False when the server is unknown."""
+        """Set the suspicion that other nodes see; False if the server is unknown."""
         with self.changed:
             server = self._servers.get(backend_server_id)
             if server is None:
                 return False
             if server.suspicion != suspicion:
                 server.suspicion = suspicion
-                self._note_change()
+                self._record_change()
             return True
 
     def remove_silent(self, now_s: float) -> list[str]:
-        """Let those whose announcements stopped go; return their ids.
+        """Remove backend servers whose announcements stopped.
+
+        One with running requests gets no new ones, and is removed once they have ended.
+        If it still got new requests, a backend server that left without notice would
+        keep getting them for as long as at least one request is running there.
 
-        One that still has work gets no more and is removed after it. Kept as
-        it was, a backend server that left without a word would get new work
-        for as long as its old work never quite ends.
+        Returns
+        -------
+        list of str
+            Ids of those that turned silent since the last call.
         """
         with self.changed:
             silent = [
@@ -215,7 +230,7 @@
                 for server in self._servers.values()
                 if now_s - server.announced_s > self._announcement_ttl_s
             ]
-            news = [
+            newly_silent = [
                 server
                 for server in silent
                 if server.state is not BackendServerState.SILENT
@@ -225,27 +240,27 @@
                 if not server.in_flight:
                     del self._servers[server.backend_server_id]
             if silent:
-                self._note_change()
-            return [server.backend_server_id for server in news]
+                self._record_change()
+            return [server.backend_server_id for server in newly_silent]
 
     def get(self, backend_server_id: str) -> LocalBackendServer | None:
-        """Return one backend server; call with the lock held."""
+        """Return a backend server, None if it is unknown; the lock must be held."""
         return self._servers.get(backend_server_id)
 
     def all(self) -> list[LocalBackendServer]:
-        """Return all backend servers."""
+        """Return all backend servers as a new list."""
         with self.changed:
             return list(self._servers.values())
 
     def records(
         self, capacity: Callable[[LocalBackendServer], float] = lambda server: 1.0
     ) -> tuple[BackendServerRecord, ...]:
-        """Return what the fleet is told of each.
+        """Return the records that are sent to the other nodes.
 
         Parameters
         ----------
-        capacity : callable, default=all of it
-            Returns the part of the slots that is usable now.
+        capacity : callable, default=all slots
+            Returns the fraction of a backend server's slots that is usable now.
         """
         with self.changed:
             return tuple(
@@ -253,16 +268,16 @@
             )
 
     def _announced_state(self, server: LocalBackendServer) -> BackendServerState:
-        drained_boot = self._drained_boots.get(server.backend_server_id)
-        if drained_boot == server.announcement.boot_id:
+        drained_boot_id = self._drained_boot_ids.get(server.backend_server_id)
+        if drained_boot_id == server.announcement.boot_id:
             return BackendServerState.DRAINING
         return BackendServerState.READY
 
-    def _remember_drain(self, server: LocalBackendServer) -> None:
-        self._drained_boots.pop(server.backend_server_id, None)
-        self._drained_boots[server.backend_server_id] = server.announcement.boot_id
-        if len(self._drained_boots) > DRAINED_BOOTS_MAX:
-            del self._drained_boots[next(iter(self._drained_boots))]
+    def _add_drained(self, server: LocalBackendServer) -> None:
+        self._drained_boot_ids.pop(server.backend_server_id, None)
+        self._drained_boot_ids[server.backend_server_id] = server.announcement.boot_id
+        if len(self._drained_boot_ids) > DRAINED_BOOT_IDS_MAX:
+            del self._drained_boot_ids[next(iter(self._drained_boot_ids))]
 
     def _set_state(self, backend_server_id, state) -> bool:
         with self.changed:
@@ -271,9 +286,9 @@
                 return False
             if server.state is not state:
                 server.state = state
-                self._note_change()
+                self._record_change()
             return True
 
-    def _note_change(self) -> None:
+    def _record_change(self) -> None:
         self.version += 1
         self.changed.notify_all()
--- a/balsamspindle/backend_servers/suspect_runs.py
+++ b/balsamspindle/backend_servers/suspect_runs.py
@@ -1,7 +1,8 @@
-"""Which suspected requests run at a backend server now: one at a time.
+"""Runs of suspected requests: different ones never share a backend server.
 
-Two requests that are lost in the same crashes can't be told apart. Kept apart, the
-next crash shows which of them it is, and the other one is answered.
+If two requests are always lost in the same crashes, it is impossible to tell which of
+them causes the crashes. When they run separately, the next crash identifies the cause,
+and the other request is answered.
 """
 
 import threading
@@ -11,14 +12,14 @@
 
 
 class SuspectRuns:
-    """Runs of requests that backend servers ended under; safe from all threads."""
+    """Running requests that are suspected of crashing backend servers; thread-safe."""
 
     def __init__(self) -> None:
         self._lock = threading.Lock()
         self._running: dict[str, Counter[int]] = {}
 
     def begin(self, backend_server_id: str, content: int) -> bool:
-        """Begin a run, unless another suspected request runs there."""
+        """Register a run; return False if another suspected request runs there."""
         with self._lock:
             running = self._running.setdefault(backend_server_id, Counter())
             if any(other != content for other in running):
@@ -27,7 +28,7 @@
             return True
 
     def end(self, backend_server_id: str, content: int) -> None:
-        """End a run."""
+        """Remove a run that `begin` registered."""
         with self._lock:
             running = self._running[backend_server_id]
             running[content] -= 1
--- a/tests/test_link_server_bound.py
+++ b/tests/test_link_server_bound.py
@@ -1,4 +1,4 @@
-"""A link server with more attempts than threads."""
+"""A link server with more attempts than worker threads."""
 
 import io
 import socket
@@ -22,20 +22,20 @@
 from tests.utils import free_address, wait_until
 
 THREADS = 2
-PATIENCE_S = 10.0
+TIMEOUT_S = 10.0
 
 
 class HangingGate(Gate):
-    """Runs an attempt until the test lets it end."""
+    """Runs each attempt until `finish` is set."""
 
     def __init__(self, *args) -> None:
         super().__init__(*args)
         self.started = threading.Semaphore(0)
-        self.go_on = threading.Event()
+        self.finish = threading.Event()
 
     def handle(self, dispatch, received_s):
         self.started.release()
-        self.go_on.wait(PATIENCE_S)
+        self.finish.wait(TIMEOUT_S)
         return Reply(
             dispatch.attempt_id,
             Outcome.ANSWERED,
@@ -46,10 +46,10 @@
 
 class LinkServerBoundTests(TestCase):
     def test_an_attempt_without_a_thread_is_refused_and_not_queued(self):
-        # The backend servers of a node hang and all threads of its gate wait
-        # for them. One more attempt would wait in the executor's queue, which
-        # has no end and no deadline, and its caller would hear nothing.
-        self.patch(link_server, "WAITING_MAX", THREADS)
+        # The backend servers of a node hang, and all worker threads of its gate wait
+        # for them. One more attempt would wait in the executor's queue, which is
+        # unbounded and ignores deadlines, and its caller would get no answer.
+        self.patch(link_server, "PENDING_MAX", THREADS)
         events = EventLog("gate", 1, HybridClock(), io.StringIO())
         gate = HangingGate(LocalBackendServers(), BackendServerClient(1000), events)
         context, address = zmq.Context(), free_address()
@@ -61,26 +61,26 @@
         try:
             first = [self._send(links, address, number) for number in range(THREADS)]
             for _ in first:
-                self.assertTrue(gate.started.acquire(timeout=PATIENCE_S))
+                self.assertTrue(gate.started.acquire(timeout=TIMEOUT_S))
             link, attempt_id = self._send(links, address, THREADS)
             refused = self._wait(link, attempt_id)
             self.assertEqual(
                 (Outcome.NOT_RUN, Reason.NO_FREE_SLOT),
                 (refused.outcome, refused.reason),
             )
-            gate.go_on.set()
+            gate.finish.set()
             replies = [self._wait(*sent) for sent in first]
             self.assertEqual([200] * THREADS, [reply.status for reply in replies])
             wait_until(lambda: not server.pending(), "all replies are sent")
         finally:
-            gate.go_on.set()
+            gate.finish.set()
             server.stop()
             task.join()
             executor.shutdown()
             context.destroy(0)
 
     def _send(self, links, address, number):
-        deadline_s = time.monotonic() + PATIENCE_S
+        deadline_s = time.monotonic() + TIMEOUT_S
         link = links.acquire(address, deadline_s)
         dispatch = Dispatch(
             AttemptId("own", 1, number),
@@ -88,7 +88,7 @@
             "crew/contracts",
             "server",
             Execution.IDEMPOTENT,
-            PATIENCE_S * 1000,
+            TIMEOUT_S * 1000,
             1.0,
             "GET",
             "/",
@@ -102,6 +102,6 @@
     def _wait(self, link, attempt_id) -> Reply:
         near, far = socket.socketpair()
         with near, far:
-            deadline_s = time.monotonic() + PATIENCE_S
+            deadline_s = time.monotonic() + TIMEOUT_S
             wait = WaitOptions(deadline_s, near.fileno(), lambda: False, self.fail)
             return wait_first({link: attempt_id}, wait).reply
