--- a/tests/at_most_once_utils.py
+++ b/tests/at_most_once_utils.py
@@ -1,4 +1,4 @@
-"""A fleet for fault schedules: requests with keys, and what became of them.
+"""A fleet in which faults are injected while requests with keys are sent.
 
 Ingress ``i`` prefers gate ``a``, behind a relay; resends come through ingress
 ``j``, which prefers gate ``b``. Each of the gates has one backend server.
@@ -34,10 +34,10 @@
 SERVICE = "crew/contracts"
 TIMEOUT_MS = 500
 WORK_MS = 150
-# Requests of each moment: half of them carry an Idempotency-Key.
+# Requests per moment; half of them have an Idempotency-Key.
 BURST = 4
-# How long a fault lasts after its strike: longer than each deadline.
-HOLD_S = 0.6
+# How long a fault lasts: longer than each deadline.
+FAULT_S = 0.6
 MOMENTS = ("after", "during", "before")
 NO_ANSWER = "no answer"
 
@@ -53,13 +53,13 @@
 
 
 class Fault(NamedTuple):
-    """A fault: how it strikes, and how it ends."""
+    """A fault, with functions that inject it and that end it."""
 
     strike: Callable[[], object]
     heal: Callable[[], object]
 
     def __add__(self, other: "Fault") -> "Fault":
-        """Return both faults as one."""
+        """Return one fault that combines both."""
 
         def strike():
             self.strike()
@@ -73,7 +73,7 @@
 
 
 class ScheduleFleet(Fleet):
-    """Platform, nodes a, b, i, j, a relay before gate a, backend servers."""
+    """The platform, nodes a, b, i and j, a relay to gate a, two backend servers."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -101,7 +101,7 @@
         super().__exit__()
 
     def start_server(self, name: str, address: str) -> None:
-        """Start the backend server beside a gate, or start it again."""
+        """Start or restart the backend server of a gate."""
         self.servers[name] = self.start_backend(
             f"contract-{name}",
             SERVICE,
@@ -111,14 +111,14 @@
         )
 
     def restart_node(self, name: str) -> None:
-        """Put a replacement of a node at the same addresses."""
+        """Replace a node by a new process at the same addresses."""
         self.nodes[name].kill()
         self.nodes[name] = self._add(
             NodeProgram(self.nodes[name].settings, self.folder)
         )
 
     def restart_server(self, name: str) -> None:
-        """Start a backend server that ended again."""
+        """Restart a backend server at the same address."""
         self.servers[name].kill()
         self.start_server(name, self.servers[name].address)
 
@@ -139,7 +139,7 @@
         )
 
     def runs(self, key: str, names: str = "ab") -> int:
-        """Return how often a request ran, also at killed backend servers."""
+        """Return how often a request ran, including runs at killed backend servers."""
         line = f"event=run run_key={key}"
         return sum(
             self.servers[name].log_path.read_text().splitlines().count(line)
@@ -147,36 +147,36 @@
         )
 
     def set_platform(self, mode: str, **more) -> None:
-        """Set the platform's fault."""
+        """Set the fault mode of the platform."""
         body = json.dumps({"mode": mode, **more}).encode()
         call(self.platform_address, "/faults", "POST", body)
 
     def drain(self, name: str, verb: str = "drain") -> None:
-        """Drain the backend server beside a gate, or `undrain` it."""
+        """Drain the backend server of a gate, or `undrain` it."""
         address = self.nodes[name].admin_address
         call(address, f"/backend-servers/contract-{name}/{verb}", "POST", b"")
 
     def flow(self, **directions: Flow) -> None:
-        """Set the relay's directions before gate a."""
+        """Set the flow of the given directions at the relay to gate a."""
         for direction, flow in directions.items():
             setattr(self.relay, direction, flow)
 
     def backend_fault(self, **switch) -> Fault:
-        """Return a fault of real work at the backend server of gate a."""
+        """Return a fault of the requests that run at the backend server of gate a."""
         return Fault(
             lambda: self.servers["a"].set_fault(**switch),
             lambda: self.servers["a"].set_fault(mode="none"),
         )
 
     def backend_end(self, number: int) -> Fault:
-        """Return a signal that ends the backend server of gate a."""
+        """Return a signal to the backend server of gate a, which is then restarted."""
         return Fault(
             lambda: self.servers["a"].signal(number),
             lambda: self.restart_server("a"),
         )
 
     def node_end(self, name: str, number: int) -> Fault:
-        """Return a signal that ends a node, which is then replaced."""
+        """Return a signal to a node, which is then replaced."""
         return Fault(
             lambda: self.nodes[name].signal(number), lambda: self.restart_node(name)
         )
@@ -186,7 +186,7 @@
         return Fault(lambda: self.drain(name), lambda: self.drain(name, verb="undrain"))
 
     def flow_fault(self, **directions: Flow) -> Fault:
-        """Return a cut or a delay of the network before gate a."""
+        """Return a loss or a delay of data on the network to gate a."""
         return Fault(
             lambda: self.flow(**directions),
             lambda: self.flow(forward=Flow.PASS, backward=Flow.PASS),
@@ -197,17 +197,17 @@
         return Fault(lambda: self.set_platform(mode), lambda: self.set_platform("none"))
 
     def frozen(self, find: Callable) -> Fault:
-        """Return a process that is stopped for a while and does not know."""
+        """Return a fault that suspends the process that `find` returns."""
         return Fault(
             lambda: find().signal(signal.SIGSTOP),
             lambda: find().signal(signal.SIGCONT),
         )
 
     def replaced_while_frozen(self) -> Fault:
-        """Return a gate's replacement while its predecessor is frozen.
+        """Return a fault that replaces gate a while its predecessor is suspended.
 
-        Both have the same name, and new connections to the one address lead
-        to the replacement. The predecessor thaws and is ended only then.
+        Both have the same name, and new connections to the relay lead to the
+        replacement. The predecessor is resumed, and killed shortly after.
         """
         old: list[Program] = []
 
@@ -225,7 +225,7 @@
 
         def heal():
             old[0].signal(signal.SIGCONT)
-            time.sleep(HOLD_S)
+            time.sleep(FAULT_S)
             for program in old:
                 program.kill()
 
@@ -233,31 +233,31 @@
 
 
 class Requests:
-    """Requests of callers, and the checks of what they were told."""
+    """Sends requests of callers and checks the outcomes that they got."""
 
     def __init__(self, fleet: ScheduleFleet) -> None:
         self._fleet = fleet
         self._lock = threading.Lock()
         self._bursts: dict[str, list[str]] = {}
-        self._told: dict[str, str] = {}
+        self._last_outcomes: dict[str, str] = {}
         self._answers: dict[str, bytes] = {}
         self.executor = ThreadPoolExecutor(8 * BURST)
         self.outcomes: dict[str, Counter] = {}
 
-    def begin(self, name: str, size: int = BURST) -> list:
+    def send_burst(self, name: str, size: int = BURST) -> list:
         """Send a burst through ingress i; return the pending answers."""
         self._bursts[name] = [f"{name}/{number}" for number in range(size)]
         return [
             self.executor.submit(self._send, key, "i") for key in self._bursts[name]
         ]
 
-    def resend(self, name: str, ingress: str) -> list:
-        """Send those with an Idempotency-Key again; return what is pending."""
+    def resend_keyed(self, name: str, ingress: str) -> list:
+        """Send a burst's requests with a key again; return the pending answers."""
         keys = self._bursts[name][::2]
         return [self.executor.submit(self._send, key, ingress) for key in keys]
 
-    def reach_gate_a(self) -> bool:
-        """Tell whether a request through ingress i runs beside gate a."""
+    def reaches_gate_a(self) -> bool:
+        """Return whether a request through ingress i runs at gate a."""
         address = self._fleet.nodes["i"].caller_address
         answer = try_call(address, "/sign", "POST", b"")
         return bool(
@@ -267,27 +267,27 @@
         )
 
     def wait_running(self, name: str) -> None:
-        """Wait until one of a burst runs at a backend server."""
+        """Wait until a request of a burst runs at a backend server."""
         wait_until(
             lambda: any(map(self._fleet.runs, self._bursts[name])),
             f"{name} runs",
         )
 
-    def told(self, key: str) -> str:
-        """Return the last that the caller of a request was told."""
-        return self._told[key]
+    def last_outcome(self, key: str) -> str:
+        """Return the last outcome that the caller of a request got."""
+        return self._last_outcomes[key]
 
     def check(self, name: str) -> None:
-        """Check all that was told of a burst against what ran."""
+        """Check the outcomes of a burst against the runs of its requests."""
         for key in self._bursts[name]:
             runs = self._fleet.runs(key)
             assert runs <= 1, f"{key} ran {runs} times"
-            assert not (runs and self._told.get(key) == "not_run"), (
-                f"{key} was told not_run and ran"
+            assert not (runs and self._last_outcomes.get(key) == "not_run"), (
+                f"{key} got not_run but ran"
             )
 
     def _send(self, key: str, ingress: str) -> str:
-        self._check_told(key)
+        self._check_not_run(key)
         headers = {"X-Run-Key": key}
         if int(key.rpartition("/")[2]) % 2 == 0:
             headers["Idempotency-Key"] = key
@@ -295,31 +295,31 @@
         answer = try_call(address, f"/sign/{key}", "POST", key.encode(), headers)
         outcome = answer.outcome if answer else NO_ANSWER
         with self._lock:
-            self._told[key] = outcome
+            self._last_outcomes[key] = outcome
             name = key.rpartition("/")[0]
             self.outcomes.setdefault(name, Counter())[outcome] += 1
-        self._check_told(key)
+        self._check_not_run(key)
         if outcome == "answered":
             self._check_answer(key, answer)
         return outcome
 
-    def _check_told(self, key: str) -> None:
-        """Check that a request that was told not run has not run (yet)."""
-        if self._told.get(key) == "not_run":
-            assert not self._fleet.runs(key), f"{key} was told not_run and ran"
+    def _check_not_run(self, key: str) -> None:
+        """Check that a request with outcome not_run has not run so far."""
+        if self._last_outcomes.get(key) == "not_run":
+            assert not self._fleet.runs(key), f"{key} got not_run but ran"
 
     def _check_answer(self, key: str, answer: HttpAnswer) -> None:
-        """Check that the answer is whole and this request's own."""
+        """Check that the answer is complete and belongs to this request."""
         if answer.status == 200:
             body = answer.json()
             assert (body["run_key"], body["body"]) == (key, key), body
         with self._lock:
             first = self._answers.setdefault(key, answer.body)
-        assert first == answer.body, f"{key} was answered in two ways"
+        assert first == answer.body, f"{key} got two different answers"
 
 
 class FaultScheduleCase(TestCase):
-    """Strikes faults against one fleet that the whole class shares."""
+    """Injects faults into a fleet that all tests of the class share."""
 
     @classmethod
     def setUpClass(cls):
@@ -329,39 +329,42 @@
         cls.requests = Requests(cls.fleet)
         cls.addClassCleanup(cls.requests.executor.shutdown)
 
-    def strike(self, name: str, fault: Fault, hold_s: float = HOLD_S) -> Counter:
-        """Meet a fault at its three moments; return what callers were told.
+    def check_fault(self, name: str, fault: Fault, fault_s: float = FAULT_S) -> Counter:
+        """Send requests around a fault and check them; return their outcomes.
 
-        One burst is answered, a second one runs, the fault strikes, a third
-        burst comes; then resends, while the fault lasts and after it.
+        One burst is answered, a second one is running when the fault is injected, and a
+        third one is sent after that. Requests with a key are then sent again while the
+        fault lasts and after it has ended.
         """
         requests = self.requests
         bursts = {moment: f"{name}/{moment}" for moment in MOMENTS}
-        wait_until(requests.reach_gate_a, "ingress i turns to gate a")
-        # Twice the others, so that the burst before dispatch finds idle links
-        # that were heard just now and sends into whatever became of them.
-        _results(requests.begin(bursts["after"], 2 * BURST))
-        pending = requests.begin(bursts["during"])
+        wait_until(requests.reaches_gate_a, "ingress i sends requests to gate a")
+        # Twice as many as in the other bursts, so that enough recently used links are
+        # idle when the last burst is sent, and it uses links that the fault has broken.
+        _results(requests.send_burst(bursts["after"], 2 * BURST))
+        pending = requests.send_burst(bursts["during"])
         requests.wait_running(bursts["during"])
         fault.strike()
-        pending += requests.begin(bursts["before"])
+        pending += requests.send_burst(bursts["before"])
         for moment in ("after", "during"):
-            pending += requests.resend(bursts[moment], "j")
-        time.sleep(hold_s)
+            pending += requests.resend_keyed(bursts[moment], "j")
+        time.sleep(fault_s)
         _results(pending)
-        _results(requests.resend(bursts["before"], "j"))
+        _results(requests.resend_keyed(bursts["before"], "j"))
         fault.heal()
         self.fleet.wait_whole()
         for ingress in ("i", "j"):
-            pending = [requests.resend(burst, ingress) for burst in bursts.values()]
+            pending = [
+                requests.resend_keyed(burst, ingress) for burst in bursts.values()
+            ]
             _results(itertools.chain(*pending))
         for burst in bursts.values():
             requests.check(burst)
-        told = {moment: requests.outcomes[bursts[moment]] for moment in MOMENTS}
-        print(name, {moment: dict(counts) for moment, counts in told.items()})
-        return sum(told.values(), Counter())
+        by_moment = {moment: requests.outcomes[bursts[moment]] for moment in MOMENTS}
+        print(name, {moment: dict(counts) for moment, counts in by_moment.items()})
+        return sum(by_moment.values(), Counter())
 
 
 def _results(pending) -> list[str]:
-    """Return the outcomes; raise the first failed check."""
+    """Wait for the outcomes and return them; raise the first failed check."""
     return [future.result() for future in pending]
--- a/tests/leaving_utils.py
+++ b/tests/leaving_utils.py
@@ -1,4 +1,4 @@
-"""Callers that keep sending while parts of the fleet leave."""
+"""Callers that send requests continuously while parts of the fleet leave."""
 
 import http.client
 import itertools
@@ -16,7 +16,7 @@
 
 
 def read_events(log_path: Path) -> list[dict[str, str]]:
-    """Return the events that a process has written so far."""
+    """Return the events in the log of a process so far."""
     events = map(parse_event, log_path.read_text().splitlines())
     return [event for event in events if event and "event" in event]
 
@@ -35,21 +35,21 @@
 class SteadyCaller(threading.Thread):
     """Sends requests one after the other on kept-alive connections.
 
-    A refused connection is no fault (nothing was sent; the next node is
-    asked), a connection that ends without a whole answer is.
+    A refused connection is not a fault: nothing was sent, and the next node is tried. A
+    connection that ends without a complete answer is a fault.
 
     Parameters
     ----------
     fresh : bool, default=False
         Use a new connection for each request.
     target : str, default="/contracts"
-        The run key follows it.
+        Path of the requests; the run key is appended.
 
     Attributes
     ----------
     calls : list of Call
     faults : list of str
-        Requests that got no whole answer of their own.
+        Requests without a complete answer, or with the answer to another request.
     """
 
     def __init__(
@@ -105,7 +105,7 @@
             self.faults.append(f"{run_key}: {error!r}")
             self._connection = None
             return
-        self._note(run_key, target, answer)
+        self._record(run_key, target, answer)
 
     def _connect(self) -> None:
         for _ in range(CONNECT_TRIES_MAX):
@@ -119,12 +119,12 @@
                 continue
             self._connection = connection
             return
-        raise ConnectionRefusedError("no node takes connections")
+        raise ConnectionRefusedError("no node accepts connections")
 
-    def _note(self, run_key: str, target: str, answer: HttpAnswer) -> None:
+    def _record(self, run_key: str, target: str, answer: HttpAnswer) -> None:
         report = json.loads(answer.body)
         if answer.outcome == "answered" and report["target"] != target:
-            self.faults.append(f"{run_key}: the answer to {report['target']}")
+            self.faults.append(f"{run_key}: got the answer to {report['target']}")
         self.calls.append(
             Call(
                 run_key,
--- a/tests/relay.py
+++ b/tests/relay.py
@@ -1,4 +1,4 @@
-"""A TCP relay that can cut, delay or freeze one direction: the network's faults."""
+"""A TCP relay that simulates network faults: it loses or delays data per direction."""
 
 import socket
 import threading
@@ -12,17 +12,17 @@
 
 
 class Flow(StrEnum):
-    """What happens to bytes of one direction."""
+    """What happens to the data of one direction."""
 
     PASS = "pass"
-    # Bytes wait until the flow passes again: late, in order.
+    # Data is kept until the flow is `PASS` again, and then forwarded in order.
     HOLD = "hold"
-    # Bytes vanish; the connection stays open: a one-way partition.
+    # Data is lost while the connection stays open, as in a one-way partition.
     DROP = "drop"
 
 
 class Relay:
-    """Listens on `address` and forwards to `target`, a byte stream each way."""
+    """Listens on `address` and forwards data to and from `target`."""
 
     def __init__(self, target: str) -> None:
         self.target = target
@@ -37,13 +37,13 @@
         threading.Thread(target=self._accept, daemon=True).start()
 
     def cut(self) -> None:
-        """Reset the open connections; new ones still work."""
+        """Close the open connections; new ones are still accepted."""
         for connection in self._sockets:
-            _shut(connection)
+            _close(connection)
         self._sockets.clear()
 
     def close(self) -> None:
-        """End the relay."""
+        """Close the relay and all its connections."""
         self._closed = True
         self._listener.close()
         self.cut()
@@ -58,7 +58,7 @@
             try:
                 far = socket.create_connection((host, int(port)), timeout=5)
             except OSError:
-                _shut(near)
+                _close(near)
                 continue
             far.settimeout(None)
             self._sockets += [near, far]
@@ -67,10 +67,10 @@
                 (far, near, "backward"),
             ):
                 threading.Thread(
-                    target=self._pump, args=(source, sink, name), daemon=True
+                    target=self._forward, args=(source, sink, name), daemon=True
                 ).start()
 
-    def _pump(self, source, sink, direction) -> None:
+    def _forward(self, source, sink, direction) -> None:
         try:
             while data := source.recv(CHUNK_BYTES):
                 if self.delay_s:
@@ -81,11 +81,11 @@
                     sink.sendall(data)
         except OSError:
             pass
-        _shut(source)
-        _shut(sink)
+        _close(source)
+        _close(sink)
 
 
-def _shut(connection: socket.socket) -> None:
+def _close(connection: socket.socket) -> None:
     try:
         connection.shutdown(socket.SHUT_RDWR)
     except OSError:
--- a/tests/test_announcements.py
+++ b/tests/test_announcements.py
@@ -1,4 +1,4 @@
-"""Announcements as the platform's backend servers write them, and as others do."""
+"""Announcements by the platform's backend servers, and by foreign clients."""
 
 import json
 
@@ -21,7 +21,7 @@
 
 
 def announcement(born=1_700_000_000_000, **changes):
-    """Return an announcement, with parts of it changed or left out (None)."""
+    """Return an announcement with parts changed, or omitted where None is given."""
     parts = {
         "address": "10.0.0.1:8080",
         "info": {"service": "a", "version": "v1", "zone": "z", "slots": 3},
@@ -52,23 +52,23 @@
     def states(self):
         return {server.backend_server_id: server.state for server in self.servers.all()}
 
-    def test_one_that_starts_again_under_its_id_is_known_by_its_start(self):
+    def test_a_restart_under_the_same_id_is_recognised_by_its_start_time(self):
         self.assertEqual(200, self.put(announcement()))
         self.assertEqual(200, self.client.delete(URL).status_code)
         self.assertEqual(200, self.put(announcement(born=1_700_000_005_000)))
         self.assertEqual({"i-1": BackendServerState.READY}, self.states())
 
-    def test_a_leave_names_its_start(self):
-        # The leave of an earlier start, held up on the way, comes last.
+    def test_a_leave_counts_only_for_the_start_that_it_names(self):
+        # The delayed leave of an earlier start arrives last.
         self.put(announcement())
         body = json.dumps({"born": 1_600_000_000_000})
         self.assertEqual(200, self.client.delete(URL, data=body).status_code)
         self.assertEqual({"i-1": BackendServerState.READY}, self.states())
 
-    def test_what_another_writer_says_names_no_backend_server(self):
-        # Somebody else on the VM writes at the same address, also in the name
-        # of the living backend server. Nothing of it comes into service, and
-        # the living one goes on.
+    def test_announcements_by_foreign_clients_are_rejected(self):
+        # Another program on the VM sends requests to the same address, also with the
+        # id of the running backend server. Its requests are rejected, and the running
+        # backend server stays in service.
         self.put(announcement())
         foreign = [
             announcement(address=None),
--- a/tests/test_at_most_once.py
+++ b/tests/test_at_most_once.py
@@ -1,10 +1,9 @@
-"""At most once, and 'not run' is true, under each fault at each moment.
+"""Each fault at each moment: requests run at most once, and 'not run' is true.
 
-One strike of a fault meets three bursts of signatures: one that was answered
-(after dispatch), one that runs at the backend server (during), one that comes
-while the fault is in force (before). Then callers send again with the same
-Idempotency-Key, through another node, while the fault lasts and when it has
-ended. The backend servers count their runs.
+A fault is injected after one burst of requests was answered (after dispatch), while a
+second burst runs at the backend server (during), and before a third burst is sent
+(before). Requests with an Idempotency-Key are then sent again through another node,
+while the fault lasts and after it has ended. The backend servers count the runs.
 """
 
 import signal
@@ -12,7 +11,7 @@
 from tests.at_most_once_utils import Fault, FaultScheduleCase
 from tests.relay import Flow
 
-SWITCHES = {
+BACKEND_FAULTS = {
     "hang": {"mode": "hang", "delay_s": 1.0},
     "flap": {"mode": "hang", "share": 0.5, "delay_s": 1.0},
     "shed": {"mode": "shed"},
@@ -24,49 +23,49 @@
 
 class SingleFaultTests(FaultScheduleCase):
     def test_backend_server(self):
-        for name, switch in SWITCHES.items():
-            self.strike(f"backend-{name}", self.fleet.backend_fault(**switch))
-        self.strike("backend-drain", self.fleet.drained("a"))
-        self.strike("backend-kill", self.fleet.backend_end(signal.SIGKILL))
-        self.strike("backend-sigterm", self.fleet.backend_end(signal.SIGTERM))
+        for name, options in BACKEND_FAULTS.items():
+            self.check_fault(f"backend-{name}", self.fleet.backend_fault(**options))
+        self.check_fault("backend-drain", self.fleet.drained("a"))
+        self.check_fault("backend-kill", self.fleet.backend_end(signal.SIGKILL))
+        self.check_fault("backend-sigterm", self.fleet.backend_end(signal.SIGTERM))
 
     def test_nodes(self):
         for node in ("a", "i"):
             for number in (signal.SIGKILL, signal.SIGTERM):
-                self.strike(
+                self.check_fault(
                     f"node-{node}-{number.name}", self.fleet.node_end(node, number)
                 )
 
     def test_network(self):
         for direction in ("forward", "backward"):
             for flow in (Flow.DROP, Flow.HOLD):
-                self.strike(
+                self.check_fault(
                     f"{direction}-{flow}", self.fleet.flow_fault(**{direction: flow})
                 )
-        self.strike("reset", Fault(self.fleet.relay.cut, lambda: None))
+        self.check_fault("reset", Fault(self.fleet.relay.cut, lambda: None))
 
     def test_platform(self):
         for mode in ("down", "slow", "lost_reply"):
-            self.strike(f"platform-{mode}", self.fleet.platform_fault(mode))
+            self.check_fault(f"platform-{mode}", self.fleet.platform_fault(mode))
 
     def test_nowhere_to_go(self):
-        # With both backend servers drained each new request is refused: the
-        # one outcome that promises something about what did not happen.
-        told = self.strike(
+        # With both backend servers drained, each new request must be refused as not
+        # run, which is only correct if it really did not run.
+        outcomes = self.check_fault(
             "both-drained", self.fleet.drained("a") + self.fleet.drained("b")
         )
-        self.assertTrue(told["not_run"], told)
+        self.assertTrue(outcomes["not_run"], outcomes)
 
     def test_a_full_gate(self):
-        # Sixteen more requests than there are slots, each of which takes most
-        # of its time: the gate queues some and sheds the rest.
+        # Sixteen requests besides those of the bursts, each of which takes most of its
+        # timeout: the gate queues some and refuses the rest.
         pending = []
         full = Fault(
-            lambda: pending.extend(self.requests.begin("gate-full/more", 16)),
+            lambda: pending.extend(self.requests.send_burst("gate-full/more", 16)),
             lambda: [future.result() for future in pending],
         )
         slow = self.fleet.backend_fault(mode="slow", delay_s=0.3)
-        self.strike("gate-full", self.fleet.drained("b") + slow + full)
+        self.check_fault("gate-full", self.fleet.drained("b") + slow + full)
         self.requests.check("gate-full/more")
-        told = self.requests.outcomes["gate-full/more"]
-        self.assertTrue(told["not_run"], told)
+        counts = self.requests.outcomes["gate-full/more"]
+        self.assertTrue(counts["not_run"], counts)
--- a/tests/test_at_most_once_pairs.py
+++ b/tests/test_at_most_once_pairs.py
@@ -1,6 +1,6 @@
-"""At most once under two faults at once: the pairs that matter most.
+"""Two faults at once: requests run at most once, for the pairs that matter most.
 
-See test_at_most_once.py for what one strike does.
+See test_at_most_once.py for the requests that are sent around a fault.
 """
 
 import signal
@@ -22,11 +22,11 @@
         pairs = {
             # The whole VM is lost.
             "gate-and-backend-killed": gate_killed + backend_killed,
-            # The gate that holds the claims is gone, and nobody can be asked.
+            # The gate that has the claims is gone, and no claim can be looked up.
             "gate-killed-platform-down": gate_killed + fleet.platform_fault("down"),
             "gate-frozen-platform-lost-reply": gate_frozen
             + fleet.platform_fault("lost_reply"),
-            # The cancellation finds the gate stopped, the work goes on.
+            # The gate is suspended when the cancellation arrives; the run continues.
             "gate-frozen-backend-hangs": hang + gate_frozen,
             "answers-cut-gate-frozen": answers_cut + gate_frozen,
             "answers-cut-platform-lost-reply": answers_cut
@@ -35,10 +35,10 @@
             "answers-cut-ingress-killed": answers_cut
             + fleet.node_end("i", signal.SIGKILL),
             "ingress-killed-backend-hangs": hang + fleet.node_end("i", signal.SIGKILL),
-            # Nowhere else to go: refusals have to be true.
+            # No other backend server is available: refusals must be correct.
             "requests-cut-other-drained": requests_cut + fleet.drained("b"),
             "backend-killed-other-drained": backend_killed + fleet.drained("b"),
             "gate-killed-other-drained": gate_killed + fleet.drained("b"),
         }
         for name, fault in pairs.items():
-            self.strike(name, fault)
+            self.check_fault(name, fault)
--- a/tests/test_crash_watch.py
+++ b/tests/test_crash_watch.py
@@ -1,4 +1,4 @@
-"""What a gate sees of a crash, and what it does with a request that causes one."""
+"""How a gate detects crashes, and what it does with a request that causes them."""
 
 import io
 import socket
@@ -32,7 +32,7 @@
 
 
 class CrashWatchCase(TestCase):
-    """One gate before one backend server, which a test ends."""
+    """One gate with one backend server, which a test can crash."""
 
     def setUp(self):
         super().setUp()
@@ -44,9 +44,9 @@
         self._announce("1")
         self.log = EventLog("gate", 7, HybridClock(), io.StringIO())
         self.history = CrashHistory(lambda service: 6)
-        self.update: list[CrashUpdate] = []
+        self.updates: list[CrashUpdate] = []
         self.watch = CrashWatch(
-            self.log, self.history, lambda update, now_s: self.update.append(update)
+            self.log, self.history, lambda update, now_s: self.updates.append(update)
         )
         self.gate = self._make_gate()
         self.executor = ThreadPoolExecutor(8)
@@ -67,7 +67,7 @@
         self.servers.announce("server", announcement, 0.0)
 
     def _answer(self, number):
-        """Hold a request, then end its connection without an answer."""
+        """Hold a request until `hold` is set, then close its connection unanswered."""
         self.hold.wait(10.0)
         return b"", False
 
@@ -91,7 +91,7 @@
         return Dispatch(**fields)
 
     def _begin(self, sequence, content=CAUSE, **changes):
-        """Start an attempt in a thread of its own."""
+        """Start an attempt in another thread."""
         dispatch = self._dispatch(sequence, content, **changes)
         return self.executor.submit(self.gate.handle, dispatch, time.monotonic())
 
@@ -99,7 +99,7 @@
         wait_until(lambda: len(self.server.requests) >= count, f"{count} run")
 
     def _crash(self):
-        """End the backend server with all that runs there."""
+        """Stop the backend server with all requests that run there."""
         self.server.close()
         self.hold.set()
 
@@ -116,34 +116,34 @@
 
 
 class CrashWatchTests(CrashWatchCase):
-    def test_a_crash_is_told_once_with_all_who_ran_there(self):
-        # Three callers lose their runs at the same moment. Each of the runs ends in
-        # a thread of its own, and only one of them may make it a crash.
+    def test_a_crash_is_reported_once_with_all_requests_that_ran_there(self):
+        # Three callers lose their runs at the same moment. Each run ends in its own
+        # thread, and only one of the threads may report the crash.
         running = [self._begin(1), self._begin(2, OTHER), self._begin(3, 33)]
         self._wait_running(3)
         self._crash()
-        replies = [one.result() for one in running]
+        replies = [attempt.result() for attempt in running]
         self.assertEqual(
             {(Outcome.UNKNOWN, Reason.SERVER_CRASHED)},
             {(reply.outcome, reply.reason) for reply in replies},
         )
-        crashes = [crash for update in self.update for crash in update.crashes]
+        crashes = [crash for update in self.updates for crash in update.crashes]
         self.assertEqual(1, len(crashes))
         self.assertEqual({CAUSE, OTHER, 33}, {run.content for run in crashes[0].runs})
         self.assertEqual(1, len(self._logged("backend_server_crashed")))
 
-    def test_an_answer_that_a_living_backend_server_broke_off_is_no_crash(self):
-        # A sick backend server resets half of its connections. Taken for crashes,
-        # whoever asked it three times would be refused everywhere.
+    def test_an_answer_broken_off_by_a_running_backend_server_is_no_crash(self):
+        # An unhealthy backend server resets half of its connections. If these counted
+        # as crashes, a request sent to it three times would be refused everywhere.
         self.hold.set()
         for sequence in range(1, 6):
             reply = self._begin(sequence).result()
             self.assertEqual(Reason.BROKEN_ANSWER, reply.reason)
-        self.assertEqual([], self.update)
+        self.assertEqual([], self.updates)
 
-    def test_a_crash_right_after_a_broken_answer_is_seen(self):
-        # An answer is broken off by a backend server that lives; a moment later the
-        # next request crashes it.
+    def test_a_crash_right_after_a_broken_answer_is_detected(self):
+        # A running backend server breaks off an answer; a moment later the next
+        # request crashes it.
         self.hold.set()
         self.assertEqual(Reason.BROKEN_ANSWER, self._begin(1).result().reason)
         self.hold.clear()
@@ -152,13 +152,14 @@
         self._crash()
         self.assertEqual(Reason.SERVER_CRASHED, running.result().reason)
 
-    def test_one_that_started_anew_without_a_word_crashed(self):
-        # It lost power: no connection ends, and its next start announces itself.
+    def test_a_restart_without_notice_is_a_crash(self):
+        # The backend server loses power: no connection ends, and its next start
+        # announces itself.
         running = self._begin(1)
         self._wait_running(1)
         self._announce("2")
         self.assertEqual(Reason.SERVER_CRASHED, running.result().reason)
-        self.assertTrue(self.update)
+        self.assertTrue(self.updates)
 
     def _announce_another(self, sequence):
         """Announce another backend server at the same address."""
@@ -173,47 +174,48 @@
         announcement = Announcement(SERVICE, self.server.address, SLOTS, "")
         self.lifetimes.announce("server", announcement, Condition(1), time.monotonic())
 
-    def test_one_whose_address_another_has_when_its_run_ends_crashed(self):
-        # The node stood still while its backend server crashed and was replaced
-        # under another id: when it looks, somebody listens there again.
+    def test_a_replacement_before_its_run_ends_is_a_crash(self):
+        # The node is suspended while its backend server crashes and is replaced under
+        # another id. When the node probes the address, it accepts connections again.
         self._first_lifetime()
         running = self._begin(1)
         self._wait_running(1)
         self._announce_another(1)
         self.hold.set()
         self.assertEqual(Reason.SERVER_CRASHED, running.result().reason)
-        self.assertTrue(self.update)
+        self.assertTrue(self.updates)
 
-    def test_one_that_is_replaced_right_after_a_broken_answer_crashed(self):
-        # Its supervisor starts another one within a millisecond, before the gate
-        # looks; the announcement comes a second later.
+    def test_a_replacement_right_after_a_broken_answer_is_a_crash(self):
+        # A supervisor replaces the backend server within a millisecond, before the
+        # gate probes the address. The announcement arrives a second later.
         self._first_lifetime()
         self.hold.set()
         self.assertEqual(Reason.BROKEN_ANSWER, self._begin(1).result().reason)
-        self.assertEqual([], self.update)
+        self.assertEqual([], self.updates)
         self._announce_another(1)
-        crashes = [crash for update in self.update for crash in update.crashes]
+        crashes = [crash for update in self.updates for crash in update.crashes]
         self.assertEqual([CAUSE], [run.content for run in crashes[0].runs])
 
-    def test_one_that_crashed_while_it_was_idle_counts_as_a_crash_of_nobody(self):
-        # How often backend servers crash by themselves tells whether a request that
-        # was there several times was there by chance.
+    def test_a_crash_while_idle_counts_without_requests(self):
+        # How often backend servers crash by themselves shows whether a request that
+        # ran during several crashes did so by chance.
         self._first_lifetime()
         self._announce_another(1)
-        crashes = [crash for update in self.update for crash in update.crashes]
+        crashes = [crash for update in self.updates for crash in update.crashes]
         self.assertEqual([()], [crash.runs for crash in crashes])
 
-    def test_one_that_drained_before_it_was_replaced_did_not_crash(self):
+    def test_a_replacement_after_a_drain_is_no_crash(self):
         self._first_lifetime()
         self.hold.set()
         self._begin(1).result()
         self.lifetimes.leave("server")
         self._announce_another(1)
-        self.assertEqual([], self.update)
+        self.assertEqual([], self.updates)
 
-    def test_one_that_refused_a_connection_and_answers_did_not_crash(self):
-        # It takes no more connections while its queue is long. The first run that
-        # it answers shows that it lives, and clears all who ran there.
+    def test_an_answer_after_a_refused_connection_retracts_the_crash(self):
+        # The backend server accepts no connections while its queue is long. The first
+        # run that it answers shows that it is running, and clears all requests that
+        # ran there.
         watch = CrashWatch(self.log, self.history, is_down=lambda address: True)
         self.watch = watch
         self.gate = self._make_gate()
@@ -225,8 +227,8 @@
         self.assertEqual((), self.history.export(time.monotonic()).crashes[0].runs)
 
     def test_an_answer_that_is_read_late_does_not_undo_a_crash(self):
-        # A request was answered just before another one crashed its backend server;
-        # on a busy VM its thread comes second.
+        # A request is answered just before another one crashes its backend server. On
+        # a busy VM the thread of the answered request may run last.
         first, second = self._begin(1, OTHER), self._begin(2)
         self._wait_running(2)
         server = self.servers.get("server")
@@ -244,23 +246,24 @@
         self.hold.set()
         first.result(), second.result()
 
-    def test_who_is_cut_by_a_backend_server_that_leaves_ran_into_no_crash(self):
-        # It said that it leaves and ended when its time was over, with long requests
-        # still running there. Each rolling replacement would count against them.
+    def test_a_run_cut_by_a_leaving_backend_server_is_no_crash(self):
+        # The backend server announces that it leaves, and ends after its timeout while
+        # long requests are still running. If that were a crash, each rolling
+        # replacement would count against these requests.
         running = self._begin(1)
         self._wait_running(1)
         self.servers.drain("server")
         self._crash()
         self.assertEqual(Reason.BROKEN_ANSWER, running.result().reason)
-        self.assertEqual([], self.update)
+        self.assertEqual([], self.updates)
 
-    def test_an_answer_clears_a_request_at_the_gate_that_saw_it(self):
+    def test_an_answer_clears_the_request_at_its_gate(self):
         self._earlier_crashes(2, OTHER)
         self.server.answer = lambda number: (length_answer(b"whole"), True)
         self.assertEqual(200, self._begin(1, OTHER).result().status)
         self.assertFalse(self.history.status(OTHER, time.monotonic()).is_suspect)
 
-    def test_nobody_listens_where_a_backend_server_ended(self):
+    def test_an_address_refuses_connections_after_its_listener_closed(self):
         with socket.create_server(("127.0.0.1", 0)) as listener:
             address = "{}:{}".format(*listener.getsockname())
             self.assertFalse(refuses_connections(address))
@@ -269,8 +272,8 @@
 
 class QuarantinedAtGateTests(CrashWatchCase):
     def test_copies_that_wait_for_a_slot_do_not_run_after_the_third_crash(self):
-        # Five repeats of a request wait at one gate when it crashes its third
-        # backend server. Each would crash that one again as soon as it is back.
+        # Five copies of a request wait at one gate when it crashes its third backend
+        # server. Each copy would crash that backend server again after its restart.
         self._announce("one slot", slots=1)
         self._earlier_crashes(2)
         first = self._begin(1)
@@ -288,17 +291,18 @@
             self.assertGreater(reply.retry_after_ms, 0)
         self.assertEqual(1, len(self.server.requests))
 
-    def test_a_gate_that_is_asked_declines_a_quarantined_request(self):
+    def test_a_preview_declines_a_quarantined_request(self):
         self._earlier_crashes(3)
         question = Question(
             1, SERVICE, "server", Execution.IDEMPOTENT, 5000.0, 1.0, content=CAUSE
         )
-        told = self.gate.preview(question, time.monotonic())
-        self.assertEqual(Reason.CRASHES_SERVERS, told.reason)
+        result = self.gate.preview(question, time.monotonic())
+        self.assertEqual(Reason.CRASHES_SERVERS, result.reason)
 
     def test_two_suspected_requests_do_not_run_together(self):
-        # Always lost together they could never be told apart: neither would be
-        # quarantined, and the one that is whole would never be answered.
+        # If both requests were lost in the same crashes, it would stay unknown which of
+        # them is the cause: neither would be quarantined, and the harmless one would
+        # never be answered.
         self._earlier_crashes(2)
         self._earlier_crashes(2, OTHER)
         first = self._begin(1)
@@ -311,8 +315,9 @@
         first.result()
 
     def test_a_suspected_request_leaves_half_of_the_repeats_to_others(self):
-        # Its repeats fail like its first run. Spent on it, the service's budget is
-        # gone when those that it took down with it ask for a repeat of theirs.
+        # The repeats of a suspected request fail like its first run. If they used up
+        # the retry budget of the service, requests that were lost in the same crash
+        # could not be repeated.
         self._earlier_crashes(2)
         error = b"HTTP/1.1 500 Broken\r\nContent-Length: 0\r\n\r\n"
         self.server.answer = lambda number: (error, True)
@@ -323,7 +328,7 @@
             self._begin(sequence, is_repeat=True, was_cut=True).result()
             for sequence in range(1, 6)
         ]
-        denied = [one for one in replies if one.reason is Reason.RETRY_BUDGET]
+        denied = [reply for reply in replies if reply.reason is Reason.RETRY_BUDGET]
         self.assertEqual(3, len(denied))
         other = self._begin(6, OTHER, is_repeat=True, was_cut=True).result()
         self.assertEqual(500, other.status)
@@ -363,6 +368,6 @@
         ]
         self.assertEqual(len(others), len({*others, self._content()}) - 1)
 
-    def test_bytes_that_move_from_one_part_to_the_next_make_another_one(self):
+    def test_the_same_bytes_split_otherwise_are_another_request(self):
         first = self._content(target="/a", body=b"bc")
         self.assertNotEqual(first, self._content(target="/ab", body=b"c"))
--- a/tests/test_drain.py
+++ b/tests/test_drain.py
@@ -25,12 +25,11 @@
         return server.state
 
     def test_a_drain_holds_through_a_pause_of_the_announcements(self):
-        """An operator drains a backend server, and its announcements pause.
+        """A drain is lost when the announcements of the backend server pause.
 
-        The node itself may have been frozen. It forgets the backend server,
-        or takes it for silent while it still has work; with the next
-        announcement of the same boot it got new work, and what the operator
-        shuts down next cut requests in flight.
+        The node itself may have been suspended. It removes the backend server, or marks
+        it as silent while requests run there. If the next announcement of the same boot
+        ended the drain, the operator's shutdown would cut requests in flight.
         """
         for in_flight in (0, 1):
             for server in self.servers.all():
--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -1,4 +1,4 @@
-"""Backend servers and nodes that leave, under load."""
+"""Backend servers and nodes that leave under load."""
 
 import http.client
 import signal
@@ -56,12 +56,12 @@
 
 
 class RollingRestartTests(TestCase):
-    # The caller sees a reset connection, or an answer that never comes.
-    # A node gets SIGTERM while requests come in on kept-alive connections,
-    # while others wait in the listener's backlog, and while peers have
-    # attempts at its gate. Closing the listener resets what waits in it; a
-    # closed idle connection crosses a request on its way; a reply that is
-    # still queued when the link closes is lost.
+    # A caller's connection is reset, or its answer never arrives, when a node stops.
+    # The node gets SIGTERM while requests arrive on kept-alive connections, connections
+    # wait in the listener's backlog, and attempts of peers run at its gate. Closing the
+    # listener resets the connections in its backlog, a request can be in transit when
+    # its idle connection is closed, and a reply that is still queued is lost when its
+    # link closes.
 
     def setUp(self):
         super().setUp()
@@ -108,7 +108,7 @@
             caller.stop()
         return [call for caller in self.callers for call in caller.calls]
 
-    def test_every_node_in_turn_is_replaced_and_no_request_is_cut(self):
+    def test_each_node_is_replaced_in_turn_and_no_request_is_cut(self):
         for number in range(3):
             time.sleep(0.5)
             self.nodes[number] = self._restart(self.nodes[number])
@@ -118,7 +118,7 @@
         faults = [fault for caller in self.callers for fault in caller.faults]
         self.assertEqual([], faults)
         self.assertGreater(len(calls), 300)
-        # 408 ends an idle connection that a request may have crossed.
+        # 408 ends an idle connection; a request may have been sent at the same time.
         others = [
             call
             for call in calls
@@ -129,10 +129,10 @@
         runs = Counter()
         for server in self.servers:
             runs.update(server.runs())
-        for made in calls:
-            expected = 1 if made.outcome == "answered" else 0
-            if made.method == "POST" or not expected:
-                self.assertEqual(expected, runs[made.run_key], made)
+        for sent in calls:
+            expected = 1 if sent.outcome == "answered" else 0
+            if sent.method == "POST" or not expected:
+                self.assertEqual(expected, runs[sent.run_key], sent)
 
     def test_the_whole_fleet_leaves_at_once_and_no_request_is_cut(self):
         time.sleep(0.5)
@@ -144,7 +144,7 @@
         faults = [fault for caller in self.callers for fault in caller.faults]
         self.assertEqual([], faults)
         self.assertEqual(
-            set(), {made.outcome for made in calls} - {"answered", "not_run"}
+            set(), {sent.outcome for sent in calls} - {"answered", "not_run"}
         )
         runs = Counter()
         for server in self.servers:
@@ -152,9 +152,9 @@
         self.assertEqual(
             [],
             [
-                made
-                for made in calls
-                if made.outcome == "not_run" and runs[made.run_key]
+                sent
+                for sent in calls
+                if sent.outcome == "not_run" and runs[sent.run_key]
             ],
         )
 
@@ -165,7 +165,7 @@
         gone = set(self.server_ids[:2])
         wait_until(
             lambda: not any(node.sees(name) for node in self.nodes for name in gone),
-            "the nodes forgot the backend servers that left",
+            "the nodes removed the backend servers that left",
         )
         calls = self._end_callers()
         faults = [fault for caller in self.callers for fault in caller.faults]
@@ -206,10 +206,10 @@
         ]
         return names.count("attempt_sent") - names.count("attempt_ended")
 
-    def test_requests_that_wait_for_a_slot_go_elsewhere_at_a_drain(self):
-        # Requests wait at one gate for the only slot, when the backend
-        # server announces that it leaves. Served there, they would hold its
-        # VM; refused to their callers, they would be lost for no reason.
+    def test_queued_requests_are_sent_elsewhere_at_a_drain(self):
+        # Requests wait at one gate for the only slot when its backend server is
+        # drained. If they still ran there, the VM could not be stopped. If they were
+        # refused, callers would get errors although another backend server is free.
         self._start(work_ms=400, slots=1)
         callers = [
             SteadyCaller(f"caller-{number}", [self.nodes[0].caller_address], "POST")
@@ -235,10 +235,10 @@
         self.assertIn("attempt_refused", after)
         self.assertEqual(0, after.count("attempt_dispatched"))
 
-    def test_a_frozen_backend_server_does_not_hold_the_shutdown(self):
-        # The backend server is frozen with a request in it that may take a
-        # minute. The node's shutdown waits for its bound, tells the caller
-        # that nobody knows whether the request ran, and ends.
+    def test_a_suspended_backend_server_does_not_delay_the_shutdown(self):
+        # The backend server is suspended with a running request that may take a minute.
+        # The shutdown of the node waits for its timeout, answers the caller that it is
+        # unknown whether the request ran, and ends.
         self._start(work_ms=100, slots=4)
         answers = []
         callers = [
@@ -251,7 +251,7 @@
         ]
         self.servers[1].kill()
         wait_until(
-            lambda: not self.nodes[1].sees("contract-1"), "contract-1 is forgotten"
+            lambda: not self.nodes[1].sees("contract-1"), "contract-1 is removed"
         )
         self.servers[0].signal(signal.SIGSTOP)
         self.addCleanup(self.servers[0].signal, signal.SIGCONT)
@@ -266,18 +266,18 @@
             caller.join()
         self.assertEqual(["unknown"] * 2, [answer.outcome for answer in answers])
 
-    def test_a_run_that_leaving_nodes_cut_is_told_from_cut_to_answer(self):
-        # The caller gets 'unknown' after two cuts. Its request runs at another
-        # node's backend server; that node is told to leave, and the ingress starts
-        # it at its own backend server beside that run. The first node cuts its run
-        # when its time is over; then the ingress is told to leave, and cuts its own.
-        ingress, gate = self._start_in_turn(["contract-1"])
+    def test_events_show_a_run_that_leaving_nodes_cut_up_to_its_answer(self):
+        # The caller gets 'unknown' after two cuts. Its request runs at another node's
+        # backend server when that node gets SIGTERM, so the ingress also starts it at
+        # its own backend server. The first node cuts its run after its shutdown
+        # timeout; then the ingress gets SIGTERM and cuts the other run.
+        ingress, gate = self._start_nodes(["contract-1"])
         with ThreadPoolExecutor(1) as executor:
             answer = executor.submit(
                 call, ingress.caller_address, "/long/1", timeout_s=50
             )
             self._wait_for_run(gate)
-            self._start_beside(ingress, "contract-0")
+            self._start_backend(ingress, "contract-0")
             self.assertEqual(0, gate.stop(timeout_s=20))
             self._wait_for_run(ingress)
             self.assertEqual(0, ingress.stop(timeout_s=20))
@@ -300,10 +300,10 @@
         times = [int(step[0]["hlc"]) for step in steps]
         self.assertEqual(sorted(times), times)
 
-    def test_a_run_that_a_leaving_ingress_gave_up_is_told_at_the_gate(self):
-        # The node that took the request leaves and gives up its wait for the
-        # reply; the gate stays, cuts the run for it, and says for whom.
-        ingress, gate = self._start_in_turn(["contract-1"])
+    def test_the_gate_logs_that_a_leaving_ingress_cut_a_run(self):
+        # The ingress leaves and stops waiting for the reply. The gate's node stays; it
+        # cuts the run and logs that the ingress is the reason.
+        ingress, gate = self._start_nodes(["contract-1"])
         with ThreadPoolExecutor(1) as executor:
             answer = executor.submit(
                 call, ingress.caller_address, "/long/1", timeout_s=50
@@ -317,28 +317,28 @@
         [unanswered] = self._events(ingress, "attempt_unanswered")
         self.assertEqual("this node is leaving", unanswered["cause"])
 
-    def _start_in_turn(self, server_ids: list[str]) -> list:
+    def _start_nodes(self, server_ids: list[str]) -> list:
         self.fleet.put_settings(LONG_SETTINGS)
         self.nodes = [
             self.fleet.start_node(f"node-{number}", "zone-0", shutdown_timeout_s=3.0)
             for number in range(2)
         ]
         for server_id in server_ids:
-            self._start_beside(self.nodes[1], server_id)
+            self._start_backend(self.nodes[1], server_id)
         return self.nodes
 
-    def _start_beside(self, node, server_id: str) -> None:
+    def _start_backend(self, node, server_id: str) -> None:
         self.fleet.start_backend(server_id, "crew/contracts", node, work_ms=LONG_MS)
         self.fleet.wait_ready(self.nodes, [server_id], revision=4)
 
     def _events(self, node, name: str) -> list[dict[str, str]]:
-        return [one for one in read_events(node.log_path) if one["event"] == name]
+        return [event for event in read_events(node.log_path) if event["event"] == name]
 
     def _wait_for_run(self, node) -> None:
-        wait_until(lambda: self._events(node, "attempt_dispatched"), "it runs")
+        wait_until(lambda: self._events(node, "attempt_dispatched"), "the request runs")
 
     def _check_leaving(self, node, callers: str) -> None:
-        """Check that a node said what was at stake, and named what it cut."""
+        """Check that a leaving node logged its open requests and what it cut."""
         [leaving] = self._events(node, "node_leaving")
         self.assertEqual(
             ("3000", "1", "0", callers),
@@ -353,10 +353,10 @@
         [dispatched] = self._events(node, "attempt_dispatched")
         self.assertEqual(dispatched["request"], cut["request"])
 
-    def test_an_idle_connection_ends_with_an_answer_and_does_not_hold_the_node(self):
-        # The caller keeps a connection open and sends nothing. It must learn
-        # that a request which crosses the end of the connection was not run,
-        # and the node must not wait for the idle timeout of a minute.
+    def test_an_idle_connection_ends_with_408_and_does_not_delay_the_shutdown(self):
+        # The caller keeps a connection open and sends nothing. It must learn that a
+        # request sent just before the connection ended was not run, and the node must
+        # not wait for the idle timeout of one minute.
         self._start(work_ms=0, slots=4)
         host, _, port = self.nodes[0].caller_address.partition(":")
         caller = http.client.HTTPConnection(host, int(port), timeout=20)
--- a/tests/test_leaving_in_doubt.py
+++ b/tests/test_leaving_in_doubt.py
@@ -1,4 +1,4 @@
-"""Requests whose outcome is in doubt while the nodes that hold them leave."""
+"""Requests whose outcome may become unknown because their nodes leave."""
 
 import signal
 import threading
@@ -12,10 +12,10 @@
 
 SERVICE = "crew/contracts"
 SHUTDOWN_TIMEOUT_S = 3.0
-# Callers that send all the time; two slots serve a sixth of them at once.
+# Callers that send continuously; two slots serve a sixth of them at once.
 OTHERS = 12
-# As the platform's configuration is translated, with times that let each test
-# choose what happens first; nothing under `slow_ms_min` counts as sick.
+# As translated from the platform's configuration, with timeouts that let each test
+# control the order of events. Answers within `slow_ms_min` never count as slow.
 SETTINGS = {
     "crew/services/contracts": {
         "detection": {
@@ -64,7 +64,7 @@
 
 
 class Caller(threading.Thread):
-    """Sends one request and keeps its answer."""
+    """Sends one request and stores its answer."""
 
     def __init__(self, node: NodeProgram, run_key: str, target: str, method="GET"):
         super().__init__(name=run_key, daemon=True)
@@ -84,7 +84,7 @@
 
 
 def events_at(node: NodeProgram, name: str) -> list[dict[str, str]]:
-    """Return the events of one name that a node has written so far."""
+    """Return the events of one name in the log of a node so far."""
     return [event for event in read_events(node.log_path) if event["event"] == name]
 
 
@@ -92,8 +92,8 @@
     def setUp(self):
         super().setUp()
         self.fleet = start_fleet(self, SETTINGS)
-        # The ingress has no backend server of the service, so that all its
-        # requests go to other nodes; what is near goes first.
+        # The ingress has no backend server of its own, so all its requests are sent to
+        # other nodes, and first to the one in its availability zone.
         self.ingress = self._start_node("ingress", "zone-0")
         self.near = self._start_node("near", "zone-0")
 
@@ -101,16 +101,16 @@
         node = self.fleet.start_node(
             name, zone, shutdown_timeout_s=SHUTDOWN_TIMEOUT_S, ready_notice_s=0.5
         )
-        # Shown when the test fails.
+        # Attach the log to the report of a failed test.
         self.addCleanup(
             lambda: self.addDetail(name, text_content(node.log_path.read_text()))
         )
         return node
 
-    def _started_at_near(self, count: int) -> None:
+    def _wait_for_runs_at_near(self, count: int) -> None:
         wait_until(
             lambda: len(events_at(self.near, "attempt_dispatched")) >= count,
-            f"{count} runs began at the near gate",
+            f"{count} runs started at the near gate",
         )
 
     def _queued_elsewhere(self) -> int:
@@ -118,13 +118,11 @@
         return sum(event["sought"] == "queue" for event in sent)
 
     def test_a_read_cut_by_one_restart_is_answered_before_the_next(self):
-        # The caller of a read that may be repeated is told that nobody knows
-        # whether it ran, although another backend server was free all the time.
-        # The gate beside the run is told to leave and cuts it when its time is
-        # over; only then does the ingress look for another place. Meanwhile it
-        # was told to leave itself, and its time ends before the repeat does.
-        # 11 of 11 runs: 504, unknown; the second attempt was sent at the cut,
-        # three seconds after the ingress had learned that the gate was leaving.
+        # A caller gets 504 and 'unknown' for a repeatable read although another backend
+        # server is free all the time. The gate that runs the read gets SIGTERM and cuts
+        # it after its shutdown timeout. An ingress that sends the second attempt only
+        # then, and not when it learns that the gate is leaving, may be leaving as well
+        # by then, and it ends before the second attempt does.
         far = self._start_node("far", "zone-1")
         self.fleet.start_backend("contract-near", SERVICE, self.near, work_ms=15000)
         server = self.fleet.start_backend("contract-far", SERVICE, far, work_ms=2500)
@@ -132,7 +130,7 @@
             [self.ingress, self.near, far], ["contract-near", "contract-far"]
         )
         caller = Caller(self.ingress, "read", "/contracts/1")
-        self._started_at_near(1)
+        self._wait_for_runs_at_near(1)
         time.sleep(0.6)
         self.near.signal(signal.SIGTERM)
         time.sleep(1.5)
@@ -146,25 +144,24 @@
         self.assertEqual({"read": 1}, server.runs())
         self.assertEqual(0, self.ingress.process.wait(10))
 
-    def test_what_waits_elsewhere_does_not_start_as_its_ingress_ends(self):
-        # The callers of two requests that must not run twice are told that nobody
-        # knows whether they ran. They waited for the only slot at another node's
-        # gate while their ingress was told to leave. The slot became free half a
-        # second before the ingress's time was over, too late for work of one and a
-        # half: one request was started, and its ingress gave it up. The other one
-        # never ran; its ingress told its caller before the gate had said so.
-        # 11 of 11 runs: 504, unknown, for both.
+    def test_requests_queued_elsewhere_do_not_start_as_their_ingress_ends(self):
+        # The callers of two requests that must not run twice get 504 and 'unknown'. The
+        # requests wait for the only slot at another node's gate when their ingress gets
+        # SIGTERM. The slot becomes free half a second before the ingress ends, too late
+        # for a run of 1.5 seconds. If the gate starts one of the requests then, its
+        # ingress gives it up. The other one never runs, but its ingress must not answer
+        # its caller before the gate has replied that it did not run.
         slow_s, work_s = 2.0, 1.5
         server = self.fleet.start_backend(
             "contract-near", SERVICE, self.near, work_ms=work_s * 1000, slots=1
         )
         self.fleet.wait_ready([self.ingress, self.near], ["contract-near"])
-        # The gate learns how long the route's work takes.
+        # Lets the gate measure the run time of the route.
         first = Caller(self.near, "first", "/signatures/1", "POST").answer()
         self.assertEqual(200, first.status)
         server.set_fault(mode="slow", delay_s=slow_s)
         long = Caller(self.near, "long", "/signatures/2", "POST")
-        self._started_at_near(2)
+        self._wait_for_runs_at_near(2)
         ends_s = time.monotonic() + work_s + slow_s
         server.set_fault(mode="slow", delay_s=slow_s, share=0)
         waiting = [
@@ -176,7 +173,7 @@
         self.ingress.signal(signal.SIGTERM)
         answers = [caller.answer() for caller in waiting]
         self.assertEqual(200, long.answer().status)
-        # Whatever still waited goes before it.
+        # If a request were still queued, it would run before this one.
         last = Caller(self.near, "last", "/signatures/4", "POST").answer()
         self.assertEqual(200, last.status)
         self.assertEqual(
@@ -186,15 +183,13 @@
         self.assertEqual({"first": 1, "long": 1, "last": 1}, server.runs())
         self.assertEqual(0, self.ingress.process.wait(10))
 
-    def test_a_read_that_was_cut_is_answered_beside_steady_load(self):
-        # The caller of a read that may be repeated is told at the cut that nobody
-        # knows whether it ran, with more than half of its time left. A second
-        # attempt went beside the silent run before; the only other gate had a queue
-        # and refused it. It counts as tried since, and is not asked after the cut.
-        # Asked, it would let newer requests go first, as this one is late already.
-        # 11 of 11 runs: 502, unknown. Asked after the cut (3 trials): it waited in
-        # vain for longer than it may, and 502 again; answered (3 trials) where late
-        # requests kept their place, too.
+    def test_a_read_that_was_cut_is_answered_under_steady_load(self):
+        # A caller gets 502 and 'unknown' for a repeatable read that is cut, with more
+        # than half of its timeout left. A second attempt was sent while the run was
+        # silent, and the only other gate refused it because of its queue. Since then
+        # that gate counts as tried, so the ingress does not send to it after the cut.
+        # Sending to it again is not enough: the read is late by then, and if the gate
+        # served newer requests first, the read would wait for longer than it may.
         far = self._start_node("far", "zone-1")
         self.fleet.start_backend(
             "contract-near", SERVICE, self.near, work_ms=15000, slots=1
@@ -204,7 +199,7 @@
             [self.ingress, self.near, far], ["contract-near", "contract-far"]
         )
         caller = Caller(self.ingress, "read", "/contracts/search/1")
-        self._started_at_near(1)
+        self._wait_for_runs_at_near(1)
         others = [
             SteadyCaller(
                 f"other-{number}", [far.caller_address], target="/contracts/search"
@@ -214,7 +209,7 @@
         for other in others:
             other.start()
             self.addCleanup(other.stop)
-        # Else each would wait for its last answer.
+        # Ends the callers' pending requests; otherwise each would wait for its answer.
         self.addCleanup(far.kill)
         wait_until(
             lambda: sum(other.outcomes()["answered"] for other in others) >= 4,
