--- a/balsamspindle/backend_servers/admission.py
+++ b/balsamspindle/backend_servers/admission.py
@@ -164,7 +164,7 @@
         """Return until when an attempt may start to finish before its ingress ends."""
         server = self._servers.get(dispatch.backend_server_id)
         kind = WorkKind(dispatch.weight, dispatch.route_id)
-        return token.ends_s - LAST_START_FACTOR * _expected_run_s(server, kind)
+        return token.ingress_ends_s - LAST_START_FACTOR * _expected_run_s(server, kind)
 
     def _recheck_wait_s(
         self, ticket: Ticket, latest_start_s: float, now_s: float
--- a/balsamspindle/backend_servers/attempts.py
+++ b/balsamspindle/backend_servers/attempts.py
@@ -7,15 +7,21 @@
 from balsamspindle.protocol.outcomes import CancelCause, Reason
 from balsamspindle.wire import AttemptId
 
-__all__ = ["ATTEMPTS_MAX", "BEGIN_REASONS", "MEMORY_S", "AttemptTable", "Begin"]
+__all__ = [
+    "ATTEMPTS_MAX",
+    "REFUSAL_REASONS",
+    "ATTEMPT_RETENTION_S",
+    "AttemptTable",
+    "BeginResult",
+]
 
 ATTEMPTS_MAX = 100_000
 # How long an attempt is remembered after its deadline. A message that arrives later
 # is refused because of its deadline, and its ingress no longer waits for a reply.
-MEMORY_S = 5.0
+ATTEMPT_RETENTION_S = 5.0
 
 
-class Begin(Enum):
+class BeginResult(Enum):
     """Whether an attempt that arrived may run, and if not, why."""
 
     NEW = auto()
@@ -25,9 +31,9 @@
 
 
 # Reasons for which attempts are refused; duplicates get no reply.
-BEGIN_REASONS = {
-    Begin.CANCELLED: Reason.CANCELLED,
-    Begin.NO_ROOM: Reason.NO_FREE_SLOT,
+REFUSAL_REASONS = {
+    BeginResult.CANCELLED: Reason.CANCELLED,
+    BeginResult.NO_ROOM: Reason.NO_FREE_SLOT,
 }
 
 
@@ -46,7 +52,7 @@
 
     def begin(
         self, attempt_id: AttemptId, token: CancelToken, deadline_s: float, now_s: float
-    ) -> Begin:
+    ) -> BeginResult:
         """Register an attempt when its message arrives; only the first may run.
 
         Parameters
@@ -58,14 +64,14 @@
         """
         self._expire(now_s)
         if attempt_id in self._begun:
-            return Begin.DUPLICATE
+            return BeginResult.DUPLICATE
         if attempt_id in self._tokens:
-            return Begin.CANCELLED
+            return BeginResult.CANCELLED
         if len(self._tokens) >= ATTEMPTS_MAX:
-            return Begin.NO_ROOM
+            return BeginResult.NO_ROOM
         self._begun.add(attempt_id)
         self._add(attempt_id, token, deadline_s)
-        return Begin.NEW
+        return BeginResult.NEW
 
     def cancel(
         self,
@@ -84,7 +90,7 @@
             # for it. That is safe: its ingress answered 'unknown' before it cancelled.
             self._add(attempt_id, CancelToken(), deadline_s)
 
-    def end_by(self, attempt_id: AttemptId, ends_s: float) -> bool:
+    def set_ingress_end(self, attempt_id: AttemptId, ends_s: float) -> bool:
         """Record when the ingress of an attempt ends.
 
         Returns
@@ -94,7 +100,7 @@
         """
         token = self._tokens.get(attempt_id)
         if token is not None:
-            token.end_by(ends_s)
+            token.set_ingress_end(ends_s)
         return token is not None
 
     def cancel_all(self, cause: CancelCause) -> None:
@@ -104,7 +110,7 @@
 
     def _add(self, attempt_id, token, deadline_s) -> None:
         self._tokens[attempt_id] = token
-        heapq.heappush(self._expiries, (deadline_s + MEMORY_S, attempt_id))
+        heapq.heappush(self._expiries, (deadline_s + ATTEMPT_RETENTION_S, attempt_id))
 
     def _expire(self, now_s: float) -> None:
         while self._expiries and self._expiries[0][0] <= now_s:
--- a/balsamspindle/backend_servers/cancellation.py
+++ b/balsamspindle/backend_servers/cancellation.py
@@ -25,7 +25,7 @@
     def __init__(self) -> None:
         self._lock = threading.Lock()
         self.cause: CancelCause | None = None
-        self._ends_s = math.inf
+        self._ingress_ends_s = math.inf
         self._socket: socket.socket | None = None
 
     @property
@@ -34,13 +34,13 @@
         return self.cause is not None
 
     @property
-    def ends_s(self) -> float:
+    def ingress_ends_s(self) -> float:
         """When the ingress of the call ends; infinity while it is not leaving."""
-        return self._ends_s
+        return self._ingress_ends_s
 
-    def end_by(self, ends_s: float) -> None:
+    def set_ingress_end(self, ends_s: float) -> None:
         """Record when the ingress of the call ends."""
-        self._ends_s = ends_s
+        self._ingress_ends_s = ends_s
 
     def cancel(self, cause: CancelCause) -> None:
         """End the call now, or as soon as it opens or reuses a connection."""
--- a/balsamspindle/backend_servers/crash_watch.py
+++ b/balsamspindle/backend_servers/crash_watch.py
@@ -104,7 +104,7 @@
         self._lock = threading.Lock()
         self._starts: OrderedDict[tuple[str, int], _Start] = OrderedDict()
 
-    def started(
+    def record_start(
         self,
         server: LocalBackendServer,
         attempt_id: AttemptId,
@@ -116,7 +116,7 @@
             start = self._start_of(_key(server))
             start.running[attempt_id] = _Run(content, now_s)
 
-    def ended(
+    def record_end(
         self,
         server: LocalBackendServer,
         attempt_id: AttemptId,
@@ -142,7 +142,7 @@
             self._on_update(self._history.record_answer(run.content, now_s), now_s)
         return end.is_broken and self._has_ended(server, start, now_s)
 
-    def replaced(self, server: LocalBackendServer, now_s: float) -> None:
+    def record_replacement(self, server: LocalBackendServer, now_s: float) -> None:
         """Record a crash if another backend server has this one's address now.
 
         Call it only if this one was not draining. A backend server that is replaced at
@@ -168,7 +168,7 @@
         with start.probe_lock:
             if start.has_ended:
                 return True
-            if not (server.has_ended or server.is_replaced):
+            if not (server.has_restarted or server.is_replaced):
                 if server.state is BackendServerState.DRAINING:
                     # It had announced its end, so this is no crash.
                     return False
--- a/balsamspindle/backend_servers/dispatches.py
+++ b/balsamspindle/backend_servers/dispatches.py
@@ -10,8 +10,8 @@
     "attempt_deadline_s",
     "ingress_ends_s",
     "is_keyed",
-    "told_headers",
-    "unseen_outcome",
+    "backend_server_headers",
+    "unchecked_key_outcome",
 ]
 
 
@@ -38,7 +38,7 @@
     )
 
 
-def unseen_outcome(dispatch: Dispatch) -> Outcome:
+def unchecked_key_outcome(dispatch: Dispatch) -> Outcome:
     """Return the outcome of an attempt that is refused before its key is checked.
 
     For a keyed attempt it is unknown, as an earlier attempt of the key may have run.
@@ -46,7 +46,9 @@
     return Outcome.UNKNOWN if is_keyed(dispatch) else Outcome.NOT_RUN
 
 
-def told_headers(dispatch: Dispatch, names: HeaderNames) -> list[tuple[str, str]]:
+def backend_server_headers(
+    dispatch: Dispatch, names: HeaderNames
+) -> list[tuple[str, str]]:
     """Return the request's headers, with those that the gate adds."""
     added = (
         (names.expected_backend_server, dispatch.backend_server_id),
--- a/balsamspindle/backend_servers/gate.py
+++ b/balsamspindle/backend_servers/gate.py
@@ -13,7 +13,11 @@
 import msgspec
 
 from balsamspindle.backend_servers.admission import Admission, Admitted, Refused
-from balsamspindle.backend_servers.attempts import BEGIN_REASONS, AttemptTable, Begin
+from balsamspindle.backend_servers.attempts import (
+    REFUSAL_REASONS,
+    AttemptTable,
+    BeginResult,
+)
 from balsamspindle.backend_servers.cancellation import CancelToken
 from balsamspindle.backend_servers.client import (
     BackendServerClient,
@@ -23,7 +27,7 @@
     attempt_deadline_s,
     ingress_ends_s,
     is_keyed,
-    unseen_outcome,
+    unchecked_key_outcome,
 )
 from balsamspindle.backend_servers.evidence import (
     HealthObserver,
@@ -31,7 +35,7 @@
 )
 from balsamspindle.backend_servers.failed_calls import FailedCalls
 from balsamspindle.backend_servers.ledger import (
-    Earlier,
+    EarlierAnswer,
     HeldKey,
     KeyRefused,
     RunLedger,
@@ -141,9 +145,11 @@
         begin = self._begin(
             dispatch, CancelToken(), attempt_deadline_s(dispatch, received_s)
         )
-        if begin is Begin.DUPLICATE:
+        if begin is BeginResult.DUPLICATE:
             return None
-        return self._refuse(dispatch, Reason.NO_FREE_SLOT, unseen_outcome(dispatch))
+        return self._refuse(
+            dispatch, Reason.NO_FREE_SLOT, unchecked_key_outcome(dispatch)
+        )
 
     def begin_claim_era(
         self, version_min: int, after_s: float, now_s: float
@@ -180,7 +186,7 @@
     def set_ingress_end(self, attempt_id: AttemptId, ends_s: float) -> bool:
         """Record when the ingress of an attempt ends; False if it is unknown."""
         with self._servers.changed:
-            is_known = self._attempts.end_by(attempt_id, ends_s)
+            is_known = self._attempts.set_ingress_end(attempt_id, ends_s)
             self._servers.changed.notify_all()
         return is_known
 
@@ -203,14 +209,14 @@
             contradict the first.
         """
         token = CancelToken()
-        token.end_by(ingress_ends_s(dispatch, received_s))
+        token.set_ingress_end(ingress_ends_s(dispatch, received_s))
         deadline_s = attempt_deadline_s(dispatch, received_s)
         begin = self._begin(dispatch, token, deadline_s)
-        if begin is Begin.DUPLICATE:
+        if begin is BeginResult.DUPLICATE:
             return None
-        if begin is not Begin.NEW:
+        if begin is not BeginResult.NEW:
             return self._refuse(
-                dispatch, BEGIN_REASONS[begin], unseen_outcome(dispatch)
+                dispatch, REFUSAL_REASONS[begin], unchecked_key_outcome(dispatch)
             )
         if not is_keyed(dispatch):
             return self._handle_new(dispatch, token, deadline_s)
@@ -233,12 +239,12 @@
                 return msgspec.structs.replace(told, reason=reason, wait_ms=wait_ms)
         return told
 
-    def _begin(self, dispatch, token, deadline_s) -> Begin:
+    def _begin(self, dispatch, token, deadline_s) -> BeginResult:
         with self._servers.changed:
             begin = self._attempts.begin(
                 dispatch.attempt_id, token, deadline_s, time.monotonic()
             )
-        if begin is Begin.DUPLICATE:
+        if begin is BeginResult.DUPLICATE:
             self._events.emit(
                 "attempt_dropped",
                 request=dispatch.request_id,
@@ -251,7 +257,7 @@
         match self._ledger.begin(dispatch, time.monotonic()):
             case KeyRefused(outcome, reason):
                 return self._refuse(dispatch, reason, outcome)
-            case Earlier(reply):
+            case EarlierAnswer(reply):
                 self._events.emit("answer_repeated", request=dispatch.request_id)
                 return msgspec.structs.replace(reply, attempt_id=dispatch.attempt_id)
         # If an exception is raised below, this reply keeps the key claimed.
--- a/balsamspindle/backend_servers/ledger.py
+++ b/balsamspindle/backend_servers/ledger.py
@@ -9,10 +9,10 @@
 from balsamspindle.protocol.outcomes import Outcome, Reason
 from balsamspindle.wire import Dispatch, Reply
 
-__all__ = ["KEY_MEMORY_S", "Earlier", "HeldKey", "KeyRefused", "RunLedger"]
+__all__ = ["KEY_RETENTION_S", "EarlierAnswer", "HeldKey", "KeyRefused", "RunLedger"]
 
 # How long a key is remembered after its request ended.
-KEY_MEMORY_S = 1800.0
+KEY_RETENTION_S = 1800.0
 # Enough for 28 keyed requests a second at each gate with that retention time.
 KEYS_MAX = 50_000
 ANSWERS_MAX_BYTES = 16 * 1024 * 1024
@@ -29,7 +29,7 @@
 
 
 @dataclass(frozen=True)
-class Earlier:
+class EarlierAnswer:
     """The answer of the key's first attempt, to be sent again."""
 
     reply: Reply
@@ -64,9 +64,9 @@
     """Records which keys ran at this gate, and their answers.
 
     A key's claim names the only gate, and the incarnation of that gate, that may run
-    it. If the claim is younger than `KEY_MEMORY_S` and the ledger has no entry for the
-    key, the key never ran: its entry would still be there. If the claim is older, the
-    key may have run, and the outcome is `unknown`.
+    it. If the claim is younger than `KEY_RETENTION_S` and the ledger has no entry for
+    the key, the key never ran: its entry would still be there. If the claim is older,
+    the key may have run, and the outcome is `unknown`.
 
     Parameters
     ----------
@@ -91,7 +91,9 @@
         # an entry.
         self._expiries: list[tuple[float, Key, int]] = []
 
-    def begin(self, dispatch: Dispatch, now_s: float) -> KeyRefused | Earlier | None:
+    def begin(
+        self, dispatch: Dispatch, now_s: float
+    ) -> KeyRefused | EarlierAnswer | None:
         """Register a key for an attempt; None if the attempt may run."""
         key = _key(dispatch)
         with self._lock:
@@ -143,7 +145,7 @@
 
     def _check(
         self, key: Key, dispatch: Dispatch, now_s: float
-    ) -> KeyRefused | Earlier | None:
+    ) -> KeyRefused | EarlierAnswer | None:
         entry = self._entries.get(key)
         if entry is not None:
             return _check_known(entry, _fingerprint(dispatch))
@@ -152,7 +154,7 @@
             # The claim belongs to another gate, or to an earlier incarnation of this
             # gate: the key may have run there.
             return KeyRefused(Outcome.UNKNOWN, Reason.DUPLICATE)
-        if now_s - claim.gate_time_s >= KEY_MEMORY_S:
+        if now_s - claim.gate_time_s >= KEY_RETENTION_S:
             return KeyRefused(Outcome.UNKNOWN, Reason.DUPLICATE)
         if claim.version < self._version_min:
             return KeyRefused(Outcome.NOT_RUN, Reason.CLAIM_MOVED)
@@ -175,7 +177,7 @@
             self._entries[oldest].reply = None
 
     def _expire_later(self, key: Key, version: int, now_s: float) -> None:
-        heapq.heappush(self._expiries, (now_s + KEY_MEMORY_S, key, version))
+        heapq.heappush(self._expiries, (now_s + KEY_RETENTION_S, key, version))
 
     def _expire(self, now_s: float) -> None:
         while self._expiries and self._expiries[0][0] <= now_s:
@@ -187,12 +189,12 @@
                 del self._released_versions[key]
 
 
-def _check_known(entry: _Entry, fingerprint) -> KeyRefused | Earlier:
+def _check_known(entry: _Entry, fingerprint) -> KeyRefused | EarlierAnswer:
     if entry.fingerprint != fingerprint:
         return KeyRefused(Outcome.NOT_RUN, Reason.KEY_REUSED)
     if entry.reply is None:
         return KeyRefused(Outcome.UNKNOWN, Reason.DUPLICATE)
-    return Earlier(entry.reply)
+    return EarlierAnswer(entry.reply)
 
 
 def _key(dispatch: Dispatch) -> Key:
--- a/balsamspindle/backend_servers/lifetimes.py
+++ b/balsamspindle/backend_servers/lifetimes.py
@@ -15,7 +15,7 @@
 from balsamspindle.backend_servers.servers import Announcement, LocalBackendServers
 from balsamspindle.timeline import EventLog
 
-__all__ = ["Condition", "Lifetimes"]
+__all__ = ["AnnouncedStatus", "Lifetimes"]
 
 # Starts that are remembered; enough, as a node has one backend server at a time.
 LIFETIMES_MAX = 1000
@@ -26,7 +26,7 @@
 _EARLIER_START = "the backend server has started again since"
 
 
-class Condition(NamedTuple):
+class AnnouncedStatus(NamedTuple):
     """The present state that a backend server reports.
 
     Attributes
@@ -35,21 +35,21 @@
         Rises with each announcement, and restarts with each start.
     cold_s : float
         How long the backend server will still be slow because of its start.
-    born_ms : int
+    start_unix_ms : int
         Unix time of its start by its own clock, in milliseconds; 0 if not reported.
     """
 
     sequence: int
     is_draining: bool = False
     cold_s: float = 0.0
-    born_ms: int = 0
+    start_unix_ms: int = 0
 
 
 @dataclass
 class _Lifetime:
     """The last reported state of one start of a backend server."""
 
-    born_ms: int
+    start_unix_ms: int
     sequence: int
     announced_s: float
     has_left: bool = False
@@ -81,58 +81,60 @@
         self,
         server_id: str,
         announcement: Announcement,
-        condition: Condition,
+        status: AnnouncedStatus,
         now_s: float,
     ) -> None:
         """Apply an announcement unless it is late; replaces its `boot_id`."""
         with self._lock:
-            cause = self._ignore_cause(server_id, announcement, condition, now_s)
+            cause = self._ignore_cause(server_id, announcement, status, now_s)
             if cause is not None:
                 self._emit("announcement_ignored", server_id, cause)
                 return
-            self._apply(server_id, announcement, condition, now_s)
+            self._apply(server_id, announcement, status, now_s)
 
-    def leave(self, server_id: str, cause: str | None = None, born_ms: int = 0) -> None:
+    def record_leave(
+        self, server_id: str, cause: str | None = None, start_unix_ms: int = 0
+    ) -> None:
         """Record that a start is leaving; later announcements of it are ignored.
 
         Parameters
         ----------
-        born_ms : int
+        start_unix_ms : int
             Identifies the start; 0 for the latest one known.
         """
         with self._lock:
             lifetime = self._lifetimes.get(server_id)
-            if lifetime is None or lifetime.born_ms < born_ms:
-                lifetime = self._add(server_id, _Lifetime(born_ms, 0, 0.0))
-            elif born_ms and born_ms < lifetime.born_ms:
+            if lifetime is None or lifetime.start_unix_ms < start_unix_ms:
+                lifetime = self._add(server_id, _Lifetime(start_unix_ms, 0, 0.0))
+            elif start_unix_ms and start_unix_ms < lifetime.start_unix_ms:
                 self._emit("announcement_ignored", server_id, _EARLIER_START)
                 return
             lifetime.has_left = True
             self._servers.drain(server_id)
             self._emit("backend_server_leaving", server_id, cause)
 
-    def misdirected(self, server_id: str) -> None:
+    def record_misdirected(self, server_id: str) -> None:
         """Record that a request reached another backend server at this address."""
-        self.leave(server_id, "another backend server has its address")
+        self.record_leave(server_id, "another backend server has its address")
 
     def _ignore_cause(
         self,
         server_id: str,
         announcement: Announcement,
-        condition: Condition,
+        status: AnnouncedStatus,
         now_s: float,
     ) -> str | None:
         """Return why an announcement is to be ignored, None if it counts."""
         lifetime = self._lifetimes.get(server_id)
         if lifetime is None:
             return None
-        if condition.born_ms < lifetime.born_ms:
+        if status.start_unix_ms < lifetime.start_unix_ms:
             return _EARLIER_START if lifetime.outranks_earlier(now_s) else None
-        if condition.born_ms > lifetime.born_ms:
+        if status.start_unix_ms > lifetime.start_unix_ms:
             return None
         if lifetime.has_left:
             return "the backend server has left"
-        if condition.sequence <= lifetime.sequence:
+        if status.sequence <= lifetime.sequence:
             return "a later announcement arrived first"
         holder = self._lifetimes.get(
             self._address_holders.get(announcement.address, "")
@@ -147,32 +149,30 @@
         self,
         server_id: str,
         announcement: Announcement,
-        condition: Condition,
+        status: AnnouncedStatus,
         now_s: float,
     ) -> None:
         replaced = self._address_holders.get(announcement.address)
         if replaced not in (None, server_id):
-            self._servers.replace(replaced, now_s)
+            self._servers.mark_replaced(replaced, now_s)
             self._emit("backend_server_replaced", replaced, f"by {server_id}")
         lifetime = self._lifetimes.get(server_id)
-        if lifetime is None or lifetime.born_ms != condition.born_ms:
+        if lifetime is None or lifetime.start_unix_ms != status.start_unix_ms:
             lifetime = self._add(
-                server_id, _Lifetime(condition.born_ms, condition.sequence, now_s)
+                server_id, _Lifetime(status.start_unix_ms, status.sequence, now_s)
             )
         self._address_holders[announcement.address] = server_id
-        lifetime.sequence, lifetime.announced_s = condition.sequence, now_s
+        lifetime.sequence, lifetime.announced_s = status.sequence, now_s
         if replaced not in (None, server_id) and not lifetime.is_draining:
             # A late announcement of the other one may have drained this one before.
             self._servers.undrain(server_id)
         announcement = msgspec.structs.replace(
-            announcement, boot_id=_boot_id(server_id, condition.born_ms)
-        )
-        is_new = self._servers.announce(
-            server_id, announcement, now_s, condition.cold_s
+            announcement, boot_id=_boot_id(server_id, status.start_unix_ms)
         )
+        is_new = self._servers.announce(server_id, announcement, now_s, status.cold_s)
         if is_new:
             self._emit("backend_server_announced", server_id, announcement.service)
-        if condition.is_draining and not lifetime.is_draining:
+        if status.is_draining and not lifetime.is_draining:
             lifetime.is_draining = True
             self._servers.drain(server_id)
             self._emit("backend_server_draining", server_id)
@@ -188,5 +188,5 @@
         self._events.emit(event, backend_server=server_id, cause=cause)
 
 
-def _boot_id(server_id: str, born_ms: int) -> str:
-    return f"{server_id}@{born_ms}" if born_ms else server_id
+def _boot_id(server_id: str, start_unix_ms: int) -> str:
+    return f"{server_id}@{start_unix_ms}" if start_unix_ms else server_id
--- a/balsamspindle/backend_servers/link_server.py
+++ b/balsamspindle/backend_servers/link_server.py
@@ -9,7 +9,7 @@
 import msgspec
 import zmq
 
-from balsamspindle.backend_servers.attempts import MEMORY_S
+from balsamspindle.backend_servers.attempts import ATTEMPT_RETENTION_S
 from balsamspindle.backend_servers.gate import Gate
 from balsamspindle.timeline import EventLog
 from balsamspindle.wire import (
@@ -158,7 +158,7 @@
         ends.
         """
         for attempt_id, ends_s in list(self._ends_s.items()):
-            is_over = now_s >= ends_s + MEMORY_S
+            is_over = now_s >= ends_s + ATTEMPT_RETENTION_S
             if self._gate.set_ingress_end(attempt_id, ends_s) or is_over:
                 del self._ends_s[attempt_id]
 
--- a/balsamspindle/backend_servers/refusals.py
+++ b/balsamspindle/backend_servers/refusals.py
@@ -45,17 +45,17 @@
 
 
 def classify_result(
-    result: BackendAnswer | BackendFailure, has_ended: bool, names: HeaderNames
+    result: BackendAnswer | BackendFailure, has_restarted: bool, names: HeaderNames
 ) -> BackendAnswer | BackendFailure:
     """Return a call's result, with a refusal replaced by the failure that it means.
 
     Parameters
     ----------
-    has_ended : bool
+    has_restarted : bool
         The backend server was restarted after the call began.
     """
     match result:
-        case BackendFailure(Reason.CANCELLED) if has_ended:
+        case BackendFailure(Reason.CANCELLED) if has_restarted:
             return result._replace(
                 reason=Reason.BROKEN_ANSWER,
                 message="the backend server was restarted during the call",
--- a/balsamspindle/backend_servers/runner.py
+++ b/balsamspindle/backend_servers/runner.py
@@ -15,7 +15,7 @@
     BackendServerClient,
 )
 from balsamspindle.backend_servers.crash_watch import CrashWatch
-from balsamspindle.backend_servers.dispatches import told_headers
+from balsamspindle.backend_servers.dispatches import backend_server_headers
 from balsamspindle.backend_servers.evidence import HealthObserver, WorkResult
 from balsamspindle.backend_servers.failed_calls import FailedCalls
 from balsamspindle.backend_servers.refusals import classify_result, is_misdirected
@@ -79,7 +79,7 @@
         server_id, attempt_id = server.backend_server_id, dispatch.attempt_id
         self._observer.record_peer_evidence(server_id, dispatch.peers, time.monotonic())
         self._observer.record_start(server_id, attempt_id, time.monotonic())
-        self._crash_watch.started(
+        self._crash_watch.record_start(
             server, attempt_id, dispatch.content, time.monotonic()
         )
         result = None
@@ -89,7 +89,7 @@
                     server.announcement.address,
                     dispatch.method,
                     dispatch.target,
-                    told_headers(dispatch, self._names),
+                    backend_server_headers(dispatch, self._names),
                     dispatch.body,
                     dispatch.execution,
                     (deadline_s - time.monotonic()) * 1000,
@@ -98,7 +98,7 @@
                 )
                 result = self._classify(server, result)
         finally:
-            has_crashed = self._crash_watch.ended(
+            has_crashed = self._crash_watch.record_end(
                 server, attempt_id, run_end(result), time.monotonic()
             )
             # Update the health before the slot is freed. Otherwise the next attempt in
@@ -133,7 +133,7 @@
         """
         if isinstance(result, BackendAnswer) and is_misdirected(result, self._names):
             self._on_misdirected(server.backend_server_id)
-        return classify_result(result, server.has_ended, self._names)
+        return classify_result(result, server.has_restarted, self._names)
 
     def _reply(self, dispatch, result, free_slots, judgement, ran_s: float) -> Reply:
         outcome, reason = call_outcome(result)
--- a/balsamspindle/backend_servers/servers.py
+++ b/balsamspindle/backend_servers/servers.py
@@ -61,7 +61,7 @@
     ----------
     running : set of CancelToken
         Tokens of its attempts that have a slot.
-    has_ended : bool
+    has_restarted : bool
         The backend server has restarted; requests of this start get no answer.
     is_replaced : bool
         Another backend server has its address, though this one was not draining.
@@ -77,23 +77,23 @@
         self.cold_until_s: float = now_s + cold_s
         self.in_flight = 0
         self.running: set[CancelToken] = set()
-        self.has_ended = False
+        self.has_restarted = False
         self.is_replaced = False
         self.account = SlotAccount()
         self.suspicion = 0.0
 
-    def end(self) -> None:
+    def cancel_runs(self) -> None:
         """Cancel all attempts that run here, as this start has ended.
 
         A backend server that loses power does not reset its connections, so attempts
         would wait until their deadline for an answer that cannot come. Cancelled now,
         they can be repeated while there is time if their route allows it.
         """
-        self.has_ended = True
+        self.has_restarted = True
         for token in self.running:
             token.cancel(CancelCause.SERVER_RESTARTED)
 
-    def record(self, capacity: float = 1.0) -> BackendServerRecord:
+    def to_record(self, capacity: float = 1.0) -> BackendServerRecord:
         """Return the record that is sent to the other nodes.
 
         Parameters
@@ -165,7 +165,7 @@
             if server is not None and server.announcement.boot_id != (
                 announcement.boot_id
             ):
-                server.end()
+                server.cancel_runs()
             server = LocalBackendServer(backend_server_id, announcement, now_s, cold_s)
             server.state = self._announced_state(server)
             self._servers[backend_server_id] = server
@@ -180,7 +180,7 @@
                 self._add_drained(server)
             return self._set_state(backend_server_id, BackendServerState.DRAINING)
 
-    def replace(self, backend_server_id: str, now_s: float) -> None:
+    def mark_replaced(self, backend_server_id: str, now_s: float) -> None:
         """Drain a backend server whose address another backend server has now."""
         with self.changed:
             server = self._servers.get(backend_server_id)
@@ -264,7 +264,7 @@
         """
         with self.changed:
             return tuple(
-                server.record(capacity(server)) for server in self._servers.values()
+                server.to_record(capacity(server)) for server in self._servers.values()
             )
 
     def _announced_state(self, server: LocalBackendServer) -> BackendServerState:
--- a/balsamspindle/node/gate_side.py
+++ b/balsamspindle/node/gate_side.py
@@ -93,7 +93,7 @@
         )
         self.admission = Admission(self.servers, service_document)
         crash_watch = CrashWatch(events, crash_history, on_crash_update)
-        self.servers.on_replaced = crash_watch.replaced
+        self.servers.on_replaced = crash_watch.record_replacement
         self.gate = Gate(
             self.servers,
             client,
@@ -101,7 +101,7 @@
             self.health,
             self.admission,
             settings.headers,
-            self.lifetimes.misdirected,
+            self.lifetimes.record_misdirected,
             self.failed_calls,
             self.grants,
             crash_history,
--- a/balsamspindle/platform/announcements.py
+++ b/balsamspindle/platform/announcements.py
@@ -13,7 +13,7 @@
 from werkzeug.routing import Map, Rule
 from werkzeug.wrappers import Request, Response
 
-from balsamspindle.backend_servers.lifetimes import Condition, Lifetimes
+from balsamspindle.backend_servers.lifetimes import AnnouncedStatus, Lifetimes
 from balsamspindle.backend_servers.servers import Announcement
 from balsamspindle.platform.configuration import service_name
 from balsamspindle.platform.values import PlatformFormatError, parse_duration_ms
@@ -127,18 +127,18 @@
             },
             Announcement,
         )
-        condition = Condition(
+        status = AnnouncedStatus(
             said.status.sequence,
             said.status.state == "draining",
             parse_duration_ms(said.status.cold_remaining) / 1000,
             said.born,
         )
-        self._lifetimes.announce(server_id, announcement, condition, time.monotonic())
+        self._lifetimes.announce(server_id, announcement, status, time.monotonic())
 
     def _leave(self, request, server_id):
         body = request.get_data()
         said = msgspec.json.decode(body, type=_Leave) if body else _Leave()
-        self._lifetimes.leave(server_id, born_ms=said.born)
+        self._lifetimes.record_leave(server_id, start_unix_ms=said.born)
 
 
 class ReadinessApplication:
--- a/tests/at_most_once_utils.py
+++ b/tests/at_most_once_utils.py
@@ -55,21 +55,21 @@
 class Fault(NamedTuple):
     """A fault, with functions that inject it and that end it."""
 
-    strike: Callable[[], object]
-    heal: Callable[[], object]
+    inject: Callable[[], object]
+    recover: Callable[[], object]
 
     def __add__(self, other: "Fault") -> "Fault":
         """Return one fault that combines both."""
 
-        def strike():
-            self.strike()
-            other.strike()
+        def inject():
+            self.inject()
+            other.inject()
 
-        def heal():
-            other.heal()
-            self.heal()
+        def recover():
+            other.recover()
+            self.recover()
 
-        return Fault(strike, heal)
+        return Fault(inject, recover)
 
 
 class ScheduleFleet(Fleet):
@@ -94,7 +94,7 @@
         self.servers: dict[str, BackendProgram] = {}
         for name in ("a", "b"):
             self.start_server(name, free_address())
-        self.wait_whole()
+        self.wait_all_ready()
 
     def __exit__(self, *_):
         self.relay.close()
@@ -122,7 +122,7 @@
         self.servers[name].kill()
         self.start_server(name, self.servers[name].address)
 
-    def wait_whole(self) -> None:
+    def wait_all_ready(self) -> None:
         """Wait until each node sees both backend servers."""
         self.wait_ready(list(self.nodes.values()), ["contract-a", "contract-b"])
         for name, server in self.servers.items():
@@ -211,7 +211,7 @@
         """
         old: list[Program] = []
 
-        def strike():
+        def inject():
             node = self.nodes["a"]
             old.extend([node, self.servers["a"]])
             node.signal(signal.SIGSTOP)
@@ -223,13 +223,13 @@
             self.nodes["a"] = self._add(NodeProgram(settings, self.folder))
             self.start_server("a", free_address())
 
-        def heal():
+        def recover():
             old[0].signal(signal.SIGCONT)
             time.sleep(FAULT_S)
             for program in old:
                 program.kill()
 
-        return Fault(strike, heal)
+        return Fault(inject, recover)
 
 
 class Requests:
@@ -344,15 +344,15 @@
         _results(requests.send_burst(bursts["after"], 2 * BURST))
         pending = requests.send_burst(bursts["during"])
         requests.wait_running(bursts["during"])
-        fault.strike()
+        fault.inject()
         pending += requests.send_burst(bursts["before"])
         for moment in ("after", "during"):
             pending += requests.resend_keyed(bursts[moment], "j")
         time.sleep(fault_s)
         _results(pending)
         _results(requests.resend_keyed(bursts["before"], "j"))
-        fault.heal()
-        self.fleet.wait_whole()
+        fault.recover()
+        self.fleet.wait_all_ready()
         for ingress in ("i", "j"):
             pending = [
                 requests.resend_keyed(burst, ingress) for burst in bursts.values()
--- a/tests/relay.py
+++ b/tests/relay.py
@@ -36,7 +36,7 @@
         self._closed = False
         threading.Thread(target=self._accept, daemon=True).start()
 
-    def cut(self) -> None:
+    def reset_connections(self) -> None:
         """Close the open connections; new ones are still accepted."""
         for connection in self._sockets:
             _close(connection)
@@ -46,7 +46,7 @@
         """Close the relay and all its connections."""
         self._closed = True
         self._listener.close()
-        self.cut()
+        self.reset_connections()
 
     def _accept(self) -> None:
         while not self._closed:
--- a/tests/restart_fleet.py
+++ b/tests/restart_fleet.py
@@ -124,9 +124,9 @@
                 name, f"zone-{number // 2 % 2}", shutdown_timeout_s=SHUTDOWN_TIMEOUT_S
             )
             self._start_server(name, free_address())
-        self.wait_whole()
+        self.wait_all_ready()
 
-    def wait_whole(self) -> None:
+    def wait_all_ready(self) -> None:
         """Wait until each node knows each backend server."""
         ids = [server.name for server in self.servers.values()]
         for name, node in self.nodes.items():
--- a/tests/soak.py
+++ b/tests/soak.py
@@ -4,7 +4,7 @@
 one. A seed that ever failed is listed in `REGRESSION_SEEDS` with its cause, and is
 played again by tests/test_soak.py.
 
-Each seed draws a series of faults for `ScheduleFleet` that strike and heal at drawn
+Each seed draws a series of faults for `ScheduleFleet` that start and end at drawn
 times, up to `OVERLAP_MAX` at once, never two at one target. Callers send on kept
 connections all the while. The promises are checked from what callers were told and
 what backend servers ran: nothing runs twice, `not_run` is true, an answer is whole
@@ -134,7 +134,7 @@
                 )
 
     def _check_recovered(self, fleet: ScheduleFleet, callers: list[KeptCaller]) -> None:
-        fleet.wait_whole()
+        fleet.wait_all_ready()
         for caller in callers:
             wait_until(
                 lambda caller=caller: all(
@@ -146,9 +146,9 @@
 
 
 def _strike(fleet, planned: Planned, hold_s: float, busy: set[str], lock) -> None:
-    planned.fault.strike()
+    planned.fault.inject()
     time.sleep(hold_s)
-    planned.fault.heal()
+    planned.fault.recover()
     # The next fault at it is set by a call, which a program that was started
     # just now does not take yet.
     if planned.target == "server-a":
@@ -199,7 +199,9 @@
                     fleet.flow_fault(**{direction: flow}),
                 )
             )
-    planned.append(Planned("reset", "network", Fault(fleet.relay.cut, lambda: None)))
+    planned.append(
+        Planned("reset", "network", Fault(fleet.relay.reset_connections, lambda: None))
+    )
     planned += [
         Planned(f"platform-{mode}", "platform", fleet.platform_fault(mode))
         for mode in ("down", "slow", "lost_reply")
--- a/tests/soak_restarts.py
+++ b/tests/soak_restarts.py
@@ -141,7 +141,7 @@
                     one.result()
                 checks = Checks(fleet, callers)
                 checks.run()
-                fleet.wait_whole()
+                fleet.wait_all_ready()
                 lost = [*executor.map(_answered_again, callers)]
             checks.faults += [f"not answered again: {name}" for name in lost if name]
             return checks
--- a/tests/test_at_most_once.py
+++ b/tests/test_at_most_once.py
@@ -42,7 +42,9 @@
                 self.check_fault(
                     f"{direction}-{flow}", self.fleet.flow_fault(**{direction: flow})
                 )
-        self.check_fault("reset", Fault(self.fleet.relay.cut, lambda: None))
+        self.check_fault(
+            "reset", Fault(self.fleet.relay.reset_connections, lambda: None)
+        )
 
     def test_platform(self):
         for mode in ("down", "slow", "lost_reply"):
--- a/tests/test_claim_schedules.py
+++ b/tests/test_claim_schedules.py
@@ -100,7 +100,7 @@
         match gate.ledger.begin(dispatch, self.world.now_s):
             case KeyRefused(outcome, reason):
                 return reply(outcome, reason)
-            case ledger.Earlier(earlier):
+            case ledger.EarlierAnswer(earlier):
                 return earlier
         if self.rng.random() < 0.5:
             ended = reply(Outcome.NOT_RUN, Reason.NO_FREE_SLOT)
--- a/tests/test_claims.py
+++ b/tests/test_claims.py
@@ -191,7 +191,7 @@
         self.outcomes: Counter[Outcome] = Counter()
 
     def step(self) -> None:
-        self.now_s += self.rng.choice([0, 0, 1, ledger.KEY_MEMORY_S / 3])
+        self.now_s += self.rng.choice([0, 0, 1, ledger.KEY_RETENTION_S / 3])
         match self.rng.choice(["send", "send", "late", "late", "replace"]):
             case "send":
                 self.send()
@@ -250,7 +250,7 @@
         match run_ledger.begin(dispatch, self.now_s):
             case ledger.KeyRefused(outcome, reason):
                 return reply(outcome, reason)
-            case ledger.Earlier(earlier):
+            case ledger.EarlierAnswer(earlier):
                 return earlier
         if self.rng.random() < 0.5:
             ended = reply(Outcome.NOT_RUN, Reason.NO_FREE_SLOT)
--- a/tests/test_claims_restored_processes.py
+++ b/tests/test_claims_restored_processes.py
@@ -55,7 +55,7 @@
         self.fleet.nodes["a"].kill()
         self._store("restore")
         self.fleet.restart_node("a")
-        self.fleet.wait_whole()
+        self.fleet.wait_all_ready()
         for ingress in "jib":
             self.assertEqual("unknown", self._sign(ingress, "lost").outcome)
         self.assertEqual(1, self.fleet.runs("lost"))
--- a/tests/test_crash_watch.py
+++ b/tests/test_crash_watch.py
@@ -11,7 +11,7 @@
 from balsamspindle.backend_servers.client import BackendServerClient
 from balsamspindle.backend_servers.crash_watch import CrashWatch, refuses_connections
 from balsamspindle.backend_servers.gate import Gate
-from balsamspindle.backend_servers.lifetimes import Condition, Lifetimes
+from balsamspindle.backend_servers.lifetimes import AnnouncedStatus, Lifetimes
 from balsamspindle.backend_servers.retry_grants import RetryGrants
 from balsamspindle.backend_servers.servers import Announcement, LocalBackendServers
 from balsamspindle.crashes.history import CrashHistory
@@ -165,14 +165,16 @@
         """Announce another backend server at the same address."""
         announcement = Announcement(SERVICE, self.server.address, SLOTS, "")
         self.lifetimes.announce(
-            "another", announcement, Condition(sequence), time.monotonic()
+            "another", announcement, AnnouncedStatus(sequence), time.monotonic()
         )
 
     def _first_lifetime(self):
         self.lifetimes = Lifetimes(self.servers, self.log)
-        self.servers.on_replaced = self.watch.replaced
+        self.servers.on_replaced = self.watch.record_replacement
         announcement = Announcement(SERVICE, self.server.address, SLOTS, "")
-        self.lifetimes.announce("server", announcement, Condition(1), time.monotonic())
+        self.lifetimes.announce(
+            "server", announcement, AnnouncedStatus(1), time.monotonic()
+        )
 
     def test_a_replacement_before_its_run_ends_is_a_crash(self):
         # The node is suspended while its backend server crashes and is replaced under
@@ -208,7 +210,7 @@
         self._first_lifetime()
         self.hold.set()
         self._begin(1).result()
-        self.lifetimes.leave("server")
+        self.lifetimes.record_leave("server")
         self._announce_another(1)
         self.assertEqual([], self.updates)
 
@@ -234,13 +236,13 @@
         server = self.servers.get("server")
         now_s = time.monotonic()
         cause, answered = AttemptId("x", 1, 1), AttemptId("x", 1, 2)
-        self.watch.started(server, cause, CAUSE, now_s)
-        self.watch.started(server, answered, OTHER, now_s)
+        self.watch.record_start(server, cause, CAUSE, now_s)
+        self.watch.record_start(server, answered, OTHER, now_s)
         self.server.close()
         broken = RunEnd(is_lost=True, is_broken=True)
-        self.assertTrue(self.watch.ended(server, cause, broken, now_s + 0.1))
+        self.assertTrue(self.watch.record_end(server, cause, broken, now_s + 0.1))
         whole = RunEnd(is_success=True, is_answer=True)
-        self.watch.ended(server, answered, whole, now_s + 0.12)
+        self.watch.record_end(server, answered, whole, now_s + 0.12)
         runs = self.history.export(now_s + 0.2).crashes[0].runs
         self.assertIn(CAUSE, [run.content for run in runs])
         self.hold.set()
--- a/tests/test_customer_keys.py
+++ b/tests/test_customer_keys.py
@@ -4,7 +4,7 @@
 
 from testtools import TestCase
 
-from balsamspindle.backend_servers.dispatches import told_headers
+from balsamspindle.backend_servers.dispatches import backend_server_headers
 from balsamspindle.customers.freshness import Freshness
 from balsamspindle.platform.headers import HEADER_NAMES
 from balsamspindle.protocol.api_keys import key_digest
@@ -167,9 +167,11 @@
         )
 
     def test_backend_servers_are_told_the_customer_once(self):
-        headers = told_headers(self._dispatch(customer="Anna"), HEADER_NAMES)
+        headers = backend_server_headers(self._dispatch(customer="Anna"), HEADER_NAMES)
         self.assertEqual(["Anna"], [v for name, v in headers if name == "X-Tenant"])
 
     def test_nobody_is_told_of_a_request_without_a_customer(self):
-        names = [name for name, _ in told_headers(self._dispatch(), HEADER_NAMES)]
+        names = [
+            name for name, _ in backend_server_headers(self._dispatch(), HEADER_NAMES)
+        ]
         self.assertNotIn("X-Tenant", names)
--- a/tests/test_ejection.py
+++ b/tests/test_ejection.py
@@ -77,5 +77,5 @@
                     self.assertIn(answer.json()["server"], ("contract-1", "contract-3"))
                 for node in self.nodes:
                     self.assertEqual({}, self.suspicions(node))
-            self.relay.cut()
+            self.relay.reset_connections()
             setattr(self.relay, direction, Flow.PASS)
--- a/tests/test_ending_ingresses.py
+++ b/tests/test_ending_ingresses.py
@@ -66,7 +66,7 @@
         with ThreadPoolExecutor(1) as executor:
             waiting = executor.submit(self._admit, token)
             wait_until(self.admission.waiting, "the request waits")
-            token.end_by(time.monotonic() + 1.5 * USUAL_S)
+            token.set_ingress_end(time.monotonic() + 1.5 * USUAL_S)
             with self.servers.changed:
                 self.servers.changed.notify_all()
             self.assertEqual(Reason.NODE_STOPPING, waiting.result(5).reason)
@@ -77,11 +77,11 @@
         # is cut gets an error when the node ends. After a refusal there is still time
         # to try again.
         token = CancelToken()
-        token.end_by(time.monotonic() + 2.5 * USUAL_S)
+        token.set_ingress_end(time.monotonic() + 2.5 * USUAL_S)
         admitted = self._admit(token, Execution.IDEMPOTENT)
         self.assertIsInstance(admitted, Admitted)
         self.admission.release(admitted, WorkEnd.ANSWERED)
-        token.end_by(time.monotonic() + 1.5 * USUAL_S)
+        token.set_ingress_end(time.monotonic() + 1.5 * USUAL_S)
         self.assertEqual(
             Reason.NODE_STOPPING, self._admit(token, Execution.IDEMPOTENT).reason
         )
--- a/tests/test_gate.py
+++ b/tests/test_gate.py
@@ -9,7 +9,11 @@
 from testtools import TestCase
 
 from balsamspindle.backend_servers import ledger
-from balsamspindle.backend_servers.attempts import MEMORY_S, AttemptTable, Begin
+from balsamspindle.backend_servers.attempts import (
+    ATTEMPT_RETENTION_S,
+    AttemptTable,
+    BeginResult,
+)
 from balsamspindle.backend_servers.cancellation import CancelToken
 from balsamspindle.backend_servers.client import BackendServerClient
 from balsamspindle.backend_servers.evidence import (
@@ -308,7 +312,7 @@
         )
 
     def test_a_claim_older_than_the_ledgers_memory_is_unknown(self):
-        old = self._keyed(1, age_s=ledger.KEY_MEMORY_S + 1)
+        old = self._keyed(1, age_s=ledger.KEY_RETENTION_S + 1)
         self.assertEqual((Outcome.UNKNOWN, Reason.DUPLICATE), self._ended(old))
 
     def test_a_full_ledger_forgets_answers_but_no_key(self):
@@ -333,7 +337,7 @@
             st.tuples(
                 st.sampled_from(["begin", "cancel"]),
                 st.integers(0, 3),
-                st.floats(0, MEMORY_S / 2),
+                st.floats(0, ATTEMPT_RETENTION_S / 2),
             ),
             max_size=30,
         )
@@ -351,6 +355,6 @@
                 cancelled.add(number)
                 continue
             begin = table.begin(attempt_id, CancelToken(), deadline_s, now_s)
-            if begin is Begin.NEW and now_s < deadline_s + MEMORY_S:
+            if begin is BeginResult.NEW and now_s < deadline_s + ATTEMPT_RETENTION_S:
                 self.assertNotIn(number, begun | cancelled)
             begun.add(number)
--- a/tests/test_lifetimes.py
+++ b/tests/test_lifetimes.py
@@ -5,7 +5,7 @@
 from balsamspindle.backend_servers.cancellation import CancelToken
 from balsamspindle.backend_servers.lifetimes import (
     REPLACED_SILENT_S,
-    Condition,
+    AnnouncedStatus,
     Lifetimes,
 )
 from balsamspindle.backend_servers.servers import (
@@ -29,11 +29,11 @@
         self.lifetimes = Lifetimes(self.servers, _NoEvents())
 
     def announce(
-        self, server_id, sequence, now_s, draining=False, service="t/a", born_ms=0
+        self, server_id, sequence, now_s, draining=False, service="t/a", start_unix_ms=0
     ):
         announcement = Announcement(service, ADDRESS, 6, server_id)
-        condition = Condition(sequence, draining, 0.0, born_ms)
-        self.lifetimes.announce(server_id, announcement, condition, now_s)
+        status = AnnouncedStatus(sequence, draining, 0.0, start_unix_ms)
+        self.lifetimes.announce(server_id, announcement, status, now_s)
 
     def states(self):
         return {server.backend_server_id: server.state for server in self.servers.all()}
@@ -69,21 +69,21 @@
 
     def test_a_start_that_left_gets_no_work_again(self):
         self.announce("one", 1, 0.0)
-        self.lifetimes.leave("one")
+        self.lifetimes.record_leave("one")
         self.announce("one", 2, 1.1)
         self.assertEqual({"one": BackendServerState.DRAINING}, self.states())
 
     def test_a_start_that_left_before_it_was_announced_gets_no_work(self):
         # The node restarts before a backend server reports that it leaves. The node's
         # first announcement of it is a late one, which arrives after the report.
-        self.lifetimes.leave("one")
+        self.lifetimes.record_leave("one")
         self.announce("one", 7, 0.1)
         self.assertEqual({}, self.states())
 
     def test_a_start_whose_address_belongs_to_another_gets_no_work(self):
         # A request for it was refused by the backend server that has its address now.
         self.announce("one", 1, 0.0)
-        self.lifetimes.misdirected("one")
+        self.lifetimes.record_misdirected("one")
         self.announce("one", 2, 0.5)
         self.assertEqual({"one": BackendServerState.DRAINING}, self.states())
 
@@ -97,58 +97,58 @@
     def test_a_new_start_under_the_same_id_begins_anew(self):
         # A backend server drains, crashes and restarts under the same id. Its
         # announcements count from 1 again, and the new start does not drain.
-        self.announce("one", 7, 0.0, draining=True, born_ms=1000)
-        self.announce("one", 1, 1.0, born_ms=2000)
+        self.announce("one", 7, 0.0, draining=True, start_unix_ms=1000)
+        self.announce("one", 1, 1.0, start_unix_ms=2000)
         self.assertEqual({"one": BackendServerState.READY}, self.states())
 
     def test_a_new_start_after_a_leave_takes_work(self):
         # The backend server left and was started again; the leave does not apply to
         # the new start.
-        self.announce("one", 7, 0.0, born_ms=1000)
-        self.lifetimes.leave("one")
-        self.announce("one", 1, 1.0, born_ms=2000)
+        self.announce("one", 7, 0.0, start_unix_ms=1000)
+        self.lifetimes.record_leave("one")
+        self.announce("one", 1, 1.0, start_unix_ms=2000)
         self.assertEqual({"one": BackendServerState.READY}, self.states())
 
     def test_late_messages_of_an_earlier_start_are_ignored(self):
         # The "draining" and the leave of the first start are delayed by a network
         # failure and arrive when the second one serves. If they counted, healthy
         # capacity would be lost for good.
-        self.announce("one", 1, 0.0, born_ms=2000)
-        self.announce("one", 9, 0.5, draining=True, born_ms=1000)
-        self.lifetimes.leave("one", born_ms=1000)
+        self.announce("one", 1, 0.0, start_unix_ms=2000)
+        self.announce("one", 9, 0.5, draining=True, start_unix_ms=1000)
+        self.lifetimes.record_leave("one", start_unix_ms=1000)
         self.assertEqual({"one": BackendServerState.READY}, self.states())
 
     def test_a_start_whose_clock_was_set_back_gets_work_after_a_while(self):
         # The clock of a backend server is set back by seconds, and it restarts: it
         # reports an earlier start time than before. By the time alone all its
         # announcements would be ignored as late.
-        self.announce("one", 5, 0.0, born_ms=9000)
-        self.announce("one", 1, 1.0, born_ms=7000)
-        self.announce("one", 2, 2.5, born_ms=7000)
+        self.announce("one", 5, 0.0, start_unix_ms=9000)
+        self.announce("one", 1, 1.0, start_unix_ms=7000)
+        self.announce("one", 2, 2.5, start_unix_ms=7000)
         [server] = self.servers.all()
         self.assertEqual("one@9000", server.announcement.boot_id)
-        self.announce("one", 4, REPLACED_SILENT_S + 0.1, born_ms=7000)
+        self.announce("one", 4, REPLACED_SILENT_S + 0.1, start_unix_ms=7000)
         [server] = self.servers.all()
         self.assertEqual("one@7000", server.announcement.boot_id)
         self.assertEqual({"one": BackendServerState.READY}, self.states())
 
     def test_a_leave_is_not_undone_by_an_earlier_start(self):
-        self.announce("one", 5, 0.0, born_ms=9000)
-        self.lifetimes.leave("one", born_ms=9000)
-        self.announce("one", 4, REPLACED_SILENT_S + 10, born_ms=7000)
+        self.announce("one", 5, 0.0, start_unix_ms=9000)
+        self.lifetimes.record_leave("one", start_unix_ms=9000)
+        self.announce("one", 4, REPLACED_SILENT_S + 10, start_unix_ms=7000)
         self.assertEqual({"one": BackendServerState.DRAINING}, self.states())
 
     def test_attempts_at_an_earlier_start_are_cancelled(self):
         # A backend server loses power without resetting its connections, and is back a
         # second later. An answer from the first start can no longer arrive.
-        self.announce("one", 1, 0.0, born_ms=1000)
+        self.announce("one", 1, 0.0, start_unix_ms=1000)
         (server,) = self.servers.all()
         token = CancelToken()
         server.running.add(token)
         server.account.acquire()
-        self.announce("one", 2, 0.5, born_ms=1000)
+        self.announce("one", 2, 0.5, start_unix_ms=1000)
         self.assertFalse(token.cancelled)
-        self.announce("one", 1, 1.0, born_ms=2000)
+        self.announce("one", 1, 1.0, start_unix_ms=2000)
         self.assertTrue(token.cancelled)
         (server,) = self.servers.all()
         self.assertEqual(6, server.account.free(6, 1.0))
--- a/tests/test_links.py
+++ b/tests/test_links.py
@@ -230,7 +230,7 @@
         with ThreadPoolExecutor(1) as executor:
             result = executor.submit(ingress.request, timeout_s=600)
             wait_until(lambda: gate.dispatches, "the gate has the request")
-            relay.cut()
+            relay.reset_connections()
             self.assertEqual(Outcome.UNKNOWN, result.result(60).outcome)
         gate._answer = prompt_answer
         self.assertEqual(Outcome.ANSWERED, ingress.request(b"new").outcome)
--- a/tests/test_member_processes.py
+++ b/tests/test_member_processes.py
@@ -94,7 +94,7 @@
         self.assertEqual([], away)
         self.assertLessEqual(len(dead), 3)
         self.relays[0].forward = Flow.PASS
-        self.relays[0].cut()
+        self.relays[0].reset_connections()
         for node in nodes:
             self.wait_until_lists(node, nodes)
 
