--- a/tests/test_registry.py
+++ b/tests/test_registry.py
@@ -1,31 +1,31 @@
-"""First peers through the platform's table."""
+"""Discovery of first peers through the platform's table."""
 
 from expression import Error, Ok
 from testtools import TestCase
 
-from balsamspindle.membership.registry import SLOTS, Registry
+from balsamspindle.membership.registry import SLOTS_PER_ZONE, Registry
 from balsamspindle.tables import Conflict, Row, TableService, Unreachable
 from tests.member_network import MemberNetwork
 from tests.utils import Fleet, wait_until
 
 
-class CountedTables(TableService):
-    """One table in memory that counts calls and can be down."""
+class CountingTables(TableService):
+    """A table in memory that counts calls and can be made unavailable."""
 
     def __init__(self):
         self.rows: dict[str, Row] = {}
-        self.down = False
+        self.is_down = False
         self.reads = self.writes = 0
 
     def read(self, table, keys):
         self.reads += 1
         rows = [self.rows.get(key, Row(key, 0)) for key in keys]
-        return Error(Unreachable("down")) if self.down else Ok(rows)
+        return Error(Unreachable("down")) if self.is_down else Ok(rows)
 
     def scan(self, table):
         self.reads += 1
         rows = list(self.rows.values())
-        return Error(Unreachable("down")) if self.down else Ok(rows)
+        return Error(Unreachable("down")) if self.is_down else Ok(rows)
 
     def transact(self, transaction):
         self.writes += 1
@@ -40,15 +40,15 @@
 
 
 class RegistryTests(TestCase):
-    def start(self, count, zones):
+    def add_nodes(self, count, zones):
         self.network = MemberNetwork()
-        self.tables = CountedTables()
+        self.tables = CountingTables()
         nodes = []
         for number in range(count):
             nodes.append(self.network.add(number, f"zone-{number % zones}"))
         return nodes
 
-    def registry(self, node):
+    def build_registry(self, node):
         return Registry(
             self.tables,
             node.settings.own_record(1),
@@ -59,73 +59,73 @@
         )
 
     def test_nodes_without_seeds_find_each_other_through_the_table(self):
-        nodes = self.start(9, zones=3)
+        nodes = self.add_nodes(9, zones=3)
         for node in nodes:
-            registry = self.registry(node)
+            registry = self.build_registry(node)
             registry.find_peers()
-            registry.keep_rows()
+            registry.update_rows()
             while not node.member.channel._calls.empty():
                 node.member.channel._calls.get()()
-        met = self.network.run(
+        connected = self.network.run(
             30, lambda: all(len(node.alive()) == len(nodes) for node in nodes)
         )
-        self.assertTrue(met)
+        self.assertTrue(connected)
 
     def test_a_fleet_that_starts_at_once_writes_few_rows(self):
-        # Guards against each node that writes the rows of its zone anew.
-        nodes = self.start(60, zones=3)
-        registries = [self.registry(node) for node in nodes]
+        # Guards against each starting node writing all rows of its zone.
+        nodes = self.add_nodes(60, zones=3)
+        registries = [self.build_registry(node) for node in nodes]
         for registry in registries:
-            registry.look()
+            registry.run_round()
         self.assertLessEqual(self.tables.writes, 3)
         for node in nodes:
             while not node.member.channel._calls.empty():
                 node.member.channel._calls.get()()
-        met = self.network.run(
+        connected = self.network.run(
             30, lambda: all(len(node.alive()) == len(nodes) for node in nodes)
         )
-        self.assertTrue(met)
+        self.assertTrue(connected)
         for registry in registries:
-            registry.look()
-        self.assertEqual(3 * SLOTS, len(self.tables.rows))
-        self.assertLessEqual(self.tables.writes, 3 + 3 * SLOTS)
-
-    def test_a_node_whose_named_peers_do_not_answer_writes_its_rows(self):
-        # Guards against rows of nodes that are gone, which nobody replaces.
-        nodes = self.start(2, zones=1)
-        self.registry(nodes[0]).keep_rows()
-        left = self.registry(nodes[1])
+            registry.run_round()
+        self.assertEqual(3 * SLOTS_PER_ZONE, len(self.tables.rows))
+        self.assertLessEqual(self.tables.writes, 3 + 3 * SLOTS_PER_ZONE)
+
+    def test_a_node_writes_rows_when_the_peers_in_the_table_do_not_answer(self):
+        # Guards against rows of nodes that no longer exist and are never replaced.
+        nodes = self.add_nodes(2, zones=1)
+        self.build_registry(nodes[0]).update_rows()
+        isolated = self.build_registry(nodes[1])
         for _ in range(2):
-            left.look()
+            isolated.run_round()
             self.assertEqual(1, self.tables.writes)
-        left.look()
+        isolated.run_round()
         self.assertEqual(2, self.tables.writes)
 
     def test_rows_and_writes_are_bounded_by_zones_not_nodes(self):
-        # Each of many nodes writing its own heartbeat would take more writes
-        # than the platform gives to all.
-        nodes = self.start(60, zones=3)
+        # With a heartbeat row for each node a large fleet would exceed the writes
+        # that the platform allows.
+        nodes = self.add_nodes(60, zones=3)
         self.network.introduce(nodes)
         for _ in range(3):
             for node in nodes:
-                self.registry(node).keep_rows()
-        self.assertEqual(3 * SLOTS, len(self.tables.rows))
-        self.assertLessEqual(self.tables.writes, 3 * SLOTS)
-        self.assertLessEqual(self.tables.reads, 3 * 3 * SLOTS)
+                self.build_registry(node).update_rows()
+        self.assertEqual(3 * SLOTS_PER_ZONE, len(self.tables.rows))
+        self.assertLessEqual(self.tables.writes, 3 * SLOTS_PER_ZONE)
+        self.assertLessEqual(self.tables.reads, 3 * 3 * SLOTS_PER_ZONE)
 
-    def test_a_table_that_is_down_garbled_or_lost_costs_rediscovery_only(self):
-        first, second = self.start(2, zones=1)
+    def test_a_table_that_is_down_or_damaged_is_written_again(self):
+        first, second = self.add_nodes(2, zones=1)
         self.network.introduce([first, second])
-        self.tables.down = True
-        self.registry(first).find_peers()
-        self.registry(first).keep_rows()
-        self.tables.down = False
+        self.tables.is_down = True
+        self.build_registry(first).find_peers()
+        self.build_registry(first).update_rows()
+        self.tables.is_down = False
         self.tables.rows["zone-0/0"] = Row("zone-0/0", 5, {"node_id": 7})
         for node in (first, second):
-            self.registry(node).find_peers()
-            self.registry(node).keep_rows()
+            self.build_registry(node).find_peers()
+            self.build_registry(node).update_rows()
         values = [row.value for row in self.tables.rows.values()]
-        self.assertEqual(SLOTS, len(values))
+        self.assertEqual(SLOTS_PER_ZONE, len(values))
         self.assertTrue(
             all(value["node_id"] in ("node-00000", "node-00001") for value in values)
         )
@@ -133,7 +133,7 @@
 
 
 class RegistryOfProcessesTests(TestCase):
-    def test_real_nodes_without_seeds_meet_through_the_platform(self):
+    def test_processes_without_seeds_find_each_other_through_the_platform(self):
         with Fleet() as fleet:
             fleet.start_platform()
             nodes = [
@@ -145,6 +145,6 @@
                     lambda node=node: (
                         len((node.status() or {"nodes": []})["nodes"]) == len(nodes)
                     ),
-                    f"{node.settings['node_id']} sees all",
+                    f"{node.settings['node_id']} knows all nodes",
                     30,
                 )
