--- a/balsamspindle/membership/__init__.py
+++ b/balsamspindle/membership/__init__.py
@@ -1,7 +1,8 @@
-"""Which nodes there are, and how they tell each other.
+"""Membership: which nodes the fleet has, and the protocol by which they learn it.
 
-Start with `member.py`, the task, and `directory.py`, what it keeps up to date;
-`knowledge.py` has the rules of suspicion and death.
+Start with `member.py`, the task that runs the protocol, and `directory.py`, the
+records that it keeps up to date. `knowledge.py` has the rules by which nodes are
+suspected, declared dead and refute both.
 """
 
 from balsamspindle.membership.directory import Directory, NodeState, Placement
--- a/balsamspindle/membership/fingerprints.py
+++ b/balsamspindle/membership/fingerprints.py
@@ -1,49 +1,52 @@
-"""Digests by bucket: what two nodes compare before they send records.
+"""Digests of buckets of nodes, which two nodes compare before they send records.
 
-A fingerprint is the XOR of one hash for each (node, incarnation, entry,
-version), so that it is kept up to date in constant time for each change.
+The fingerprint of a node is the XOR of the hashes of its header and of each
+entry, each with its version. A change updates it in constant time.
 """
 
 import struct
 
 import xxhash
 
-__all__ = ["BUCKETS", "Buckets", "bucket_of", "entry_hash"]
+__all__ = ["BUCKET_COUNT", "BucketDigests", "bucket_of", "entry_hash"]
 
-BUCKETS = 256
-BUCKET_BYTES = 4
-_BUCKET_MASK = 2 ** (8 * BUCKET_BYTES) - 1
-_LAYOUT = struct.Struct(f"<{BUCKETS}I")
+BUCKET_COUNT = 256
+DIGEST_BYTES = 4
+_DIGEST_MASK = 2 ** (8 * DIGEST_BYTES) - 1
+_LAYOUT = struct.Struct(f"<{BUCKET_COUNT}I")
 
 
 def entry_hash(node_id: str, incarnation: int, entry: str, version: int) -> int:
-    """Return the hash of one entry at one version; `entry` is "" for the header."""
+    """Return the hash of an entry at a version; `entry` is "" for the header."""
     key = f"{node_id}|{incarnation}|{entry}|{version}"
     return xxhash.xxh3_64_intdigest(key.encode())
 
 
 def bucket_of(node_id: str) -> int:
     """Return the bucket of a node."""
-    return xxhash.xxh3_64_intdigest(node_id.encode()) % BUCKETS
+    return xxhash.xxh3_64_intdigest(node_id.encode()) % BUCKET_COUNT
 
 
-class Buckets:
-    """The XOR of the fingerprints of each bucket's nodes."""
+class BucketDigests:
+    """A digest for each bucket: the XOR of the fingerprints of its nodes."""
 
     def __init__(self) -> None:
-        self._digests = [0] * BUCKETS
+        self._digests = [0] * BUCKET_COUNT
 
-    def mix(self, bucket: int, fingerprint: int) -> None:
-        """Put a fingerprint in, or take it out again."""
+    def toggle(self, bucket: int, fingerprint: int) -> None:
+        """Add a fingerprint to a digest, or remove it if it was added before."""
         self._digests[bucket] ^= fingerprint
 
     def encode(self) -> bytes:
-        """Return the digests as they travel."""
-        return _LAYOUT.pack(*(digest & _BUCKET_MASK for digest in self._digests))
+        """Return the digests in the format of `SyncRequest`."""
+        return _LAYOUT.pack(*(digest & _DIGEST_MASK for digest in self._digests))
 
-    def differing(self, other: bytes) -> list[int] | None:
-        """Return the buckets that differ from another node's, None for garbage."""
+    def differing_buckets(self, other: bytes) -> list[int] | None:
+        """Return the buckets whose digests differ from those of another node.
+
+        None when `other` has the wrong size.
+        """
         if len(other) != _LAYOUT.size:
             return None
         pairs = enumerate(zip(self._digests, _LAYOUT.unpack(other), strict=True))
-        return [bucket for bucket, (own, its) in pairs if own & _BUCKET_MASK != its]
+        return [bucket for bucket, (own, peer) in pairs if own & _DIGEST_MASK != peer]
--- a/balsamspindle/membership/node_view.py
+++ b/balsamspindle/membership/node_view.py
@@ -1,4 +1,4 @@
-"""What is known of one node: its header, its backend servers, its standing."""
+"""What is known of one node: header, backend servers, and whether it is dead."""
 
 from enum import StrEnum
 from typing import NamedTuple
@@ -16,43 +16,43 @@
 
 __all__ = ["GONE", "Changes", "Epoch", "NodeState", "NodeView", "ServerChange"]
 
-# State of a backend server that its node no longer has: the entry stays, so
-# that older news of it is known to be old.
+# State of a backend server that its node no longer has. The entry is kept so that
+# late news with an older version is rejected.
 GONE = "gone"
 
 
 class NodeState(StrEnum):
-    """How a node stands, as others see it."""
+    """Whether a node takes part in the fleet or announced that it is leaving."""
 
     ALIVE = "alive"
     LEAVING = "leaving"
 
 
 class Epoch(NamedTuple):
-    """Orders what is said of a node: its incarnation, then a header version."""
+    """Orders news and verdicts of a node: by incarnation, then header version."""
 
     incarnation: int
     version: int
 
 
 class ServerChange(NamedTuple):
-    """A backend server's entry and what was known before, if anything."""
+    """A backend server's new entry and its former record, None when unknown."""
 
     entry: ServerEntry
     before: BackendServerRecord | None
 
 
 class Changes(NamedTuple):
-    """What of a piece of news was new.
+    """Which parts of a piece of news were new.
 
     Attributes
     ----------
     header : bool
-        The header, or the node itself, was new.
+        Whether the header was new, as it is for an unknown node.
     servers : list of ServerChange
         The entries that were new.
     dead : bool
-        Nothing was taken, since the node is dead at this epoch.
+        Whether the news was rejected: the node is dead, and no newer header came.
     """
 
     header: bool = False
@@ -66,20 +66,20 @@
 
 
 class NodeView:
-    """One node's record; entries are replaced one by one by their versions.
+    """One node's header and entries, each replaced by one with a higher version.
 
     Attributes
     ----------
     record : NodeRecord
         The header at its version, without backend servers.
     entries : dict of str to ServerEntry
-        By backend server id; those that are gone included.
+        By backend server id, including entries in state `GONE`.
     version : int
-        The highest version seen, of the header or an entry.
+        The highest version of the header and the entries.
     fingerprint : int
         See `balsamspindle.membership.fingerprints`.
     dead_since_s : float or None
-        When the node was declared dead at its present epoch.
+        Time at which the node was declared dead, None unless it is dead.
     """
 
     __slots__ = (
@@ -110,7 +110,10 @@
         return self.dead_since_s is not None
 
     def set_header(self, record: NodeRecord) -> None:
-        """Take a newer header of the same incarnation."""
+        """Replace the header by a newer one of the same incarnation.
+
+        A node that was declared dead is not dead any more.
+        """
         self.fingerprint ^= self._hash("", self.record.version)
         self.fingerprint ^= self._hash("", record.version)
         self.record = record
@@ -118,7 +121,7 @@
         self.dead_since_s = None
 
     def set_entry(self, entry: ServerEntry) -> bool:
-        """Take an entry if it is newer than the one known."""
+        """Store an entry if it is newer than the known one; return whether it is."""
         server_id = entry.record.backend_server_id
         known = self.entries.get(server_id)
         if known is not None:
@@ -131,7 +134,7 @@
         return True
 
     def header(self) -> NodeHeader:
-        """Return the header as it travels."""
+        """Return the header in the format of `NodeNews`."""
         record = self.record
         return NodeHeader(
             record.region,
@@ -143,7 +146,7 @@
         )
 
     def news(self, above_version: int = 0) -> NodeNews:
-        """Return what is known above a version; all of it above 0."""
+        """Return the header and the entries above a version; 0 for all entries."""
         record = self.record
         entries = [
             entry for entry in self.entries.values() if entry.version > above_version
@@ -157,7 +160,7 @@
         )
 
     def full_record(self) -> NodeRecord:
-        """Return the record with its present backend servers."""
+        """Return the record with the backend servers that are not `GONE`."""
         servers = tuple(
             entry.record
             for entry in self.entries.values()
--- a/balsamspindle/membership/own_record.py
+++ b/balsamspindle/membership/own_record.py
@@ -1,4 +1,4 @@
-"""What this node says of itself: its incarnation, versions and backend servers."""
+"""The record that a node publishes of itself and its backend servers."""
 
 from collections.abc import Iterable
 
@@ -15,7 +15,8 @@
 
 __all__ = ["OwnRecord"]
 
-GONE_MAX = 64
+# With more entries of past backend servers a new incarnation discards them.
+GONE_ENTRIES_MAX = 64
 
 
 class OwnRecord:
@@ -33,7 +34,7 @@
 
     @property
     def node_id(self) -> str:
-        """Id of the node."""
+        """Id that peers know this node by."""
         return self._view.record.node_id
 
     @property
@@ -43,20 +44,22 @@
 
     @property
     def region(self) -> str:
-        """Region of the node."""
+        """Region that this node announces."""
         return self.header.region
 
     def whole(self) -> NodeNews:
-        """Return all that this node says of itself."""
+        """Return the header and all entries as news."""
         return self._view.news()
 
-    def refresh(self, servers: Iterable[BackendServerRecord]) -> list[ServerEntry]:
-        """Take the present backend servers; return the entries that changed."""
+    def update_servers(
+        self, servers: Iterable[BackendServerRecord]
+    ) -> list[ServerEntry]:
+        """Store the current backend servers and return the entries that changed."""
         present = {server.backend_server_id: server for server in servers}
         changed = [
             server
             for server_id, server in present.items()
-            if self._known(server_id) != server
+            if self._known_server(server_id) != server
         ]
         changed += [
             entry.record._replace(state=GONE)
@@ -71,55 +74,55 @@
             self._view.set_entry(entry)
         return entries
 
-    def too_many_gone(self) -> bool:
-        """Tell whether entries of past backend servers are worth dropping."""
+    def has_too_many_gone(self) -> bool:
+        """Return whether entries of past backend servers should be discarded."""
         states = [entry.record.state for entry in self._view.entries.values()]
-        return states.count(GONE) > GONE_MAX
+        return states.count(GONE) > GONE_ENTRIES_MAX
 
-    def leave(self) -> None:
-        """Say that this node is going."""
+    def set_leaving(self) -> None:
+        """Set the state to leaving, under a higher header version."""
         self.header = msgspec.structs.replace(
             self.header, state=NodeState.LEAVING.value
         )
         self._set_epoch(Epoch(self.epoch.incarnation, self._view.version + 1))
 
     def refute(self, epoch: Epoch) -> bool:
-        """Outbid what others say of this node.
+        """Raise this node's epoch above one that others have for it.
 
         Returns
         -------
         bool
-            True when it took a new incarnation. A wall clock that stepped
-            back can give a replaced VM a lower incarnation than its own old
-            records have; without outbidding them the node would be passed
-            over as old for as long as those records live.
+            True when that needed a new incarnation. When the wall clock stepped
+            back, a replaced VM starts with a lower incarnation than its old
+            records have. Unless it outbids them, peers ignore its news as
+            outdated for as long as they keep the old records.
         """
         if epoch.incarnation > self.epoch.incarnation:
-            self.restart(epoch.incarnation + 1)
+            self.start_incarnation(epoch.incarnation + 1)
             return True
         if epoch >= self.epoch:
             version = max(epoch.version, self._view.version) + 1
             self._set_epoch(Epoch(epoch.incarnation, version))
         return False
 
-    def restart(self, incarnation: int) -> None:
-        """Say all anew under a higher incarnation, without past entries."""
+    def start_incarnation(self, incarnation: int) -> None:
+        """Start a higher incarnation, without entries of past backend servers."""
         servers = [
             entry.record
             for entry in self._view.entries.values()
             if entry.record.state != GONE
         ]
-        self._view = NodeView(self._record(Epoch(incarnation, 1)))
-        self.refresh(servers)
+        self._view = NodeView(self._header_record(Epoch(incarnation, 1)))
+        self.update_servers(servers)
 
-    def _known(self, server_id: str) -> BackendServerRecord | None:
+    def _known_server(self, server_id: str) -> BackendServerRecord | None:
         entry = self._view.entries.get(server_id)
         return None if entry is None else entry.record
 
     def _set_epoch(self, epoch: Epoch) -> None:
-        self._view.set_header(self._record(epoch))
+        self._view.set_header(self._header_record(epoch))
 
-    def _record(self, epoch: Epoch) -> NodeRecord:
+    def _header_record(self, epoch: Epoch) -> NodeRecord:
         header = self.header
         return NodeRecord(
             self.node_id,
--- a/tests/test_gauges.py
+++ b/tests/test_gauges.py
@@ -1,4 +1,4 @@
-"""What a scraper reads of a node's present state."""
+"""Gauges of a node's current state at its metrics address."""
 
 from testtools import TestCase
 
@@ -16,7 +16,7 @@
 
 
 class GaugesTests(TestCase):
-    def test_a_node_tells_its_state_at_the_metrics_address(self):
+    def test_a_node_reports_its_state_at_the_metrics_address(self):
         fleet = start_fleet(self, SETTINGS)
         node = fleet.start_node("node-1", "zone-1")
         fleet.start_backend("contracts-1", "crew/contracts", node)
@@ -24,10 +24,13 @@
         call(node.settings["caller_address"], "/contracts/1")
         address = node.settings["admin_address"]
 
-        def text():
+        def read_metrics():
             return call(address, "/metrics").body.decode()
 
-        wait_until(lambda: "balsamspindle_retries_left{" in text(), "a service is told")
+        wait_until(
+            lambda: "balsamspindle_retries_left{" in read_metrics(),
+            "the metrics include a service",
+        )
         for line in (
             "balsamspindle_settings_revision 2.0",
             "balsamspindle_nodes_known 1.0",
@@ -37,9 +40,9 @@
             'balsamspindle_store_calls{result="ok",verb="read"}',
             "balsamspindle_member_lag_seconds",
         ):
-            self.assertIn(line, text())
+            self.assertIn(line, read_metrics())
 
-    def test_a_long_delay_is_told_for_a_while(self):
+    def test_a_long_delay_is_reported_for_a_while(self):
         lag = RecentMax(10.0)
         lag.record(0.5, 1.0)
         lag.record(0.1, 9.0)
