--- a/balsamspindle/membership/directory.py
+++ b/balsamspindle/membership/directory.py
@@ -186,7 +186,7 @@
         with self._lock:
             return self._bucket_digests.encode()
 
-    def differing(self, digests: bytes) -> list[int] | None:
+    def differing_buckets(self, digests: bytes) -> list[int] | None:
         """Return the buckets whose digests differ from those of another node.
 
         None when the digests have the wrong size.
--- a/balsamspindle/membership/gossip.py
+++ b/balsamspindle/membership/gossip.py
@@ -4,7 +4,7 @@
 
 from balsamspindle.membership.budget import Importance
 from balsamspindle.membership.channel import Channel, Peer
-from balsamspindle.membership.knowledge import Knowledge
+from balsamspindle.membership.membership_state import MembershipState
 from balsamspindle.membership.peer_selection import peers_in_zone
 from balsamspindle.wire import Gossip, News, NodeRecord
 
@@ -31,10 +31,10 @@
     """
 
     def __init__(
-        self, channel: Channel, knowledge: Knowledge, rng: random.Random
+        self, channel: Channel, state: MembershipState, rng: random.Random
     ) -> None:
         self._channel = channel
-        self._knowledge = knowledge
+        self._state = state
         self._random = rng
         self._neighbours: list[NodeRecord] = []
         self._next_index = 0
@@ -43,7 +43,7 @@
 
     def piggyback(self, now_s: float) -> list[News]:
         """Return queued news to attach to a message that is sent in any case."""
-        queue = self._knowledge.queue
+        queue = self._state.queue
         if (
             self._channel.available_bytes(Importance.ROUTINE, now_s)
             > PIGGYBACK_MAX_BYTES
@@ -59,7 +59,7 @@
     def tick(self, now_s: float) -> None:
         """Send queued news to a few neighbours."""
         self._refresh_neighbours(now_s)
-        queue = self._knowledge.queue
+        queue = self._state.queue
         for _ in range(min(FANOUT, len(self._neighbours))):
             if not len(queue):
                 return
@@ -77,14 +77,14 @@
         if available_bytes < PIGGYBACK_MAX_BYTES:
             return
         size_bytes = int(min(available_bytes / DEFLATED_FRACTION, GOSSIP_MAX_BYTES))
-        news = self._knowledge.queue.next_batch(size_bytes, urgent_only)
+        news = self._state.queue.next_batch(size_bytes, urgent_only)
         self._channel.send(address, Gossip(news), now_s, importance)
 
     def _handle_gossip(self, peer: Peer, gossip: Gossip, now_s: float) -> None:
-        self._knowledge.take(gossip.news, now_s, spread=True)
+        self._state.handle_news(gossip.news, now_s, spread=True)
 
     def _refresh_neighbours(self, now_s: float) -> None:
-        known_nodes = self._knowledge.directory
+        known_nodes = self._state.directory
         self._neighbours = [
             view.record
             for view in map(
@@ -98,14 +98,14 @@
         ):
             self._last_change_s = now_s
             self._neighbours.pop(self._random.randrange(len(self._neighbours)))
-        own_region = self._knowledge.own.region
+        own_region = self._state.own.region
         wanted = NEIGHBOURS_OWN_REGION + NEIGHBOURS_OTHER_REGIONS
         if len(self._neighbours) >= wanted:
             return
-        peers = self._knowledge.peers()
+        peers = self._state.peers()
         if len(peers) <= len(self._neighbours):
             return
-        own_zone = peers_in_zone(peers, self._knowledge.own.header)
+        own_zone = peers_in_zone(peers, self._state.own.header)
         self._add_neighbours(own_zone, NEIGHBOURS_OWN_ZONE)
         own_region_peers = [node for node in peers if node.region == own_region]
         other_region_peers = [node for node in peers if node.region != own_region]
--- a/balsamspindle/membership/member.py
+++ b/balsamspindle/membership/member.py
@@ -12,7 +12,7 @@
 from balsamspindle.membership.channel import Channel, Handler, Peer
 from balsamspindle.membership.directory import Directory
 from balsamspindle.membership.gossip import Gossiper
-from balsamspindle.membership.knowledge import Knowledge
+from balsamspindle.membership.membership_state import MembershipState
 from balsamspindle.membership.own_record import OwnRecord
 from balsamspindle.membership.probing import Prober
 from balsamspindle.membership.recent_max import RecentMax
@@ -88,21 +88,21 @@
         self.channel = Channel(
             self._transport, self._sender, self.budget, events, self.settings_budget
         )
-        self.knowledge = Knowledge(self._own, directory, events)
+        self.state = MembershipState(self._own, directory, events)
         rng = random.Random(f"{own.node_id}/{own.incarnation}")
-        self._gossiper = Gossiper(self.channel, self.knowledge, rng)
+        self._gossiper = Gossiper(self.channel, self.state, rng)
         self._prober = Prober(
             self.channel,
             self._transport,
-            self.knowledge,
+            self.state,
             self._gossiper,
             settings.seed_addresses,
             events,
             rng,
         )
-        self.anti_entropy = AntiEntropy(self.channel, self.knowledge, rng)
+        self.anti_entropy = AntiEntropy(self.channel, self.state, rng)
         self.channel.on_peer(self._greet_unknown_peer)
-        self.knowledge.start(now_s())
+        self.state.start(now_s())
 
     def register(
         self,
@@ -204,9 +204,9 @@
         self._lag.record(gap_s - TICK_S, now_s)
         if gap_s > PAUSE_MIN_S:
             self._resume_after_pause(gap_s, now_s)
-        self.knowledge.refresh(self._backend_servers(), now_s)
+        self.state.update_servers(self._backend_servers(), now_s)
         self._prober.tick(now_s)
-        self.knowledge.expire(now_s)
+        self.state.expire(now_s)
         self._gossiper.tick(now_s)
         self.anti_entropy.tick(now_s)
 
@@ -220,7 +220,7 @@
         self.channel.call_soon(self._leave)
 
     def _leave(self) -> None:
-        self.knowledge.leave(self._now_s())
+        self.state.announce_leaving(self._now_s())
         self.tick(self._now_s())
 
     def _resume_after_pause(self, gap_s: float, now_s: float) -> None:
@@ -232,16 +232,16 @@
         alive and compares its directory with a peer's soon.
         """
         self._events.emit("node_woke_up", gap_s=f"{gap_s:.1f}")
-        self.knowledge.suspicions.clear()
-        self.knowledge.queue.remove_verdicts()
+        self.state.suspicions.clear()
+        self.state.queue.remove_verdicts()
         self._prober.reset(now_s)
-        self.knowledge.assert_alive(now_s)
-        self.anti_entropy.hurry(now_s)
+        self.state.announce_alive(now_s)
+        self.anti_entropy.compare_soon(now_s)
 
     def _greet_unknown_peer(self, peer: Peer, now_s: float) -> None:
         """Start a comparison of directories with a peer that is not known yet."""
-        if self.knowledge.directory.view(peer.node_id) is None:
-            self.anti_entropy.greet(peer, now_s)
+        if self.state.directory.view(peer.node_id) is None:
+            self.anti_entropy.start_comparison(peer, now_s)
 
     def _sender(self) -> Sender:
         return Sender(
--- a/balsamspindle/membership/knowledge.py
+++ b/balsamspindle/membership/membership_state.py
@@ -27,7 +27,7 @@
     VerdictNews,
 )
 
-__all__ = ["Knowledge"]
+__all__ = ["MembershipState"]
 
 # Bounds an item of news so that it fits into a small message.
 ENTRIES_PER_ITEM = 8
@@ -43,16 +43,16 @@
 CONFLICT_OUTBIDS = 5
 
 
-class Knowledge:
+class MembershipState:
     """Applies news to the directory and queues the news to send to peers.
 
     Used by the member task alone; `now_s` is on the monotonic clock.
 
     Attributes
     ----------
-    to_check : set of str
+    nodes_to_check : set of str
         Nodes that a peer suspects and that this node may probe as well.
-    disputed : Epoch or None
+    disputed_epoch : Epoch or None
         Highest epoch at which peers suspect this node or hold it dead.
     """
 
@@ -61,8 +61,8 @@
         self.directory = directory
         self.queue = NewsQueue()
         self.suspicions = Suspicions()
-        self.to_check: set[str] = set()
-        self.disputed: Epoch | None = None
+        self.nodes_to_check: set[str] = set()
+        self.disputed_epoch: Epoch | None = None
         self._events = events
         self._recent_deaths: dict[str, tuple[float, str]] = {}
         # The directory's list of live nodes, and that list without this node. Valid
@@ -86,7 +86,9 @@
             self._cached_peers = (alive, others)
         return self._cached_peers[1]
 
-    def refresh(self, servers: tuple[BackendServerRecord, ...], now_s: float) -> None:
+    def update_servers(
+        self, servers: tuple[BackendServerRecord, ...], now_s: float
+    ) -> None:
         """Apply and queue the changes of this node's backend servers."""
         entries = self.own.update_servers(servers)
         if not entries:
@@ -100,17 +102,17 @@
         for change in self.directory.apply(news, now_s).servers:
             self._queue_server(self.own.node_id, incarnation, change)
 
-    def leave(self, now_s: float) -> None:
+    def announce_leaving(self, now_s: float) -> None:
         """Announce that this node is leaving."""
         self.own.set_leaving()
         self._announce_header(now_s)
 
-    def assert_alive(self, now_s: float) -> None:
+    def announce_alive(self, now_s: float) -> None:
         """Announce a higher header version, in case peers hold this node dead."""
         self.own.refute(self.own.epoch)
         self._announce_header(now_s)
 
-    def take(self, news: list[News], now_s: float, spread: bool) -> None:
+    def handle_news(self, news: list[News], now_s: float, spread: bool) -> None:
         """Apply news from a peer.
 
         Parameters
@@ -128,7 +130,7 @@
                 case NodeNews():
                     self._handle_node_news(item, now_s, spread)
 
-    def failed_probe(self, node: NodeRecord, now_s: float) -> None:
+    def record_failed_probe(self, node: NodeRecord, now_s: float) -> None:
         """Suspect a node that neither this node nor its helpers could reach."""
         view = self.directory.view(node.node_id)
         if view is None or view.is_dead:
@@ -150,11 +152,11 @@
         view = self.directory.view(node_id)
         return view is not None and view.record.state == NodeState.LEAVING
 
-    def heard(self, node_id: str) -> None:
+    def record_ack(self, node_id: str) -> None:
         """Drop the suspicion of a node that acknowledged a probe."""
         self.suspicions.drop(node_id)
 
-    def claim_about(self, node_id: str) -> VerdictNews | None:
+    def verdict_on(self, node_id: str) -> VerdictNews | None:
         """Return the verdict that a node has to refute, None if there is none."""
         view = self.directory.view(node_id)
         if view is None:
@@ -202,7 +204,7 @@
         if changes.dead:
             # The sender does not know that the node is dead. The verdict informs it,
             # or makes the node refute its death with a later epoch.
-            self.queue.add(self.claim_about(news.node_id), Priority.NORMAL, 1)
+            self.queue.add(self.verdict_on(news.node_id), Priority.NORMAL, 1)
             return
         if not changes.any:
             return
@@ -285,7 +287,7 @@
             # have been lost on the same broken link that caused the suspicion.
             self._announce_header(now_s)
             return
-        self.disputed = max(epoch, self.disputed or epoch)
+        self.disputed_epoch = max(epoch, self.disputed_epoch or epoch)
 
     def confirm_reachable(self, now_s: float) -> None:
         """Refute the verdicts on this node after a peer has reached it.
@@ -294,11 +296,11 @@
         would refute its death whenever it reads of it. Its peers would hold it
         dead and alive in turns although no request can reach it.
         """
-        if self.disputed is None:
+        if self.disputed_epoch is None:
             return
-        self._events.emit("claim_refuted", version=self.disputed.version)
-        new_incarnation = self.own.refute(self.disputed)
-        self.disputed = None
+        self._events.emit("claim_refuted", version=self.disputed_epoch.version)
+        new_incarnation = self.own.refute(self.disputed_epoch)
+        self.disputed_epoch = None
         if new_incarnation:
             self._announce_record(now_s)
         else:
@@ -309,7 +311,7 @@
             return
         self._events.emit("node_suspected", peer=node_id, by=by)
         if by != self.own.node_id:
-            self.to_check.add(node_id)
+            self.nodes_to_check.add(node_id)
         verdict_news = VerdictNews(node_id, *epoch, Verdict.SUSPECT, by)
         self.queue.add(verdict_news, Priority.URGENT, self._fleet_size())
 
@@ -367,12 +369,12 @@
         return self.directory.live_count()
 
     def _announce_record(self, now_s: float) -> None:
-        full_news = self.own.whole()
+        full_news = self.own.full_news()
         self.directory.apply(full_news, now_s)
         self._queue_node(full_news, Priority.URGENT)
 
     def _announce_header(self, now_s: float) -> None:
-        header = msgspec.structs.replace(self.own.whole(), servers=[])
+        header = msgspec.structs.replace(self.own.full_news(), servers=[])
         self.directory.apply(header, now_s)
         self._queue_node(header, Priority.URGENT)
 
--- a/balsamspindle/membership/own_record.py
+++ b/balsamspindle/membership/own_record.py
@@ -47,7 +47,7 @@
         """Region that this node announces."""
         return self.header.region
 
-    def whole(self) -> NodeNews:
+    def full_news(self) -> NodeNews:
         """Return the header and all entries as news."""
         return self._view.news()
 
--- a/balsamspindle/membership/probing.py
+++ b/balsamspindle/membership/probing.py
@@ -9,7 +9,7 @@
 from balsamspindle.membership.budget import Importance
 from balsamspindle.membership.channel import Channel, Peer
 from balsamspindle.membership.gossip import Gossiper
-from balsamspindle.membership.knowledge import Knowledge
+from balsamspindle.membership.membership_state import MembershipState
 from balsamspindle.membership.peer_selection import (
     OTHER_ZONE_EVERY,
     other_zone_targets,
@@ -65,7 +65,7 @@
         self,
         channel: Channel,
         transport: Transport,
-        knowledge: Knowledge,
+        state: MembershipState,
         gossiper: Gossiper,
         seed_addresses: tuple[str, ...],
         events: EventLog,
@@ -73,7 +73,7 @@
     ) -> None:
         self._channel = channel
         self._transport = transport
-        self._knowledge = knowledge
+        self._state = state
         self._gossiper = gossiper
         self._seed_addresses = seed_addresses
         self._contact_addresses = seed_addresses
@@ -110,7 +110,7 @@
 
     def set_contacts(self, addresses: tuple[str, ...], now_s: float) -> None:
         """Replace the addresses that are contacted besides the seed addresses."""
-        own_address = self._knowledge.own.header.member_address
+        own_address = self._state.own.header.member_address
         found = dict.fromkeys([*self._seed_addresses, *addresses])
         found.pop(own_address, None)
         self._contact_addresses = tuple(found)
@@ -137,19 +137,19 @@
         the suspected node would receive thousands of probes at once.
         """
         probed = {probe.node.node_id for probe in self._probes.values()}
-        for node_id in sorted(self._knowledge.to_check - probed):
-            view = self._knowledge.directory.view(node_id)
+        for node_id in sorted(self._state.nodes_to_check - probed):
+            view = self._state.directory.view(node_id)
             if view is None or view.is_dead:
                 continue
-            if self._random.random() * len(self._knowledge.peers()) < EXPECTED_CHECKERS:
+            if self._random.random() * len(self._state.peers()) < EXPECTED_CHECKERS:
                 self._probe(view.record, now_s, Importance.CHECK)
-        self._knowledge.to_check.clear()
+        self._state.nodes_to_check.clear()
 
     def _probe_next(self, now_s: float) -> None:
-        own_region = self._knowledge.own.region
+        own_region = self._state.own.region
         if self._random.randrange(OTHER_REGION_EVERY) == 0:
             other_regions = [
-                node for node in self._knowledge.peers() if node.region != own_region
+                node for node in self._state.peers() if node.region != own_region
             ]
             if other_regions:
                 self._probe(self._random.choice(other_regions), now_s)
@@ -159,7 +159,7 @@
                 self._probe_order = self._new_probe_order()
             if not self._probe_order:
                 return
-            view = self._knowledge.directory.view(self._probe_order.pop())
+            view = self._state.directory.view(self._probe_order.pop())
             if view is not None and not view.is_dead:
                 self._probe(view.record, now_s)
                 return
@@ -173,14 +173,14 @@
         same zone detect a node that cannot be reached; nodes of other zones
         detect a zone that is cut off.
         """
-        own = self._knowledge.own.header
-        peers = self._knowledge.peers()
+        own = self._state.own.header
+        peers = self._state.peers()
         region = [peer for peer in peers if peer.region == own.region] or peers
         order = [peer.node_id for peer in peers_in_zone(region, own)]
         if not order:
             order = [peer.node_id for peer in region]
         elif len(order) < len(region):
-            others = other_zone_targets(region, own, self._knowledge.own.node_id)
+            others = other_zone_targets(region, own, self._state.own.node_id)
             count = len(order) // (OTHER_ZONE_EVERY - 1) + 1
             order += self._random.choices(others, k=count)
         self._random.shuffle(order)
@@ -197,7 +197,7 @@
 
     def _news_for(self, node_id: str, now_s: float) -> list[News]:
         """Return news for a message to a node; a verdict on that node comes first."""
-        verdict = self._knowledge.claim_about(node_id)
+        verdict = self._state.verdict_on(node_id)
         news = self._gossiper.piggyback(now_s)
         return news if verdict is None else [verdict, *news]
 
@@ -224,7 +224,7 @@
         self._transport.disconnect(node.member_address)
         others = [
             peer
-            for peer in self._knowledge.peers()
+            for peer in self._state.peers()
             if peer.node_id != node.node_id and peer.region == node.region
         ]
         request = PingRequest(sequence, node.node_id, node.member_address)
@@ -237,13 +237,13 @@
 
     def _handle_failure(self, probe: _Probe, now_s: float) -> None:
         node = probe.node
-        leaving = self._knowledge.is_leaving(node.node_id)
+        leaving = self._state.is_leaving(node.node_id)
         if not leaving and not self._others_answered(node.node_id, probe.sent_s):
             # No other peer answered since the probe was sent: it is more likely
             # that this node is cut off than that the peer failed.
             self._events.emit("probe_failure_ignored", peer=node.node_id)
             return
-        self._knowledge.failed_probe(node, now_s)
+        self._state.record_failed_probe(node, now_s)
 
     def _others_answered(self, node_id: str, since_s: float) -> bool:
         return any(
@@ -261,15 +261,15 @@
 
     def _request_self_check(self, now_s: float) -> None:
         """Ask peers to ping this node while others suspect it or hold it dead."""
-        if self._knowledge.disputed is None or now_s < self._next_self_check_s:
+        if self._state.disputed_epoch is None or now_s < self._next_self_check_s:
             return
         self._next_self_check_s = now_s + SELF_CHECK_INTERVAL_S
         self._self_check_sequence = next(self._sequences)
-        own = self._knowledge.own
+        own = self._state.own
         request = PingRequest(
             self._self_check_sequence, own.node_id, own.header.member_address
         )
-        peers = self._knowledge.peers()
+        peers = self._state.peers()
         for helper in self._random.sample(peers, min(HELPER_COUNT, len(peers))):
             self._channel.send(helper.member_address, request, now_s, Importance.PROBE)
 
@@ -288,7 +288,7 @@
         Without this, two halves of a partition that declared each other dead
         would not find each other again once the partition ends.
         """
-        known = {node.member_address for node in self._knowledge.directory.alive()}
+        known = {node.member_address for node in self._state.directory.alive()}
         unknown = [
             contact for contact in self._contact_addresses if contact not in known
         ]
@@ -296,16 +296,16 @@
         for address in self._random.sample(unknown, count):
             ping = Ping(0, "", self._gossiper.piggyback(now_s))
             self._channel.send(address, ping, now_s, Importance.CHECK)
-        dead = self._knowledge.directory.dead()
+        dead = self._state.directory.dead()
         if dead:
             node = self._random.choice(dead).record
             ping = Ping(0, node.node_id, self._news_for(node.node_id, now_s))
             self._channel.send(node.member_address, ping, now_s)
 
     def _handle_ping(self, peer: Peer, ping: Ping, now_s: float) -> None:
-        self._knowledge.take(ping.news, now_s, spread=True)
+        self._state.handle_news(ping.news, now_s, spread=True)
         self._request_self_check(now_s)
-        if ping.target not in ("", self._knowledge.own.node_id):
+        if ping.target not in ("", self._state.own.node_id):
             # The ping was meant for a node that no longer has this address.
             self._channel.record_drop("other_target", ping.target, now_s)
             return
@@ -323,7 +323,7 @@
             )
 
     def _handle_ack(self, peer: Peer, ack: Ack, now_s: float) -> None:
-        self._knowledge.take(ack.news, now_s, spread=True)
+        self._state.handle_news(ack.news, now_s, spread=True)
         self._request_self_check(now_s)
         self._last_answer_s = now_s
         self._answer_times_s[peer.node_id] = now_s
@@ -333,10 +333,10 @@
             self._channel.answer(relayed.requester, reached, now_s, Importance.ANSWER)
             return
         if ack.sequence == self._self_check_sequence and ack.reached:
-            self._knowledge.confirm_reachable(now_s)
+            self._state.confirm_reachable(now_s)
             return
         probe = self._probes.get(ack.sequence)
         if probe is None or not ack.reached:
             return
         del self._probes[ack.sequence]
-        self._knowledge.heard(probe.node.node_id)
+        self._state.record_ack(probe.node.node_id)
--- a/balsamspindle/membership/sync.py
+++ b/balsamspindle/membership/sync.py
@@ -15,7 +15,7 @@
 
 from balsamspindle.membership.budget import Importance
 from balsamspindle.membership.channel import Channel, Peer
-from balsamspindle.membership.knowledge import Knowledge
+from balsamspindle.membership.membership_state import MembershipState
 from balsamspindle.membership.peer_selection import choose_peer, sample_peers
 from balsamspindle.wire import (
     News,
@@ -68,10 +68,10 @@
     """
 
     def __init__(
-        self, channel: Channel, knowledge: Knowledge, rng: random.Random
+        self, channel: Channel, state: MembershipState, rng: random.Random
     ) -> None:
         self._channel = channel
-        self._knowledge = knowledge
+        self._state = state
         self._random = rng
         self._next_comparison_s = float("-inf")
         self._next_unknown_peer_s = float("-inf")
@@ -87,7 +87,7 @@
 
     def tick(self, now_s: float) -> None:
         """Pull buckets, or start a comparison when one is due."""
-        peers = self._knowledge.peers()
+        peers = self._state.peers()
         if not peers:
             return
         self._pull_buckets(peers, now_s)
@@ -99,40 +99,40 @@
         )
         peer_count = min(len(peers), CATCH_UP_PEERS if self.is_catching_up else 1)
         self.is_catching_up = False
-        digests = self._knowledge.directory.digests()
-        own = self._knowledge.own.header
+        digests = self._state.directory.digests()
+        own = self._state.own.header
         chosen = sample_peers(peers, own, peer_count, self._random)
         for part, peer in enumerate(chosen):
             request = SyncRequest(digests, part, peer_count)
             if not self._channel.send(peer.member_address, request, now_s):
-                self.hurry(now_s, REPAIR_INTERVAL_S)
+                self.compare_soon(now_s, REPAIR_INTERVAL_S)
 
     def _pull_buckets(self, peers: list[NodeRecord], now_s: float) -> None:
         """Pull whole buckets from random peers, as far as the byte cap allows."""
         for _ in range(PULLS_PER_TICK):
             if not self._buckets_to_pull:
                 return
-            peer = choose_peer(peers, self._knowledge.own.header, self._random)
+            peer = choose_peer(peers, self._state.own.header, self._random)
             buckets = self._buckets_to_pull[-self._buckets_per_pull :]
             if not self._channel.send(peer.member_address, Pull([], buckets), now_s):
                 return
             del self._buckets_to_pull[-self._buckets_per_pull :]
 
-    def greet(self, peer: Peer, now_s: float) -> None:
+    def start_comparison(self, peer: Peer, now_s: float) -> None:
         """Compare with a peer that the directory lacks, at a limited rate."""
         if now_s < self._next_unknown_peer_s:
             return
         self._next_unknown_peer_s = now_s + CATCH_UP_INTERVAL_S
-        request = SyncRequest(self._knowledge.directory.digests())
+        request = SyncRequest(self._state.directory.digests())
         self._channel.answer(peer, request, now_s)
 
-    def hurry(self, now_s: float, wait_s: float = CATCH_UP_INTERVAL_S) -> None:
+    def compare_soon(self, now_s: float, wait_s: float = CATCH_UP_INTERVAL_S) -> None:
         """Start the next comparison after `wait_s` at the latest."""
         self._next_comparison_s = min(self._next_comparison_s, now_s + wait_s)
 
     def _handle_request(self, peer: Peer, request: SyncRequest, now_s: float) -> None:
-        directory = self._knowledge.directory
-        differing = directory.differing(request.buckets)
+        directory = self._state.directory
+        differing = directory.differing_buckets(request.buckets)
         if differing is None:
             self._channel.record_drop("garbage", "digests of a wrong size", now_s)
             return
@@ -153,12 +153,12 @@
     def _handle_summary(self, peer: Peer, summary: SyncSummary, now_s: float) -> None:
         is_partial = summary.differing > len(summary.buckets)
         self.is_catching_up |= is_partial
-        self.hurry(now_s, CATCH_UP_INTERVAL_S if is_partial else REPAIR_INTERVAL_S)
+        self.compare_soon(
+            now_s, CATCH_UP_INTERVAL_S if is_partial else REPAIR_INTERVAL_S
+        )
         # A joining node that knows no peers cannot pull buckets from them. It pulls
         # the nodes of this summary instead; otherwise it would wait forever.
-        needs_all = (
-            summary.differing > PULL_ALL_ABOVE_BUCKETS and self._knowledge.peers()
-        )
+        needs_all = summary.differing > PULL_ALL_ABOVE_BUCKETS and self._state.peers()
         # Once per interval: afterwards only the nodes that did not fit into a page
         # are missing.
         if needs_all and now_s >= self._next_pull_all_s:
@@ -183,7 +183,7 @@
 
     def _build_want(self, summary: NodeSummary) -> Want | None:
         """Return which entries of a node to pull, None if nothing is missing."""
-        view = self._knowledge.directory.view(summary.node_id)
+        view = self._state.directory.view(summary.node_id)
         if view is None or summary.incarnation > view.record.incarnation:
             return Want(summary.node_id, summary.incarnation, 0)
         if summary.incarnation < view.record.incarnation:
@@ -199,7 +199,7 @@
         return Want(summary.node_id, summary.incarnation, above)
 
     def _news_for_peer(self, summary: SyncSummary) -> list[News]:
-        directory = self._knowledge.directory
+        directory = self._state.directory
         peer_summaries = {node.node_id: node for node in summary.nodes}
         news: list[News] = []
         for bucket in summary.buckets:
@@ -214,20 +214,20 @@
         for peer_summary in summary.nodes:
             view = directory.view(peer_summary.node_id)
             if view is not None and view.is_dead:
-                news.append(self._knowledge.claim_about(peer_summary.node_id))
+                news.append(self._state.verdict_on(peer_summary.node_id))
         return news
 
     def _handle_pull(self, peer: Peer, pull: Pull, now_s: float) -> None:
         news: list[News] = []
         for want in pull.wants[:WANTS_MAX]:
-            view = self._knowledge.directory.view(want.node_id)
+            view = self._state.directory.view(want.node_id)
             if view is None or view.is_dead:
                 continue
             same_incarnation = want.incarnation == view.record.incarnation
             news.append(view.news(want.above_version if same_incarnation else 0))
         for bucket in pull.buckets[:BUCKETS_PER_PULL_MAX]:
-            for summary in self._knowledge.directory.summaries(bucket):
-                news.append(self._knowledge.directory.view(summary.node_id).news())
+            for summary in self._state.directory.summaries(bucket):
+                news.append(self._state.directory.view(summary.node_id).news())
         page = self._limit_to_page(news, now_s)
         self._channel.answer(peer, Page(page, len(news) - len(page)), now_s)
 
@@ -244,10 +244,10 @@
 
     def _handle_page(self, peer: Peer, page: Page, now_s: float) -> None:
         self.pages_received += 1
-        self._knowledge.take(page.news, now_s, spread=False)
+        self._state.handle_news(page.news, now_s, spread=False)
         if page.left:
             self.is_catching_up = True
-            self.hurry(now_s)
+            self.compare_soon(now_s)
 
 
 def _buckets_per_pull(summary: SyncSummary) -> int:
--- a/bench/capacity/bad_days.py
+++ b/bench/capacity/bad_days.py
@@ -98,7 +98,7 @@
 
 
 def _waiting(mirror: Mirror) -> int:
-    return sum(mirror.member.knowledge.queue.count_by_priority().values())
+    return sum(mirror.member.state.queue.count_by_priority().values())
 
 
 def _burst() -> dict[str, float]:
@@ -114,7 +114,7 @@
         "burst_sent_bytes_per_s": (mirror.member.budget.spent_bytes - spent_bytes)
         / BURST_MEASURED_S,
         "burst_waiting_items": _waiting(mirror),
-        "burst_overflowed_items": mirror.member.knowledge.queue.overflowed,
+        "burst_overflowed_items": mirror.member.state.queue.overflowed,
     }
     mirror.changes_per_s = RECORD_CHANGES_PER_S
     after = _event("after_burst", mirror, [])
--- a/bench/capacity/mirror.py
+++ b/bench/capacity/mirror.py
@@ -146,7 +146,7 @@
                     # Its answer, and the ping that some peer sends us.
                     peer = self._by_address.get(address)
                     self.take("ack", Ack(message.sequence, news=self._ack_news), peer)
-                    self.take("ping", Ping(1, self.member.knowledge.own.node_id))
+                    self.take("ping", Ping(1, self.member.state.own.node_id))
                     self.take("gossip", Gossip(message.news))
                 case Ack():
                     self._ack_news = message.news
--- a/bench/membership.py
+++ b/bench/membership.py
@@ -45,7 +45,7 @@
     nodes = [network.add(number, f"zone-{number % 3}") for number in range(size)]
     for node in nodes:
         node.set_servers(SERVERS_PER_NODE, services=max(1, size // 4))
-        node.member.knowledge.refresh(node.servers, network.now_s)
+        node.member.state.update_servers(node.servers, network.now_s)
     network.introduce(nodes)
     network.run(30)
     return network, nodes
@@ -240,7 +240,7 @@
     joiner = network.add(nodes + ANSWERING, "zone-0", "region-0", answering[:1])
     for node in (*answering, joiner):
         node.member._prober.tick = lambda now_s: None
-    joiner.directory.apply(answering[0].member.knowledge.own.whole(), network.now_s)
+    joiner.directory.apply(answering[0].member.state.own.full_news(), network.now_s)
     started_s = network.now_s
     shares = {}
     for share in (0.5, 0.9, 0.99, 1.0):
--- a/bench/membership_directory.py
+++ b/bench/membership_directory.py
@@ -114,7 +114,7 @@
 def _time_digests(directory: Directory) -> float:
     started = time.process_time()
     for _ in range(100):
-        directory.differing(directory.digests())
+        directory.differing_buckets(directory.digests())
     return (time.process_time() - started) / 100
 
 
--- a/tests/member_network.py
+++ b/tests/member_network.py
@@ -204,7 +204,7 @@
 
     def introduce(self, nodes) -> None:
         """Add all nodes to each other's directories without any messages."""
-        records = [node.member.knowledge.own.whole() for node in nodes]
+        records = [node.member.state.own.full_news() for node in nodes]
         for node in nodes:
             for record in records:
                 node.directory.apply(record, self.now_s)
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -52,7 +52,7 @@
 
     def test_a_leaving_node_is_removed_without_suspicion(self):
         leaving, other = self.start(2)
-        leaving.member.knowledge.leave(self.network.now_s)
+        leaving.member.state.announce_leaving(self.network.now_s)
         self.network.run(1.0)
         self.assertEqual("leaving", other.directory.view(leaving.node_id).record.state)
         self.network.kill(leaving)
@@ -76,7 +76,7 @@
         # B dead: the suspicion reaches B, which refutes it.
         a, b, *_ = self.start(8)
         for _ in range(20):
-            a.member.knowledge.failed_probe(
+            a.member.state.record_failed_probe(
                 a.directory.view(b.node_id).record, self.network.now_s
             )
             self.network.run(5)
@@ -162,10 +162,10 @@
         changed.set_servers(2)
         self.network.run(10)
         victim = others[0]
-        suspended.member.knowledge.failed_probe(
+        suspended.member.state.record_failed_probe(
             suspended.directory.view(victim.node_id).record, self.network.now_s
         )
-        suspended.member.knowledge.take(
+        suspended.member.state.handle_news(
             [VerdictNews(victim.node_id, 1000, 0, Verdict.SUSPECT, others[1].node_id)],
             self.network.now_s,
             spread=True,
@@ -188,9 +188,9 @@
         # suspected.
         a, b, *_ = self.start(4)
         past_record = a.directory.view(b.node_id).record
-        b.member.knowledge.assert_alive(self.network.now_s)
+        b.member.state.announce_alive(self.network.now_s)
         self.network.run(5)
-        a.member.knowledge.failed_probe(past_record, self.network.now_s)
+        a.member.state.record_failed_probe(past_record, self.network.now_s)
         self.assertEqual(0, a.events.counts["node_suspected"])
 
     def test_a_replaced_node_raises_a_lower_incarnation(self):
@@ -284,14 +284,14 @@
         node = self.network.add(0)
         node.set_servers(25)
         self.network.run(1)
-        queue = node.member.knowledge.queue
+        queue = node.member.state.queue
         while queue.next_batch(100_000):
             pass
         first, *others = node.servers
         node.servers = (first._replace(boot_id="2"), *others)
         self.network.run(1)
         delta = len(msgspec.msgpack.encode(queue.next_batch(100_000)))
-        whole = len(msgspec.msgpack.encode(node.member.knowledge.own.whole()))
+        whole = len(msgspec.msgpack.encode(node.member.state.own.full_news()))
         self.assertLess(delta * 10, whole)
 
     def test_malformed_frames_are_dropped(self):
