--- a/balsamspindle/customers/__init__.py
+++ b/balsamspindle/customers/__init__.py
@@ -1,11 +1,12 @@
-"""Customers: who asks, and what they may ask.
+"""Authentication and rate limits of customers.
 
-Start with `admission.py`, which decides on each request. The customers themselves are
-documents of the settings (`balsamspindle.settings.customers`). `limits.py` keeps
-them within their limits over all nodes: `granters.py` says which node grants what,
-`buckets.py` what it has left. Where keys must end in
-a bounded time, `freshness.py` keeps how new the settings are proven to be, and
-`proofs.py` gets these proofs from the store and from other nodes.
+Start with `admission.py`, which admits or refuses each request. The customers
+themselves are documents of the settings (`balsamspindle.settings.customers`).
+`limits.py` enforces their limits over all nodes: `granters.py` selects the node that
+grants a customer's requests and its share of the limit, and `buckets.py` holds the
+tokens of that node. Where a revoked key must stop working within a fixed time,
+`freshness.py` keeps the proofs that this node's settings are new enough, and
+`proofs.py` gets them from the store and from other nodes.
 """
 
 from balsamspindle.customers.admission import Admitted, CustomerGate, Refused
--- a/balsamspindle/customers/admission.py
+++ b/balsamspindle/customers/admission.py
@@ -1,6 +1,6 @@
-"""Whether a request may be run for whoever asks.
+"""Admission of callers' requests by key, settings freshness and customer limit.
 
-Load: each request of each caller.
+Runs for each request of each caller.
 """
 
 from typing import NamedTuple
@@ -18,39 +18,39 @@
 
 
 class Admitted(NamedTuple):
-    """Who asks, and on which terms.
+    """An admitted request: its customer and its route.
 
     Attributes
     ----------
     customer : CustomerDocument or None
         None for a request without a valid key, on a route that needs none.
     route : RouteDocument
-        With the customer's weight where it has one.
-    granted : Granted or None
-        Its part of the customer's limit.
+        With the customer's weight in place of the route's, if the customer has one.
+    grant : Granted or None
+        The grant from the customer's limit; None if limits were not checked.
     """
 
     customer: CustomerDocument | None
     route: RouteDocument
-    granted: Granted | None = None
+    grant: Granted | None = None
 
     @property
     def name(self) -> str:
-        """What backend servers are told; empty when it is nobody's request."""
+        """The customer's name for backend servers; empty without a customer."""
         return self.customer.name if self.customer is not None else ""
 
 
 class Refused(NamedTuple):
-    """Why a request is not run.
+    """A refused request.
 
     Attributes
     ----------
     retry_after_ms : float
-        When coming back helps; the reason's own time when 0.
+        When the caller may retry; 0 for the default of the reason.
     customer : str
-        Who asked, where that is known.
+        The customer's name; empty if unknown.
     allow : tuple of str
-        Methods that are taken, where the request's is not.
+        Methods that the target supports, if the request's method is not among them.
     """
 
     reason: Reason
@@ -65,20 +65,20 @@
     key_digest: str | None,
     is_fresh: bool,
 ) -> Admitted | Refused:
-    """Tell who asks, or why the request is refused.
+    """Find the customer of a request by its key, or refuse the request.
 
     Parameters
     ----------
     key_digest : str or None
-        Of the key that the request came with.
+        Digest of the key that the request came with; None without a key.
     is_fresh : bool
-        Whether the configuration's keys are proven to be valid still.
+        Whether the configuration is proven new enough for its keys to be used.
     """
     customer = None
     if key_digest is not None and is_fresh:
         customer = configuration.customers.find(key_digest)
     if customer is not None:
-        return Admitted(customer, _weighted(route, customer))
+        return Admitted(customer, _apply_customer_weight(route, customer))
     if route.allows_anonymous:
         return Admitted(None, route)
     if key_digest is None:
@@ -86,19 +86,21 @@
     return Refused(Reason.KEY_UNKNOWN if is_fresh else Reason.KEYS_UNPROVEN)
 
 
-def _weighted(route: RouteDocument, customer: CustomerDocument) -> RouteDocument:
+def _apply_customer_weight(
+    route: RouteDocument, customer: CustomerDocument
+) -> RouteDocument:
     if customer.weight is None or customer.weight == route.weight:
         return route
     return msgspec.structs.replace(route, weight=customer.weight)
 
 
 class CustomerGate:
-    """Decides on each request at one node.
+    """Admits or refuses requests at one node.
 
     Parameters
     ----------
-    freshness : Freshness, default=no proof is needed
-    limiter : Limiter, default=no limit is kept
+    freshness : Freshness, default=keys are used without a proof
+    limiter : Limiter, default=limits are not enforced
     """
 
     def __init__(
@@ -114,9 +116,10 @@
     def admit(
         self, route: RouteDocument, key_digest: str | None, now_s: float
     ) -> Admitted | Refused:
-        """Tell who asks, or why the request is refused.
+        """Find the customer and count the request against the customer's limit.
 
-        It may wait a moment for the node that grants the customer's requests.
+        May block for a moment, until the node that grants the customer's requests
+        replies.
         """
         configuration = self._configuration.get()
         is_fresh = self._freshness.is_fresh(configuration.revision, now_s)
@@ -124,21 +127,21 @@
         match identified:
             case Admitted(customer=CustomerDocument() as customer) if self._limiter:
                 acquired = self._limiter.acquire(customer, configuration.revision)
-                return _limited(identified, acquired)
+                return _apply_limit(identified, acquired)
         return identified
 
     def give_back(self, admitted: Admitted) -> None:
-        """Take note that a request did not run: it does not count."""
-        if self._limiter is not None and admitted.granted is not None:
-            self._limiter.give_back(admitted.granted)
+        """Return the grant of an admitted request that did not run."""
+        if self._limiter is not None and admitted.grant is not None:
+            self._limiter.give_back(admitted.grant)
 
 
-def _limited(
+def _apply_limit(
     admitted: Admitted, acquired: Granted | Denied | None
 ) -> Admitted | Refused:
     match acquired:
         case Granted():
-            return admitted._replace(granted=acquired)
+            return admitted._replace(grant=acquired)
         case Denied(wait_s):
             return Refused(Reason.CUSTOMER_LIMITED, wait_s * 1000, admitted.name)
         case _:
--- a/balsamspindle/customers/freshness.py
+++ b/balsamspindle/customers/freshness.py
@@ -1,10 +1,11 @@
-"""How new this node's settings are proven to be.
-
-A key that was taken away must not be served any more some seconds later, also by a
-node that hears nothing. So a node serves keys only while it can prove that its
-settings were the store's newest a short time ago. A proof is a read of the store that
-showed a revision which this node has in force. It is as old as the moment when that
-read began: what was accepted later may not be in it. Silence proves nothing.
+"""Proofs that this node's settings are new enough for its keys to be used.
+
+A revoked key must stop working on all nodes within a few seconds, even on a node that
+receives no messages. So a node uses keys only while it can prove that a short time ago
+its settings were the store's newest. A proof is a read of the store whose result is a
+revision that is in force at this node, or an older one. Its age counts from the start
+of that read, as the result may miss changes accepted later. Receiving no messages is
+no proof.
 """
 
 import threading
@@ -14,7 +15,7 @@
 
 
 class Proof(NamedTuple):
-    """That the store's newest settings were of a revision.
+    """The newest revision in the store when a read of it began.
 
     Attributes
     ----------
@@ -26,57 +27,56 @@
     revision: int
 
 
-_NEVER = Proof(float("-inf"), -1)
+_NO_PROOF = Proof(float("-inf"), -1)
 
 
 class Freshness:
-    """The newest proofs; safe from all threads.
+    """The newest proof and the newest usable one; thread-safe.
 
     Parameters
     ----------
     age_max_s : float or None
-        Age at which a proof ends; None where none is needed.
+        Age at which a proof expires; None if keys are used without a proof.
     """
 
     def __init__(self, age_max_s: float | None) -> None:
         self._age_max_s = age_max_s
         self._lock = threading.Lock()
-        self._newest = _NEVER
-        # Of a revision that was in force here when it came.
-        self._usable = _NEVER
+        self._newest = _NO_PROOF
+        # The newest proof whose revision is in force at this node.
+        self._usable = _NO_PROOF
 
     @property
     def is_needed(self) -> bool:
-        """Whether keys are served by proof only."""
+        """Whether keys are used only with a proof."""
         return self._age_max_s is not None
 
-    def note(self, proof: Proof, own_revision: int) -> None:
-        """Take a proof.
+    def record(self, proof: Proof, own_revision: int) -> None:
+        """Keep a proof if it is newer than the newest one.
 
         Parameters
         ----------
         own_revision : int
-            In force at this node.
+            The revision in force at this node.
         """
         with self._lock:
-            self._settle(own_revision)
+            self._update_usable(own_revision)
             if proof.began_s > self._newest.began_s:
                 self._newest = proof
-            self._settle(own_revision)
+            self._update_usable(own_revision)
 
-    def usable(self, own_revision: int) -> Proof:
-        """Return the newest proof of a revision that is in force here."""
+    def usable_proof(self, own_revision: int) -> Proof:
+        """Return the newest proof of a revision in force; revision -1 without one."""
         with self._lock:
-            self._settle(own_revision)
+            self._update_usable(own_revision)
             return self._usable
 
     def is_fresh(self, own_revision: int, now_s: float) -> bool:
-        """Tell whether keys may be served."""
+        """Return whether keys may be used."""
         if self._age_max_s is None:
             return True
-        return now_s - self.usable(own_revision).began_s < self._age_max_s
+        return now_s - self.usable_proof(own_revision).began_s < self._age_max_s
 
-    def _settle(self, own_revision: int) -> None:
-        """Use the newest proof once its revision is in force."""
+    def _update_usable(self, own_revision: int) -> None:
         if self._newest.revision <= own_revision:
             self._usable = self._newest
--- a/balsamspindle/customers/granters.py
+++ b/balsamspindle/customers/granters.py
@@ -1,14 +1,15 @@
-"""Which node grants a customer's requests, and how much of its limit.
-
-A part of each limit is divided among availability zones, and one node of each zone
-grants the zone's part: its callers ask it within the zone, where bytes cost nothing.
-The rest is granted by one node of the fleet, for what a zone's part does not suffice:
-a customer whose callers are all in one zone is not held to a third of its limit.
-
-Which node it is follows from the nodes that are known by rendezvous hashing; nothing
-is agreed upon. Where nodes can't see each other there may be two for one customer:
-each grants as much as the part of the nodes that it sees, and together they grant no
-more than one would.
+"""Selection of the nodes that grant a customer's requests, and their share.
+
+A fraction of each limit is divided equally among the availability zones. One node of
+each zone, its granter, grants the zone's share, because messages within a zone cost
+nothing. The rest is granted by one node of the whole fleet, to requests for which the
+zone's share does not suffice. So a customer whose callers are all in one zone can use
+more than that zone's share.
+
+Each node selects the granters by rendezvous hashing over the nodes that it knows,
+without any agreement between nodes. While nodes can't reach each other, one customer
+may have two granters. Each then grants a share proportional to the nodes that it can
+reach, so that together they grant no more than one would.
 """
 
 from enum import IntEnum
@@ -22,68 +23,66 @@
 
 __all__ = ["Granters", "Limit", "LimitTerms", "Scope"]
 
-# A bucket that can't hold one token grants nothing.
+# A bucket that holds less than one token can't grant anything.
 BURST_MIN = 1.0
-# How long a node that died counts as one that may still be there.
-DEAD_COUNTS_S = 30.0
-RANKED_KEPT = 10_000
+# How long a dead node still counts towards the number of nodes: it may be alive but
+# unreachable, and grant requests on its own.
+DEAD_COUNTED_S = 30.0
+RANKINGS_MAX = 10_000
 
 
 class Limit(NamedTuple):
-    """A customer's limit over all nodes, as its settings have it."""
+    """A customer's limit over all nodes, as set in its document."""
 
     rate_per_s: float
     burst: float
 
 
 class LimitTerms(NamedTuple):
-    """How the operators count.
+    """How strictly limits are enforced.
 
     Attributes
     ----------
     zones : int
-        Availability zones of the fleet; 0 counts those that are known.
+        Number of availability zones in the fleet; 0 to count those that are known.
     window_s : float
-        In any window of this length a customer may run its rate's requests and its
-        burst; 0 where the burst comes once, and again as the rate fills it.
-    over_part : float
-        Part of that by which it may be over.
+        In any window of this length, a customer may run its rate times the window
+        plus its burst. If 0, the burst is available once and refills at the rate.
+    over_fraction : float
+        Fraction of that amount by which a customer may exceed it.
     slack : float
-        Requests by which it may be over besides.
+        Requests by which a customer may exceed it in addition.
     """
 
     zones: int = 0
     window_s: float = 0.0
-    over_part: float = 0.0
+    over_fraction: float = 0.0
     slack: float = 0.0
 
-    def rate(self, limit: Limit) -> Rate:
+    def fleet_rate(self, limit: Limit) -> Rate:
         """Return what all nodes together may grant."""
         if not self.window_s:
             return Rate(limit.rate_per_s, limit.burst + self.slack)
         in_window = limit.rate_per_s * self.window_s + limit.burst
-        return Rate(in_window / self.window_s, in_window * self.over_part + self.slack)
+        return Rate(
+            in_window / self.window_s, in_window * self.over_fraction + self.slack
+        )
 
 
 class Scope(IntEnum):
-    """Among which nodes one grants a part of a limit; asked in this order."""
+    """The nodes among which a granter is selected; asked in this order."""
 
     ZONE = 0
     FLEET = 1
 
 
-# Of a limit, what each scope grants. With callers in one of three zones alone a
-# customer has two thirds of its limit and more.
-_PARTS = {Scope.ZONE: 0.4, Scope.FLEET: 0.6}
+# Fraction of a limit that each scope grants. With callers in only one of three zones,
+# a customer can use 0.4 / 3 + 0.6 of its limit, which is more than two thirds.
+_SCOPE_FRACTIONS = {Scope.ZONE: 0.4, Scope.FLEET: 0.6}
 
 
 class Granters:
-    """Ranks the nodes of one scope for each customer.
-
-    Parameters
-    ----------
-    terms : LimitTerms
-    """
+    """Ranks the nodes of one scope for each customer; the first one is the granter."""
 
     def __init__(
         self, own: NodeRecord, directory: Directory, scope: Scope, terms: LimitTerms
@@ -92,64 +91,68 @@
         self._directory = directory
         self._scope = scope
         self._terms = terms
-        self._seen: list[NodeRecord] | None = None
+        self._last_records: list[NodeRecord] | None = None
         self._nodes: list[NodeRecord] = []
         self._known_zones = 1
-        self._ranked: dict[str, tuple[NodeRecord, ...]] = {}
+        self._rankings: dict[str, tuple[NodeRecord, ...]] = {}
 
-    def changed(self) -> bool:
-        """Look at the fleet again; tell whether the scope's nodes have changed."""
-        seen = self._directory.alive()
-        if seen is self._seen:
+    def update(self) -> bool:
+        """Read the directory; return whether the ids of the scope's nodes changed."""
+        records = self._directory.alive()
+        if records is self._last_records:
             return False
         others = [
             record
-            for record in seen
-            if self._counts(record) and record.node_id != self._own.node_id
+            for record in records
+            if self._is_member(record) and record.node_id != self._own.node_id
         ]
         nodes = [*sorted(others, key=lambda record: record.node_id), self._own]
-        is_changed = _ids(nodes) != _ids(self._nodes)
-        zones = {record.availability_zone for record in (*seen, self._own)}
+        is_changed = _node_ids(nodes) != _node_ids(self._nodes)
+        zones = {record.availability_zone for record in (*records, self._own)}
         self._known_zones = len(zones)
-        self._seen, self._nodes = seen, nodes
-        # Also for nodes that came back at another address.
-        self._ranked = {}
+        self._last_records, self._nodes = records, nodes
+        # Cleared even if no id changed: a node may have restarted at another address.
+        self._rankings = {}
         return is_changed
 
     def ranked(self, customer: str) -> tuple[NodeRecord, ...]:
-        """Return the node that grants a customer's requests, and the next one."""
-        known = self._ranked.get(customer)
-        if known is None:
-            if len(self._ranked) >= RANKED_KEPT:
-                self._ranked = {}
+        """Return the customer's granter and the node to ask if it is unreachable."""
+        ranking = self._rankings.get(customer)
+        if ranking is None:
+            if len(self._rankings) >= RANKINGS_MAX:
+                self._rankings = {}
             order = sorted(
-                self._nodes, key=lambda record: _weight(customer, record.node_id)
+                self._nodes,
+                key=lambda record: _rendezvous_hash(customer, record.node_id),
             )
-            known = self._ranked[customer] = tuple(order[:2])
-        return known
+            ranking = self._rankings[customer] = tuple(order[:2])
+        return ranking
 
     def is_own(self, customer: str) -> bool:
-        """Tell whether this node grants a customer's requests."""
+        """Return whether this node is the customer's granter."""
         return self.ranked(customer)[0].node_id == self._own.node_id
 
-    def rate(self, customer: str, limit: Limit, now_s: float) -> Rate:
-        """Return what this node may grant of a limit."""
-        reached = len(self._nodes) if self.is_own(customer) else 1
-        part = _PARTS[self._scope] * reached / self._size(now_s)
+    def own_rate(self, customer: str, limit: Limit, now_s: float) -> Rate:
+        """Return what this node may grant of a limit.
+
+        A node that is asked in place of the granter grants only its own node's share.
+        """
+        counted = len(self._nodes) if self.is_own(customer) else 1
+        fraction = _SCOPE_FRACTIONS[self._scope] * counted / self._node_count(now_s)
         if self._scope is Scope.ZONE:
-            part /= self._terms.zones or self._known_zones
-        whole = self._terms.rate(limit)
-        return Rate(whole.per_s * part, max(BURST_MIN, whole.burst * part))
-
-    def _size(self, now_s: float) -> int:
-        """Return the nodes of the scope, with those that were lost lately."""
-        lost = sum(
-            self._counts(view.record) and now_s - view.dead_since_s < DEAD_COUNTS_S
+            fraction /= self._terms.zones or self._known_zones
+        fleet = self._terms.fleet_rate(limit)
+        return Rate(fleet.per_s * fraction, max(BURST_MIN, fleet.burst * fraction))
+
+    def _node_count(self, now_s: float) -> int:
+        """Return the number of the scope's nodes, with those that died recently."""
+        dead_count = sum(
+            self._is_member(view.record) and now_s - view.dead_since_s < DEAD_COUNTED_S
             for view in self._directory.dead()
         )
-        return len(self._nodes) + lost
+        return len(self._nodes) + dead_count
 
-    def _counts(self, record: NodeRecord) -> bool:
+    def _is_member(self, record: NodeRecord) -> bool:
         is_in_scope = (
             self._scope is Scope.FLEET
             or record.availability_zone == self._own.availability_zone
@@ -157,9 +160,9 @@
         return is_in_scope and record.state == NodeState.ALIVE
 
 
-def _ids(nodes: list[NodeRecord]) -> list[str]:
+def _node_ids(nodes: list[NodeRecord]) -> list[str]:
     return [record.node_id for record in nodes]
 
 
-def _weight(customer: str, node_id: str) -> int:
+def _rendezvous_hash(customer: str, node_id: str) -> int:
     return xxhash.xxh3_64_intdigest(f"{customer}\0{node_id}".encode())
--- a/balsamspindle/customers/limits.py
+++ b/balsamspindle/customers/limits.py
@@ -1,9 +1,9 @@
-"""Keeps customers within their limits, over all nodes together.
+"""Enforces customers' limits over all nodes together.
 
-Each request of a limited customer is granted before it goes anywhere else, by one
-node of its zone or else by one of the fleet (see `balsamspindle.customers.granters`).
-Where that node can't be reached the next one is asked, which grants little; a request
-that nobody grants is not run.
+A request of a limited customer is forwarded only after a granter of the customer has
+granted it: that of the request's zone or else that of the fleet (see
+`balsamspindle.customers.granters`). If a granter can't be reached, the next node is
+asked, which has a much smaller share. A request that no node grants is not run.
 """
 
 import itertools
@@ -20,29 +20,29 @@
 
 __all__ = ["Granted", "Limiter", "LimitLinks"]
 
-# After its start a node knows few others, and would take itself for the one that
-# grants.
-SETTLES_AFTER_S = 1.0
-LIMITS_KEPT = 100_000
+# How long after its start a node may not know most of the others yet, and would take
+# itself for the granter of every customer.
+DISCOVERY_S = 1.0
+KNOWN_LIMITS_MAX = 100_000
 
 
 class LimitLinks(Protocol):
-    """How other nodes are asked."""
+    """Sends the messages of limits to other nodes."""
 
     def ask(self, node: NodeRecord, question: LimitQuestion) -> LimitTold | None:
-        """Return a node's answer; None when it can't be reached."""
+        """Return a node's answer; None if it can't be reached."""
 
     def tell(self, node: NodeRecord, message: LimitReturn) -> None:
-        """Tell a node something that may get lost."""
+        """Send a message that may get lost."""
 
 
 class Granted(NamedTuple):
-    """A request that may run; given back where it does not.
+    """Permission to run one request; returned if the request does not run.
 
     Attributes
     ----------
     node : NodeRecord or None
-        That granted it; None for this node, or where there is no limit.
+        The node that granted it; None for this node, or without a limit.
     """
 
     customer: str
@@ -57,12 +57,12 @@
 
 
 class Limiter:
-    """Asks for grants at one node, and grants what is asked of it.
+    """Acquires grants for this node's requests, and grants those of other nodes.
 
     Parameters
     ----------
     granters : dict of Scope to Granters
-        Used by this object alone.
+        Not used by any other object: they are protected by this object's lock.
     """
 
     def __init__(
@@ -79,28 +79,28 @@
         self._started_s = clock()
         self._buckets = {scope: Buckets(clock()) for scope in granters}
         self._lock = threading.Lock()
-        self._limits: dict[str, _KnownLimit] = {}
-        self._numbers = itertools.count(1)
+        self._known_limits: dict[str, _KnownLimit] = {}
+        self._question_numbers = itertools.count(1)
 
     def is_settled(self, now_s: float) -> bool:
-        """Tell whether this node has had the time to meet the others."""
-        return now_s - self._started_s >= SETTLES_AFTER_S
+        """Return whether this node has had the time to discover the others."""
+        return now_s - self._started_s >= DISCOVERY_S
 
     def refresh(self, now_s: float) -> None:
-        """Take note of nodes that came or went; call it about once a second."""
+        """Read the directory for nodes that joined or left; call once a second."""
         with self._lock:
-            self._look(now_s)
+            self._update_granters(now_s)
 
     def acquire(
         self, customer: CustomerDocument, revision: int
     ) -> Granted | Denied | None:
-        """Ask for one request of a customer; None when no node could be asked."""
+        """Acquire a grant for one request; None if no node could be asked."""
         if not customer.rate_per_s:
             return Granted(customer.name, is_limited=False)
         denied = None
         for scope in self._granters:
             question = LimitQuestion(
-                next(self._numbers),
+                next(self._question_numbers),
                 customer.name,
                 customer.rate_per_s,
                 customer.burst,
@@ -117,66 +117,66 @@
     def _ask_scope(
         self, question: LimitQuestion, scope: Scope
     ) -> Granted | Denied | None:
-        """Ask the node that grants in a scope, or else the next one."""
+        """Ask the scope's granter, or the next node if it can't be reached."""
         for node in self._ranked(question.customer, scope):
             if node.node_id == self._own.node_id:
                 granted = Granted(question.customer, scope=scope)
-                return self._take(question, scope) or granted
-            told = self._links.ask(node, question)
-            if told is not None:
+                return self._try_spend(question, scope) or granted
+            answer = self._links.ask(node, question)
+            if answer is not None:
                 granted = Granted(question.customer, node, scope)
-                return granted if told.is_given else Denied(told.wait_ms / 1000)
+                return granted if answer.is_given else Denied(answer.wait_ms / 1000)
         return None
 
     def give_back(self, granted: Granted) -> None:
-        """Give the grant of a request back that did not run."""
+        """Return the grant of a request that did not run to the node that gave it."""
         if not granted.is_limited:
             return
         if granted.node is None:
-            self._buckets[granted.scope].give_back(granted.customer)
+            self._buckets[granted.scope].refund(granted.customer)
         else:
             message = LimitReturn(granted.customer, granted.scope)
             self._links.tell(granted.node, message)
 
     def answer(self, question: LimitQuestion) -> LimitTold:
-        """Answer another node's question."""
-        denied = self._take(question, Scope(question.scope))
+        """Grant or deny a request of another node."""
+        denied = self._try_spend(question, Scope(question.scope))
         wait_ms = denied.wait_s * 1000 if denied else 0.0
         return LimitTold(question.number, denied is None, wait_ms, self._clock())
 
     def take_back(self, message: LimitReturn) -> None:
-        """Take back what another node did not use."""
-        self._buckets[Scope(message.scope)].give_back(message.customer)
+        """Refund a grant that another node did not use."""
+        self._buckets[Scope(message.scope)].refund(message.customer)
 
     def _ranked(self, customer: str, scope: Scope) -> tuple[NodeRecord, ...]:
         with self._lock:
-            self._look(self._clock())
+            self._update_granters(self._clock())
             return self._granters[scope].ranked(customer)
 
-    def _take(self, question: LimitQuestion, scope: Scope) -> Denied | None:
-        """Take a token at this node; None when there was one."""
+    def _try_spend(self, question: LimitQuestion, scope: Scope) -> Denied | None:
+        """Spend a token of this node; return None if there was one."""
         now_s = self._clock()
         with self._lock:
-            self._look(now_s)
+            self._update_granters(now_s)
             limit = self._newest_limit(question)
-            rate = self._granters[scope].rate(question.customer, limit, now_s)
-        return self._buckets[scope].take(question.customer, rate, now_s)
+            rate = self._granters[scope].own_rate(question.customer, limit, now_s)
+        return self._buckets[scope].try_spend(question.customer, rate, now_s)
 
-    def _look(self, now_s: float) -> None:
+    def _update_granters(self, now_s: float) -> None:
         for scope, granters in self._granters.items():
-            if granters.changed():
+            if granters.update():
                 self._buckets[scope].keep_only(granters.is_own, now_s)
 
     def _newest_limit(self, question: LimitQuestion) -> Limit:
-        """Return the limit of the newest settings that were seen here.
+        """Return the customer's limit in the newest settings seen in any question.
 
-        A node whose settings are older asks with a limit that holds no more.
+        A node with older settings may ask with a limit that is no longer in force.
         """
-        known = self._limits.get(question.customer)
+        known = self._known_limits.get(question.customer)
         if known is None or question.revision >= known.revision:
             limit = Limit(question.rate_per_s, question.burst)
             known = _KnownLimit(limit, question.revision)
-            if len(self._limits) >= LIMITS_KEPT:
-                self._limits.clear()
-            self._limits[question.customer] = known
+            if len(self._known_limits) >= KNOWN_LIMITS_MAX:
+                self._known_limits.clear()
+            self._known_limits[question.customer] = known
         return known.limit
--- a/balsamspindle/customers/proofs.py
+++ b/balsamspindle/customers/proofs.py
@@ -1,9 +1,10 @@
-"""Gets proofs of how new this node's settings are.
+"""Gets proofs that this node's settings are new enough for its keys to be used.
 
-A few nodes of each zone read the store. The others ask these for their newest proof,
-within the zone, and read for themselves only when nobody there has one. A proof that
-a peer tells is as old as the peer says and as the question is: the time that both
-messages took counts, were it spent in a process that stood still.
+A few nodes of each zone read the store. The others ask them for their newest proof,
+within the zone, and read the store themselves only if no node of the zone has a newer
+one. The age of a proof from a peer is the age that the peer reports plus the time
+since the question was sent, so that delays of either message, for instance in a paused
+process, are included.
 """
 
 import itertools
@@ -27,24 +28,25 @@
 
 TICK_S = 0.1
 READERS_PER_ZONE_MIN = 2
-# Nodes that one reader answers.
+# Nodes of a zone for each of its readers.
 NODES_PER_READER = 32
 READ_INTERVAL_S = 1.5
-# Age of its proof at which a node asks for a newer one, and how often.
+# Age of its proof from which a node asks for a newer one, and how often it does.
 ASK_AT_AGE_S = 1.5
 ASK_INTERVAL_S = 0.4
-# Questions in a row without a newer proof that go to readers of the own zone, and
-# after these to its other nodes. Others go to readers of all zones.
-ASKS_OF_READERS, ASKS_OF_ZONE = 2, 1
-# Age at which a node that nobody helps reads the store itself.
+# Without a newer proof, the first questions go to readers of the node's own zone, the
+# next ones to any node of the zone, and all later ones to readers of all zones.
+READER_QUESTIONS, ZONE_QUESTIONS = 2, 1
+# Age of its proof from which a node that is no reader may read the store itself.
 READ_AT_AGE_S = 2.5
-# Where peers answer but have no newer proof, the store is likely to be away for all.
+# Interval of such reads, doubled after each. If peers answer but have no newer proof,
+# the store is probably unavailable to all, and the maximum applies after one read.
 OWN_READ_INTERVAL_S, OWN_READ_INTERVAL_MAX_S = 1.0, 8.0
-QUESTIONS_KEPT = 16
+OPEN_QUESTIONS_MAX = 16
 
 
 class ProofQuestion(msgspec.Struct, array_like=True, tag="proof_ask", frozen=True):
-    """Node to node: how new are your settings proven to be?
+    """Node to node: asks for the newest proof.
 
     Attributes
     ----------
@@ -61,10 +63,12 @@
 
     Attributes
     ----------
+    number : int
+        As in the question.
     age_ms : float
-        Of the newest proof, when the answer was made.
+        Age of the newest proof when the answer was made.
     revision : int
-        That it proves; -1 without one.
+        The revision that it proves; -1 without a proof.
     """
 
     number: int
@@ -72,20 +76,20 @@
     revision: int
 
 
-class _Asked(NamedTuple):
-    asked_s: float
+class _OpenQuestion(NamedTuple):
+    sent_s: float
     address: str
 
 
 class ProofKeeper:
-    """Keeps one node's proof new.
+    """Keeps one node's proof of its settings new enough.
 
     Parameters
     ----------
     read : callable
-        Has the store read; a proof comes by `note_read`.
+        Starts a read of the store, whose result comes by `note_read`.
     send : callable
-        Takes a member address and a message; safe from any thread.
+        Takes a member address and a message; thread-safe.
     """
 
     def __init__(
@@ -111,45 +115,45 @@
         self._stopped = threading.Event()
         self._numbers = itertools.count(1)
         self._lock = threading.Lock()
-        self._asked: dict[int, _Asked] = {}
-        self._next_ask_s = 0.0
+        self._open_questions: dict[int, _OpenQuestion] = {}
+        self._next_question_s = 0.0
         self._next_read_s = 0.0
         self._own_read_interval_s = OWN_READ_INTERVAL_S
-        # Questions since the last newer proof, and those of them that were answered.
-        self._asks = 0
-        self._answers = 0
-        # The peer that told the last newer proof, asked first for the next one.
-        self._helper: str | None = None
+        # Since the last newer proof: questions sent, and answers to them.
+        self._question_count = 0
+        self._answer_count = 0
+        # The peer that sent the last newer proof; it is asked first for the next one.
+        self._preferred_address: str | None = None
         self._was_fresh = False
         self._changed_s = clock()
 
     def run_reads(self) -> None:
-        """Read the store when it is this node's turn, until `stop` is called."""
+        """Read the store whenever this node has to, until `stop` is called."""
         while not self._stopped.wait(TICK_S):
-            if self.is_read_due(self._clock()):
+            if self.check_read_due(self._clock()):
                 self._read()
 
     def run_questions(self) -> None:
-        """Ask peers when the proof grows old, until `stop` is called."""
+        """Ask peers for a newer proof when needed, until `stop` is called."""
         while not self._stopped.wait(TICK_S):
             now_s = self._clock()
-            self._note_change(now_s)
-            address = self.whom_to_ask(now_s)
+            self._log_change(now_s)
+            address = self.choose_peer(now_s)
             if address is not None:
-                self.ask(address, now_s)
+                self.send_question(address, now_s)
 
     def stop(self) -> None:
-        """End the tasks soon."""
+        """Make `run_reads` and `run_questions` return within a tick."""
         self._stopped.set()
 
     def note_read(self, began_s: float, revision: int) -> None:
-        """Take what a read of the store showed."""
-        self._take(Proof(began_s, revision))
+        """Record the revision that a read of the store returned."""
+        self._record_proof(Proof(began_s, revision))
         self._own_read_interval_s = OWN_READ_INTERVAL_S
 
     def take_question(self, question: ProofQuestion) -> None:
-        """Answer a peer."""
-        proof = self._proof()
+        """Answer a peer's question."""
+        proof = self._usable_proof()
         age_ms = (self._clock() - proof.began_s) * 1000
         if proof.revision < 0:
             age_ms = 0.0
@@ -158,88 +162,93 @@
         )
 
     def take_answer(self, answer: ProofAnswer) -> None:
-        """Take a peer's proof, as old as it and the question together."""
+        """Record a peer's proof, with the time since the question added to its age."""
         with self._lock:
-            asked = self._asked.pop(answer.number, None)
-            self._answers += asked is not None
+            asked = self._open_questions.pop(answer.number, None)
+            self._answer_count += asked is not None
         if asked is not None and answer.revision >= 0:
-            began_s = asked.asked_s - max(0.0, answer.age_ms) / 1000
-            is_newer = self._take(Proof(began_s, answer.revision))
+            began_s = asked.sent_s - max(0.0, answer.age_ms) / 1000
+            is_newer = self._record_proof(Proof(began_s, answer.revision))
             with self._lock:
-                self._helper = asked.address if is_newer else None
+                self._preferred_address = asked.address if is_newer else None
 
-    def is_read_due(self, now_s: float) -> bool:
-        """Tell whether this node reads the store now; counts as the read."""
+    def check_read_due(self, now_s: float) -> bool:
+        """Return whether to read the store now; if so, schedule the next read."""
         if now_s < self._next_read_s:
             return False
         if self._is_reader():
             self._next_read_s = now_s + READ_INTERVAL_S
             return True
         with self._lock:
-            was_helped = self._asks < ASKS_OF_READERS + ASKS_OF_ZONE
-        if was_helped or self._age_s(now_s) < READ_AT_AGE_S:
+            is_asking_zone = self._question_count < READER_QUESTIONS + ZONE_QUESTIONS
+        if is_asking_zone or self._age_s(now_s) < READ_AT_AGE_S:
             return False
         interval_s = self._own_read_interval_s * self._random.uniform(0.7, 1.3)
         with self._lock:
-            is_answered = self._answers > 0
-        first_s = OWN_READ_INTERVAL_MAX_S if is_answered else OWN_READ_INTERVAL_S
+            is_answered = self._answer_count > 0
+        next_min_s = OWN_READ_INTERVAL_MAX_S if is_answered else OWN_READ_INTERVAL_S
         self._own_read_interval_s = min(
-            OWN_READ_INTERVAL_MAX_S, max(first_s, 2 * self._own_read_interval_s)
+            OWN_READ_INTERVAL_MAX_S, max(next_min_s, 2 * self._own_read_interval_s)
         )
         self._next_read_s = now_s + interval_s
         return True
 
-    def whom_to_ask(self, now_s: float) -> str | None:
-        """Return the member address of the peer to ask now, if any."""
-        if now_s < self._next_ask_s or self._age_s(now_s) < ASK_AT_AGE_S:
+    def choose_peer(self, now_s: float) -> str | None:
+        """Return the member address of the peer to ask now; None if none is due.
+
+        Schedules the next question.
+        """
+        if now_s < self._next_question_s or self._age_s(now_s) < ASK_AT_AGE_S:
             return None
-        self._next_ask_s = now_s + ASK_INTERVAL_S
+        self._next_question_s = now_s + ASK_INTERVAL_S
         with self._lock:
-            asks, helper = self._asks, self._helper
-        if asks == 0 and helper is not None:
-            return helper
-        chosen = self._candidates(asks)
-        return self._random.choice(chosen).member_address if chosen else None
-
-    def _candidates(self, asks: int) -> list[NodeRecord]:
-        """Return whom to ask after some questions without a newer proof."""
+            question_count, preferred = self._question_count, self._preferred_address
+        if question_count == 0 and preferred is not None:
+            return preferred
+        candidates = self._candidates(question_count)
+        return self._random.choice(candidates).member_address if candidates else None
+
+    def _candidates(self, question_count: int) -> list[NodeRecord]:
+        """Return the nodes to ask after some questions without a newer proof."""
         zones: dict[str, list[NodeRecord]] = {}
         for record in self._directory.alive():
             if record.node_id != self._own.node_id:
                 zones.setdefault(record.availability_zone, []).append(record)
-        near = zones.get(self._own.availability_zone, [])
+        own_zone = zones.get(self._own.availability_zone, [])
         per_zone = self._readers_per_zone()
-        if near and asks < ASKS_OF_READERS:
-            return readers_of(near, per_zone)
-        if near and asks < ASKS_OF_READERS + ASKS_OF_ZONE:
-            return near
-        return [one for zone in zones.values() for one in readers_of(zone, per_zone)]
-
-    def ask(self, address: str, now_s: float) -> None:
-        """Send a question."""
+        if own_zone and question_count < READER_QUESTIONS:
+            return readers_of(own_zone, per_zone)
+        if own_zone and question_count < READER_QUESTIONS + ZONE_QUESTIONS:
+            return own_zone
+        return [
+            reader for zone in zones.values() for reader in readers_of(zone, per_zone)
+        ]
+
+    def send_question(self, address: str, now_s: float) -> None:
+        """Ask a peer for its newest proof."""
         number = next(self._numbers)
         with self._lock:
-            self._asks += 1
-            self._asked[number] = _Asked(now_s, address)
-            while len(self._asked) > QUESTIONS_KEPT:
-                del self._asked[next(iter(self._asked))]
+            self._question_count += 1
+            self._open_questions[number] = _OpenQuestion(now_s, address)
+            while len(self._open_questions) > OPEN_QUESTIONS_MAX:
+                del self._open_questions[next(iter(self._open_questions))]
         self._send(address, ProofQuestion(self._own.member_address, number))
 
-    def _take(self, proof: Proof) -> bool:
-        """Take a proof; tell whether it is newer than the one before."""
-        before = self._proof()
-        self._freshness.note(proof, self._configuration.revision)
-        is_newer = self._proof().began_s > before.began_s
+    def _record_proof(self, proof: Proof) -> bool:
+        """Record a proof; return whether the usable proof is newer than before."""
+        before = self._usable_proof()
+        self._freshness.record(proof, self._configuration.revision)
+        is_newer = self._usable_proof().began_s > before.began_s
         if is_newer:
             with self._lock:
-                self._asks = self._answers = 0
+                self._question_count = self._answer_count = 0
         return is_newer
 
-    def _proof(self) -> Proof:
-        return self._freshness.usable(self._configuration.revision)
+    def _usable_proof(self) -> Proof:
+        return self._freshness.usable_proof(self._configuration.revision)
 
     def _age_s(self, now_s: float) -> float:
-        return now_s - self._proof().began_s
+        return now_s - self._usable_proof().began_s
 
     def _is_reader(self) -> bool:
         return is_reader(self._own, self._directory.alive(), self._readers_per_zone())
@@ -251,8 +260,8 @@
         )
         return max(READERS_PER_ZONE_MIN, math.ceil(count / NODES_PER_READER))
 
-    def _note_change(self, now_s: float) -> None:
-        """Write an event when keys end to be served, and when they are again."""
+    def _log_change(self, now_s: float) -> None:
+        """Log when this node stops using keys, and when it uses them again."""
         revision = self._configuration.revision
         is_fresh = self._freshness.is_fresh(revision, now_s)
         if is_fresh is self._was_fresh:
--- a/balsamspindle/metrics/__init__.py
+++ b/balsamspindle/metrics/__init__.py
@@ -1,8 +1,8 @@
 """Latencies and counts of one process.
 
-Start with `recorder.py`; `exposition.py` writes the same as text for a scraper.
-It is imported where it is used: a node that starts again serves callers 50 ms
-sooner without its library.
+Start with `recorder.py`; `exposition.py` formats its report for Prometheus. That module
+is imported only when metrics are read: importing its library would delay a restarting
+node's first answer by 50 ms.
 """
 
 from balsamspindle.metrics.recorder import Hop, HopLatency, Metrics, MetricsReport
--- a/balsamspindle/metrics/exposition.py
+++ b/balsamspindle/metrics/exposition.py
@@ -19,7 +19,7 @@
 
 
 class SupportsGauge(Protocol):
-    """One number of the present."""
+    """A current value, of which only the newest is reported."""
 
     name: str
     text: str
@@ -30,7 +30,7 @@
 def prometheus_text(
     report: MetricsReport, gauges: Iterable[SupportsGauge] = ()
 ) -> bytes:
-    """Return a report and gauges of the present in the Prometheus text format."""
+    """Return a report and current gauges in the Prometheus text format."""
     registry = CollectorRegistry()
     registry.register(_ReportCollector(report))
     registry.register(_GaugeCollector(list(gauges)))
--- a/balsamspindle/metrics/recorder.py
+++ b/balsamspindle/metrics/recorder.py
@@ -1,6 +1,6 @@
-"""Where a process notes how long hops took and how requests ended.
+"""Recorder for the durations of hops and the outcomes of requests in one process.
 
-A record costs 1 to 2 microseconds, so every request is counted, none sampled.
+A record takes 1 to 2 microseconds, so every request is recorded instead of a sample.
 """
 
 import threading
@@ -20,16 +20,16 @@
 
 
 class Hop(StrEnum):
-    """A part of a request's way.
+    """A stage of a request, whose duration is recorded.
 
     Attributes
     ----------
     INGRESS
-        From the whole request read to the answer written.
+        From when the request was read whole until its answer is sent.
     LINK
-        From an attempt sent to another node to its reply.
+        From when an attempt was sent to another node until its reply arrived.
     QUEUE
-        From an attempt at the gate to its slot, or its refusal.
+        From when an attempt arrived at the gate until it got a slot or was refused.
     BACKEND_SERVER
         The call to the backend server.
     """
@@ -41,12 +41,12 @@
 
 
 class HopLatency(msgspec.Struct, frozen=True):
-    """How long one hop has taken since the process started.
+    """Durations of one hop since the process started.
 
     Attributes
     ----------
     total_ms : float
-        Sum over all passages.
+        Sum of all durations.
     """
 
     count: int
@@ -58,16 +58,16 @@
 
 
 class MetricsReport(msgspec.Struct, frozen=True):
-    """All metrics of a process at one time.
+    """All metrics of a process since its start.
 
     Attributes
     ----------
     outcomes : dict of str to dict of str to int
-        Ended requests by service, then by outcome.
+        Number of ended requests by service, then by outcome.
     events : dict of str to int
-        Events of the time line, by name.
+        Number of events in the event log, by name.
     cuts : dict of str to int
-        Attempts cut at backend servers, by cause.
+        Number of attempts that were cut while a backend server ran them, by cause.
     """
 
     hops: dict[str, HopLatency]
@@ -77,7 +77,7 @@
 
 
 class Metrics:
-    """The metrics of one process; safe to use from all of its threads."""
+    """The metrics of one process; thread-safe."""
 
     def __init__(self) -> None:
         self._lock = threading.Lock()
@@ -90,7 +90,7 @@
         self._cuts: Counter[str] = Counter()
 
     def record(self, hop: Hop, duration_s: float) -> None:
-        """Note how long a hop took."""
+        """Record the duration of a hop, at most `LATENCY_MAX_US`."""
         duration_us = max(1, min(int(duration_s * 1_000_000), LATENCY_MAX_US))
         with self._lock:
             self._histograms[hop].record_value(duration_us)
@@ -98,7 +98,7 @@
 
     @contextmanager
     def timed(self, hop: Hop) -> Iterator[None]:
-        """Note how long the block takes, also when it raises."""
+        """Record the duration of the `with` block, even if it raises."""
         start_s = time.monotonic()
         try:
             yield
@@ -106,22 +106,22 @@
             self.record(hop, time.monotonic() - start_s)
 
     def count_outcome(self, service: str, outcome: str) -> None:
-        """Note how a request of a service ended."""
+        """Count an ended request of a service."""
         with self._lock:
             self._outcomes[service, outcome] += 1
 
     def count_event(self, event: str) -> None:
-        """Note an event of the time line."""
+        """Count an event of the event log."""
         with self._lock:
             self._events[event] += 1
 
     def count_cut(self, cause: str) -> None:
-        """Note an attempt that was cut at its backend server."""
+        """Count an attempt that was cut while a backend server ran it."""
         with self._lock:
             self._cuts[cause] += 1
 
     def report(self) -> MetricsReport:
-        """Return all metrics now."""
+        """Return a consistent copy of all metrics."""
         with self._lock:
             outcomes: dict[str, dict[str, int]] = {}
             for (service, outcome), count in sorted(self._outcomes.items()):
--- a/balsamspindle/protocol/__init__.py
+++ b/balsamspindle/protocol/__init__.py
@@ -1,6 +1,6 @@
-"""What all layers say of requests: outcomes, executions, names of headers.
+"""Terms shared by all layers: outcomes, reasons, names of headers, customers' keys.
 
-Nothing here depends on another package of the product.
+This package depends on no other package of the product.
 """
 
 from balsamspindle.protocol.outcomes import (
--- a/balsamspindle/protocol/api_keys.py
+++ b/balsamspindle/protocol/api_keys.py
@@ -1,4 +1,4 @@
-"""Customers' keys and the digests that are kept of them."""
+"""Customers' keys, of which only digests are stored."""
 
 import hashlib
 import secrets
@@ -12,29 +12,32 @@
 
 KEY_DIGEST_BYTES = 16
 KEY_MAX_CHARACTERS = 256
-# Random bits of a key that the product makes.
+# Random bytes of a generated key.
 KEY_BYTES = 24
-# Keeps these digests apart from other uses of the same hash.
-_PERSON = b"balsamspindle"
+# Makes these digests differ from those of other uses of the same hash.
+_HASH_PERSON = b"balsamspindle"
 
 
 def key_digest(key: str) -> str:
-    """Return what is kept of a key, in hexadecimal digits.
+    """Return the hexadecimal digest under which a key is stored.
 
-    Keys are random and long, so their digest can't be guessed and needs no salt.
+    It needs no salt: keys are long and random, so a key can't be found from its digest
+    by guessing.
 
     Raises
     ------
     ValueError
-        When it is no key.
+        If the key is empty or too long.
     """
     if not 0 < len(key) <= KEY_MAX_CHARACTERS:
         raise ValueError(f"a key must have 1 to {KEY_MAX_CHARACTERS} characters")
     return hashlib.blake2b(
-        key.encode("latin-1", "replace"), digest_size=KEY_DIGEST_BYTES, person=_PERSON
+        key.encode("latin-1", "replace"),
+        digest_size=KEY_DIGEST_BYTES,
+        person=_HASH_PERSON,
     ).hexdigest()
 
 
 def new_key() -> str:
-    """Return a new random key."""
+    """Return a random key in URL-safe base64."""
     return secrets.token_urlsafe(KEY_BYTES)
--- a/balsamspindle/protocol/connection_headers.py
+++ b/balsamspindle/protocol/connection_headers.py
@@ -1,4 +1,4 @@
-"""Headers that belong to one connection (RFC 9110, 7.6.1)."""
+"""Headers that apply to one connection and are not forwarded (RFC 9110, 7.6.1)."""
 
 __all__ = ["HOP_BY_HOP_HEADERS", "named_by_connection"]
 
@@ -18,5 +18,5 @@
 
 
 def named_by_connection(value: str) -> set[str]:
-    """Return the headers that a Connection header ties to its connection."""
+    """Return the lowercase names of the headers listed in a Connection header."""
     return {name.strip().lower() for name in value.split(",")}
--- a/balsamspindle/protocol/field_values.py
+++ b/balsamspindle/protocol/field_values.py
@@ -6,8 +6,8 @@
 
 
 def field_value(raw: bytes) -> str:
-    """Return a field's value without the white space round it, which is no part of it.
+    """Return a field's value without the spaces and tabs around it.
 
-    Control characters other than the tab stay, for whoever checks the value.
+    Other control characters are kept, so that checks of the value find them.
     """
     return raw.strip(OPTIONAL_WHITE_SPACE).decode("latin-1")
--- a/balsamspindle/protocol/header_names.py
+++ b/balsamspindle/protocol/header_names.py
@@ -1,4 +1,4 @@
-"""Names of the headers by which callers and backend servers speak with us."""
+"""Names of the headers exchanged with callers and backend servers."""
 
 import msgspec
 
@@ -6,34 +6,35 @@
 
 
 class HeaderNames(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Header names of one deployment; an empty one is not used.
+    """Header names of one deployment; an empty name disables the header.
 
     Attributes
     ----------
     request_id : str
-        From the caller, on to the backend server, and in each answer.
+        Id of a request: from the caller, to the backend server, and on each answer.
     timeout_ms : str
-        How long the caller waits; on the way on, what is left of that.
+        From the caller: how long it waits. To backend servers: the remaining time.
     outcome : str
-        What the fleet says of a request; on answers to callers alone.
+        Outcome of a request; only on answers to callers.
     expected_backend_server : str
-        Names the backend server that an attempt is meant for. Another one at
-        its address refuses it.
+        To backend servers: id of the one that an attempt is meant for. Another one
+        at the same address refuses the attempt.
     caller_service : str
-        The service beside the node that took the request from its caller.
+        To backend servers: the service beside the node that received the request
+        from its caller.
     not_run : str
-        A backend server's proof, on its answer, that it did not run a request.
+        On a backend server's answer: proof that it did not run the request.
     signature : str
-        Stands on each answer that a backend server made from its own work.
+        On each answer that a backend server itself produced by running a request.
     credential : str
-        From the caller: who it is to backend servers; passed on.
+        From the caller: authenticates it to backend servers; forwarded.
     api_key : str
-        From the caller: a customer's key. Never passed on.
+        From the caller: a customer's key; never forwarded.
     customer : str
-        The customer that the key belongs to, as backend servers are told.
+        To backend servers: name of the customer that the key belongs to.
     echoes_request_id : bool
-        Whether backend servers repeat the request's id on their answers, so
-        that an answer to another request shows.
+        Whether backend servers repeat the request's id on their answers, so that an
+        answer to a different request is detected.
     """
 
     request_id: str = "X-Request-Id"
--- a/balsamspindle/protocol/outcomes.py
+++ b/balsamspindle/protocol/outcomes.py
@@ -1,4 +1,4 @@
-"""What a caller can be told about a request, and why."""
+"""Outcomes of requests, and the reasons for them that callers are given."""
 
 from enum import StrEnum
 from typing import NamedTuple
@@ -7,11 +7,19 @@
 
 
 class Outcome(StrEnum):
-    """The only three things that are ever said of a request.
+    """How a request ended, as its caller is told.
 
-    ``NOT_RUN`` is a promise: it is said only of an attempt that never reached
-    a socket or that the gate itself refused or cancelled before dispatch.
-    Silence is ``UNKNOWN``.
+    Attributes
+    ----------
+    ANSWERED
+        A backend server answered.
+    NOT_RUN
+        No backend server ran the request. This is a guarantee: it is given only for
+        an attempt that was never written to a socket, or that the gate refused or
+        cancelled before it was dispatched, or that the backend server refused with
+        a proof.
+    UNKNOWN
+        A backend server may have run the request; also if nothing answered.
     """
 
     ANSWERED = "answered"
@@ -20,14 +28,44 @@
 
 
 class Execution(StrEnum):
-    """How often a request may run at a backend server."""
+    """Whether a request may run more than once at backend servers."""
 
     IDEMPOTENT = "idempotent"
     NON_IDEMPOTENT = "non_idempotent"
 
 
 class Reason(StrEnum):
-    """Why a request has no answer of a backend server."""
+    """Why a request has no answer from a backend server.
+
+    ``KEY_REUSED`` is about an Idempotency-Key; ``KEY_MISSING``, ``KEY_UNKNOWN`` and
+    ``KEYS_UNPROVEN`` are about customers' keys. `PROBLEMS` explains the reasons that
+    are not listed here.
+
+    Attributes
+    ----------
+    NODE_LEAVING, GAVE_WAY
+        An idle connection was closed, because the node is leaving or because its
+        place was needed for another connection.
+    NODE_STOPPING
+        The node is leaving and starts no new requests.
+    GATE_ENDING
+        The gate's node is leaving and may end before it can report the answer.
+    DRAINING
+        The backend server is to start nothing new.
+    WOULD_WAIT
+        The wait for a slot would be too long.
+    SHED, UNPROVEN_REFUSAL
+        The backend server refused the request, with or without a proof that it ran
+        nothing.
+    SILENCE
+        Nothing answered in time.
+    BROKEN_ANSWER
+        The answer was incomplete, damaged or not meant for this request.
+    CLAIM_MOVED
+        The Idempotency-Key was claimed for another gate.
+    DAMAGED
+        The request's checksum did not match after its transfer between two nodes.
+    """
 
     NO_ROUTE = "no_route"
     METHOD_NOT_ALLOWED = "method_not_allowed"
@@ -73,26 +111,27 @@
 
 
 class CancelCause(StrEnum):
-    """Why an attempt was taken back; for the log and the metrics alone.
+    """Why an attempt was cancelled; used only in logs and metrics.
 
     Attributes
     ----------
     NODE_LEAVING
-        The gate's node was told to leave, and its time for that was over.
+        The gate's node was leaving, and its shutdown timeout ended.
     INGRESS_LEAVING
-        The same at the node that took the caller's request.
+        The node that received the caller's request was leaving, and its shutdown
+        timeout ended.
     CALLER_LEFT
         The caller closed its connection to another node.
     OWN_CALLER_LEFT
         The caller closed its connection to the gate's own node.
     DEADLINE
-        The request's time was over.
+        The request's deadline passed.
     ANSWERED_ELSEWHERE
-        Another attempt at the same request was answered first.
+        Another attempt of the same request was answered first.
     INGRESS_GAVE_UP
-        Another node gave it up: its link ended, or it did not tell why.
+        The link from the ingress ended, or the ingress gave no known cause.
     SERVER_RESTARTED
-        The backend server started anew.
+        The backend server was restarted.
     """
 
     NODE_LEAVING = "node_leaving"
@@ -106,22 +145,22 @@
 
     @classmethod
     def _missing_(cls, value: object) -> "CancelCause":
-        # Told by a later release. A message that can't be read is dropped: the
-        # cancelled attempt would go on for nobody.
+        # Causes of later releases. If they were refused, the message would be dropped
+        # as unreadable, and the cancelled attempt would continue for no caller.
         return cls.INGRESS_GAVE_UP
 
 
 class Problem(NamedTuple):
-    """How a reason is told to a caller.
+    """The answer that a caller gets for a reason.
 
     Attributes
     ----------
     status : int
         HTTP status.
     sentence : str
-        One sentence for a person.
+        Title of the problem document (RFC 9457): one sentence for people.
     retry_after_s : int or None
-        When coming back helps, else None.
+        When the caller may retry; None if a retry can't help.
     """
 
     status: int
@@ -146,7 +185,8 @@
     Reason.HEAD_TOO_LARGE: Problem(431, "The request head is too large.", None),
     Reason.BODY_TOO_LARGE: Problem(413, "The request body is too large.", None),
     Reason.TOO_MANY_CONNECTIONS: Problem(503, "Too many connections are open.", 1),
-    # RFC 9110, 15.5.9: the caller may repeat a request that crossed this.
+    # RFC 9110, 15.5.9: after a 408 on an idle connection the caller may repeat a
+    # request that it sent meanwhile.
     Reason.GAVE_WAY: Problem(
         408, "The idle connection made room; no request was read from it.", None
     ),
--- a/tests/test_customer_limits.py
+++ b/tests/test_customer_limits.py
@@ -3,7 +3,7 @@
 import msgspec
 from testtools import TestCase
 
-from balsamspindle.customers.buckets import FIRST_TOKENS, Buckets, Rate
+from balsamspindle.customers.buckets import INITIAL_TOKENS, Buckets, Rate
 from balsamspindle.customers.granters import Scope
 from balsamspindle.customers.limits import Granted
 from balsamspindle.wire import WireError, decode_link, encode
@@ -22,7 +22,7 @@
 
     def _taken(self, now_s, rate=RATE):
         count = 0
-        while self.buckets.take("anna", rate, now_s) is None:
+        while self.buckets.try_spend("anna", rate, now_s) is None:
             count += 1
         return count
 
@@ -33,7 +33,7 @@
 
     def test_a_node_that_has_just_begun_grants_little(self):
         # Guards against the burst that each new owner of a customer grants anew.
-        self.assertEqual(FIRST_TOKENS, self._taken(0.0))
+        self.assertEqual(INITIAL_TOKENS, self._taken(0.0))
 
     def test_a_lower_limit_holds_at_once(self):
         self.assertEqual(1, self._taken(100.0, Rate(0.1, 1.0)))
@@ -41,24 +41,26 @@
     def test_what_did_not_run_is_granted_again(self):
         # Guards against refused requests that use their customer's limit up.
         self._taken(100.0)
-        self.buckets.give_back("anna")
+        self.buckets.refund("anna")
         self.assertEqual(1, self._taken(100.0))
 
     def test_callers_who_come_back_as_told_find_a_token_each(self):
         # Guards against a wave of callers that return at one moment.
         for _ in range(6):
-            self.buckets.take("anna", self.RATE, 100.0)
-        waits_s = [self.buckets.take("anna", self.RATE, 100.0).wait_s for _ in range(4)]
+            self.buckets.try_spend("anna", self.RATE, 100.0)
+        waits_s = [
+            self.buckets.try_spend("anna", self.RATE, 100.0).wait_s for _ in range(4)
+        ]
         self.assertEqual([0.5, 1.0, 1.5, 2.0], waits_s)
         for wait_s in waits_s:
-            denied = self.buckets.take("anna", self.RATE, 100.0 + wait_s + 1e-6)
+            denied = self.buckets.try_spend("anna", self.RATE, 100.0 + wait_s + 1e-6)
             self.assertIsNone(denied)
 
     def test_a_customer_that_comes_back_from_another_node_begins_anew(self):
         # Guards against two nodes' buckets that both filled meanwhile.
         self._taken(100.0)
         self.buckets.keep_only(lambda customer: False, 110.0)
-        self.assertEqual(FIRST_TOKENS, self._taken(110.0))
+        self.assertEqual(INITIAL_TOKENS, self._taken(110.0))
 
 
 class LimitsOverAFleetTests(TestCase):
@@ -216,7 +218,7 @@
                 view.records = list(fleet.records)
             fleet.limiters[left.node_id].refresh(fleet.now_s)
             fleet.now_s += 30
-        self.assertEqual(2 * FIRST_TOKENS, granted)
+        self.assertEqual(2 * INITIAL_TOKENS, granted)
 
     def test_a_node_that_came_back_at_another_address_is_asked_there(self):
         # Guards against questions to the address of a node's earlier start.
--- a/tests/test_key_proofs.py
+++ b/tests/test_key_proofs.py
@@ -35,21 +35,21 @@
 
     def test_a_proof_counts_from_the_start_of_its_read(self):
         # Guards against keys that are served longer by the time a slow read takes.
-        self.freshness.note(Proof(10.0, 7), 7)
+        self.freshness.record(Proof(10.0, 7), 7)
         self.assertTrue(self.freshness.is_fresh(7, 14.9))
         self.assertFalse(self.freshness.is_fresh(7, 15.0))
 
     def test_a_proof_of_a_newer_revision_counts_once_it_is_in_force(self):
         # Guards against a key that a revision took away which is not here yet.
-        self.freshness.note(Proof(10.0, 7), 7)
-        self.freshness.note(Proof(14.0, 8), 7)
+        self.freshness.record(Proof(10.0, 7), 7)
+        self.freshness.record(Proof(14.0, 8), 7)
         self.assertFalse(self.freshness.is_fresh(7, 15.0))
         self.assertTrue(self.freshness.is_fresh(8, 18.9))
 
     def test_an_older_proof_that_comes_late_changes_nothing(self):
-        self.freshness.note(Proof(10.0, 7), 7)
-        self.freshness.note(Proof(8.0, 7), 7)
-        self.assertEqual(10.0, self.freshness.usable(7).began_s)
+        self.freshness.record(Proof(10.0, 7), 7)
+        self.freshness.record(Proof(8.0, 7), 7)
+        self.assertEqual(10.0, self.freshness.usable_proof(7).began_s)
 
     def test_no_proof_is_needed_where_none_is_asked_for(self):
         self.assertTrue(Freshness(None).is_fresh(-1, 0.0))
@@ -149,11 +149,11 @@
             self.end_read()
         while self.inbox:
             self.handle(self.inbox.pop(0))
-        if self.keeper.is_read_due(self.fleet.now_s):
+        if self.keeper.check_read_due(self.fleet.now_s):
             self.read()
-        address = self.keeper.whom_to_ask(self.fleet.now_s)
+        address = self.keeper.choose_peer(self.fleet.now_s)
         if address is not None:
-            self.keeper.ask(address, self.fleet.now_s)
+            self.keeper.send_question(address, self.fleet.now_s)
 
     def take(self, message: object) -> None:
         self.inbox.append(message)
@@ -177,7 +177,7 @@
         for _ in range(40):
             fleet.run(0.5)
             ages = [
-                fleet.now_s - node.freshness.usable(1).began_s
+                fleet.now_s - node.freshness.usable_proof(1).began_s
                 for node in fleet.nodes.values()
             ]
             # Half of the bound is left for what goes wrong.
@@ -265,7 +265,7 @@
         fleet = Fleet(2, zones=1)
         reader, other = fleet.nodes.values()
         reader.keeper.note_read(fleet.now_s, 1)
-        other.keeper.ask(reader.address, fleet.now_s)
+        other.keeper.send_question(reader.address, fleet.now_s)
         question = fleet.under_way.pop()[3]
         reader.handle(question)
         answer = fleet.under_way.pop()[3]
@@ -279,7 +279,7 @@
         # Guards against the same at the peer that is asked.
         fleet = Fleet(2, zones=1)
         reader, other = fleet.nodes.values()
-        other.keeper.ask(reader.address, fleet.now_s)
+        other.keeper.send_question(reader.address, fleet.now_s)
         question = fleet.under_way.pop()[3]
         fleet.now_s += 4.5
         reader.keeper.note_read(fleet.now_s, 1)
@@ -293,14 +293,14 @@
         fleet = Fleet(2, zones=1)
         reader, other = fleet.nodes.values()
         reader.keeper.note_read(fleet.now_s, 1)
-        other.keeper.ask(reader.address, fleet.now_s)
+        other.keeper.send_question(reader.address, fleet.now_s)
         reader.handle(fleet.under_way.pop()[3])
         answer = fleet.under_way.pop()[3]
         other.handle(answer)
-        began_s = other.freshness.usable(1).began_s
+        began_s = other.freshness.usable_proof(1).began_s
         fleet.now_s += 3
         other.handle(answer)
-        self.assertEqual(began_s, other.freshness.usable(1).began_s)
+        self.assertEqual(began_s, other.freshness.usable_proof(1).began_s)
 
     def test_in_many_schedules_no_key_is_served_after_the_bound(self):
         # Guards against runs with a key later than it may be served.
@@ -383,8 +383,8 @@
         fleet = Fleet(4, zones=1)
         node = list(fleet.nodes.values())[0]
         node.keeper.note_read(fleet.now_s, 1)
-        self.assertIsNone(node.keeper.whom_to_ask(fleet.now_s + ASK_AT_AGE_S - 0.1))
-        self.assertIsNotNone(node.keeper.whom_to_ask(fleet.now_s + ASK_AT_AGE_S))
+        self.assertIsNone(node.keeper.choose_peer(fleet.now_s + ASK_AT_AGE_S - 0.1))
+        self.assertIsNotNone(node.keeper.choose_peer(fleet.now_s + ASK_AT_AGE_S))
 
 
 if __name__ == "__main__":
