--- a/tests/caller_side.py
+++ b/tests/caller_side.py
@@ -1,4 +1,4 @@
-"""An ingress within the test's process, before a forwarder that answers itself."""
+"""An ingress in the test's process, whose forwarder answers every request itself."""
 
 import json
 import re
@@ -30,7 +30,15 @@
 
 
 class EchoForwarder:
-    """Answers each request with what it was asked; keeps what it was given."""
+    """Answers each request with its own contents, and keeps the forwarded requests.
+
+    Attributes
+    ----------
+    hold : Event
+        Answers wait until it is set, as it is at first.
+    padding : str
+        Included in each answer, to make it longer.
+    """
 
     def __init__(self) -> None:
         self.forwarded = []
@@ -62,7 +70,7 @@
 
 
 class Answer(NamedTuple):
-    """An answer as it came over the connection."""
+    """An HTTP answer as received."""
 
     status: int
     headers: list[tuple[str, str]]
@@ -73,7 +81,7 @@
         return [value for known, value in self.headers if known.lower() == name]
 
     def one(self, name: str) -> str | None:
-        """Return a header that may be there only once."""
+        """Return the value of a header that must not be repeated; None without it."""
         values = self.all(name)
         assert len(values) <= 1, values
         return values[0] if values else None
@@ -84,7 +92,7 @@
 
 
 class RawCaller:
-    """A caller that sends bytes as they are."""
+    """A caller that sends raw bytes, also such as are no valid HTTP."""
 
     def __init__(self, address: str) -> None:
         host, _, port = address.partition(":")
@@ -92,12 +100,18 @@
         self._data = b""
 
     def send(self, data: bytes) -> "RawCaller":
-        """Send bytes."""
+        """Send bytes; return this caller."""
         self.socket.sendall(data)
         return self
 
     def read(self, is_head: bool = False) -> Answer:
-        """Read one answer by its own length."""
+        """Read one answer, up to the end given by its Content-Length.
+
+        Parameters
+        ----------
+        is_head : bool
+            Whether the request was a HEAD, whose answer has no body.
+        """
         while b"\r\n\r\n" not in self._data:
             self._receive()
         head, _, self._data = self._data.partition(b"\r\n\r\n")
@@ -112,7 +126,7 @@
         return answer._replace(body=body)
 
     def at_end(self) -> bool:
-        """Wait for the connection's orderly end; False when bytes come first."""
+        """Wait for the ingress to close the connection; False if bytes come first."""
         return not self._data and self.socket.recv(1) == b""
 
     def close(self) -> None:
@@ -122,12 +136,20 @@
     def _receive(self) -> None:
         data = self.socket.recv(65536)
         if not data:
-            raise ConnectionError(f"the connection ended after {self._data!r}")
+            raise ConnectionError(
+                f"connection closed by the ingress after {self._data!r}"
+            )
         self._data += data
 
 
 class IngressFixture:
-    """A running ingress; `changes` replace fields of the node's settings."""
+    """A running ingress.
+
+    Parameters
+    ----------
+    changes
+        Values for fields of the node's settings, in place of the defaults here.
+    """
 
     def __init__(
         self, documents=DOCUMENTS, freshness=None, limiter=None, **changes
@@ -163,22 +185,22 @@
         )
         self._task = threading.Thread(target=self.ingress.run)
         self._task.start()
-        wait_until(self.ingress.accepting, "the ingress listens")
+        wait_until(self.ingress.accepting, "the ingress accepts connections")
         self._callers: list[RawCaller] = []
 
     def caller(self) -> RawCaller:
-        """Return a new connection to the ingress."""
+        """Open a connection to the ingress, closed by `close`."""
         caller = RawCaller(self.address)
         self._callers.append(caller)
         return caller
 
     def logged(self) -> str:
-        """Return the events so far."""
+        """Return the event log so far."""
         self.events.flush()
         return self.log.getvalue()
 
     def close(self) -> None:
-        """End the ingress and all callers."""
+        """Stop the ingress and close all callers' connections."""
         self.forwarder.hold.set()
         self.ingress.stop()
         for caller in self._callers:
--- a/tests/limit_fleet.py
+++ b/tests/limit_fleet.py
@@ -1,4 +1,7 @@
-"""Nodes that keep customers' limits together, without sockets, and their callers."""
+"""Simulation of nodes that enforce customers' limits together, and of their callers.
+
+Nodes call each other directly, without sockets, on a simulated clock.
+"""
 
 import random
 from collections import defaultdict
@@ -11,27 +14,28 @@
 from balsamspindle.wire import NodeRecord, encode
 
 WINDOW_S = 5.0
-# What the operators allow beyond a limit in a window: a part of it, and a number.
-OVER_PART, OVER_COUNT = 0.1, 20.0
-# Of that, what the nodes use.
-USED = 0.7
-# TCP, IP and ZMTP around one message, both ways.
-MESSAGE_BYTES = 80
+# By how much a customer may exceed its limit in a window: a fraction of it, plus a
+# number of requests.
+OVER_FRACTION, OVER_COUNT = 0.1, 20.0
+# Fraction of that allowance that the nodes are configured to use.
+USED_FRACTION = 0.7
+# Bytes that TCP, IP and ZMTP add to one message, in both directions.
+MESSAGE_OVERHEAD_BYTES = 80
 
 
 class DeadView(NamedTuple):
-    """A node that was declared dead, as a directory has it."""
+    """A dead node in a directory."""
 
     record: NodeRecord
     dead_since_s: float
 
 
-class View:
-    """What one node knows of the others."""
+class NodeView:
+    """One node's view of the fleet, in place of its directory."""
 
     def __init__(self, records: list[NodeRecord]) -> None:
         self.records = records
-        self.lost: list[DeadView] = []
+        self.dead_views: list[DeadView] = []
 
     def alive(self) -> list[NodeRecord]:
         """See `balsamspindle.membership.directory.Directory`."""
@@ -39,37 +43,45 @@
 
     def dead(self) -> list[DeadView]:
         """See `balsamspindle.membership.directory.Directory`."""
-        return self.lost
+        return self.dead_views
 
     def lose(self, gone: set[str], now_s: float) -> None:
-        """Take nodes for dead."""
-        self.lost += [
+        """Treat some nodes as dead."""
+        self.dead_views += [
             DeadView(record, now_s) for record in self.records if record.node_id in gone
         ]
-        self.records = [one for one in self.records if one.node_id not in gone]
+        self.records = [other for other in self.records if other.node_id not in gone]
 
     def find(self) -> None:
-        """Take all for alive again."""
-        self.records = [*self.records, *(view.record for view in self.lost)]
-        self.lost = []
+        """Treat all nodes as alive again."""
+        self.records = [*self.records, *(view.record for view in self.dead_views)]
+        self.dead_views = []
 
 
 class LimitFleet:
-    """Some nodes in zones; `unreachable` tells who can't ask whom."""
+    """Nodes of some zones.
+
+    Attributes
+    ----------
+    unreachable : callable
+        Takes the records of two nodes; returns whether the first can't ask the second.
+    """
 
     def __init__(self, count: int, zones: int = 3, seed: int = 1) -> None:
         self.now_s = 1000.0
         self.random = random.Random(seed)
         self.unreachable = lambda asker, asked: False
         self.bytes = self.bytes_between_zones = 0
-        self.terms = LimitTerms(zones, WINDOW_S, OVER_PART * USED, OVER_COUNT * USED)
+        self.terms = LimitTerms(
+            zones, WINDOW_S, OVER_FRACTION * USED_FRACTION, OVER_COUNT * USED_FRACTION
+        )
         self.records = [
             NodeRecord(
                 f"node-{number}", 1, 0, "r", f"zone-{number % zones}", "", "", "alive"
             )
             for number in range(count)
         ]
-        self.views = {one.node_id: View(list(self.records)) for one in self.records}
+        self.views = {own.node_id: NodeView(list(self.records)) for own in self.records}
         self.limiters: dict[str, Limiter] = {}
         for record in self.records:
             self.start(record)
@@ -78,7 +90,7 @@
         self.now_s += 60
 
     def start(self, record: NodeRecord) -> None:
-        """Start a node that knows nothing of before."""
+        """Start a node, or restart it without its buckets."""
         view = self.views[record.node_id]
         granters = {scope: Granters(record, view, scope, self.terms) for scope in Scope}
         links = _Links(self, record)
@@ -95,9 +107,9 @@
         """See `balsamspindle.customers.limits.LimitLinks`."""
         if self._fleet.unreachable(self._own, node):
             return None
-        told = self._fleet.limiters[node.node_id].answer(question)
-        self._count(node, question, told)
-        return told
+        result = self._fleet.limiters[node.node_id].answer(question)
+        self._count(node, question, result)
+        return result
 
     def tell(self, node, message):
         """See `balsamspindle.customers.limits.LimitLinks`."""
@@ -106,30 +118,42 @@
             self._count(node, message)
 
     def _count(self, node, *messages) -> None:
-        size = sum(len(encode(message)) + MESSAGE_BYTES for message in messages)
+        size = sum(
+            len(encode(message)) + MESSAGE_OVERHEAD_BYTES for message in messages
+        )
         self._fleet.bytes += size
         if node.availability_zone != self._own.availability_zone:
             self._fleet.bytes_between_zones += size
 
 
 class Load:
-    """Callers of skewed customers, whose limit is a multiple of what they usually send.
+    """Callers of many customers, a few of which send most of the requests.
 
     Attributes
     ----------
-    granted : dict
-        Times by customer.
+    usual : dict of str to float
+        Each customer's usual requests per second.
+    limits : dict of str to float
+        Each customer's limit; by default a multiple of its usual requests.
+    factor : dict of str to float
+        Ratio of each customer's present to its usual requests; 1 by default.
+    zone_weights : dict of str to dict of str to float
+        By customer, the fraction of its callers in each zone; equal by default.
+    revision : int
+        Revision of the settings that contain the limits.
+    granted : dict of str to list of float
+        Times of the granted requests, by customer.
     """
 
     def __init__(
         self, fleet: LimitFleet, per_s: float, customers: int, headroom: float = 1.6
     ) -> None:
         self.fleet = fleet
-        # Of each customer's callers, the part in each zone; even without.
         self.zone_weights: dict[str, dict[str, float]] = {}
-        parts = [1 / (rank + 3) for rank in range(customers)]
+        shares = [1 / (rank + 3) for rank in range(customers)]
         self.usual = {
-            f"c-{rank}": per_s * part / sum(parts) for rank, part in enumerate(parts)
+            f"c-{rank}": per_s * share / sum(shares)
+            for rank, share in enumerate(shares)
         }
         self.limits = {
             name: max(1.0, round(headroom * rate)) for name, rate in self.usual.items()
@@ -140,7 +164,7 @@
         self.refused: dict[str, int] = defaultdict(int)
 
     def run(self, seconds: float) -> None:
-        """Let callers ask at random nodes."""
+        """Send requests to random nodes for some simulated seconds."""
         fleet, until_s = self.fleet, self.fleet.now_s + seconds
         names = list(self.usual)
         while True:
@@ -150,17 +174,17 @@
                 fleet.now_s = until_s
                 return
             (name,) = fleet.random.choices(names, rates)
-            self.ask(self._node(name), name)
+            self.send_request(self._node(name), name)
 
     def _node(self, name: str) -> NodeRecord:
         records, weights = self.fleet.records, self.zone_weights.get(name)
         if weights is None:
             return self.fleet.random.choice(records)
-        by_node = [weights.get(one.availability_zone, 0.0) for one in records]
+        by_node = [weights.get(record.availability_zone, 0.0) for record in records]
         return self.fleet.random.choices(records, by_node)[0]
 
-    def ask(self, node: NodeRecord, name: str) -> Granted | Denied | None:
-        """Ask once at one node."""
+    def send_request(self, node: NodeRecord, name: str) -> Granted | Denied | None:
+        """Send one request to one node."""
         limit = self.limits[name]
         customer = CustomerDocument(name, (), limit, limit)
         limiter = self.fleet.limiters[node.node_id]
@@ -172,27 +196,27 @@
         return acquired
 
     def refused_part(self) -> float:
-        """Return the part of all requests that was refused."""
+        """Return the fraction of all requests that was refused."""
         refused = sum(self.refused.values())
         return refused / (refused + sum(map(len, self.granted.values())))
 
     def most_over(self) -> float:
-        """Return the largest part of what is allowed that ran in one window."""
+        """Return the most requests in one window, as a fraction of those allowed."""
         return max(
             _most_in_window(times) / allowed(self.limits[name], self.limits[name])
             for name, times in self.granted.items()
         )
 
-    def forget(self) -> None:
-        """Count from now on."""
+    def reset_counts(self) -> None:
+        """Reset all counts, so that only later requests and messages count."""
         self.granted.clear()
         self.refused.clear()
         self.fleet.bytes = self.fleet.bytes_between_zones = 0
 
 
 def allowed(rate_per_s: float, burst: float) -> float:
-    """Return the requests that a customer may run in one window."""
-    return (rate_per_s * WINDOW_S + burst) * (1 + OVER_PART) + OVER_COUNT
+    """Return how many requests a customer may run in one window."""
+    return (rate_per_s * WINDOW_S + burst) * (1 + OVER_FRACTION) + OVER_COUNT
 
 
 def _most_in_window(times: list[float]) -> int:
--- a/tests/test_customer_documents.py
+++ b/tests/test_customer_documents.py
@@ -1,4 +1,4 @@
-"""Customers in the settings: what is refused, and which one a key belongs to."""
+"""Customers in the settings: validation of their documents, and lookup by key."""
 
 import json
 
@@ -27,10 +27,10 @@
 
 
 class CustomerDocumentTests(TestCase):
-    def test_a_sound_customer_has_no_fault(self):
+    def test_a_valid_customer_has_no_fault(self):
         self.assertEqual([], faults_of(rate_per_s=5, burst=2.5, weight=2))
 
-    def test_each_fault_names_its_place(self):
+    def test_each_fault_names_document_and_field(self):
         for field, value in (
             ("name", ""),
             ("name", "two words"),
@@ -47,13 +47,13 @@
         (fault,) = faults_of(burst=4)
         self.assertIn("crew/customers/anna burst", fault)
 
-    def test_no_number_is_no_rate(self):
+    def test_a_rate_that_is_not_a_number_is_refused(self):
         document = b'{"name": "Anna", "rate_per_s": NaN}'
         (fault,) = check_documents({"crew/customers/anna": document})
         self.assertIn("not JSON", fault.message)
 
-    def test_one_key_has_one_customer(self):
-        # Guards against requests of one customer that are told as another's.
+    def test_a_key_may_belong_to_only_one_customer(self):
+        # Guards against requests that are attributed to a different customer.
         (fault,) = faults(
             {
                 "crew/customers/anna": {"name": "Anna", "key_digests": [FIRST]},
@@ -64,14 +64,14 @@
         self.assertIn("crew/customers/anna", fault)
 
     def test_a_key_in_place_of_its_digest_is_not_repeated_in_the_fault(self):
-        # Guards against keys in an operator's terminal and logs.
+        # Guards against keys that are shown in an operator's terminal and logs.
         (fault,) = faults_of(key_digests=["my-secret-key"])
         self.assertIn("key_digests[0]", fault)
         self.assertNotIn("my-secret-key", fault)
 
 
 class CustomerTableTests(TestCase):
-    def test_changes_replace_keys_and_leave_others(self):
+    def test_changes_replace_only_the_keys_of_changed_customers(self):
         anna, ben = (
             CustomerDocument("Anna", (FIRST,)),
             CustomerDocument("Ben", (SECOND,)),
@@ -87,7 +87,8 @@
         self.assertIsNone(done.find(FIRST))
 
     def test_a_key_that_moved_stays_with_its_new_customer(self):
-        # Guards against a change of two customers that is read in another order.
+        # Guards against a change of two customers whose documents are applied in the
+        # opposite order, so that the old owner's removal deletes the moved key.
         anna, ben = CustomerDocument("Anna", (FIRST,)), CustomerDocument("Ben", ())
         table = CustomerTable([anna, ben])
         after = table.changed([anna, ben], [CustomerDocument("Ben", (FIRST,))])
@@ -95,7 +96,7 @@
         later = after.changed([anna], [])
         self.assertEqual("Ben", later.find(FIRST).name)
 
-    def test_many_changes_are_kept_whole(self):
+    def test_no_key_is_lost_after_many_changes(self):
         table = CustomerTable()
         for number in range(CHANGES_MAX + 2):
             digest = key_digest(str(number))
@@ -105,7 +106,7 @@
         self.assertEqual(str(CHANGES_MAX + 1), table.find(digest).name)
         self.assertIsNotNone(table.changed([gone], []).find(key_digest("0")))
 
-    def test_a_key_ends_with_the_settings_that_take_it_away(self):
+    def test_a_key_is_unknown_once_settings_without_it_are_in_force(self):
         current = CurrentConfiguration()
         document = json.dumps({"name": "Anna", "key_digests": [FIRST]}).encode()
         current.offer(1, {"crew/customers/anna": document})
@@ -147,14 +148,15 @@
         self.assertFalse(route.allows_anonymous)
         self.assertFalse(self._translate().routes.find(*find).allows_anonymous)
 
-    def test_a_route_may_be_open(self):
+    def test_a_route_may_allow_anonymous_requests(self):
         routes = [{**CONFIGURATION["routes"][0], "allow_anonymous": True}]
         configuration = self._translate(self.TENANT, routes=routes)
         route = configuration.routes.find("sign.example", "/xapu/ny/1", "POST")
         self.assertTrue(route.allows_anonymous)
 
-    def test_what_cant_be_taken_is_refused_whole_and_without_keys(self):
-        # Guards against half of a configuration in force, and keys in the log.
+    def test_an_invalid_configuration_is_refused_whole_and_without_showing_keys(self):
+        # Guards against a configuration of which only a part is in force, and against
+        # keys in the log.
         other = {**self.TENANT, "name": "other"}
         for tenants in (
             [self.TENANT, self.TENANT],
--- a/tests/test_customer_keys.py
+++ b/tests/test_customer_keys.py
@@ -1,4 +1,4 @@
-"""Which customer a request is, and that nobody else gets its key."""
+"""Identification of customers by key; keys are neither logged nor forwarded."""
 
 import json
 
@@ -49,22 +49,22 @@
     def _ask(self, *headers: str):
         return self.fixture.caller().send(get(*headers)).read()
 
-    def _passed_on(self):
+    def _last_forwarded(self):
         return self.fixture.forwarder.forwarded[-1]
 
-    def test_each_key_of_a_customer_is_that_customer(self):
+    def test_each_key_identifies_its_customer(self):
         for key, name in ((KEY, "Anna"), (NEXT_KEY, "Anna"), (OTHER_KEY, "Ben")):
             self.assertEqual(200, self._ask(f"X-Key: {key}").status)
-            self.assertEqual(name, self._passed_on().customer)
+            self.assertEqual(name, self._last_forwarded().customer)
 
-    def test_the_customers_weight_goes_before_the_routes(self):
+    def test_the_customers_weight_replaces_the_routes(self):
         self._ask(f"X-Key: {KEY}")
-        self.assertEqual(3.0, self._passed_on().route.weight)
+        self.assertEqual(3.0, self._last_forwarded().route.weight)
         self._ask(f"X-Key: {OTHER_KEY}")
-        self.assertEqual(1.0, self._passed_on().route.weight)
+        self.assertEqual(1.0, self._last_forwarded().route.weight)
 
     def test_no_key_and_unknown_keys_are_refused_without_a_run(self):
-        # Guards against requests of nobody that run.
+        # Guards against requests without a customer on a route that requires one.
         for headers in (
             (),
             ("X-Key: k-never",),
@@ -77,24 +77,25 @@
             self.assertIsNone(answer.one("retry-after"))
         self.assertEqual([], self.fixture.forwarder.forwarded)
 
-    def test_a_route_for_anybody_needs_no_key(self):
+    def test_a_route_that_allows_anonymous_requests_needs_no_key(self):
         sign = b"POST /contracts HTTP/1.1\r\nHost: a\r\nContent-Length: 0\r\n\r\n"
         self.assertEqual(200, self.fixture.caller().send(sign).read().status)
-        self.assertEqual("", self._passed_on().customer)
+        self.assertEqual("", self._last_forwarded().customer)
 
     def test_a_key_is_read_whatever_the_case_of_its_header(self):
         self.assertEqual(200, self._ask(f"x-KEY: {KEY}").status)
-        self.assertEqual("Anna", self._passed_on().customer)
+        self.assertEqual("Anna", self._last_forwarded().customer)
 
     def test_two_keys_are_refused(self):
-        # Guards against two readers that each believe another key.
+        # Guards against two parsers of the request that each use a different key.
         answer = self._ask(f"X-Key: {KEY}", f"X-Key: {OTHER_KEY}")
         self.assertEqual(400, answer.status)
         self.assertEqual([], self.fixture.forwarder.forwarded)
 
-    def test_no_key_and_no_customer_of_the_callers_is_passed_on(self):
-        # Guards against a key at backend servers and a caller that names itself.
-        odd = (
+    def test_keys_and_customer_headers_of_callers_are_not_forwarded(self):
+        # Guards against keys that reach backend servers, and against callers that set
+        # the customer's name.
+        caller_headers = (
             f"X-Key: {KEY}",
             f"X_Key: {OTHER_KEY}",
             f"x_key: {KEY}",
@@ -103,40 +104,43 @@
             "X-CUSTOMER: Ben",
             "Connection: X-Key, X-Customer",
         )
-        self.assertEqual(200, self._ask(*odd).status)
-        forwarded = self._passed_on()
+        self.assertEqual(200, self._ask(*caller_headers).status)
+        forwarded = self._last_forwarded()
         self.assertEqual("Anna", forwarded.customer)
-        told = str(forwarded.request.headers).lower()
+        forwarded_headers = str(forwarded.request.headers).lower()
         for part in (KEY, OTHER_KEY, "customer", "x-key", "x_key", "ben"):
-            self.assertNotIn(part.lower(), told)
+            self.assertNotIn(part.lower(), forwarded_headers)
 
-    def test_a_key_in_a_trailer_is_no_key(self):
-        # Guards against a key that was not there when the request was decided on.
+    def test_a_key_in_a_trailer_is_ignored(self):
+        # Guards against a key that arrives only after the request was admitted.
         head = "POST /contracts/7 HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n"
         body = f"Trailer: X-Key\r\n\r\n0\r\nX-Key: {KEY}\r\n\r\n"
         caller = self.fixture.caller().send((head + body).encode())
         self.assertEqual(200, caller.read().status)
-        self.assertEqual("", self._passed_on().customer)
-        self.assertNotIn(KEY, str(self._passed_on().request))
+        self.assertEqual("", self._last_forwarded().customer)
+        self.assertNotIn(KEY, str(self._last_forwarded().request))
 
-    def test_no_key_is_logged_or_told_in_an_answer(self):
-        # Guards against keys in logs, problems and the messages between nodes.
+    def test_no_key_is_logged_or_answered(self):
+        # Guards against keys in logs, problem documents and messages between nodes.
         answers = [
             self._ask(f"X-Key: {key}", *more)
             for key in (KEY, "k-wrong-55", "")
             for more in ((), (f"X-Key: {OTHER_KEY}",), ("Connection: X-Key",))
         ]
-        seen = self.fixture.logged() + str(answers)
-        seen += str(self.fixture.forwarder.forwarded)
-        seen += str([encode(one.customer) for one in self.fixture.forwarder.forwarded])
+        output = self.fixture.logged() + str(answers)
+        output += str(self.fixture.forwarder.forwarded)
+        output += str(
+            [encode(one.customer) for one in self.fixture.forwarder.forwarded]
+        )
         for key in (KEY, OTHER_KEY, "k-wrong-55"):
-            self.assertNotIn(key, seen)
-        self.assertIn("cause=key_unknown", seen)
+            self.assertNotIn(key, output)
+        self.assertIn("cause=key_unknown", output)
 
 
 class UnprovenKeysTests(TestCase):
-    def test_keys_without_a_proof_are_refused_for_now(self):
-        # Guards against a 401 for a valid key at a node that can't know it.
+    def test_without_a_proof_keys_are_refused_with_a_retry_time(self):
+        # Guards against a 401 for a valid key, from a node whose settings may be too
+        # old to include it.
         fixture = IngressFixture(KEYED, Freshness(5.0), headers=NAMES)
         self.addCleanup(fixture.close)
         for key in (KEY, "k-unknown"):
@@ -148,7 +152,7 @@
         self.assertEqual(200, fixture.caller().send(sign).read().status)
 
 
-class ToldCustomerTests(TestCase):
+class CustomerHeaderTests(TestCase):
     def _dispatch(self, **fields):
         return Dispatch(
             AttemptId("node", 1, 1),
@@ -166,11 +170,11 @@
             **fields,
         )
 
-    def test_backend_servers_are_told_the_customer_once(self):
+    def test_backend_servers_get_the_customer_once(self):
         headers = backend_server_headers(self._dispatch(customer="Anna"), HEADER_NAMES)
         self.assertEqual(["Anna"], [v for name, v in headers if name == "X-Tenant"])
 
-    def test_nobody_is_told_of_a_request_without_a_customer(self):
+    def test_without_a_customer_the_header_is_absent(self):
         names = [
             name for name, _ in backend_server_headers(self._dispatch(), HEADER_NAMES)
         ]
--- a/tests/test_customer_limits.py
+++ b/tests/test_customer_limits.py
@@ -1,4 +1,4 @@
-"""Customers' limits over all nodes: never over, and as little as can be under."""
+"""Customers' limits over all nodes: not exceeded, and used up to almost all of them."""
 
 import msgspec
 from testtools import TestCase
@@ -20,32 +20,33 @@
         super().setUp()
         self.buckets = Buckets(0.0)
 
-    def _taken(self, now_s, rate=RATE):
+    def _spend_all(self, now_s, rate=RATE):
         count = 0
         while self.buckets.try_spend("anna", rate, now_s) is None:
             count += 1
         return count
 
     def test_a_bucket_grants_its_burst_and_then_its_rate(self):
-        self.assertEqual(6, self._taken(100.0))
-        self.assertEqual(0, self._taken(100.4))
-        self.assertEqual(2, self._taken(101.0))
+        self.assertEqual(6, self._spend_all(100.0))
+        self.assertEqual(0, self._spend_all(100.4))
+        self.assertEqual(2, self._spend_all(101.0))
 
-    def test_a_node_that_has_just_begun_grants_little(self):
-        # Guards against the burst that each new owner of a customer grants anew.
-        self.assertEqual(INITIAL_TOKENS, self._taken(0.0))
+    def test_a_node_that_has_just_started_grants_little(self):
+        # Guards against a further burst from each node that becomes the granter.
+        self.assertEqual(INITIAL_TOKENS, self._spend_all(0.0))
 
-    def test_a_lower_limit_holds_at_once(self):
-        self.assertEqual(1, self._taken(100.0, Rate(0.1, 1.0)))
+    def test_a_lower_burst_limits_the_bucket_at_once(self):
+        self.assertEqual(1, self._spend_all(100.0, Rate(0.1, 1.0)))
 
-    def test_what_did_not_run_is_granted_again(self):
-        # Guards against refused requests that use their customer's limit up.
-        self._taken(100.0)
+    def test_a_refunded_token_is_granted_again(self):
+        # Guards against a customer's limit that is used up by requests that were
+        # granted, but then refused.
+        self._spend_all(100.0)
         self.buckets.refund("anna")
-        self.assertEqual(1, self._taken(100.0))
+        self.assertEqual(1, self._spend_all(100.0))
 
-    def test_callers_who_come_back_as_told_find_a_token_each(self):
-        # Guards against a wave of callers that return at one moment.
+    def test_callers_that_retry_after_their_wait_get_a_token_each(self):
+        # Guards against many callers that are all told to retry at the same time.
         for _ in range(6):
             self.buckets.try_spend("anna", self.RATE, 100.0)
         waits_s = [
@@ -56,48 +57,49 @@
             denied = self.buckets.try_spend("anna", self.RATE, 100.0 + wait_s + 1e-6)
             self.assertIsNone(denied)
 
-    def test_a_customer_that_comes_back_from_another_node_begins_anew(self):
-        # Guards against two nodes' buckets that both filled meanwhile.
-        self._taken(100.0)
+    def test_a_customer_granted_by_another_node_meanwhile_gets_a_new_bucket(self):
+        # Guards against a bucket that fills while another node grants from its own.
+        self._spend_all(100.0)
         self.buckets.keep_only(lambda customer: False, 110.0)
-        self.assertEqual(INITIAL_TOKENS, self._taken(110.0))
+        self.assertEqual(INITIAL_TOKENS, self._spend_all(110.0))
 
 
 class LimitsOverAFleetTests(TestCase):
     def _load(self, count=93, customers=82, per_s=PER_S, **fleet):
         load = Load(LimitFleet(count, **fleet), per_s, customers)
         load.run(10)
-        load.forget()
+        load.reset_counts()
         return load
 
-    def test_in_calm_hardly_anybody_is_refused(self):
+    def test_without_faults_almost_no_request_is_refused(self):
         load = self._load()
         load.run(30)
         self.assertLess(load.refused_part(), 0.01)
-        # Half of what one node for the whole fleet takes.
+        # Half of the bytes per second that a single granter for the fleet would cost.
         self.assertLess(load.fleet.bytes_between_zones / 30, 25_000 / 2)
 
     def test_customers_with_all_callers_in_one_zone_are_not_held_to_its_part(self):
-        # Guards against a third of a limit for who needs all of it in one place.
+        # Guards against a customer held to a third of its limit because all of its
+        # callers are in one of three zones.
         load = self._load()
         for number, name in enumerate(load.usual):
             load.zone_weights[name] = {f"zone-{number % 3}": 1.0}
         load.run(30)
         self.assertLess(load.refused_part(), 0.01)
 
-    def test_at_300_nodes_too(self):
+    def test_at_300_nodes_almost_no_request_is_refused(self):
         load = self._load(300, per_s=3 * PER_S)
         load.run(20)
         self.assertLess(load.refused_part(), 0.01)
 
     def test_a_customer_that_sends_much_more_stays_within_its_limit(self):
-        # Guards against a limit that each node keeps by itself.
+        # Guards against nodes that each enforce the limit for themselves alone.
         load = self._load()
         load.factor["c-0"] = 7.5
         load.run(20)
         self.assertLess(load.most_over(), 1.0)
         granted_per_s = len(load.granted["c-0"]) / 20
-        # Its rate, and its burst in each window.
+        # Its rate, plus its burst once in each window.
         limit_per_s = load.limits["c-0"] * (1 + 1 / WINDOW_S)
         self.assertGreater(granted_per_s, 0.95 * limit_per_s)
         others = [name for name in load.usual if name != "c-0"]
@@ -105,8 +107,8 @@
         served = sum(len(load.granted[name]) for name in others)
         self.assertLess(refused / served, 0.01)
 
-    def test_through_a_partition_of_a_third_of_each_zone(self):
-        # Guards against two halves of a zone that each grant all of its part.
+    def test_limits_hold_through_a_partition_of_a_third_of_each_zone(self):
+        # Guards against two sides of a partition that each grant a zone's whole share.
         load = self._load()
         fleet = load.fleet
         cut = {record.node_id for record in fleet.records[:31]}
@@ -126,7 +128,7 @@
         load.run(10)
         self.assertLess(load.most_over(), 1.0)
 
-    def test_in_calm_a_partition_of_a_third_refuses_few(self):
+    def test_a_partition_of_a_third_refuses_few_requests_at_usual_load(self):
         load = self._load()
         fleet = load.fleet
         cut = {record.node_id for record in fleet.records[:31]}
@@ -139,8 +141,8 @@
         load.run(20)
         self.assertLess(load.refused_part(), 0.05)
 
-    def test_through_a_rolling_restart_few_are_refused(self):
-        # Guards against grants that are lost with each node that restarts.
+    def test_few_requests_are_refused_during_a_rolling_restart(self):
+        # Guards against tokens that are lost with each restarted node.
         load = self._load()
         fleet = load.fleet
         for record in fleet.records[::2]:
@@ -157,8 +159,9 @@
         self.assertLess(load.refused_part(), 0.05)
         self.assertLess(load.most_over(), 1.0)
 
-    def test_nodes_that_all_start_at_once_grant_no_more(self):
-        # Guards against a burst from each of many nodes that know nothing.
+    def test_nodes_that_all_restart_at_once_do_not_exceed_limits(self):
+        # Guards against a burst from each of many nodes that do not know of earlier
+        # grants.
         load = self._load()
         load.factor["c-0"] = 7.5
         load.run(5)
@@ -167,37 +170,37 @@
         load.run(10)
         self.assertLess(load.most_over(), 1.0)
 
-    def test_a_lower_limit_holds_though_some_nodes_have_not_heard(self):
-        # Guards against a node with older settings that asks for more.
+    def test_a_lower_limit_holds_while_some_nodes_have_older_settings(self):
+        # Guards against grants by the higher limit that nodes with older settings send.
         load = self._load()
         load.factor["c-0"] = 7.5
         load.run(5)
         old = load.limits["c-0"]
         load.limits["c-0"], load.revision = 4.0, 2
         load.run(1)
-        load.forget()
+        load.reset_counts()
         for number in range(400):
             load.fleet.now_s += 0.02
             is_old = number % 3 == 0
             load.limits["c-0"], load.revision = (old, 1) if is_old else (4.0, 2)
-            load.ask(load.fleet.random.choice(load.fleet.records), "c-0")
+            load.send_request(load.fleet.random.choice(load.fleet.records), "c-0")
         load.limits["c-0"] = 4.0
         self.assertLess(load.most_over(), 1.0)
 
-    def test_who_can_reach_nobody_runs_next_to_nothing(self):
-        # Guards against a node cut off that serves a whole limit by itself.
+    def test_an_isolated_node_grants_very_little(self):
+        # Guards against a node without connections that grants the whole limit itself.
         load = self._load()
-        alone = load.fleet.records[0]
-        load.fleet.unreachable = lambda one, other: alone in (one, other)
-        others = {one.node_id for one in load.fleet.records if one is not alone}
-        load.fleet.views[alone.node_id].lose(others, load.fleet.now_s)
+        isolated = load.fleet.records[0]
+        load.fleet.unreachable = lambda one, other: isolated in (one, other)
+        others = {one.node_id for one in load.fleet.records if one is not isolated}
+        load.fleet.views[isolated.node_id].lose(others, load.fleet.now_s)
         for _ in range(500):
             load.fleet.now_s += 0.02
-            load.ask(alone, "c-0")
+            load.send_request(isolated, "c-0")
         self.assertLess(len(load.granted["c-0"]), 0.1 * 10 * load.limits["c-0"])
 
-    def test_a_node_that_grants_again_does_not_grant_a_burst_again(self):
-        # Guards against buckets that fill while another node grants.
+    def test_a_node_that_becomes_the_granter_again_grants_no_new_burst(self):
+        # Guards against buckets that fill while another node is the granter.
         load = self._load(3, zones=1)
         fleet = load.fleet
         first, second = [
@@ -205,23 +208,23 @@
             for scope in Scope
         ]
         gone = {first.node_id, second.node_id}
-        (left,) = [one for one in fleet.records if one.node_id not in gone][:1]
+        (remaining,) = [one for one in fleet.records if one.node_id not in gone][:1]
         for _ in range(2):
             for view in fleet.views.values():
-                view.records = [left]
-            fleet.limiters[left.node_id].refresh(fleet.now_s)
-            load.forget()
-            while isinstance(load.ask(left, "c-0"), Granted):
+                view.records = [remaining]
+            fleet.limiters[remaining.node_id].refresh(fleet.now_s)
+            load.reset_counts()
+            while isinstance(load.send_request(remaining, "c-0"), Granted):
                 pass
             granted = len(load.granted["c-0"])
             for view in fleet.views.values():
                 view.records = list(fleet.records)
-            fleet.limiters[left.node_id].refresh(fleet.now_s)
+            fleet.limiters[remaining.node_id].refresh(fleet.now_s)
             fleet.now_s += 30
         self.assertEqual(2 * INITIAL_TOKENS, granted)
 
     def test_a_node_that_came_back_at_another_address_is_asked_there(self):
-        # Guards against questions to the address of a node's earlier start.
+        # Guards against questions sent to the address that a node had before a restart.
         load = self._load(2, zones=1)
         own, other = load.fleet.records
         view = load.fleet.views[own.node_id]
@@ -233,23 +236,23 @@
         self.assertIn(moved, ranked)
         self.assertNotIn(other, ranked)
 
-    def test_without_a_limit_nobody_is_asked(self):
+    def test_without_a_limit_no_node_is_asked(self):
         load = self._load(3)
         load.limits["c-1"] = 0.0
-        load.forget()
+        load.reset_counts()
         for _ in range(50):
-            acquired = load.ask(load.fleet.records[0], "c-1")
+            acquired = load.send_request(load.fleet.records[0], "c-1")
             self.assertEqual(Granted("c-1", is_limited=False), acquired)
         self.assertEqual(0, load.fleet.bytes)
 
-    def test_a_request_that_did_not_run_counts_at_the_node_that_granted_it(self):
-        # Guards against tokens that come back to a node which did not grant them.
+    def test_the_token_of_a_request_that_did_not_run_returns_to_its_granter(self):
+        # Guards against tokens that are returned to a node which did not grant them.
         load = self._load(9)
         load.fleet.now_s += 60
         node = load.fleet.records[0]
         first = load.fleet.limiters[node.node_id]
         for _ in range(100):
-            acquired = load.ask(node, "c-0")
+            acquired = load.send_request(node, "c-0")
             if isinstance(acquired, Granted):
                 first.give_back(acquired)
         self.assertEqual(0, load.refused["c-0"])
@@ -257,6 +260,7 @@
 
 class LimitMessageTests(TestCase):
     def test_a_question_of_another_release_is_dropped(self):
-        # Guards against a message that ends the task of all links.
+        # Guards against an unknown scope number that raises an exception in the thread
+        # which serves all links.
         question = LimitQuestion(1, "anna", 1.0, 1.0, 1, 7)
         self.assertIsInstance(decode_link(encode(question)), WireError)
--- a/tests/test_customers_processes.py
+++ b/tests/test_customers_processes.py
@@ -1,4 +1,4 @@
-"""Customers before real nodes: keys, keys that end, limits over all nodes."""
+"""Keys, revocations and limits of customers, with real node processes."""
 
 import json
 import signal
@@ -51,17 +51,20 @@
         headers = {HEADER: key} if key else {}
         return call(node.caller_address, "/contracts/7", headers=headers)
 
-    def _wait_served(self):
+    def _wait_accepted(self):
         for node in self.nodes:
-            wait_until(lambda node=node: self._ask(node).status == 200, "is served")
+            wait_until(
+                lambda node=node: self._ask(node).status == 200,
+                "the node accepts the key",
+            )
 
-    def _take_key_away(self):
+    def _revoke_key(self):
         store = SettingsStore(HttpTableService(self.fleet.platform_address))
         result = store.put("crew/customers/anna", {"name": "Anna"})
         self.assertTrue(result.is_ok(), result)
 
-    def test_keys_are_served_and_are_nowhere_in_the_logs(self):
-        self._wait_served()
+    def test_keys_are_accepted_and_never_logged(self):
+        self._wait_accepted()
         for node in self.nodes:
             self.assertEqual(401, self._ask(node, None).status)
             self.assertEqual(401, self._ask(node, "k-nobody").status)
@@ -71,8 +74,9 @@
         self.assertNotIn(KEY, json.dumps([node.status() for node in self.nodes]))
 
     def test_each_node_decides_on_the_head(self):
-        # Guards against a refusal that waits for a body, and a key with a space after.
-        self._wait_served()
+        # Guards against a refusal that waits for the body, and against white space
+        # after a key that makes the key unknown.
+        self._wait_accepted()
         for node in self.nodes:
             for key, status in (("k-nobody", 401), (f"{KEY} \t", 200)):
                 caller = RawCaller(node.caller_address)
@@ -87,14 +91,17 @@
                     first = caller.send(b"abc").read()
                 self.assertEqual(status, first.status)
 
-    def test_a_key_that_was_taken_away_is_not_served_after_the_bound(self):
-        # Guards against nodes that serve it on: paused, and in touch.
-        self._wait_served()
+    def test_a_revoked_key_is_not_accepted_after_the_maximum_age(self):
+        # Guards against nodes that still accept it, whether they are running or were
+        # paused during the revocation.
+        self._wait_accepted()
         self.nodes[2].signal(signal.SIGSTOP)
-        self._take_key_away()
+        self._revoke_key()
         ends_s = time.monotonic() + PROOF_MAX_AGE_S
         for node in self.nodes[:2]:
-            wait_until(lambda node=node: self._ask(node).status != 200, "the key ends")
+            wait_until(
+                lambda node=node: self._ask(node).status != 200, "the key is refused"
+            )
         self.assertLess(time.monotonic(), ends_s)
         time.sleep(max(0.0, ends_s - time.monotonic()))
         self.nodes[2].signal(signal.SIGCONT)
@@ -104,11 +111,14 @@
                     node.caller_address, "/contracts/7", headers={HEADER: KEY}
                 )
                 self.assertIn(answer and answer.status, (401, 503))
-        wait_until(lambda: self._ask(self.nodes[2]).status == 401, "it knows")
+        wait_until(
+            lambda: self._ask(self.nodes[2]).status == 401,
+            "the paused node refuses the key",
+        )
 
-    def test_without_the_store_keys_end_and_come_back(self):
-        # Guards against nodes that confirm one another's old settings.
-        self._wait_served()
+    def test_keys_are_refused_only_while_the_store_is_unavailable(self):
+        # Guards against nodes that keep renewing each other's old proofs.
+        self._wait_accepted()
         self.platform.signal(signal.SIGSTOP)
         time.sleep(PROOF_MAX_AGE_S + 0.2)
         for node in self.nodes:
@@ -116,16 +126,16 @@
             self.assertEqual(503, answer.status)
             self.assertEqual("not_run", answer.outcome)
         self.platform.signal(signal.SIGCONT)
-        self._wait_served()
+        self._wait_accepted()
 
     def test_a_limit_holds_over_all_nodes(self):
-        # Guards against a limit that each node keeps by itself.
-        self._wait_served()
+        # Guards against nodes that each enforce the limit for themselves alone.
+        self._wait_accepted()
         began_s = time.monotonic()
         statuses = [
             self._ask(node, OTHER_KEY).status for _ in range(10) for node in self.nodes
         ]
         took_s = time.monotonic() - began_s
         self.assertEqual({200, 429}, set(statuses))
-        # A token more for each part of the limit: buckets hold at least one.
+        # One more for each share of the limit: a bucket holds at least one token.
         self.assertLessEqual(statuses.count(200), 4 + took_s + 3)
--- a/tests/test_field_values.py
+++ b/tests/test_field_values.py
@@ -1,4 +1,4 @@
-"""White space round the values of headers, from callers and backend servers."""
+"""White space around header values from callers and backend servers."""
 
 from testtools import TestCase
 
@@ -21,8 +21,8 @@
         caller = self.fixture.caller().send("\r\n".join(lines).encode("latin-1"))
         return caller.read()
 
-    def test_white_space_round_a_value_is_no_part_of_it(self):
-        # Guards against a valid key that is refused for a space behind it.
+    def test_white_space_around_a_value_is_removed(self):
+        # Guards against a valid key that is refused because a space follows it.
         for before, after in ((" ", " "), ("", "\t"), ("\t ", " \t "), ("", "")):
             answer = self._get(
                 f"X-Key:{before}{KEY}{after}", f"X-Note:{before}a b{after}"
@@ -32,13 +32,13 @@
             self.assertEqual("Anna", forwarded.customer)
             self.assertIn(("X-Note", "a b"), forwarded.request.headers)
 
-    def test_other_control_characters_are_no_white_space(self):
+    def test_other_control_characters_are_not_removed(self):
         for character in ("\x0b", "\x1f", "\xa0", "\x85"):
             self.assertIn(self._get(f"X-Key: {KEY}{character}").status, (400, 401))
         self.assertEqual([], self.fixture.forwarder.forwarded)
 
-    def test_a_value_keeps_what_only_looks_like_white_space(self):
-        # Guards against a signature or an id that is changed on its way.
+    def test_other_white_space_characters_of_a_value_are_kept(self):
+        # Guards against a signature or an id that is changed in transit.
         for raw, value in (
             (b" \ta b\t ", "a b"),
             (b"a\xa0", "a\xa0"),
--- a/tests/test_key_proofs.py
+++ b/tests/test_key_proofs.py
@@ -1,4 +1,7 @@
-"""How new a node's settings are proven to be, and who is asked for a proof."""
+"""Proofs of how new a node's settings are, and the peers that are asked for them.
+
+``python -m tests.test_key_proofs 1000`` runs many schedules of faults.
+"""
 
 import random
 import sys
@@ -30,44 +33,44 @@
         super().setUp()
         self.freshness = Freshness(AGE_MAX_S)
 
-    def test_nothing_is_fresh_before_the_first_proof(self):
+    def test_settings_are_not_fresh_before_the_first_proof(self):
         self.assertFalse(self.freshness.is_fresh(7, 0.0))
 
     def test_a_proof_counts_from_the_start_of_its_read(self):
-        # Guards against keys that are served longer by the time a slow read takes.
+        # Guards against revoked keys that a slow read lets a node use for longer.
         self.freshness.record(Proof(10.0, 7), 7)
         self.assertTrue(self.freshness.is_fresh(7, 14.9))
         self.assertFalse(self.freshness.is_fresh(7, 15.0))
 
     def test_a_proof_of_a_newer_revision_counts_once_it_is_in_force(self):
-        # Guards against a key that a revision took away which is not here yet.
+        # Guards against a key that is revoked by a revision not yet in force here.
         self.freshness.record(Proof(10.0, 7), 7)
         self.freshness.record(Proof(14.0, 8), 7)
         self.assertFalse(self.freshness.is_fresh(7, 15.0))
         self.assertTrue(self.freshness.is_fresh(8, 18.9))
 
-    def test_an_older_proof_that_comes_late_changes_nothing(self):
+    def test_an_older_proof_that_arrives_late_changes_nothing(self):
         self.freshness.record(Proof(10.0, 7), 7)
         self.freshness.record(Proof(8.0, 7), 7)
         self.assertEqual(10.0, self.freshness.usable_proof(7).began_s)
 
-    def test_no_proof_is_needed_where_none_is_asked_for(self):
+    def test_without_a_maximum_age_no_proof_is_needed(self):
         self.assertTrue(Freshness(None).is_fresh(-1, 0.0))
 
 
 class Fleet:
-    """Nodes that ask each other over a network with a clock of its own."""
+    """Nodes that ask each other over a simulated network, on a simulated clock."""
 
     def __init__(self, count: int, zones: int = 3) -> None:
         self.now_s = 100.0
         self.revision = 1
-        self.store_serves = lambda node: True
-        self.carries = lambda sender, receiver: True
+        self.store_answers = lambda node: True
+        self.delivers = lambda sender, receiver: True
         self.random = random.Random(5)
         self.delays_s = (0.001, 0.003)
-        self.read_takes_s = 0.02
-        self.calls = self.messages = 0
-        self.under_way: list[tuple[float, str, str, object]] = []
+        self.read_time_max_s = 0.02
+        self.reads = self.messages = 0
+        self.in_flight: list[tuple[float, str, str, object]] = []
         self.records = [
             NodeRecord(
                 f"node-{number}",
@@ -92,27 +95,27 @@
         until_s = self.now_s + seconds
         while self.now_s < until_s:
             self.now_s += step_s
-            due = [one for one in self.under_way if one[0] <= self.now_s]
-            self.under_way = [one for one in self.under_way if one[0] > self.now_s]
+            due = [one for one in self.in_flight if one[0] <= self.now_s]
+            self.in_flight = [one for one in self.in_flight if one[0] > self.now_s]
             for _, _, receiver, message in sorted(due, key=lambda one: one[0]):
-                self.nodes[receiver].take(message)
+                self.nodes[receiver].receive(message)
             for node in self.nodes.values():
                 node.step()
 
     def send(self, sender: str, receiver: str, message: object) -> None:
         self.messages += 1
-        if self.carries(sender, receiver):
+        if self.delivers(sender, receiver):
             at_s = self.now_s + self.random.uniform(*self.delays_s)
-            self.under_way.append((at_s, sender, receiver, message))
+            self.in_flight.append((at_s, sender, receiver, message))
 
 
 class Node:
     def __init__(self, fleet: Fleet, record: NodeRecord) -> None:
         self.fleet, self.record = fleet, record
         self.address = record.member_address
-        self.is_stopped = False
-        # A read under way: its end, its start, and what it showed.
-        self.reading: tuple[float, float, int] | None = None
+        self.is_paused = False
+        # The running read: its end, its start and the revision that it returns.
+        self.running_read: tuple[float, float, int] | None = None
         self.inbox: list[object] = []
         self.configuration = CurrentConfiguration()
         self.configuration.offer(fleet.revision, {})
@@ -129,23 +132,23 @@
         )
 
     def read(self) -> None:
-        self.fleet.calls += 1
-        if self.fleet.store_serves(self) and self.reading is None:
+        self.fleet.reads += 1
+        if self.fleet.store_answers(self) and self.running_read is None:
             now_s = self.fleet.now_s
-            takes_s = self.fleet.random.uniform(0, self.fleet.read_takes_s)
-            self.reading = (now_s + takes_s, now_s, self.fleet.revision)
+            duration_s = self.fleet.random.uniform(0, self.fleet.read_time_max_s)
+            self.running_read = (now_s + duration_s, now_s, self.fleet.revision)
 
     def end_read(self) -> None:
-        ends_s, began_s, revision = self.reading
+        ends_s, began_s, revision = self.running_read
         if ends_s <= self.fleet.now_s:
-            self.reading = None
+            self.running_read = None
             self.configuration.offer(revision, {})
             self.keeper.note_read(began_s, revision)
 
     def step(self) -> None:
-        if self.is_stopped:
+        if self.is_paused:
             return
-        if self.reading is not None:
+        if self.running_read is not None:
             self.end_read()
         while self.inbox:
             self.handle(self.inbox.pop(0))
@@ -155,7 +158,7 @@
         if address is not None:
             self.keeper.send_question(address, self.fleet.now_s)
 
-    def take(self, message: object) -> None:
+    def receive(self, message: object) -> None:
         self.inbox.append(message)
 
     def handle(self, message: object) -> None:
@@ -170,155 +173,170 @@
 
 
 class ProofsOverAFleetTests(TestCase):
-    def test_in_calm_all_stay_fresh_by_few_calls(self):
+    def test_without_faults_all_nodes_stay_fresh_with_few_reads(self):
         fleet = Fleet(93)
         fleet.run(4)
-        fleet.calls = 0
+        fleet.reads = 0
         for _ in range(40):
             fleet.run(0.5)
             ages = [
                 fleet.now_s - node.freshness.usable_proof(1).began_s
                 for node in fleet.nodes.values()
             ]
-            # Half of the bound is left for what goes wrong.
+            # Leaves almost half of the maximum age for faults.
             self.assertLess(max(ages), 0.6 * AGE_MAX_S)
-        self.assertLess(fleet.calls / 20, 6)
+        self.assertLess(fleet.reads / 20, 6)
 
-    def test_nodes_that_the_store_refuses_stay_fresh_by_their_peers(self):
-        # Guards against a third of the fleet without service for seconds.
+    def test_nodes_that_the_store_refuses_stay_fresh_through_their_peers(self):
+        # Guards against a third of the fleet that refuses all keys for seconds.
         fleet = Fleet(93)
         fleet.run(4)
         refused = {node.address for node in list(fleet.nodes.values())[::3]}
-        fleet.store_serves = lambda node: node.address not in refused
-        lost = 0
+        fleet.store_answers = lambda node: node.address not in refused
+        stale = 0
         for _ in range(90):
             fleet.run(0.1)
-            lost += sum(not node.is_fresh() for node in fleet.nodes.values())
-        self.assertEqual(0, lost)
+            stale += sum(not node.is_fresh() for node in fleet.nodes.values())
+        self.assertEqual(0, stale)
 
-    def test_nobody_serves_keys_when_the_store_is_away(self):
-        # Guards against nodes that confirm each other's old proofs for ever.
+    def test_no_node_uses_keys_while_the_store_is_unavailable(self):
+        # Guards against nodes that keep renewing each other's old proofs.
         fleet = Fleet(30)
         fleet.run(4)
-        fleet.store_serves = lambda node: False
-        away_s = fleet.now_s
+        fleet.store_answers = lambda node: False
+        unavailable_s = fleet.now_s
         fleet.run(AGE_MAX_S + 0.2)
         self.assertEqual([], [n for n in fleet.nodes.values() if n.is_fresh()])
         fleet.run(4)
         self.assertEqual([], [n for n in fleet.nodes.values() if n.is_fresh()])
-        self.assertGreater(fleet.now_s, away_s)
-        fleet.store_serves = lambda node: True
+        self.assertGreater(fleet.now_s, unavailable_s)
+        fleet.store_answers = lambda node: True
         fleet.run(4)
         self.assertEqual([], [n for n in fleet.nodes.values() if not n.is_fresh()])
 
-    def test_the_store_is_spared_while_it_is_away(self):
+    def test_nodes_read_an_unavailable_store_rarely(self):
         fleet = Fleet(93)
         fleet.run(4)
-        fleet.calls = 0
-        fleet.store_serves = lambda node: False
+        fleet.reads = 0
+        fleet.store_answers = lambda node: False
         fleet.run(9)
-        self.assertLess(fleet.calls, 4 * 93)
+        self.assertLess(fleet.reads, 4 * 93)
 
     def test_a_node_without_peers_reads_the_store_itself(self):
         fleet = Fleet(12)
-        alone = list(fleet.nodes.values())[-1]
+        isolated = list(fleet.nodes.values())[-1]
         fleet.run(4)
-        fleet.carries = lambda sender, receiver: alone.address not in (sender, receiver)
-        lost = 0
+        fleet.delivers = lambda sender, receiver: (
+            isolated.address not in (sender, receiver)
+        )
+        stale = 0
         for _ in range(100):
             fleet.run(0.1)
-            lost += not alone.is_fresh()
-        self.assertEqual(0, lost)
+            stale += not isolated.is_fresh()
+        self.assertEqual(0, stale)
 
 
-def latest_run_s(seed: int) -> float:
-    """Return how long after a revocation one of six nodes still served the key."""
+def latest_use_s(seed: int) -> float:
+    """Return how long after its revocation a key was still used by any of six nodes.
+
+    The seed selects delays, nodes that the store refuses, nodes without connections,
+    and pauses of nodes.
+    """
     fleet = Fleet(6, zones=2)
     rng = fleet.random = random.Random(seed)
     fleet.delays_s = (0.001, rng.choice((0.01, 0.5, 3.0)))
-    fleet.read_takes_s = rng.choice((0.01, 0.5, 2.0))
+    fleet.read_time_max_s = rng.choice((0.01, 0.5, 2.0))
     fleet.run(rng.uniform(1, 4), 0.2)
     nodes = list(fleet.nodes.values())
     refused = {node.address for node in rng.sample(nodes, rng.randint(0, 4))}
     cut = {node.address for node in rng.sample(nodes, rng.randint(0, 3))}
-    fleet.store_serves = lambda node: node.address not in refused
-    fleet.carries = lambda sender, receiver: not {sender, receiver} & cut
+    fleet.store_answers = lambda node: node.address not in refused
+    fleet.delivers = lambda sender, receiver: not {sender, receiver} & cut
     fleet.revision, revoked_s = 2, fleet.now_s
     latest_s = 0.0
     for _ in range(40):
         for node in nodes:
             if rng.random() < 0.05:
-                node.is_stopped = not node.is_stopped
+                node.is_paused = not node.is_paused
         fleet.run(0.2, 0.2)
         for node in nodes:
             is_old = node.configuration.revision < 2
-            if is_old and not node.is_stopped and node.is_fresh():
+            if is_old and not node.is_paused and node.is_fresh():
                 latest_s = max(latest_s, fleet.now_s - revoked_s)
     return latest_s
 
 
 class RevocationTests(TestCase):
-    """No key is served later than the bound after it was taken away."""
+    """No node uses a key later than the maximum age of a proof after its revocation."""
 
-    def test_the_wait_of_an_answer_counts_as_age(self):
-        # Guards against a proof that looks new because its bearer stood still.
+    def test_the_delay_of_an_answer_counts_as_age(self):
+        # Guards against a proof that seems new because its receiver was paused.
         fleet = Fleet(2, zones=1)
         reader, other = fleet.nodes.values()
         reader.keeper.note_read(fleet.now_s, 1)
         other.keeper.send_question(reader.address, fleet.now_s)
-        question = fleet.under_way.pop()[3]
+        question = fleet.in_flight.pop()[3]
         reader.handle(question)
-        answer = fleet.under_way.pop()[3]
+        answer = fleet.in_flight.pop()[3]
         fleet.now_s += 4.5
         other.handle(answer)
         self.assertTrue(other.is_fresh())
         fleet.now_s += 0.6
         self.assertFalse(other.is_fresh())
 
-    def test_the_wait_of_a_question_counts_as_age(self):
-        # Guards against the same at the peer that is asked.
+    def test_the_delay_of_a_question_counts_as_age(self):
+        # Guards against a proof that seems new because the peer was paused.
         fleet = Fleet(2, zones=1)
         reader, other = fleet.nodes.values()
         other.keeper.send_question(reader.address, fleet.now_s)
-        question = fleet.under_way.pop()[3]
+        question = fleet.in_flight.pop()[3]
         fleet.now_s += 4.5
         reader.keeper.note_read(fleet.now_s, 1)
         reader.handle(question)
-        other.handle(fleet.under_way.pop()[3])
+        other.handle(fleet.in_flight.pop()[3])
         fleet.now_s += 0.6
         self.assertFalse(other.is_fresh())
         self.assertTrue(reader.is_fresh())
 
-    def test_an_answer_that_comes_twice_counts_once(self):
+    def test_an_answer_that_arrives_twice_counts_once(self):
         fleet = Fleet(2, zones=1)
         reader, other = fleet.nodes.values()
         reader.keeper.note_read(fleet.now_s, 1)
         other.keeper.send_question(reader.address, fleet.now_s)
-        reader.handle(fleet.under_way.pop()[3])
-        answer = fleet.under_way.pop()[3]
+        reader.handle(fleet.in_flight.pop()[3])
+        answer = fleet.in_flight.pop()[3]
         other.handle(answer)
         began_s = other.freshness.usable_proof(1).began_s
         fleet.now_s += 3
         other.handle(answer)
         self.assertEqual(began_s, other.freshness.usable_proof(1).began_s)
 
-    def test_in_many_schedules_no_key_is_served_after_the_bound(self):
-        # Guards against runs with a key later than it may be served.
-        latest_s = max(map(latest_run_s, range(SCHEDULES)))
+    def test_in_many_schedules_no_revoked_key_is_used_after_the_maximum_age(self):
+        # Guards against a combination of delays, pauses and lost connections that lets
+        # a revoked key be used too long.
+        latest_s = max(map(latest_use_s, range(SCHEDULES)))
         self.assertLessEqual(latest_s, AGE_MAX_S)
 
 
 class SlowTables(TableService):
-    """A store whose reads take time, on which the operator's row is changed."""
+    """A store with slow reads.
+
+    Attributes
+    ----------
+    row : Row
+        The operator's row, as it is when a read begins.
+    meanwhile : callable
+        Called during each read.
+    """
 
     def __init__(self) -> None:
         self.row = Row("config", 1, 1)
-        self.takes_s = 0.2
+        self.read_s = 0.2
         self.meanwhile = lambda: None
 
     def read(self, table, keys):
         row = self.row
-        time.sleep(self.takes_s)
+        time.sleep(self.read_s)
         self.meanwhile()
         return Ok([row])
 
@@ -341,45 +359,45 @@
     @staticmethod
     def _decode(value):
         if value == "garbage":
-            raise ValueError("not readable")
+            raise ValueError("the row can't be decoded")
         return WholeSettings(value, {})
 
-    def test_a_proof_begins_with_the_question(self):
-        # Guards against a revision that was accepted while the read was under way.
+    def test_the_age_of_a_proof_counts_from_the_start_of_the_read(self):
+        # Guards against a revision that was accepted during the read.
         began_s = time.monotonic()
         self.feed.prove()
         (proof,) = self.proofs
-        self.assertLess(proof.began_s - began_s, self.tables.takes_s / 2)
+        self.assertLess(proof.began_s - began_s, self.tables.read_s / 2)
         self.assertEqual(1, proof.revision)
         self.assertEqual(1, self.configuration.revision)
 
     def test_an_older_revision_than_the_nodes_proves_nothing(self):
-        # Guards against a store that lost the revision which took a key away.
+        # Guards against a store that has lost the revision which revoked a key.
         self.configuration.offer(5, {})
         self.feed.prove()
         self.assertEqual([], self.proofs)
 
-    def test_a_revision_that_a_peer_brings_meanwhile_leaves_the_proof(self):
+    def test_a_revision_from_a_peer_during_the_read_keeps_the_proof(self):
         self.tables.meanwhile = lambda: self.configuration.offer(5, {})
         self.feed.prove()
         self.assertEqual([1], [proof.revision for proof in self.proofs])
 
-    def test_a_row_that_cant_be_read_proves_nothing(self):
-        # Guards against keys that it takes away, unseen.
+    def test_a_row_that_cant_be_decoded_proves_nothing(self):
+        # Guards against keys that the unreadable revision revokes.
         self.feed.prove()
         self.tables.row = Row("config", 2, "garbage")
         self.feed.prove()
         self.assertEqual(1, len(self.proofs))
 
-    def test_a_silent_wait_proves_nothing(self):
-        # Guards against a connection that died without a word.
+    def test_a_wait_without_changes_proves_nothing(self):
+        # Guards against a broken connection that is taken for an unchanged store.
         self.tables.wait_for_changes = lambda *_: Ok(Changes([], 1))
         self.feed.wait(1)
         self.assertEqual([], self.proofs)
 
 
-class AskingTests(TestCase):
-    def test_a_young_proof_costs_no_question(self):
+class QuestionTests(TestCase):
+    def test_no_peer_is_asked_while_the_proof_is_new(self):
         fleet = Fleet(4, zones=1)
         node = list(fleet.nodes.values())[0]
         node.keeper.note_read(fleet.now_s, 1)
@@ -390,5 +408,5 @@
 if __name__ == "__main__":
     count = int(sys.argv[1])
     print(
-        f"latest run {max(map(latest_run_s, range(count))):.2f} s of {count} schedules"
+        f"latest use {max(map(latest_use_s, range(count))):.2f} s of {count} schedules"
     )
--- a/tests/test_metrics.py
+++ b/tests/test_metrics.py
@@ -1,4 +1,4 @@
-"""Latencies per hop and counts, as an operator reads them from a node."""
+"""Latencies of hops and counts, as a node reports them."""
 
 import re
 
@@ -11,7 +11,7 @@
 
 
 class MetricsTests(TestCase):
-    def test_a_hop_tells_its_quantiles_within_their_precision(self):
+    def test_quantiles_of_a_hop_are_within_the_histograms_precision(self):
         metrics = Metrics()
         for number in range(1, 1001):
             metrics.record(Hop.QUEUE, number / 1000)
@@ -19,7 +19,7 @@
         self.assertEqual((1000, 500500.0), (latency.count, latency.total_ms))
         self.assertTrue(abs(latency.p99_ms - 990) <= 10, latency)
 
-    def test_the_text_form_escapes_what_a_label_holds(self):
+    def test_label_values_are_escaped_in_the_text_format(self):
         metrics = Metrics()
         metrics.count_outcome('crew/"contracts"\n', "unknown")
         text = prometheus_text(metrics.report()).decode()
@@ -50,13 +50,13 @@
             name: node.status()["metrics"]["hops"]
             for name, node in (("ingress", ingress), ("gate", gate))
         }
-        seen = [
+        counts = [
             hops["ingress"]["ingress"]["count"],
             hops["ingress"]["link"]["count"],
             hops["gate"]["queue"]["count"],
             hops["gate"]["backend_server"]["count"],
         ]
-        self.assertEqual([1, 1, 1, 1], seen)
+        self.assertEqual([1, 1, 1, 1], counts)
         answer = call(ingress.admin_address, "/metrics")
         self.assertTrue(answer.headers["content-type"].startswith("text/plain"))
         pattern = r'requests_total\{outcome="answered",service="crew/contracts"\} 1\.0'
