--- a/balsamspindle/backend_servers/answers.py
+++ b/balsamspindle/backend_servers/answers.py
@@ -4,7 +4,7 @@
 
 from balsamspindle.protocol.connection_headers import (
     HOP_BY_HOP_HEADERS,
-    named_by_connection,
+    connection_options,
 )
 from balsamspindle.protocol.field_values import field_value
 from balsamspindle.protocol.header_names import DEFAULT_HEADER_NAMES, HeaderNames
@@ -67,7 +67,7 @@
     dropped = {*_DROPPED_HEADERS, names.outcome.lower()}
     for name, value in headers:
         if name.lower() == "connection":
-            dropped.update(named_by_connection(value))
+            dropped.update(connection_options(value))
     return [(name, value) for name, value in headers if name.lower() not in dropped]
 
 
--- a/balsamspindle/customers/__init__.py
+++ b/balsamspindle/customers/__init__.py
@@ -9,6 +9,6 @@
 `proofs.py` gets them from the store and from other nodes.
 """
 
-from balsamspindle.customers.admission import Admitted, CustomerGate, Refused
+from balsamspindle.customers.admission import Admitted, CustomerAdmission, Refused
 
-__all__ = ["Admitted", "CustomerGate", "Refused"]
+__all__ = ["Admitted", "CustomerAdmission", "Refused"]
--- a/balsamspindle/customers/admission.py
+++ b/balsamspindle/customers/admission.py
@@ -7,14 +7,14 @@
 
 import msgspec
 
-from balsamspindle.customers.buckets import Denied
+from balsamspindle.customers.buckets import Denial
 from balsamspindle.customers.freshness import Freshness
-from balsamspindle.customers.limits import Granted, Limiter
+from balsamspindle.customers.limits import Grant, Limiter
 from balsamspindle.protocol.outcomes import Reason
 from balsamspindle.settings.documents import CustomerDocument, RouteDocument
 from balsamspindle.settings.tree import Configuration, CurrentConfiguration
 
-__all__ = ["Admitted", "CustomerGate", "Refused", "identify"]
+__all__ = ["Admitted", "CustomerAdmission", "Refused", "identify"]
 
 
 class Admitted(NamedTuple):
@@ -26,13 +26,13 @@
         None for a request without a valid key, on a route that needs none.
     route : RouteDocument
         With the customer's weight in place of the route's, if the customer has one.
-    grant : Granted or None
+    grant : Grant or None
         The grant from the customer's limit; None if limits were not checked.
     """
 
     customer: CustomerDocument | None
     route: RouteDocument
-    grant: Granted | None = None
+    grant: Grant | None = None
 
     @property
     def name(self) -> str:
@@ -94,7 +94,7 @@
     return msgspec.structs.replace(route, weight=customer.weight)
 
 
-class CustomerGate:
+class CustomerAdmission:
     """Admits or refuses requests at one node.
 
     Parameters
@@ -130,19 +130,19 @@
                 return _apply_limit(identified, acquired)
         return identified
 
-    def give_back(self, admitted: Admitted) -> None:
+    def refund(self, admitted: Admitted) -> None:
         """Return the grant of an admitted request that did not run."""
         if self._limiter is not None and admitted.grant is not None:
-            self._limiter.give_back(admitted.grant)
+            self._limiter.refund(admitted.grant)
 
 
 def _apply_limit(
-    admitted: Admitted, acquired: Granted | Denied | None
+    admitted: Admitted, acquired: Grant | Denial | None
 ) -> Admitted | Refused:
     match acquired:
-        case Granted():
+        case Grant():
             return admitted._replace(grant=acquired)
-        case Denied(wait_s):
+        case Denial(wait_s):
             return Refused(Reason.CUSTOMER_LIMITED, wait_s * 1000, admitted.name)
         case _:
             return Refused(Reason.LIMIT_UNKNOWN, customer=admitted.name)
--- a/balsamspindle/customers/buckets.py
+++ b/balsamspindle/customers/buckets.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass
 from typing import NamedTuple
 
-__all__ = ["Buckets", "Denied", "Rate"]
+__all__ = ["Buckets", "Denial", "Rate"]
 
 # Tokens of a new bucket when this node starts to grant; it is not full, as another
 # node may have granted the customer's whole burst a moment before.
@@ -35,7 +35,7 @@
     burst: float
 
 
-class Denied(NamedTuple):
+class Denial(NamedTuple):
     """The bucket has no token; the caller may retry after `wait_s`."""
 
     wait_s: float
@@ -80,14 +80,14 @@
         self._ungranted_since_s = now_s
         self._buckets: OrderedDict[str, _Bucket] = OrderedDict()
 
-    def try_spend(self, customer: str, rate: Rate, now_s: float) -> Denied | None:
+    def try_spend(self, customer: str, rate: Rate, now_s: float) -> Denial | None:
         """Spend a token for one request; return None if there was one."""
         with self._lock:
             bucket = self._filled_bucket(customer, rate, now_s)
             if bucket.tokens >= 1:
                 bucket.tokens -= 1
                 return None
-            return Denied(self._reserve_token(bucket, rate, now_s))
+            return Denial(self._reserve_token(bucket, rate, now_s))
 
     def refund(self, customer: str) -> None:
         """Return the token of a request that did not run."""
--- a/balsamspindle/customers/freshness.py
+++ b/balsamspindle/customers/freshness.py
@@ -47,7 +47,7 @@
         self._usable = _NO_PROOF
 
     @property
-    def is_needed(self) -> bool:
+    def requires_proof(self) -> bool:
         """Whether keys are used only with a proof."""
         return self._age_max_s is not None
 
--- a/balsamspindle/customers/granters.py
+++ b/balsamspindle/customers/granters.py
@@ -21,7 +21,7 @@
 from balsamspindle.membership.directory import Directory, NodeState
 from balsamspindle.wire import NodeRecord
 
-__all__ = ["Granters", "Limit", "LimitTerms", "Scope"]
+__all__ = ["Granters", "Limit", "LimitPolicy", "Scope"]
 
 # A bucket that holds less than one token can't grant anything.
 BURST_MIN = 1.0
@@ -38,7 +38,7 @@
     burst: float
 
 
-class LimitTerms(NamedTuple):
+class LimitPolicy(NamedTuple):
     """How strictly limits are enforced.
 
     Attributes
@@ -85,12 +85,12 @@
     """Ranks the nodes of one scope for each customer; the first one is the granter."""
 
     def __init__(
-        self, own: NodeRecord, directory: Directory, scope: Scope, terms: LimitTerms
+        self, own: NodeRecord, directory: Directory, scope: Scope, policy: LimitPolicy
     ) -> None:
         self._own = own
         self._directory = directory
         self._scope = scope
-        self._terms = terms
+        self._policy = policy
         self._last_records: list[NodeRecord] | None = None
         self._nodes: list[NodeRecord] = []
         self._known_zones = 1
@@ -140,8 +140,8 @@
         counted = len(self._nodes) if self.is_own(customer) else 1
         fraction = _SCOPE_FRACTIONS[self._scope] * counted / self._node_count(now_s)
         if self._scope is Scope.ZONE:
-            fraction /= self._terms.zones or self._known_zones
-        fleet = self._terms.fleet_rate(limit)
+            fraction /= self._policy.zones or self._known_zones
+        fleet = self._policy.fleet_rate(limit)
         return Rate(fleet.per_s * fraction, max(BURST_MIN, fleet.burst * fraction))
 
     def _node_count(self, now_s: float) -> int:
--- a/balsamspindle/customers/limits.py
+++ b/balsamspindle/customers/limits.py
@@ -12,13 +12,13 @@
 from collections.abc import Callable
 from typing import NamedTuple, Protocol
 
-from balsamspindle.customers.buckets import Buckets, Denied
+from balsamspindle.customers.buckets import Buckets, Denial
 from balsamspindle.customers.granters import Granters, Limit, Scope
 from balsamspindle.settings.documents import CustomerDocument
 from balsamspindle.wire import NodeRecord
 from balsamspindle.wire.limit_messages import LimitQuestion, LimitReturn, LimitTold
 
-__all__ = ["Granted", "Limiter", "LimitLinks"]
+__all__ = ["Grant", "Limiter", "LimitLinks"]
 
 # How long after its start a node may not know most of the others yet, and would take
 # itself for the granter of every customer.
@@ -32,11 +32,11 @@
     def ask(self, node: NodeRecord, question: LimitQuestion) -> LimitTold | None:
         """Return a node's answer; None if it can't be reached."""
 
-    def tell(self, node: NodeRecord, message: LimitReturn) -> None:
+    def send(self, node: NodeRecord, message: LimitReturn) -> None:
         """Send a message that may get lost."""
 
 
-class Granted(NamedTuple):
+class Grant(NamedTuple):
     """Permission to run one request; returned if the request does not run.
 
     Attributes
@@ -82,7 +82,7 @@
         self._known_limits: dict[str, _KnownLimit] = {}
         self._question_numbers = itertools.count(1)
 
-    def is_settled(self, now_s: float) -> bool:
+    def is_ready(self, now_s: float) -> bool:
         """Return whether this node has had the time to discover the others."""
         return now_s - self._started_s >= DISCOVERY_S
 
@@ -93,11 +93,11 @@
 
     def acquire(
         self, customer: CustomerDocument, revision: int
-    ) -> Granted | Denied | None:
+    ) -> Grant | Denial | None:
         """Acquire a grant for one request; None if no node could be asked."""
         if not customer.rate_per_s:
-            return Granted(customer.name, is_limited=False)
-        denied = None
+            return Grant(customer.name, is_limited=False)
+        denial = None
         for scope in self._granters:
             question = LimitQuestion(
                 next(self._question_numbers),
@@ -108,43 +108,43 @@
                 scope,
             )
             match self._ask_scope(question, scope):
-                case Granted() as granted:
-                    return granted
-                case Denied() as other:
-                    denied = min(denied or other, other)
-        return denied
+                case Grant() as grant:
+                    return grant
+                case Denial() as other:
+                    denial = min(denial or other, other)
+        return denial
 
     def _ask_scope(
         self, question: LimitQuestion, scope: Scope
-    ) -> Granted | Denied | None:
+    ) -> Grant | Denial | None:
         """Ask the scope's granter, or the next node if it can't be reached."""
         for node in self._ranked(question.customer, scope):
             if node.node_id == self._own.node_id:
-                granted = Granted(question.customer, scope=scope)
-                return self._try_spend(question, scope) or granted
+                grant = Grant(question.customer, scope=scope)
+                return self._try_spend(question, scope) or grant
             answer = self._links.ask(node, question)
             if answer is not None:
-                granted = Granted(question.customer, node, scope)
-                return granted if answer.is_given else Denied(answer.wait_ms / 1000)
+                grant = Grant(question.customer, node, scope)
+                return grant if answer.is_given else Denial(answer.wait_ms / 1000)
         return None
 
-    def give_back(self, granted: Granted) -> None:
+    def refund(self, grant: Grant) -> None:
         """Return the grant of a request that did not run to the node that gave it."""
-        if not granted.is_limited:
+        if not grant.is_limited:
             return
-        if granted.node is None:
-            self._buckets[granted.scope].refund(granted.customer)
+        if grant.node is None:
+            self._buckets[grant.scope].refund(grant.customer)
         else:
-            message = LimitReturn(granted.customer, granted.scope)
-            self._links.tell(granted.node, message)
+            message = LimitReturn(grant.customer, grant.scope)
+            self._links.send(grant.node, message)
 
     def answer(self, question: LimitQuestion) -> LimitTold:
         """Grant or deny a request of another node."""
-        denied = self._try_spend(question, Scope(question.scope))
-        wait_ms = denied.wait_s * 1000 if denied else 0.0
-        return LimitTold(question.number, denied is None, wait_ms, self._clock())
+        denial = self._try_spend(question, Scope(question.scope))
+        wait_ms = denial.wait_s * 1000 if denial else 0.0
+        return LimitTold(question.number, denial is None, wait_ms, self._clock())
 
-    def take_back(self, message: LimitReturn) -> None:
+    def receive_return(self, message: LimitReturn) -> None:
         """Refund a grant that another node did not use."""
         self._buckets[Scope(message.scope)].refund(message.customer)
 
@@ -153,7 +153,7 @@
             self._update_granters(self._clock())
             return self._granters[scope].ranked(customer)
 
-    def _try_spend(self, question: LimitQuestion, scope: Scope) -> Denied | None:
+    def _try_spend(self, question: LimitQuestion, scope: Scope) -> Denial | None:
         """Spend a token of this node; return None if there was one."""
         now_s = self._clock()
         with self._lock:
--- a/balsamspindle/customers/proofs.py
+++ b/balsamspindle/customers/proofs.py
@@ -24,7 +24,7 @@
 from balsamspindle.timeline import EventLog
 from balsamspindle.wire import NodeRecord
 
-__all__ = ["ProofAnswer", "ProofKeeper", "ProofQuestion"]
+__all__ = ["ProofAnswer", "ProofRefresher", "ProofQuestion"]
 
 TICK_S = 0.1
 READERS_PER_ZONE_MIN = 2
@@ -81,13 +81,13 @@
     address: str
 
 
-class ProofKeeper:
+class ProofRefresher:
     """Keeps one node's proof of its settings new enough.
 
     Parameters
     ----------
     read : callable
-        Starts a read of the store, whose result comes by `note_read`.
+        Starts a read of the store, whose result comes by `record_read`.
     send : callable
         Takes a member address and a message; thread-safe.
     """
@@ -146,12 +146,12 @@
         """Make `run_reads` and `run_questions` return within a tick."""
         self._stopped.set()
 
-    def note_read(self, began_s: float, revision: int) -> None:
+    def record_read(self, began_s: float, revision: int) -> None:
         """Record the revision that a read of the store returned."""
         self._record_proof(Proof(began_s, revision))
         self._own_read_interval_s = OWN_READ_INTERVAL_S
 
-    def take_question(self, question: ProofQuestion) -> None:
+    def answer_question(self, question: ProofQuestion) -> None:
         """Answer a peer's question."""
         proof = self._usable_proof()
         age_ms = (self._clock() - proof.began_s) * 1000
@@ -161,7 +161,7 @@
             question.address, ProofAnswer(question.number, age_ms, proof.revision)
         )
 
-    def take_answer(self, answer: ProofAnswer) -> None:
+    def receive_answer(self, answer: ProofAnswer) -> None:
         """Record a peer's proof, with the time since the question added to its age."""
         with self._lock:
             asked = self._open_questions.pop(answer.number, None)
--- a/balsamspindle/node/customer_side.py
+++ b/balsamspindle/node/customer_side.py
@@ -4,11 +4,11 @@
 from collections.abc import Callable
 
 from balsamspindle.backend_servers.link_server import LinkServer
-from balsamspindle.customers import CustomerGate
+from balsamspindle.customers import CustomerAdmission
 from balsamspindle.customers.freshness import Freshness
-from balsamspindle.customers.granters import Granters, LimitTerms, Scope
+from balsamspindle.customers.granters import Granters, LimitPolicy, Scope
 from balsamspindle.customers.limits import Limiter
-from balsamspindle.customers.proofs import ProofAnswer, ProofKeeper, ProofQuestion
+from balsamspindle.customers.proofs import ProofAnswer, ProofQuestion, ProofRefresher
 from balsamspindle.membership import Directory, Member
 from balsamspindle.protocol.outcomes import Execution
 from balsamspindle.requests.links import Link, LinkPool
@@ -48,7 +48,7 @@
             self._links.release(link)
         return told
 
-    def tell(self, node: NodeRecord, message: LimitReturn) -> None:
+    def send(self, node: NodeRecord, message: LimitReturn) -> None:
         """See `balsamspindle.customers.limits.LimitLinks`."""
         link = self._take(node)
         if link is not None:
@@ -62,7 +62,7 @@
 
 
 class CustomerSide:
-    """Customers at one node: the gate for their requests, and what it needs.
+    """Customers at one node: the admission of their requests, and what it needs.
 
     Parameters
     ----------
@@ -71,7 +71,7 @@
 
     Attributes
     ----------
-    gate : CustomerGate
+    admission : CustomerAdmission
     """
 
     def __init__(
@@ -88,22 +88,24 @@
     ) -> None:
         self._configuration = configuration
         self._freshness = Freshness(settings.key_proof_max_age_s)
-        terms = LimitTerms(
+        policy = LimitPolicy(
             settings.availability_zones,
             settings.limit_window_s,
             settings.limit_over_part,
             settings.limit_slack,
         )
-        granters = {scope: Granters(own, directory, scope, terms) for scope in Scope}
+        granters = {scope: Granters(own, directory, scope, policy) for scope in Scope}
         self._limiter = Limiter(own, granters, PooledLimitLinks(links))
         link_server.register(
             {
                 LimitQuestion: self._limiter.answer,
-                LimitReturn: self._limiter.take_back,
+                LimitReturn: self._limiter.receive_return,
             }
         )
-        self.gate = CustomerGate(configuration, self._freshness, self._limiter)
-        self._proofs = ProofKeeper(
+        self.admission = CustomerAdmission(
+            configuration, self._freshness, self._limiter
+        )
+        self._proofs = ProofRefresher(
             own,
             directory,
             self._freshness,
@@ -114,21 +116,21 @@
         )
         member.register(
             {
-                ProofQuestion: self._proofs.take_question,
-                ProofAnswer: self._proofs.take_answer,
+                ProofQuestion: self._proofs.answer_question,
+                ProofAnswer: self._proofs.receive_answer,
             }
         )
 
-    def note_read(self, began_s: float, revision: int) -> None:
+    def record_read(self, began_s: float, revision: int) -> None:
         """Take the revision that a read of the store showed."""
-        self._proofs.note_read(began_s, revision)
+        self._proofs.record_read(began_s, revision)
 
     def is_ready(self, now_s: float) -> bool:
         """Tell whether customers are served."""
         configuration = self._configuration.get()
         if configuration is None:
             return False
-        if configuration.limits_customers and not self._limiter.is_settled(now_s):
+        if configuration.limits_customers and not self._limiter.is_ready(now_s):
             return False
         return self._freshness.is_fresh(configuration.revision, now_s)
 
@@ -138,7 +140,7 @@
 
     def tasks(self) -> list[Callable[[], None]]:
         """Return what has to run until `stop` is called."""
-        if not self._freshness.is_needed:
+        if not self._freshness.requires_proof:
             return []
         return [self._proofs.run_reads, self._proofs.run_questions]
 
--- a/balsamspindle/node/process.py
+++ b/balsamspindle/node/process.py
@@ -121,7 +121,7 @@
             self.events,
             integration.operator_row,
             self._eras.known,
-            self._customers.note_read,
+            self._customers.record_read,
         )
         self._registry = parts.registry(self._member)
         self._crashes.quarantine_store = parts.quarantine_store(
@@ -308,7 +308,7 @@
             self._connections,
             self.events,
             self._gate_side.failed_calls.record,
-            self._customers.gate,
+            self._customers.admission,
         )
 
     def _make_admin_server(self) -> AdminServer:
--- a/balsamspindle/protocol/outcomes.py
+++ b/balsamspindle/protocol/outcomes.py
@@ -157,14 +157,14 @@
     ----------
     status : int
         HTTP status.
-    sentence : str
+    title : str
         Title of the problem document (RFC 9457): one sentence for people.
     retry_after_s : int or None
         When the caller may retry; None if a retry can't help.
     """
 
     status: int
-    sentence: str
+    title: str
     retry_after_s: int | None
 
 
--- a/balsamspindle/requests/admissions.py
+++ b/balsamspindle/requests/admissions.py
@@ -4,7 +4,7 @@
 read, and the request does not count against its customer's limit.
 """
 
-from balsamspindle.customers import Admitted, CustomerGate, Refused
+from balsamspindle.customers import Admitted, CustomerAdmission, Refused
 from balsamspindle.protocol.outcomes import Reason
 from balsamspindle.requests.http import CallerRequest
 from balsamspindle.settings.documents import RouteDocument
@@ -19,11 +19,11 @@
 
     Parameters
     ----------
-    customers : CustomerGate
+    customers : CustomerAdmission
     """
 
     def __init__(
-        self, configuration: CurrentConfiguration, customers: CustomerGate
+        self, configuration: CurrentConfiguration, customers: CustomerAdmission
     ) -> None:
         self._configuration = configuration
         self._customers = customers
@@ -51,12 +51,12 @@
             case Refused() as refused:
                 return refused
             case Admitted() as admitted:
-                self.give_back(admitted)
+                self.refund(admitted)
         return None
 
-    def give_back(self, admitted: Admitted) -> None:
+    def refund(self, admitted: Admitted) -> None:
         """Uncount an admitted request that did not run."""
-        self._customers.give_back(admitted)
+        self._customers.refund(admitted)
 
     def _route(self, request: CallerRequest) -> RouteDocument | Refused:
         configuration = self._configuration.get()
--- a/balsamspindle/requests/answers.py
+++ b/balsamspindle/requests/answers.py
@@ -91,7 +91,7 @@
     if outcome is Outcome.NOT_RUN and status in _AMBIGUOUS_STATUSES:
         status = NOT_RUN_STATUS
     body = {
-        "title": problem.sentence,
+        "title": problem.title,
         "status": status,
         "outcome": outcome.value,
         "reason": reason.value,
--- a/balsamspindle/requests/heads.py
+++ b/balsamspindle/requests/heads.py
@@ -12,7 +12,7 @@
 from balsamspindle.protocol.api_keys import key_digest
 from balsamspindle.protocol.connection_headers import (
     HOP_BY_HOP_HEADERS,
-    named_by_connection,
+    connection_options,
 )
 from balsamspindle.protocol.field_values import field_value
 from balsamspindle.protocol.header_names import DEFAULT_HEADER_NAMES, HeaderNames
@@ -192,7 +192,7 @@
         if lower.replace("_", "-") not in rules.removed:
             headers.append((name, value))
     if "connection" in control_headers:
-        named = named_by_connection(control_headers["connection"]) - {"host"}
+        named = connection_options(control_headers["connection"]) - {"host"}
         headers = [pair for pair in headers if pair[0].lower() not in named]
     return headers, control_headers
 
--- a/balsamspindle/requests/ingress.py
+++ b/balsamspindle/requests/ingress.py
@@ -8,7 +8,7 @@
 from collections.abc import Callable
 from concurrent.futures import ThreadPoolExecutor
 
-from balsamspindle.customers import Admitted, CustomerGate, Refused
+from balsamspindle.customers import Admitted, CustomerAdmission, Refused
 from balsamspindle.metrics import Hop
 from balsamspindle.protocol.outcomes import Outcome, Reason
 from balsamspindle.requests.admissions import Admissions
@@ -50,7 +50,7 @@
     ----------
     on_failure : callable
         Called with the monotonic time when a request fails.
-    customers : CustomerGate, default=one for keys that need no proof
+    customers : CustomerAdmission, default=one for keys that need no proof
 
     Attributes
     ----------
@@ -67,9 +67,9 @@
         executor: ThreadPoolExecutor,
         events: EventLog,
         on_failure: Callable[[float], None] = lambda now_s: None,
-        customers: CustomerGate | None = None,
+        customers: CustomerAdmission | None = None,
     ) -> None:
-        customers = customers or CustomerGate(configuration)
+        customers = customers or CustomerAdmission(configuration)
         self._admissions = Admissions(configuration, customers)
         self._on_failure = on_failure
         self._settings = settings
@@ -288,7 +288,7 @@
         try:
             timeout_ms = self._caller_protocol.timeout_ms(request, route)
         except BadRequest as error:
-            self._admissions.give_back(admitted)
+            self._admissions.refund(admitted)
             refused = Refused(error.reason)
             return self._encode_refusal(request, request_id, refused, error.detail)
         # Lets the backend server's log be matched with the event log.
@@ -314,7 +314,7 @@
             # beside this node, whose own request fails as a result a moment later.
             self._on_failure(time.monotonic())
         if reply.outcome is Outcome.NOT_RUN:
-            self._admissions.give_back(admitted)
+            self._admissions.refund(admitted)
         self._log.ended(
             request_id,
             reply.outcome,
--- a/tests/caller_side.py
+++ b/tests/caller_side.py
@@ -9,7 +9,7 @@
 from io import StringIO
 from typing import NamedTuple
 
-from balsamspindle.customers import CustomerGate
+from balsamspindle.customers import CustomerAdmission
 from balsamspindle.protocol import Outcome
 from balsamspindle.requests.ingress import Ingress
 from balsamspindle.settings.process import NodeSettings
@@ -34,7 +34,7 @@
 
     Attributes
     ----------
-    hold : Event
+    answers_allowed : Event
         Answers wait until it is set, as it is at first.
     padding : str
         Included in each answer, to make it longer.
@@ -44,15 +44,15 @@
         self.forwarded = []
         self.remaining_ms = []
         self.headers = [("Content-Type", "application/json")]
-        self.hold = threading.Event()
-        self.hold.set()
+        self.answers_allowed = threading.Event()
+        self.answers_allowed.set()
         self.padding = ""
 
     def forward(self, forwarded) -> Reply:
         """See `balsamspindle.requests.forwarding.Forwarder`."""
         self.forwarded.append(forwarded)
         self.remaining_ms.append((forwarded.deadline_s - time.monotonic()) * 1000)
-        self.hold.wait(SOCKET_TIMEOUT_S)
+        self.answers_allowed.wait(SOCKET_TIMEOUT_S)
         request = forwarded.request
         body = {
             "method": request.method,
@@ -76,13 +76,13 @@
     headers: list[tuple[str, str]]
     body: bytes
 
-    def all(self, name: str) -> list[str]:
+    def header_values(self, name: str) -> list[str]:
         """Return all values of a header."""
         return [value for known, value in self.headers if known.lower() == name]
 
-    def one(self, name: str) -> str | None:
+    def header_value(self, name: str) -> str | None:
         """Return the value of a header that must not be repeated; None without it."""
-        values = self.all(name)
+        values = self.header_values(name)
         assert len(values) <= 1, values
         return values[0] if values else None
 
@@ -119,13 +119,15 @@
         status = int(re.fullmatch(r"HTTP/1\.1 (\d{3}) .+", lines[0])[1])
         headers = [tuple(line.split(": ", 1)) for line in lines[1:]]
         answer = Answer(status, headers, b"")
-        length = 0 if is_head or status < 200 else int(answer.one("content-length"))
+        length = (
+            0 if is_head or status < 200 else int(answer.header_value("content-length"))
+        )
         while len(self._data) < length:
             self._receive()
         body, self._data = self._data[:length], self._data[length:]
         return answer._replace(body=body)
 
-    def at_end(self) -> bool:
+    def wait_for_close(self) -> bool:
         """Wait for the ingress to close the connection; False if bytes come first."""
         return not self._data and self.socket.recv(1) == b""
 
@@ -181,7 +183,7 @@
             self.forwarder,
             self.executor,
             self.events,
-            customers=CustomerGate(configuration, freshness, limiter),
+            customers=CustomerAdmission(configuration, freshness, limiter),
         )
         self._task = threading.Thread(target=self.ingress.run)
         self._task.start()
@@ -201,7 +203,7 @@
 
     def close(self) -> None:
         """Stop the ingress and close all callers' connections."""
-        self.forwarder.hold.set()
+        self.forwarder.answers_allowed.set()
         self.ingress.stop()
         for caller in self._callers:
             caller.close()
--- a/tests/limit_fleet.py
+++ b/tests/limit_fleet.py
@@ -7,9 +7,9 @@
 from collections import defaultdict
 from typing import NamedTuple
 
-from balsamspindle.customers.buckets import Denied
-from balsamspindle.customers.granters import Granters, LimitTerms, Scope
-from balsamspindle.customers.limits import Granted, Limiter
+from balsamspindle.customers.buckets import Denial
+from balsamspindle.customers.granters import Granters, LimitPolicy, Scope
+from balsamspindle.customers.limits import Grant, Limiter
 from balsamspindle.settings.documents import CustomerDocument
 from balsamspindle.wire import NodeRecord, encode
 
@@ -45,14 +45,14 @@
         """See `balsamspindle.membership.directory.Directory`."""
         return self.dead_views
 
-    def lose(self, gone: set[str], now_s: float) -> None:
+    def mark_dead(self, gone: set[str], now_s: float) -> None:
         """Treat some nodes as dead."""
         self.dead_views += [
             DeadView(record, now_s) for record in self.records if record.node_id in gone
         ]
         self.records = [other for other in self.records if other.node_id not in gone]
 
-    def find(self) -> None:
+    def mark_all_alive(self) -> None:
         """Treat all nodes as alive again."""
         self.records = [*self.records, *(view.record for view in self.dead_views)]
         self.dead_views = []
@@ -72,7 +72,7 @@
         self.random = random.Random(seed)
         self.unreachable = lambda asker, asked: False
         self.bytes = self.bytes_between_zones = 0
-        self.terms = LimitTerms(
+        self.policy = LimitPolicy(
             zones, WINDOW_S, OVER_FRACTION * USED_FRACTION, OVER_COUNT * USED_FRACTION
         )
         self.records = [
@@ -92,7 +92,9 @@
     def start(self, record: NodeRecord) -> None:
         """Start a node, or restart it without its buckets."""
         view = self.views[record.node_id]
-        granters = {scope: Granters(record, view, scope, self.terms) for scope in Scope}
+        granters = {
+            scope: Granters(record, view, scope, self.policy) for scope in Scope
+        }
         links = _Links(self, record)
         self.limiters[record.node_id] = Limiter(
             record, granters, links, lambda: self.now_s
@@ -111,10 +113,10 @@
         self._count(node, question, result)
         return result
 
-    def tell(self, node, message):
+    def send(self, node, message):
         """See `balsamspindle.customers.limits.LimitLinks`."""
         if not self._fleet.unreachable(self._own, node):
-            self._fleet.limiters[node.node_id].take_back(message)
+            self._fleet.limiters[node.node_id].receive_return(message)
             self._count(node, message)
 
     def _count(self, node, *messages) -> None:
@@ -131,11 +133,11 @@
 
     Attributes
     ----------
-    usual : dict of str to float
+    usual_rates : dict of str to float
         Each customer's usual requests per second.
     limits : dict of str to float
         Each customer's limit; by default a multiple of its usual requests.
-    factor : dict of str to float
+    rate_factors : dict of str to float
         Ratio of each customer's present to its usual requests; 1 by default.
     zone_weights : dict of str to dict of str to float
         By customer, the fraction of its callers in each zone; equal by default.
@@ -151,14 +153,15 @@
         self.fleet = fleet
         self.zone_weights: dict[str, dict[str, float]] = {}
         shares = [1 / (rank + 3) for rank in range(customers)]
-        self.usual = {
+        self.usual_rates = {
             f"c-{rank}": per_s * share / sum(shares)
             for rank, share in enumerate(shares)
         }
         self.limits = {
-            name: max(1.0, round(headroom * rate)) for name, rate in self.usual.items()
+            name: max(1.0, round(headroom * rate))
+            for name, rate in self.usual_rates.items()
         }
-        self.factor = defaultdict(lambda: 1.0)
+        self.rate_factors = defaultdict(lambda: 1.0)
         self.revision = 1
         self.granted: dict[str, list[float]] = defaultdict(list)
         self.refused: dict[str, int] = defaultdict(int)
@@ -166,9 +169,9 @@
     def run(self, seconds: float) -> None:
         """Send requests to random nodes for some simulated seconds."""
         fleet, until_s = self.fleet, self.fleet.now_s + seconds
-        names = list(self.usual)
+        names = list(self.usual_rates)
         while True:
-            rates = [self.usual[name] * self.factor[name] for name in names]
+            rates = [self.usual_rates[name] * self.rate_factors[name] for name in names]
             fleet.now_s += fleet.random.expovariate(sum(rates))
             if fleet.now_s >= until_s:
                 fleet.now_s = until_s
@@ -183,24 +186,24 @@
         by_node = [weights.get(record.availability_zone, 0.0) for record in records]
         return self.fleet.random.choices(records, by_node)[0]
 
-    def send_request(self, node: NodeRecord, name: str) -> Granted | Denied | None:
+    def send_request(self, node: NodeRecord, name: str) -> Grant | Denial | None:
         """Send one request to one node."""
         limit = self.limits[name]
         customer = CustomerDocument(name, (), limit, limit)
         limiter = self.fleet.limiters[node.node_id]
         acquired = limiter.acquire(customer, self.revision)
-        if isinstance(acquired, Granted):
+        if isinstance(acquired, Grant):
             self.granted[name].append(self.fleet.now_s)
         else:
             self.refused[name] += 1
         return acquired
 
-    def refused_part(self) -> float:
+    def refused_fraction(self) -> float:
         """Return the fraction of all requests that was refused."""
         refused = sum(self.refused.values())
         return refused / (refused + sum(map(len, self.granted.values())))
 
-    def most_over(self) -> float:
+    def largest_window_fraction(self) -> float:
         """Return the most requests in one window, as a fraction of those allowed."""
         return max(
             _most_in_window(times) / allowed(self.limits[name], self.limits[name])
--- a/tests/soak_limits.py
+++ b/tests/soak_limits.py
@@ -22,13 +22,13 @@
 
     Attributes
     ----------
-    most_over : float
+    largest_window_fraction : float
         The largest window as a part of what is allowed.
-    refused_part : float
+    refused_fraction : float
     """
 
-    most_over: float
-    refused_part: float
+    largest_window_fraction: float
+    refused_fraction: float
 
 
 def run(seed: int) -> SoakResult:
@@ -52,28 +52,30 @@
         if number == heals_at:
             cut.clear()
             for view in fleet.views.values():
-                view.find()
+                view.mark_all_alive()
         for record in rng.sample(fleet.records, rng.choice((0, 0, 1, 5))):
             fleet.start(record)
-        name = rng.choice(list(load.usual))
-        load.factor[name] = rng.choice(HOT)
+        name = rng.choice(list(load.usual_rates))
+        load.rate_factors[name] = rng.choice(HOT)
         for limiter in fleet.limiters.values():
             limiter.refresh(fleet.now_s)
         load.run(ROUND_S)
-    return SoakResult(load.most_over(), load.refused_part())
+    return SoakResult(load.largest_window_fraction(), load.refused_fraction())
 
 
 def _notice(fleet: LimitFleet, cut: set[str]) -> None:
     others = {record.node_id for record in fleet.records} - cut
     for node_id, view in fleet.views.items():
-        view.lose(others if node_id in cut else cut, fleet.now_s)
+        view.mark_dead(others if node_id in cut else cut, fleet.now_s)
 
 
 def main(count: int) -> int:
     """Play seeds; 1 when a customer ran more than is allowed."""
     results = {seed: run(seed) for seed in range(count)}
-    over = [seed for seed, result in results.items() if result.most_over > 1]
-    most = max(result.most_over for result in results.values())
+    over = [
+        seed for seed, result in results.items() if result.largest_window_fraction > 1
+    ]
+    most = max(result.largest_window_fraction for result in results.values())
     print(f"{count} seeds, largest window {most:.2f} of what is allowed, over: {over}")
     return 1 if over else 0
 
--- a/tests/test_caller_connections.py
+++ b/tests/test_caller_connections.py
@@ -49,7 +49,7 @@
         self.addCleanup(fixture.close)
         caller = fixture.caller().send(GET)
         caller.read()
-        self.assertTrue(caller.at_end())
+        self.assertTrue(caller.wait_for_close())
         # Matches whole fields, since "408" may occur among the digits of a timestamp.
         self.assertNotIn("status=408", fixture.logged())
         self.assertNotIn("request_timeout", fixture.logged())
@@ -57,12 +57,12 @@
     def test_an_answer_that_is_not_delivered_is_logged(self):
         fixture = IngressFixture()
         self.addCleanup(fixture.close)
-        fixture.forwarder.hold.clear()
+        fixture.forwarder.answers_allowed.clear()
         fixture.forwarder.padding = "x" * 20_000_000
         caller = fixture.caller().send(GET)
         wait_until(lambda: fixture.forwarder.forwarded, "the request is forwarded")
         caller.close()
-        fixture.forwarder.hold.set()
+        fixture.forwarder.answers_allowed.set()
         wait_until(
             lambda: "event=answer_not_delivered" in fixture.logged(),
             "the event is logged",
@@ -84,9 +84,11 @@
         time.sleep(LATE_S)
         caller.send(GET[-2:])
         answer = caller.read()
-        self.assertEqual((503, "close"), (answer.status, answer.one("connection")))
-        self.assertEqual("not_run", answer.one("x-balsamspindle-outcome"))
-        self.assertTrue(answer.one("retry-after"))
+        self.assertEqual(
+            (503, "close"), (answer.status, answer.header_value("connection"))
+        )
+        self.assertEqual("not_run", answer.header_value("x-balsamspindle-outcome"))
+        self.assertTrue(answer.header_value("retry-after"))
         self.assertEqual([], fixture.forwarder.forwarded)
         caller.close()
 
@@ -100,14 +102,14 @@
         fixture = IngressFixture()
         self.addCleanup(fixture.close)
         fixture.caller().send(GET).read()
-        fixture.forwarder.hold.clear()
+        fixture.forwarder.answers_allowed.clear()
         busy = fixture.caller().send(GET)
         wait_until(lambda: len(fixture.forwarder.forwarded) == 2, "one is busy")
         self.assertEqual(1, fixture.ingress.callers())
         fixture.forwarder.forwarded[1].cut_s = time.monotonic()
         fixture.forwarder.forwarded[1].stopped_by = StopReason.NO_PLACE
         fixture.ingress.stop()
-        fixture.forwarder.hold.set()
+        fixture.forwarder.answers_allowed.set()
         busy.read()
         lines = map(parse_event, fixture.logged().splitlines())
         ended = [line for line in lines if line.get("service")]
@@ -133,7 +135,7 @@
         # callers keep idle connections open up to the limit.
         idle = self.fixture.caller().send(GET)
         idle.read()
-        self.fixture.forwarder.hold.clear()
+        self.fixture.forwarder.answers_allowed.clear()
         busy = self.fixture.caller().send(GET)
         wait_until(lambda: len(self.fixture.forwarder.forwarded) == 2, "one is busy")
         newcomer = self.fixture.caller().send(GET)
@@ -141,9 +143,11 @@
         self.assertEqual((408, "gave_way"), _refusal(idle))
         refused = self.fixture.caller().send(GET)
         answer = refused.read()
-        self.assertEqual((503, "1"), (answer.status, answer.one("retry-after")))
-        self.assertEqual("not_run", answer.one("x-balsamspindle-outcome"))
-        self.fixture.forwarder.hold.set()
+        self.assertEqual(
+            (503, "1"), (answer.status, answer.header_value("retry-after"))
+        )
+        self.assertEqual("not_run", answer.header_value("x-balsamspindle-outcome"))
+        self.fixture.forwarder.answers_allowed.set()
         self.assertEqual([200, 200], [busy.read().status, newcomer.read().status])
 
     def test_stopping_ends_idle_connections_and_answers_busy_ones(self):
@@ -151,21 +155,21 @@
         # timeout, long after the shutdown timeout.
         idle = self.fixture.caller().send(GET)
         idle.read()
-        self.fixture.forwarder.hold.clear()
+        self.fixture.forwarder.answers_allowed.clear()
         busy = self.fixture.caller().send(GET)
         wait_until(lambda: len(self.fixture.forwarder.forwarded) == 2, "one is busy")
         self.fixture.ingress.stop()
         self.assertEqual((408, "node_leaving"), _refusal(idle))
         self.assertFalse(self.fixture.ingress.ended())
-        self.fixture.forwarder.hold.set()
-        self.assertEqual("close", busy.read().one("connection"))
-        self.assertTrue(busy.at_end())
+        self.fixture.forwarder.answers_allowed.set()
+        self.assertEqual("close", busy.read().header_value("connection"))
+        self.assertTrue(busy.wait_for_close())
         busy.close()
         wait_until(self.fixture.ingress.ended, "all are answered")
 
 
 def _refusal(caller) -> tuple[int, str]:
     answer = caller.read()
-    assert caller.at_end()
+    assert caller.wait_for_close()
     caller.close()
     return answer.status, answer.json()["reason"]
--- a/tests/test_caller_side.py
+++ b/tests/test_caller_side.py
@@ -96,17 +96,19 @@
             answer = caller.read()
             problem = answer.json()
             self.assertEqual((name, status), (name, answer.status))
-            self.assertEqual("not_run", answer.one("x-balsamspindle-outcome"), name)
-            self.assertEqual("close", answer.one("connection"), name)
+            self.assertEqual(
+                "not_run", answer.header_value("x-balsamspindle-outcome"), name
+            )
+            self.assertEqual("close", answer.header_value("connection"), name)
             self.assertTrue(problem["detail"].endswith("."), problem)
-            self.assertTrue(caller.at_end(), name)
+            self.assertTrue(caller.wait_for_close(), name)
             caller.close()
         self.assertEqual([], self.fixture.forwarder.forwarded)
 
     def test_complete_requests_before_a_bad_one_are_answered_first(self):
         caller = self.fixture.caller().send(GET + GET + b"nonsense\r\n\r\n")
         self.assertEqual([200, 200, 400], [caller.read().status for _ in range(3)])
-        self.assertTrue(caller.at_end())
+        self.assertTrue(caller.wait_for_close())
 
     def test_a_request_with_an_invalid_timeout_is_rejected_and_the_next_is_served(self):
         caller = self.fixture.caller()
@@ -120,7 +122,9 @@
 
     def test_a_405_names_the_allowed_methods(self):
         answer = self.fixture.caller().send(GET.replace(b"GET", b"PUT")).read()
-        self.assertEqual((405, "GET, HEAD, POST"), (answer.status, answer.one("allow")))
+        self.assertEqual(
+            (405, "GET, HEAD, POST"), (answer.status, answer.header_value("allow"))
+        )
 
 
 class AcceptedRequestTests(TestCase):
@@ -171,8 +175,8 @@
         self.assertEqual(200, caller.read(is_head=True).status)
         self.assertEqual("GET", caller.read().json()["method"])
         caller = self.fixture.caller().send(b"GET /contracts HTTP/1.0\r\n\r\n")
-        self.assertEqual("close", caller.read().one("connection"))
-        self.assertTrue(caller.at_end())
+        self.assertEqual("close", caller.read().header_value("connection"))
+        self.assertTrue(caller.wait_for_close())
 
     def test_hop_by_hop_headers_are_not_passed_on(self):
         headers = (
@@ -196,8 +200,8 @@
             ("Transfer-Encoding", "chunked"),
         ]
         answer = self.fixture.caller().send(GET).read()
-        self.assertEqual("answered", answer.one("x-balsamspindle-outcome"))
-        self.assertNotEqual("forged", answer.one("x-request-id"))
+        self.assertEqual("answered", answer.header_value("x-balsamspindle-outcome"))
+        self.assertNotEqual("forged", answer.header_value("x-request-id"))
         self.assertEqual("/contracts/7", answer.json()["target"])
 
     def test_a_valid_request_id_is_kept(self):
@@ -208,7 +212,9 @@
         ):
             header = b"Host: a\r\nX-Request-Id: " + given_id
             answer = self.fixture.caller().send(get(headers=header)).read()
-            self.assertEqual(kept, answer.one("x-request-id") == given_id.decode())
+            self.assertEqual(
+                kept, answer.header_value("x-request-id") == given_id.decode()
+            )
 
     def test_a_callers_timeout_can_shorten_the_routes_and_not_lengthen_it(self):
         caller = self.fixture.caller()
--- a/tests/test_customer_keys.py
+++ b/tests/test_customer_keys.py
@@ -73,8 +73,8 @@
         ):
             answer = self._ask(*headers)
             self.assertEqual(401, answer.status)
-            self.assertEqual("ApiKey", answer.one("www-authenticate"))
-            self.assertIsNone(answer.one("retry-after"))
+            self.assertEqual("ApiKey", answer.header_value("www-authenticate"))
+            self.assertIsNone(answer.header_value("retry-after"))
         self.assertEqual([], self.fixture.forwarder.forwarded)
 
     def test_a_route_that_allows_anonymous_requests_needs_no_key(self):
@@ -146,8 +146,8 @@
         for key in (KEY, "k-unknown"):
             answer = fixture.caller().send(get(f"X-Key: {key}")).read()
             self.assertEqual(503, answer.status)
-            self.assertEqual("not_run", answer.one("x-balsamspindle-outcome"))
-            self.assertIsNotNone(answer.one("retry-after"))
+            self.assertEqual("not_run", answer.header_value("x-balsamspindle-outcome"))
+            self.assertIsNotNone(answer.header_value("retry-after"))
         sign = b"POST /contracts HTTP/1.1\r\nHost: a\r\nContent-Length: 0\r\n\r\n"
         self.assertEqual(200, fixture.caller().send(sign).read().status)
 
--- a/tests/test_customer_limits.py
+++ b/tests/test_customer_limits.py
@@ -5,7 +5,7 @@
 
 from balsamspindle.customers.buckets import INITIAL_TOKENS, Buckets, Rate
 from balsamspindle.customers.granters import Scope
-from balsamspindle.customers.limits import Granted
+from balsamspindle.customers.limits import Grant
 from balsamspindle.wire import WireError, decode_link, encode
 from balsamspindle.wire.limit_messages import LimitQuestion
 from tests.limit_fleet import WINDOW_S, LimitFleet, Load
@@ -74,7 +74,7 @@
     def test_without_faults_almost_no_request_is_refused(self):
         load = self._load()
         load.run(30)
-        self.assertLess(load.refused_part(), 0.01)
+        self.assertLess(load.refused_fraction(), 0.01)
         # Half of the bytes per second that a single granter for the fleet would cost.
         self.assertLess(load.fleet.bytes_between_zones / 30, 25_000 / 2)
 
@@ -82,27 +82,27 @@
         # Guards against a customer held to a third of its limit because all of its
         # callers are in one of three zones.
         load = self._load()
-        for number, name in enumerate(load.usual):
+        for number, name in enumerate(load.usual_rates):
             load.zone_weights[name] = {f"zone-{number % 3}": 1.0}
         load.run(30)
-        self.assertLess(load.refused_part(), 0.01)
+        self.assertLess(load.refused_fraction(), 0.01)
 
     def test_at_300_nodes_almost_no_request_is_refused(self):
         load = self._load(300, per_s=3 * PER_S)
         load.run(20)
-        self.assertLess(load.refused_part(), 0.01)
+        self.assertLess(load.refused_fraction(), 0.01)
 
     def test_a_customer_that_sends_much_more_stays_within_its_limit(self):
         # Guards against nodes that each enforce the limit for themselves alone.
         load = self._load()
-        load.factor["c-0"] = 7.5
+        load.rate_factors["c-0"] = 7.5
         load.run(20)
-        self.assertLess(load.most_over(), 1.0)
+        self.assertLess(load.largest_window_fraction(), 1.0)
         granted_per_s = len(load.granted["c-0"]) / 20
         # Its rate, plus its burst once in each window.
         limit_per_s = load.limits["c-0"] * (1 + 1 / WINDOW_S)
         self.assertGreater(granted_per_s, 0.95 * limit_per_s)
-        others = [name for name in load.usual if name != "c-0"]
+        others = [name for name in load.usual_rates if name != "c-0"]
         refused = sum(load.refused[name] for name in others)
         served = sum(len(load.granted[name]) for name in others)
         self.assertLess(refused / served, 0.01)
@@ -115,18 +115,18 @@
         fleet.unreachable = lambda one, other: (
             (one.node_id in cut) != (other.node_id in cut)
         )
-        for name in list(load.usual)[:5]:
-            load.factor[name] = 7.5
+        for name in list(load.usual_rates)[:5]:
+            load.rate_factors[name] = 7.5
         load.run(1.5)
         everyone = {record.node_id for record in fleet.records}
         for node_id, view in fleet.views.items():
-            view.lose(everyone - cut if node_id in cut else cut, fleet.now_s)
+            view.mark_dead(everyone - cut if node_id in cut else cut, fleet.now_s)
         load.run(10)
         fleet.unreachable = lambda one, other: False
         for view in fleet.views.values():
-            view.find()
+            view.mark_all_alive()
         load.run(10)
-        self.assertLess(load.most_over(), 1.0)
+        self.assertLess(load.largest_window_fraction(), 1.0)
 
     def test_a_partition_of_a_third_refuses_few_requests_at_usual_load(self):
         load = self._load()
@@ -137,9 +137,9 @@
             (one.node_id in cut) != (other.node_id in cut)
         )
         for node_id, view in fleet.views.items():
-            view.lose(everyone - cut if node_id in cut else cut, fleet.now_s)
+            view.mark_dead(everyone - cut if node_id in cut else cut, fleet.now_s)
         load.run(20)
-        self.assertLess(load.refused_part(), 0.05)
+        self.assertLess(load.refused_fraction(), 0.05)
 
     def test_few_requests_are_refused_during_a_rolling_restart(self):
         # Guards against tokens that are lost with each restarted node.
@@ -156,24 +156,24 @@
                     [*view.records, record], key=lambda one: one.node_id
                 )
             load.run(0.25)
-        self.assertLess(load.refused_part(), 0.05)
-        self.assertLess(load.most_over(), 1.0)
+        self.assertLess(load.refused_fraction(), 0.05)
+        self.assertLess(load.largest_window_fraction(), 1.0)
 
     def test_nodes_that_all_restart_at_once_do_not_exceed_limits(self):
         # Guards against a burst from each of many nodes that do not know of earlier
         # grants.
         load = self._load()
-        load.factor["c-0"] = 7.5
+        load.rate_factors["c-0"] = 7.5
         load.run(5)
         for record in load.fleet.records:
             load.fleet.start(record)
         load.run(10)
-        self.assertLess(load.most_over(), 1.0)
+        self.assertLess(load.largest_window_fraction(), 1.0)
 
     def test_a_lower_limit_holds_while_some_nodes_have_older_settings(self):
         # Guards against grants by the higher limit that nodes with older settings send.
         load = self._load()
-        load.factor["c-0"] = 7.5
+        load.rate_factors["c-0"] = 7.5
         load.run(5)
         old = load.limits["c-0"]
         load.limits["c-0"], load.revision = 4.0, 2
@@ -185,7 +185,7 @@
             load.limits["c-0"], load.revision = (old, 1) if is_old else (4.0, 2)
             load.send_request(load.fleet.random.choice(load.fleet.records), "c-0")
         load.limits["c-0"] = 4.0
-        self.assertLess(load.most_over(), 1.0)
+        self.assertLess(load.largest_window_fraction(), 1.0)
 
     def test_an_isolated_node_grants_very_little(self):
         # Guards against a node without connections that grants the whole limit itself.
@@ -193,7 +193,7 @@
         isolated = load.fleet.records[0]
         load.fleet.unreachable = lambda one, other: isolated in (one, other)
         others = {one.node_id for one in load.fleet.records if one is not isolated}
-        load.fleet.views[isolated.node_id].lose(others, load.fleet.now_s)
+        load.fleet.views[isolated.node_id].mark_dead(others, load.fleet.now_s)
         for _ in range(500):
             load.fleet.now_s += 0.02
             load.send_request(isolated, "c-0")
@@ -214,7 +214,7 @@
                 view.records = [remaining]
             fleet.limiters[remaining.node_id].refresh(fleet.now_s)
             load.reset_counts()
-            while isinstance(load.send_request(remaining, "c-0"), Granted):
+            while isinstance(load.send_request(remaining, "c-0"), Grant):
                 pass
             granted = len(load.granted["c-0"])
             for view in fleet.views.values():
@@ -242,7 +242,7 @@
         load.reset_counts()
         for _ in range(50):
             acquired = load.send_request(load.fleet.records[0], "c-1")
-            self.assertEqual(Granted("c-1", is_limited=False), acquired)
+            self.assertEqual(Grant("c-1", is_limited=False), acquired)
         self.assertEqual(0, load.fleet.bytes)
 
     def test_the_token_of_a_request_that_did_not_run_returns_to_its_granter(self):
@@ -253,8 +253,8 @@
         first = load.fleet.limiters[node.node_id]
         for _ in range(100):
             acquired = load.send_request(node, "c-0")
-            if isinstance(acquired, Granted):
-                first.give_back(acquired)
+            if isinstance(acquired, Grant):
+                first.refund(acquired)
         self.assertEqual(0, load.refused["c-0"])
 
 
--- a/tests/test_key_proofs.py
+++ b/tests/test_key_proofs.py
@@ -15,8 +15,8 @@
 from balsamspindle.customers.proofs import (
     ASK_AT_AGE_S,
     ProofAnswer,
-    ProofKeeper,
     ProofQuestion,
+    ProofRefresher,
 )
 from balsamspindle.settings.feed import OperatorRow, SettingsFeed, WholeSettings
 from balsamspindle.settings.tree import CurrentConfiguration
@@ -120,7 +120,7 @@
         self.configuration = CurrentConfiguration()
         self.configuration.offer(fleet.revision, {})
         self.freshness = Freshness(AGE_MAX_S)
-        self.keeper = ProofKeeper(
+        self.refresher = ProofRefresher(
             record,
             fleet,
             self.freshness,
@@ -143,7 +143,7 @@
         if ends_s <= self.fleet.now_s:
             self.running_read = None
             self.configuration.offer(revision, {})
-            self.keeper.note_read(began_s, revision)
+            self.refresher.record_read(began_s, revision)
 
     def step(self) -> None:
         if self.is_paused:
@@ -152,11 +152,11 @@
             self.end_read()
         while self.inbox:
             self.handle(self.inbox.pop(0))
-        if self.keeper.check_read_due(self.fleet.now_s):
+        if self.refresher.check_read_due(self.fleet.now_s):
             self.read()
-        address = self.keeper.choose_peer(self.fleet.now_s)
+        address = self.refresher.choose_peer(self.fleet.now_s)
         if address is not None:
-            self.keeper.send_question(address, self.fleet.now_s)
+            self.refresher.send_question(address, self.fleet.now_s)
 
     def receive(self, message: object) -> None:
         self.inbox.append(message)
@@ -164,9 +164,9 @@
     def handle(self, message: object) -> None:
         match message:
             case ProofQuestion():
-                self.keeper.take_question(message)
+                self.refresher.answer_question(message)
             case ProofAnswer():
-                self.keeper.take_answer(message)
+                self.refresher.receive_answer(message)
 
     def is_fresh(self) -> bool:
         return self.freshness.is_fresh(self.configuration.revision, self.fleet.now_s)
@@ -273,8 +273,8 @@
         # Guards against a proof that seems new because its receiver was paused.
         fleet = Fleet(2, zones=1)
         reader, other = fleet.nodes.values()
-        reader.keeper.note_read(fleet.now_s, 1)
-        other.keeper.send_question(reader.address, fleet.now_s)
+        reader.refresher.record_read(fleet.now_s, 1)
+        other.refresher.send_question(reader.address, fleet.now_s)
         question = fleet.in_flight.pop()[3]
         reader.handle(question)
         answer = fleet.in_flight.pop()[3]
@@ -288,10 +288,10 @@
         # Guards against a proof that seems new because the peer was paused.
         fleet = Fleet(2, zones=1)
         reader, other = fleet.nodes.values()
-        other.keeper.send_question(reader.address, fleet.now_s)
+        other.refresher.send_question(reader.address, fleet.now_s)
         question = fleet.in_flight.pop()[3]
         fleet.now_s += 4.5
-        reader.keeper.note_read(fleet.now_s, 1)
+        reader.refresher.record_read(fleet.now_s, 1)
         reader.handle(question)
         other.handle(fleet.in_flight.pop()[3])
         fleet.now_s += 0.6
@@ -301,8 +301,8 @@
     def test_an_answer_that_arrives_twice_counts_once(self):
         fleet = Fleet(2, zones=1)
         reader, other = fleet.nodes.values()
-        reader.keeper.note_read(fleet.now_s, 1)
-        other.keeper.send_question(reader.address, fleet.now_s)
+        reader.refresher.record_read(fleet.now_s, 1)
+        other.refresher.send_question(reader.address, fleet.now_s)
         reader.handle(fleet.in_flight.pop()[3])
         answer = fleet.in_flight.pop()[3]
         other.handle(answer)
@@ -400,9 +400,9 @@
     def test_no_peer_is_asked_while_the_proof_is_new(self):
         fleet = Fleet(4, zones=1)
         node = list(fleet.nodes.values())[0]
-        node.keeper.note_read(fleet.now_s, 1)
-        self.assertIsNone(node.keeper.choose_peer(fleet.now_s + ASK_AT_AGE_S - 0.1))
-        self.assertIsNotNone(node.keeper.choose_peer(fleet.now_s + ASK_AT_AGE_S))
+        node.refresher.record_read(fleet.now_s, 1)
+        self.assertIsNone(node.refresher.choose_peer(fleet.now_s + ASK_AT_AGE_S - 0.1))
+        self.assertIsNotNone(node.refresher.choose_peer(fleet.now_s + ASK_AT_AGE_S))
 
 
 if __name__ == "__main__":
--- a/tests/test_refused_on_head.py
+++ b/tests/test_refused_on_head.py
@@ -5,8 +5,8 @@
 
 from testtools import TestCase
 
-from balsamspindle.customers.buckets import Denied
-from balsamspindle.customers.limits import Granted
+from balsamspindle.customers.buckets import Denial
+from balsamspindle.customers.limits import Grant
 from balsamspindle.protocol.header_names import HeaderNames
 from tests.caller_side import DOCUMENTS, IngressFixture
 from tests.test_customer_keys import customer
@@ -39,15 +39,15 @@
     def acquire(self, customer, revision):
         """See `balsamspindle.customers.limits.Limiter`."""
         if not customer.rate_per_s:
-            return Granted(customer.name, is_limited=False)
+            return Grant(customer.name, is_limited=False)
         if not self.tokens:
-            return Denied(1.0)
+            return Denial(1.0)
         self.tokens -= 1
-        return Granted(customer.name)
+        return Grant(customer.name)
 
-    def give_back(self, granted):
+    def refund(self, grant):
         """See `balsamspindle.customers.limits.Limiter`."""
-        self.tokens += granted.is_limited
+        self.tokens += grant.is_limited
 
 
 class RefusedOnHeadTests(TestCase):
@@ -69,8 +69,8 @@
         caller = self.fixture.caller().send(data)
         answer = caller.read()
         self.assertLess(time.monotonic() - began_s, REFUSAL_MAX_S)
-        self.assertEqual("close", answer.one("connection"))
-        self.assertTrue(caller.at_end())
+        self.assertEqual("close", answer.header_value("connection"))
+        self.assertTrue(caller.wait_for_close())
         caller.close()
         self.assertEqual([], self.fixture.forwarder.forwarded)
         return answer
@@ -96,7 +96,7 @@
         self.limiter.tokens = 0
         answer = self._refused(head("Content-Length: 3", f"X-Key: {LIMITED_KEY}"))
         self.assertEqual(429, answer.status)
-        self.assertIsNotNone(answer.one("retry-after"))
+        self.assertIsNotNone(answer.header_value("retry-after"))
 
     def test_an_admitted_request_gets_100_continue(self):
         # Guards against a caller that waits for a 100 Continue which never arrives.
@@ -112,7 +112,7 @@
         caller = self.fixture.caller().send(head(f"Content-Length: {len(body)}"))
         caller.send(body)
         self.assertEqual(401, caller.read().status)
-        self.assertTrue(caller.at_end())
+        self.assertTrue(caller.wait_for_close())
 
     def test_a_request_without_its_body_does_not_count_against_the_limit(self):
         # Guards against requests that never run but use up their customer's limit.
--- a/tests/test_soak_limits.py
+++ b/tests/test_soak_limits.py
@@ -12,4 +12,4 @@
         # Guards against faults that overlap: kills, cuts, late news, hot customers.
         for seed in SEEDS:
             result = soak_limits.run(seed)
-            self.assertLessEqual(result.most_over, 1.0, seed)
+            self.assertLessEqual(result.largest_window_fraction, 1.0, seed)
