--- a/balsamspindle/settings/pages.py
+++ b/balsamspindle/settings/pages.py
@@ -1,7 +1,7 @@
-"""All settings of one revision as compressed pages, for nodes that join.
+"""Splits all settings of one revision into compressed pages.
 
-At 49,000 routes the documents are megabytes: more than one message may hold,
-and more than a sender should hand over at a time.
+At 49,000 routes the documents take megabytes: more than one message may hold,
+and more than a sender should send at once.
 """
 
 import zlib
@@ -11,20 +11,21 @@
 
 __all__ = ["PAGE_BYTES", "documents_of_pages", "pages_of_documents"]
 
-# Compressed well under the 27 KB that a sender's byte cap ever has for one
-# message: a larger page would be refused each time, and the joiner never served.
+# Before compression. Compressed, a page is well below the 27 KB that a sender's byte
+# cap allows for one message at most; a larger page would be refused each time, and
+# the joining node would never get its settings.
 PAGE_BYTES = 48 * 1024
-PAGE_MAX_BYTES = 8 * 1024 * 1024
+DECOMPRESSED_PAGE_MAX_BYTES = 8 * 1024 * 1024
 COMPRESSION_LEVEL = 1
 
 _decoder = msgspec.msgpack.Decoder(dict[str, bytes])
 
 
 def pages_of_documents(documents: Mapping[str, bytes]) -> list[bytes]:
-    """Return pages that together hold all documents; at least one page.
+    """Return compressed pages that together hold all documents; at least one.
 
-    Nodes at the same revision make the same pages, so that a joining node can
-    take them from many.
+    Nodes at the same revision return the same pages, so that a joining node can
+    pull them from several peers.
     """
     pages: list[dict[str, bytes]] = [{}]
     page_bytes = 0
@@ -44,15 +45,15 @@
     Raises
     ------
     ValueError
-        A page is damaged or grows past its bound.
+        A page is damaged, or too large when decompressed.
     """
     documents: dict[str, bytes] = {}
     for page in pages:
         decompressor = zlib.decompressobj()
         try:
-            # A few bytes can unpack to gigabytes: the bound keeps a damaged
-            # or hostile page from taking the node's memory.
-            body = decompressor.decompress(page, PAGE_MAX_BYTES)
+            # A few bytes can decompress to gigabytes: the limit keeps a damaged or
+            # malicious page from exhausting the node's memory.
+            body = decompressor.decompress(page, DECOMPRESSED_PAGE_MAX_BYTES)
             documents.update(_decoder.decode(body))
         except (zlib.error, msgspec.MsgspecError) as error:
             raise ValueError(str(error)) from error
--- a/balsamspindle/settings/spread.py
+++ b/balsamspindle/settings/spread.py
@@ -1,9 +1,10 @@
-"""The task that passes settings from node to node.
+"""The task that spreads settings from node to node.
 
-A node with a new revision tells a few peers; each pulls the changes that it
-lacks, puts them in force and tells a few peers in turn. A notice is tens of
-bytes and changes travel once to each node. Who misses all notices hears of
-the revision in the next message between members, which carries it too.
+A node with a new revision notifies a few peers. Each of them pulls the changes
+that it lacks, puts them in force and notifies a few peers in turn. A notice
+takes tens of bytes, and each change is sent to each node once. A node that
+misses all notices learns the revision from the next member message, which
+carries it, too.
 """
 
 import queue
@@ -12,7 +13,7 @@
 from collections.abc import Callable
 from typing import Any
 
-from balsamspindle.settings.join import Join, JoinStep
+from balsamspindle.settings.page_download import DownloadStep, PageDownload
 from balsamspindle.settings.pages import pages_of_documents
 from balsamspindle.settings.tree import Applied, Configuration, CurrentConfiguration
 from balsamspindle.timeline import EventLog
@@ -33,21 +34,21 @@
 # A peer sends a change of 2,000 routes (some 60 KB deflated) to four others within
 # a quarter of a second on a link of 10 Mbit/s.
 PULL_TIMEOUT_S = 0.5
-# How long a node waits for a peer of its own zone to have a revision that it heard
-# of from another zone. Three rounds of telling each other pass in that time.
-NEAR_PATIENCE_S = 0.4
-ASK_INTERVAL_S = 0.5
-ASK_PEERS = 16
+# How long a node that received a notice from another zone waits for a peer of its
+# own zone to have the revision: time for three rounds of notices.
+ZONE_PEER_WAIT_S = 0.4
+OFFER_REQUEST_INTERVAL_S = 0.5
+OFFER_REQUEST_PEERS = 16
 NO_SOURCE_AFTER_S = 3.0
 NO_SOURCE_REPEAT_S = 10.0
 INBOX_MAX = 1000
 TICK_S = 0.1
 IDLE_TICK_S = 1.0
-SNAPSHOTS_KEPT = 2
+PAGED_REVISIONS_MAX = 2
 
 
 class SettingsSpread:
-    """One node's part in passing settings on.
+    """Sends this node's settings to peers and pulls newer ones from them.
 
     Parameters
     ----------
@@ -55,9 +56,9 @@
     records : callable
         Returns the records of all known nodes.
     send : callable
-        Takes a member address and a message; safe from any thread.
+        Sends a message to a member address; thread-safe.
     seeds : tuple of str
-        Member addresses to ask before any node is known.
+        Member addresses to ask for settings besides the known nodes.
     """
 
     def __init__(
@@ -78,19 +79,19 @@
         self._random = random.Random(f"{own.node_id}/{own.incarnation}/settings")
         self._inbox: queue.Queue = queue.Queue(INBOX_MAX)
         self._stopped = False
-        self._join = Join()
-        self._noticed_revision = -1
+        self._download = PageDownload()
+        self._notified_revision = -1
         self._next_notice_s = 0.0
-        self._pull_until_s = 0.0
-        self._wanted: SettingsNotice | None = None
-        self._wanted_far: SettingsNotice | None = None
-        self._far_from_s = 0.0
-        self._next_ask_s = 0.0
-        self._next_complaint_s: float | None = None
-        self._snapshots: dict[int, tuple[str, list[bytes]]] = {}
+        self._pull_deadline_s = 0.0
+        self._next_pull: SettingsNotice | None = None
+        self._other_zone_notice: SettingsNotice | None = None
+        self._other_zone_pull_s = 0.0
+        self._next_offer_request_s = 0.0
+        self._next_no_source_s: float | None = None
+        self._pages_by_revision: dict[int, tuple[str, list[bytes]]] = {}
 
     def take(self, message: Any) -> None:
-        """Hand over a message of `balsamspindle.wire.settings_messages`."""
+        """Enqueue a message of `balsamspindle.wire.settings_messages` for `run`."""
         try:
             self._inbox.put_nowait(message)
         except queue.Full:
@@ -98,23 +99,23 @@
 
     @property
     def offered_revision(self) -> int:
-        """Highest revision that peers offered a node without settings."""
-        return self._join.offered_revision
+        """Highest revision that a peer offered; -1 before the first offer."""
+        return self._download.offered_revision
 
     def note_revision(self, address: str, revision: int) -> None:
-        """Take the revision that a peer's message between members carried."""
+        """Enqueue a notice if a peer's member message carried a newer revision."""
         if revision > self._configuration.revision:
             self.take(SettingsNotice(address, revision))
 
     def wake(self) -> None:
-        """Tell peers soon: another task put settings in force."""
+        """Notify peers soon, after another task put settings in force."""
         self.take(None)
 
     def run(self) -> None:
-        """Take part until `stop` is called."""
+        """Exchange settings with peers until `stop` is called."""
         while not self._stopped:
             try:
-                message = self._inbox.get(timeout=self._wait_s())
+                message = self._inbox.get(timeout=self._inbox_timeout_s())
             except queue.Empty:
                 message = None
             now_s = time.monotonic()
@@ -127,71 +128,74 @@
         self.wake()
 
     def handle(self, message: Any, now_s: float) -> None:
-        """Act on one message."""
+        """Handle one message; ignore None."""
         match message:
             case SettingsNotice():
-                self._hear(message, now_s)
+                self._handle_notice(message, now_s)
             case SettingsPull(address, above_revision, older_revisions):
-                self._answer(address, (above_revision, *older_revisions))
+                self._answer_pull(address, (above_revision, *older_revisions))
             case SettingsDeltas(address, revision, deltas):
-                self._pull_until_s = 0.0
+                self._pull_deadline_s = 0.0
                 self._apply(address, deltas)
-                self._hear(SettingsNotice(address, revision), now_s)
+                self._handle_notice(SettingsNotice(address, revision), now_s)
             case SettingsPagePull(address, revision, page):
                 self._send_page(address, revision, page)
             case SettingsPage():
-                self._take_page(message, now_s)
+                self._receive_page(message, now_s)
 
     def tick(self, now_s: float) -> None:
-        """Do what is due: join, pull again, tell peers."""
+        """Do what is due: load all settings, pull changes, notify peers."""
         if self._configuration.get() is None:
-            self._ask_for_all(now_s)
+            self._load_initial(now_s)
             return
-        if self._join.revision > self._configuration.revision:
+        if self._download.revision > self._configuration.revision:
             self._request_pages(now_s)
-        if self._wanted_far is not None and now_s >= self._far_from_s:
-            self._wanted, self._wanted_far = self._wanted or self._wanted_far, None
-        if self._wanted is not None and now_s >= self._pull_until_s:
-            self._pull(self._wanted, now_s)
+        if self._other_zone_notice is not None and now_s >= self._other_zone_pull_s:
+            self._next_pull, self._other_zone_notice = (
+                self._next_pull or self._other_zone_notice,
+                None,
+            )
+        if self._next_pull is not None and now_s >= self._pull_deadline_s:
+            self._pull(self._next_pull, now_s)
         revision = self._configuration.revision
-        if revision > self._noticed_revision and now_s >= self._next_notice_s:
-            self._noticed_revision = revision
+        if revision > self._notified_revision and now_s >= self._next_notice_s:
+            self._notified_revision = revision
             self._next_notice_s = now_s + NOTICE_INTERVAL_S
-            for address in self._chosen_peers():
+            for address in self._select_peers():
                 self._send(address, SettingsNotice(self._address, revision))
 
     @property
     def _address(self) -> str:
         return self._own.member_address
 
-    def _wait_s(self) -> float:
-        waiting = (
+    def _inbox_timeout_s(self) -> float:
+        has_pending_work = (
             self._configuration.get() is None
-            or self._wanted is not None
-            or self._wanted_far is not None
-            or self._join.revision > self._configuration.revision
-            or self._configuration.revision > self._noticed_revision
+            or self._next_pull is not None
+            or self._other_zone_notice is not None
+            or self._download.revision > self._configuration.revision
+            or self._configuration.revision > self._notified_revision
         )
-        return TICK_S if waiting else IDLE_TICK_S
+        return TICK_S if has_pending_work else IDLE_TICK_S
 
-    def _hear(self, notice: SettingsNotice, now_s: float) -> None:
+    def _handle_notice(self, notice: SettingsNotice, now_s: float) -> None:
         if self._configuration.get() is None:
-            self._join.offer(notice.address, notice.revision, now_s)
+            self._download.record_offer(notice.address, notice.revision, now_s)
         elif notice.revision > self._configuration.revision:
-            self._want(notice, now_s)
-
-    def _want(self, notice: SettingsNotice, now_s: float) -> None:
-        """Note whom to pull from, one of the own zone where there is one."""
-        if notice.revision == self._join.revision:
-            self._join.offer(notice.address, notice.revision, now_s)
-        if self._is_near(notice.address):
-            self._wanted = _newer(notice, self._wanted)
+            self._schedule_pull(notice, now_s)
+
+    def _schedule_pull(self, notice: SettingsNotice, now_s: float) -> None:
+        """Select the peer to pull from, preferably one in the own zone."""
+        if notice.revision == self._download.revision:
+            self._download.record_offer(notice.address, notice.revision, now_s)
+        if self._is_in_own_zone(notice.address):
+            self._next_pull = _newer(notice, self._next_pull)
             return
-        if self._wanted_far is None:
-            self._far_from_s = now_s + NEAR_PATIENCE_S
-        self._wanted_far = _newer(notice, self._wanted_far)
+        if self._other_zone_notice is None:
+            self._other_zone_pull_s = now_s + ZONE_PEER_WAIT_S
+        self._other_zone_notice = _newer(notice, self._other_zone_notice)
 
-    def _is_near(self, address: str) -> bool:
+    def _is_in_own_zone(self, address: str) -> bool:
         zone = self._own.availability_zone
         return any(
             record.member_address == address and record.availability_zone == zone
@@ -199,17 +203,20 @@
         )
 
     def _pull(self, notice: SettingsNotice, now_s: float) -> None:
-        """Pull from one peer at a time: several would send the same bytes."""
-        self._wanted = None
+        """Pull from one peer only; several would send the same changes."""
+        self._next_pull = None
         if notice.revision > self._configuration.revision:
-            self._pull_until_s = now_s + PULL_TIMEOUT_S
+            self._pull_deadline_s = now_s + PULL_TIMEOUT_S
             configuration = self._configuration
             older = configuration.older_revisions()
             pull = SettingsPull(self._address, configuration.revision, older)
             self._send(notice.address, pull)
 
-    def _answer(self, address: str, revisions: tuple[int, ...]) -> None:
-        """Send what follows on the first of a peer's revisions that it can."""
+    def _answer_pull(self, address: str, revisions: tuple[int, ...]) -> None:
+        """Send the changes after the newest possible of a peer's revisions.
+
+        If none of the changes are kept, send the first page of all settings.
+        """
         own = self._configuration.get()
         if own is None or own.revision <= revisions[0]:
             return
@@ -229,7 +236,7 @@
             applied = self._configuration.apply_to_older(deltas)
         match applied:
             case Applied.IN_FORCE:
-                self._in_force(address, deltas[-1].accepted_ms)
+                self._report_in_force(address, deltas[-1].accepted_ms)
             case Applied.DIVERGED:
                 self._events.emit(
                     "settings_diverged",
@@ -239,8 +246,8 @@
                     cause="the peer has another history",
                 )
 
-    def _in_force(self, address: str, accepted_ms: int | None = None) -> None:
-        self._next_complaint_s = None
+    def _report_in_force(self, address: str, accepted_ms: int | None = None) -> None:
+        self._next_no_source_s = None
         self._events.emit(
             "settings_in_force",
             revision=self._configuration.revision,
@@ -253,11 +260,11 @@
         own = self._configuration.get()
         if own is None:
             return
-        if revision not in self._snapshots:
-            self._snapshot(own)
+        if revision not in self._pages_by_revision:
+            self._build_pages(own)
             if revision != own.revision:
                 revision, page = own.revision, 0
-        chain, pages = self._snapshots[revision]
+        chain, pages = self._pages_by_revision[revision]
         if 0 <= page < len(pages):
             body = pages[page]
             self._send(
@@ -265,73 +272,82 @@
                 SettingsPage(self._address, revision, chain, page, len(pages), body),
             )
 
-    def _snapshot(self, own: Configuration) -> None:
-        """Keep the pages of two revisions, so that a pull in progress ends."""
-        if own.revision in self._snapshots:
+    def _build_pages(self, own: Configuration) -> None:
+        """Build the pages of a configuration, unless they exist.
+
+        The pages of the previous revision are kept, so that a peer's download in
+        progress can finish.
+        """
+        if own.revision in self._pages_by_revision:
             return
-        self._snapshots[own.revision] = own.chain, pages_of_documents(own.documents)
-        while len(self._snapshots) > SNAPSHOTS_KEPT:
-            del self._snapshots[min(self._snapshots)]
+        self._pages_by_revision[own.revision] = (
+            own.chain,
+            pages_of_documents(own.documents),
+        )
+        while len(self._pages_by_revision) > PAGED_REVISIONS_MAX:
+            del self._pages_by_revision[min(self._pages_by_revision)]
 
-    def _take_page(self, page: SettingsPage, now_s: float) -> None:
+    def _receive_page(self, page: SettingsPage, now_s: float) -> None:
         if page.revision <= self._configuration.revision:
             return
-        if not self._join.take(page):
+        if not self._download.receive(page):
             self._request_pages(now_s)
             return
         try:
-            documents = self._join.documents()
+            documents = self._download.take_documents()
         except ValueError as error:
             self._events.emit("settings_refused", peer=page.address, cause=str(error))
             return
         applied = self._configuration.offer(page.revision, documents, page.chain)
         if applied is Applied.IN_FORCE:
-            self._in_force(page.address)
+            self._report_in_force(page.address)
 
-    def _ask_for_all(self, now_s: float) -> None:
-        match self._join.next_step(now_s):
-            case JoinStep.PULL:
+    def _load_initial(self, now_s: float) -> None:
+        match self._download.next_step(now_s):
+            case DownloadStep.PULL:
                 self._request_pages(now_s)
-            case JoinStep.ASK if now_s >= self._next_ask_s:
-                self._next_ask_s = now_s + ASK_INTERVAL_S
+            case DownloadStep.ASK if now_s >= self._next_offer_request_s:
+                self._next_offer_request_s = now_s + OFFER_REQUEST_INTERVAL_S
                 addresses = self._addresses()
-                count = min(ASK_PEERS, len(addresses))
+                count = min(OFFER_REQUEST_PEERS, len(addresses))
                 for address in self._random.sample(addresses, count):
                     self._send(address, SettingsPull(self._address, -1))
-        self._complain(now_s)
+        self._report_no_source(now_s)
 
     def _request_pages(self, now_s: float) -> None:
-        for address, revision, page in self._join.requests(now_s):
+        for address, revision, page in self._download.next_requests(now_s):
             pull = SettingsPagePull(self._address, revision, page)
             self._send(address, pull)
 
-    def _complain(self, now_s: float) -> None:
-        if self._next_complaint_s is None:
-            self._next_complaint_s = now_s + NO_SOURCE_AFTER_S
-        if now_s >= self._next_complaint_s:
-            self._next_complaint_s = now_s + NO_SOURCE_REPEAT_S
+    def _report_no_source(self, now_s: float) -> None:
+        if self._next_no_source_s is None:
+            self._next_no_source_s = now_s + NO_SOURCE_AFTER_S
+        if now_s >= self._next_no_source_s:
+            self._next_no_source_s = now_s + NO_SOURCE_REPEAT_S
             self._events.emit(
                 "settings_no_source",
                 peers=len(self._addresses()),
-                cause="neither the platform nor a peer gave settings",
+                cause="neither the platform nor a peer sent settings",
             )
 
     def _addresses(self) -> list[str]:
         known = {record.member_address for record in self._records()}
         return sorted({*known, *self._seeds} - {self._address})
 
-    def _chosen_peers(self) -> list[str]:
-        """Return a few peers of the own zone and one from elsewhere."""
-        near, far = [], []
+    def _select_peers(self) -> list[str]:
+        """Return a few random peers of the own zone and one of another zone."""
+        zone_peers, other_zone_peers = [], []
         for record in self._records():
             if record.member_address == self._address:
                 continue
-            same = record.availability_zone == self._own.availability_zone
-            (near if same else far).append(record.member_address)
-        near_count = min(FANOUT_ZONE, len(near))
-        far_count = min(FANOUT_ELSEWHERE, len(far))
-        return self._random.sample(near, near_count) + self._random.sample(
-            far, far_count
+            is_same_zone = record.availability_zone == self._own.availability_zone
+            (zone_peers if is_same_zone else other_zone_peers).append(
+                record.member_address
+            )
+        zone_count = min(FANOUT_ZONE, len(zone_peers))
+        other_zone_count = min(FANOUT_ELSEWHERE, len(other_zone_peers))
+        return self._random.sample(zone_peers, zone_count) + self._random.sample(
+            other_zone_peers, other_zone_count
         )
 
 
--- a/tests/settings_network.py
+++ b/tests/settings_network.py
@@ -1,4 +1,4 @@
-"""Fixtures: the settings' spread between many nodes, without sockets."""
+"""Fixtures: settings spread between many nodes, without sockets."""
 
 from balsamspindle.settings.rows import next_chain
 from balsamspindle.settings.spread import SettingsSpread
@@ -9,7 +9,7 @@
 
 
 class History:
-    """Accepted changes in their order, as the platform's log keeps them."""
+    """Accepted changes in their order, as in the platform's change log."""
 
     def __init__(self) -> None:
         self.revision, self.chain = 0, ""
@@ -21,8 +21,8 @@
         return SettingsDelta(self.revision, previous, self.chain, documents)
 
 
-class Quiet:
-    """An event log that keeps the names of events."""
+class EventNames:
+    """An event log that records only the names of events."""
 
     def __init__(self) -> None:
         self.names = []
@@ -32,16 +32,19 @@
 
 
 class Network:
-    """Spread tasks of many nodes, joined by queues instead of sockets."""
+    """Spread tasks of many nodes, connected by queues instead of sockets.
+
+    Messages to the addresses in `unreachable` are lost.
+    """
 
     def __init__(self, count: int, zones: int = 3) -> None:
         self.records = [node_record(number, zones) for number in range(count)]
         self.configurations = [CurrentConfiguration() for _ in self.records]
-        self.events = [Quiet() for _ in self.records]
+        self.events = [EventNames() for _ in self.records]
         self.sent: list[tuple[str, object]] = []
         self.received_bytes = [0] * count
         self.received = [0] * count
-        self.cut: set[str] = set()
+        self.unreachable: set[str] = set()
         self.now_s = 0.0
         self.nodes = [
             SettingsSpread(
@@ -55,7 +58,7 @@
         ]
 
     def run(self, rounds: int = 1) -> None:
-        """Deliver all messages and let each node do what is due."""
+        """Advance the clock, let each node do what is due, deliver all messages."""
         for _ in range(rounds):
             self.now_s += 0.1
             for node in self.nodes:
@@ -63,7 +66,7 @@
             while self.sent:
                 messages, self.sent = self.sent, []
                 for address, message in messages:
-                    if address not in self.cut:
+                    if address not in self.unreachable:
                         self._deliver(int(address[1:]), message)
 
     def _deliver(self, number, message) -> None:
@@ -72,5 +75,5 @@
         self.nodes[number].handle(message, self.now_s)
 
     def revisions(self) -> set[int]:
-        """Return the revisions that are in force somewhere."""
+        """Return the revisions in force at any of the nodes."""
         return {configuration.revision for configuration in self.configurations}
--- a/tests/settings_utils.py
+++ b/tests/settings_utils.py
@@ -1,4 +1,4 @@
-"""Fixtures of the settings' tests: a stand-in platform inside the test."""
+"""Fixtures of the settings tests: a stand-in platform in the test's process."""
 
 import threading
 
@@ -13,7 +13,7 @@
 
 
 def node_record(number: int, zones: int = ZONES) -> NodeRecord:
-    """Return the record of one made-up node."""
+    """Return the record of a simulated node."""
     zone = number % zones
     address = f"n{number}"
     return NodeRecord(
@@ -27,7 +27,7 @@
 
 
 class PlatformServer:
-    """A stand-in platform in this process, with its address."""
+    """An HTTP server of a stand-in platform in this process."""
 
     def __init__(self, seed: int = 0) -> None:
         self.standin = StandinPlatform(seed)
@@ -39,10 +39,10 @@
         threading.Thread(target=self._server.serve_forever, daemon=True).start()
 
     def tables(self) -> HttpTableService:
-        """Return a table service of its own, as each operator has."""
+        """Return a new table service, since each operator has one of its own."""
         return HttpTableService(self.address)
 
     def stop(self) -> None:
-        """End the server and its port."""
+        """Stop the server and close its port."""
         self._server.shutdown()
         self._server.server_close()
--- a/tests/test_settings_spread.py
+++ b/tests/test_settings_spread.py
@@ -1,4 +1,4 @@
-"""Accepted changes on their way to all nodes: order, joins and cost."""
+"""How accepted changes reach all nodes: order, joining nodes and cost."""
 
 import random
 from collections import Counter
@@ -31,11 +31,11 @@
     return json_bytes({"execution": "idempotent", **fields})
 
 
-class TreeTests(TestCase):
+class ConfigurationTests(TestCase):
     def test_a_node_never_goes_back_and_never_skips_a_change(self):
-        # A caller would be routed by settings that were replaced, or by a mix
-        # of two revisions that nobody accepted: an older snapshot arrives late
-        # from a slow peer, or changes arrive out of order.
+        # Guards against routing by replaced settings, or by a mix of two revisions
+        # that nobody accepted: an older snapshot arrives late from a slow peer, or
+        # changes arrive out of order.
         history, current = History(), CurrentConfiguration()
         first, second, third = (
             history.change({f"t/services/s{n}": b"{}"}) for n in range(3)
@@ -50,8 +50,8 @@
         self.assertEqual(3, len(current.get().services))
 
     def test_a_slow_older_source_does_not_replace_a_newer_one(self):
-        # A peer's whole settings of revision 0 are being read while a change
-        # comes in force; whoever ends last must not win.
+        # A change comes in force while a peer's whole settings of revision 0 are
+        # being decoded. The source that finishes last must not replace a newer one.
         history, current = History(), CurrentConfiguration()
         newer = history.change({"t/services/a": b"{}"})
 
@@ -71,8 +71,8 @@
         self.assertEqual(1, current.revision)
 
     def test_a_change_of_another_history_is_refused(self):
-        # The platform came back from a backup and counts the same revisions
-        # again for other changes.
+        # A platform restored from a backup assigns the same revisions again to
+        # other changes.
         history, restored = History(), History()
         current = CurrentConfiguration()
         current.offer(0, {})
@@ -106,12 +106,13 @@
             step, whole = current.get(), Configuration(0, current.get().documents)
             self.assertEqual(whole.services, step.services)
             for prefix in range(4):
-                asked = ("any", f"/p{prefix}/x", "GET")
-                self.assertEqual(whole.routes.find(*asked), step.routes.find(*asked))
+                lookup = ("any", f"/p{prefix}/x", "GET")
+                self.assertEqual(whole.routes.find(*lookup), step.routes.find(*lookup))
 
     def test_one_unreadable_document_does_not_hold_the_others_back(self):
-        # Written by a newer release. Were the whole change refused, this node
-        # would stay behind the fleet for ever, without a word to the caller.
+        # A newer release wrote a document that this node can't decode. If the node
+        # refused the whole change, it would keep old settings for ever, and nothing
+        # would tell the caller.
         history, current = History(), CurrentConfiguration()
         current.offer(0, {"t/services/a": b'{"queue_max": 3}'})
         current.apply(
@@ -124,8 +125,8 @@
 
 class PollTests(TestCase):
     def test_the_fleets_polls_are_bounded_whatever_its_size(self):
-        # 5,600 nodes that each poll once a second are almost three times what
-        # the platform gives: it would fail for the operators' writes as well.
+        # 5,600 nodes that each poll once a second send almost three times the reads
+        # that the platform allows, so that operators' writes would fail, too.
         records = [node_record(number) for number in range(FLEET_NODES)]
         by_zone = [records[zone::ZONES] for zone in range(ZONES)]
         readers = [
@@ -135,27 +136,27 @@
         self.assertLess(self._reads_per_s(records, records), 400)
 
     def test_nodes_that_lost_sight_of_each_other_stay_within_the_reads(self):
-        # Each node sees only itself, chooses itself, and the platform would
-        # meet the polls of the whole fleet at the worst moment.
+        # A partitioned node knows only itself and selects itself as reader, so the
+        # whole fleet would poll the platform in the middle of a failure.
         records = [node_record(number) for number in range(FLEET_NODES)]
         self.assertLess(self._reads_per_s(records, []), PLATFORM_READS_PER_S)
 
-    def _reads_per_s(self, records, seen_later):
-        """Return the fleet's polls from a sample of its nodes."""
+    def _reads_per_s(self, records, known_later):
+        """Return the fleet's polls per second, extrapolated from a sample of nodes."""
         sample = random.Random(3).sample(records, 280)
         reads_per_s = 0.0
         for record in sample:
-            seen = [list(records)]
-            plan = PollPlan(record, lambda seen=seen: seen[0])
+            known = [list(records)]
+            plan = PollPlan(record, lambda known=known: known[0])
             plan.next_wait_s(True)
-            seen[0] = [*seen_later, record]
+            known[0] = [*known_later, record]
             waits_s = [plan.next_wait_s(True) for _ in range(3)]
             reads_per_s += len(waits_s) / sum(waits_s)
         return reads_per_s * len(records) / len(sample)
 
     def test_a_platform_that_is_down_is_tried_seldom(self):
-        # Each call that hangs costs its full timeout; with no pause a node
-        # would do nothing else, and an overloaded platform stays overloaded.
+        # Each call that hangs takes its full timeout. Without a pause between calls a
+        # node would do nothing else, and an overloaded platform would not recover.
         now_s = [0.0]
         guard = PlatformGuard("seed", lambda: now_s[0])
         calls = []
@@ -183,19 +184,20 @@
         change = history.change({"t/services/s": b" " * 1000 + b"{}"})
         network.configurations[0].apply([change])
         network.run(20)
-        # Who missed all notices learns the revision from a peer's next hello.
+        # A node that missed all notices learns the revision from a peer's next member
+        # message.
         for number, node in enumerate(network.nodes):
             node.note_revision(f"n{(number + 1) % 250}", 1)
             if not node._inbox.empty():
                 node.handle(node._inbox.get(), network.now_s)
         network.run(10)
         self.assertEqual({1}, network.revisions())
-        # Once the change itself; the rest is notices and pulls.
+        # The change itself is received once; the rest is notices and pulls.
         self.assertLess(sum(network.received_bytes) / 250, 1_800)
 
     def test_a_joining_node_takes_the_highest_of_several(self):
-        # The first peer to answer was cut off and lags behind. A node that
-        # booted from it would serve settings older than before its restart.
+        # The first peer to answer was cut off and has old settings. A node that
+        # started from them would route by older settings than before its restart.
         network, history = Network(4, zones=1), History()
         changes = [history.change({f"t/services/{n}": b"{}"}) for n in range(3)]
         for number in (1, 2, 3):
@@ -207,7 +209,7 @@
             in_force.append(revision) or offer(revision, *rest)
         )
         for node in network.nodes[1:]:
-            node._noticed_revision = 3
+            node._notified_revision = 3
         network.run(10)
         self.assertEqual([3], in_force)
         self.assertEqual(3, len(network.configurations[0].get().services))
@@ -218,7 +220,7 @@
             network.configurations[number].offer(number, {"t/services/s": b"{}"})
         network.nodes[0].handle(SettingsNotice("n2", 2), network.now_s)
         network.nodes[0].handle(SettingsNotice("n1", 1), network.now_s)
-        network.cut = {"n2"}
+        network.unreachable = {"n2"}
         network.run(40)
         self.assertEqual(1, network.configurations[0].revision)
 
@@ -229,8 +231,9 @@
         self.assertEqual(-1, network.configurations[0].revision)
 
     def test_many_peers_send_the_pages_of_one_revision(self):
-        # Each peer sends within its own byte cap: one alone would need minutes
-        # for the megabyte of a full-size fleet, while the node refuses callers.
+        # Each peer sends within its own byte cap. A single peer would take minutes for
+        # the megabyte of settings of a full-size fleet, and until then the joining
+        # node refuses callers.
         network = Network(9, zones=1)
         documents = {
             f"t/routes/{n}": route("t/s", f"/{n}", host=f"h{n}") for n in range(12_000)
@@ -238,21 +241,21 @@
         for configuration in network.configurations[1:]:
             configuration.offer(7, documents)
         for node in network.nodes[1:]:
-            node._noticed_revision = 7
+            node._notified_revision = 7
         page_count = len(pages_of_documents(documents))
-        asked = []
+        sent = []
         send = network.nodes[0]._send
         network.nodes[0]._send = lambda address, message: (
-            asked.append((address, type(message))) or send(address, message)
+            sent.append((address, type(message))) or send(address, message)
         )
         network.run(10)
         self.assertEqual(documents, network.configurations[0].get().documents)
-        pulls = Counter(address for address, kind in asked if kind is SettingsPagePull)
+        pulls = Counter(address for address, kind in sent if kind is SettingsPagePull)
         self.assertEqual(page_count, pulls.total())
         self.assertGreater(len(pulls), 4)
 
     def test_a_page_that_is_lost_is_asked_for_again(self):
-        # A peer at its byte cap drops a page. It must not be given up for it.
+        # A peer at its byte cap drops a page. It must not be discarded after one.
         network = Network(2, zones=1)
         network.configurations[1].offer(7, {"t/services/s": b"{}"})
         lost = []
@@ -270,8 +273,9 @@
         self.assertEqual(7, network.configurations[0].revision)
 
     def test_a_lost_page_is_asked_for_again_by_a_node_that_has_settings(self):
-        # The two have no revision in common, so whole settings have to come. One
-        # page is lost; the node served by old settings until the next change.
+        # The two nodes have no revision in common, so all pages have to be sent, and
+        # one is lost. Without a repeated request the node would route by old settings
+        # until the next change.
         network = Network(2, zones=1)
         documents = {
             f"t/routes/{n}": route("t/s", f"/{n}", host=f"h{n}") for n in range(2_000)
@@ -300,7 +304,7 @@
         }
         self.assertGreater(len(pages_of_documents(documents)), 3)
         network.configurations[1].offer(7, documents)
-        damaged = network.nodes[1]._snapshots
+        damaged = network.nodes[1]._pages_by_revision
         damaged[7] = ("", [b"damaged"])
         network.run(10)
         self.assertIn("settings_refused", network.events[0].names)
