--- a/balsamspindle/settings/feed.py
+++ b/balsamspindle/settings/feed.py
@@ -1,9 +1,9 @@
-"""The task that follows whole settings which an operator keeps in one row.
+"""The task that watches the one row in which an operator keeps all settings.
 
-It waits at the store for changes of the row's table. A wait costs one call in
-half a minute, and a change is here as soon as the store has it. When the store
-has dropped its history, or was away, the row is read anew: whatever it holds
-then is the newest.
+It long-polls the store for changes of the row's table: one call in half a
+minute, and a change arrives as soon as the store has it. When the store has
+dropped its history or could not be reached, the task reads the row again,
+which then holds the newest settings.
 """
 
 import random
@@ -21,31 +21,32 @@
 
 __all__ = ["OperatorRow", "SettingsFeed", "WholeSettings"]
 
-# The store's longest wait is 30 s; a connection that falls silent meanwhile is
-# found by its keep-alive probes.
-WAIT_S = 25.0
-# After a failure; jittered, so that a fleet does not come back in step. With
-# the guard's circuit open a round costs the store nothing.
-PAUSE_FIRST_S, PAUSE_MAX_S = 0.1, 0.5
-# A node that leaves the waiting to others looks for itself as rarely.
-SPARE_INTERVAL_S = 60.0
-CHOICE_INTERVAL_S = 2.0
+# Below the 30 s after which the store ends a wait. TCP keep-alive probes detect a
+# connection that dies during a wait.
+WAIT_TIMEOUT_S = 25.0
+# Delay after a failure, with jitter so that the nodes of a fleet don't retry at the
+# same moment. While the platform guard's circuit breaker is open, a retry sends
+# nothing to the store.
+RETRY_DELAY_MIN_S, RETRY_DELAY_MAX_S = 0.1, 0.5
+# How often a node that is not a reader reads the row itself.
+NON_READER_INTERVAL_S = 60.0
+READER_CHECK_INTERVAL_S = 2.0
 
 
 class WholeSettings(NamedTuple):
-    """All documents at one revision, as JSON by path."""
+    """All documents of one revision: JSON by path."""
 
     revision: int
     documents: dict[str, bytes]
 
 
 class OperatorRow(NamedTuple):
-    """Where an operator keeps whole settings, and how they are read.
+    """The row in which an operator keeps all settings, and its decoder.
 
     Attributes
     ----------
     decode : callable
-        Takes the row's value; raises ValueError with what is wrong with it.
+        Converts the row's value; raises ValueError that says what is invalid.
     """
 
     table: str
@@ -53,31 +54,32 @@
     decode: Callable[[Any], WholeSettings]
 
 
-class _Read(NamedTuple):
-    """A read of the row that has begun, and what was in force then."""
+class _RowRead(NamedTuple):
+    """When a read of the row began, and the revision in force at that time."""
 
     began_s: float
     own_revision: int
 
 
 class SettingsFeed:
-    """Follows the operator's row.
+    """Watches the operator's row and puts its settings in force.
 
     Parameters
     ----------
     is_reader : callable
-        Tells whether this node is among those that wait at the store; the
-        others hear from them.
+        Returns whether this node is one of those that wait at the store; the
+        other nodes receive changes from them.
     on_in_force : callable
         Called after each change that came in force.
     on_read : callable
-        Told when a read of the row began, and the revision that it showed.
+        Called after a read of the row with the monotonic time at which the
+        read began and the revision that the row held.
 
     Attributes
     ----------
     state : PlatformState
     platform_revision : int
-        Newest revision seen at the store; -1 before the first.
+        Highest revision read from the store; -1 before the first.
     """
 
     def __init__(
@@ -99,16 +101,16 @@
         self._on_in_force = on_in_force
         self._random = random.Random()
         self._stopped = threading.Event()
-        self._pause_s = PAUSE_FIRST_S
+        self._retry_delay_s = RETRY_DELAY_MIN_S
         self._refused_version = 0
-        # The row that was taken last, as its version and its settings' revision.
-        self._taken = (0, -1)
+        # Version of the row that was decoded last, and the revision it held.
+        self._last_row = (0, -1)
         self._state_since_s = time.monotonic()
         self.state = PlatformState.NOT_READ
         self.platform_revision = -1
 
     def run(self) -> None:
-        """Follow the row until `stop` is called."""
+        """Watch the row until `stop` is called."""
         while not self._stopped.is_set():
             version = self.read()
             while version is not None and not self._stopped.is_set():
@@ -116,8 +118,8 @@
                     version = self.wait(version)
                 else:
                     version = None
-                    self._stand_by()
-            self._stopped.wait(self._pause_s * self._random.uniform(0.5, 1.5))
+                    self._wait_as_non_reader()
+            self._stopped.wait(self._retry_delay_s * self._random.uniform(0.5, 1.5))
 
     def stop(self) -> None:
         """End `run` at once."""
@@ -125,84 +127,89 @@
         self._tables.end_waits()
 
     def hint(self, revision: int) -> None:
-        """Do nothing: the wait at the store brings each change by itself."""
+        """Do nothing: the wait at the store returns each change anyway."""
 
     def read(self) -> int | None:
-        """Read the row; return the version to wait after, None on failure."""
-        read = self._begin_read()
-        return self._take(self._tables.snapshot(self._row.table), read)
+        """Read the row; return the table version to wait after, None on failure."""
+        read = self._start_read()
+        return self._handle_result(self._tables.snapshot(self._row.table), read)
 
     def prove(self) -> None:
-        """Read the row to learn whether its revision is in force; from any thread.
+        """Read the row and report its revision to `on_read`; from any thread.
 
-        A wait that stays silent does not show that: its connection may be dead.
+        A wait without an answer does not show that the settings in force are the
+        newest: its connection may be dead.
         """
-        read = self._begin_read()
+        read = self._start_read()
         match self._tables.read(self._row.table, [self._row.key]):
             case Result(tag="ok", ok=[row]):
-                self._end_read(read, self._offer(row))
+                self._report_read(read, self._apply_row(row))
 
     def wait(self, version: int) -> int | None:
-        """Wait for a change; return the version to wait after next."""
-        return self._take(
-            self._tables.wait_for_changes(self._row.table, version, WAIT_S)
+        """Wait for a change; return the version to wait after, None on failure."""
+        return self._handle_result(
+            self._tables.wait_for_changes(self._row.table, version, WAIT_TIMEOUT_S)
         )
 
-    def _begin_read(self) -> _Read:
-        return _Read(time.monotonic(), self._configuration.revision)
+    def _start_read(self) -> _RowRead:
+        return _RowRead(time.monotonic(), self._configuration.revision)
 
-    def _end_read(self, read: _Read, shown: int | None) -> None:
-        """Tell of the revision that a read showed, if it did.
+    def _report_read(self, read: _RowRead, shown_revision: int | None) -> None:
+        """Call `on_read`, unless the read failed or the store lost changes.
 
-        One older than what was in force when the read began shows a store that
-        lost changes: what else it lost can't be seen.
+        A revision older than the one in force when the read began shows that
+        the store lost changes; it may have lost others that can't be detected.
         """
-        if shown is not None and shown >= read.own_revision:
-            self._on_read(read.began_s, shown)
-
-    def _stand_by(self) -> None:
-        """Leave the waiting to other nodes for as long as they are chosen."""
-        left_s = SPARE_INTERVAL_S * self._random.uniform(0.5, 1.5)
-        while left_s > 0 and not self._is_reader():
-            if self._stopped.wait(CHOICE_INTERVAL_S):
+        if shown_revision is not None and shown_revision >= read.own_revision:
+            self._on_read(read.began_s, shown_revision)
+
+    def _wait_as_non_reader(self) -> None:
+        """Wait until the next read is due or this node becomes a reader."""
+        remaining_s = NON_READER_INTERVAL_S * self._random.uniform(0.5, 1.5)
+        while remaining_s > 0 and not self._is_reader():
+            if self._stopped.wait(READER_CHECK_INTERVAL_S):
                 return
-            left_s -= CHOICE_INTERVAL_S
+            remaining_s -= READER_CHECK_INTERVAL_S
 
-    def _take(self, result: Result, read: _Read | None = None) -> int | None:
+    def _handle_result(
+        self, result: Result, read: _RowRead | None = None
+    ) -> int | None:
         match result:
             case Result(tag="ok", ok=Changes(rows, version)):
-                self._pause_s = PAUSE_FIRST_S
+                self._retry_delay_s = RETRY_DELAY_MIN_S
                 for row in rows:
                     if row.key == self._row.key:
-                        shown = self._offer(row)
+                        shown_revision = self._apply_row(row)
                         if read is not None:
-                            self._end_read(read, shown)
-                self._note(PlatformState.CURRENT)
+                            self._report_read(read, shown_revision)
+                self._set_state(PlatformState.CURRENT)
                 return version
             case Result(error=HistoryLost(message)):
-                self._pause_s = 0.0
+                self._retry_delay_s = 0.0
                 self._events.emit("settings_history_lost", cause=message)
             case Result(error=error):
-                self._pause_s = min(PAUSE_MAX_S, 2 * (self._pause_s or PAUSE_FIRST_S))
-                self._note(PlatformState.UNREACHABLE, error.message)
+                self._retry_delay_s = min(
+                    RETRY_DELAY_MAX_S, 2 * (self._retry_delay_s or RETRY_DELAY_MIN_S)
+                )
+                self._set_state(PlatformState.UNREACHABLE, error.message)
         return None
 
-    def _offer(self, row: Row) -> int | None:
-        """Put a row in force if it is newer; return its revision, if it has one."""
-        taken_version, revision = self._taken
-        if row.version == taken_version:
+    def _apply_row(self, row: Row) -> int | None:
+        """Put a newer row in force; return its revision, None for an invalid row."""
+        last_version, revision = self._last_row
+        if row.version == last_version:
             return revision
         if row.value is None:
-            self._refuse(row, "the row is empty")
+            self._report_refused(row, "the row is empty")
             return None
         try:
             settings = self._row.decode(row.value)
         except ValueError as error:
-            # The settings in force stay: half of a configuration that can't
-            # be read would send requests where nobody meant them to go.
-            self._refuse(row, str(error))
+            # The settings in force stay. Applying the readable half of an invalid
+            # configuration would route requests in a way that nobody configured.
+            self._report_refused(row, str(error))
             return None
-        self._taken = (row.version, settings.revision)
+        self._last_row = (row.version, settings.revision)
         self.platform_revision = max(self.platform_revision, settings.revision)
         applied = self._configuration.offer(*settings)
         if applied is Applied.IN_FORCE:
@@ -212,24 +219,24 @@
             self._on_in_force()
         return settings.revision
 
-    def _refuse(self, row: Row, cause: str) -> None:
+    def _report_refused(self, row: Row, cause: str) -> None:
         if row.version == self._refused_version:
             return
         self._refused_version = row.version
         self._events.emit("settings_refused", row_version=row.version, cause=cause)
 
-    def _note(self, state: PlatformState, cause: str | None = None) -> None:
-        """Write an event at each change of the store's state."""
+    def _set_state(self, state: PlatformState, cause: str | None = None) -> None:
+        """Record the store's state; emit an event if it changed."""
         if state is self.state:
             return
         now_s = time.monotonic()
-        before_s = now_s - self._state_since_s
+        previous_state_s = now_s - self._state_since_s
         self.state, self._state_since_s = state, now_s
         self._events.emit(
             "settings_platform",
             state=state.value,
             revision=self._configuration.revision,
             platform_revision=self.platform_revision,
-            after_s=f"{before_s:.1f}",
+            after_s=f"{previous_state_s:.1f}",
             cause=cause,
         )
--- a/balsamspindle/settings/loading.py
+++ b/balsamspindle/settings/loading.py
@@ -1,4 +1,4 @@
-"""All settings at one revision, read from the platform."""
+"""Loads all settings of one revision from the platform."""
 
 from typing import NamedTuple
 
@@ -25,13 +25,18 @@
     Unreachable,
 )
 
-__all__ = ["REPLAY_MAX", "StoredSettings", "load_from_snapshot", "load_settings"]
+__all__ = [
+    "REPLAY_CHANGES_MAX",
+    "StoredSettings",
+    "load_from_snapshot",
+    "load_settings",
+]
 
-REPLAY_MAX = 500
+REPLAY_CHANGES_MAX = 500
 
 
 class StoredSettings(NamedTuple):
-    """All settings at one revision, as JSON by path."""
+    """All documents of one revision: JSON by path."""
 
     fleet: FleetRow
     documents: dict[str, bytes]
@@ -40,12 +45,12 @@
 def load_settings(
     tables: TableService,
 ) -> Result[StoredSettings, PlatformError]:
-    """Return all settings as of one revision.
+    """Return all settings at the platform's revision.
 
-    Rows are read one after the other, so a change in between gives a mix of
-    two revisions that was never accepted. The changes accepted meanwhile are
-    laid over it: they hold whole documents, so what a row has already is
-    written once more and what it lacks is added.
+    Rows are read one after the other, so a change accepted during the scan can
+    leave a mix of two revisions that was never accepted. The changes accepted
+    during the scan are therefore applied to its result. They hold whole
+    documents, so applying a change that the scan already read does no harm.
     """
     before = read_fleet(tables)
     rows = tables.scan(SUBTREES_TABLE)
@@ -54,8 +59,8 @@
         if result.is_error():
             return Error(result.error)
     first, last = before.ok.revision + 1, after.ok.revision
-    if last - first >= REPLAY_MAX:
-        return Error(Unreachable("the settings change faster than a read"))
+    if last - first >= REPLAY_CHANGES_MAX:
+        return Error(Unreachable("the settings change faster than they can be read"))
     documents = {
         path: document
         for row in rows.ok
@@ -73,13 +78,13 @@
 def load_from_snapshot(
     tables: TableService, objects: ObjectStore, fleet: FleetRow
 ) -> Configuration | None:
-    """Return the settings of a revision from the snapshot and the change log.
+    """Return the settings at a revision from the snapshot and the change log.
 
-    None when there is no snapshot, or none on the way to that revision: it may
-    be of a history that the tables no longer have.
+    None when there is no snapshot, or when the logged changes do not lead from it
+    to that revision: it may belong to a history that the tables no longer have.
     """
     snapshot = read_snapshot(objects)
-    if snapshot is None or fleet.revision - snapshot.revision > REPLAY_MAX:
+    if snapshot is None or fleet.revision - snapshot.revision > REPLAY_CHANGES_MAX:
         return None
     current = CurrentConfiguration()
     current.install(snapshot)
@@ -90,5 +95,5 @@
     if applied not in (Applied.IN_FORCE, Applied.OLD):
         return None
     configuration = current.get()
-    reached = FleetRow(configuration.revision, configuration.chain)
-    return configuration if reached == fleet else None
+    reached_fleet = FleetRow(configuration.revision, configuration.chain)
+    return configuration if reached_fleet == fleet else None
--- a/balsamspindle/settings/reader.py
+++ b/balsamspindle/settings/reader.py
@@ -1,9 +1,9 @@
-"""The task that brings accepted changes from the platform to this node.
+"""The task that polls the platform for accepted changes of the settings.
 
-Few nodes poll: in each availability zone those that come first in a rendezvous
-order. The others hear from them (see `balsamspindle.settings.spread`) and look
-themselves once in a long while, in case the chosen ones can't reach the
-platform.
+Only a few nodes of each availability zone poll often: the readers, selected by
+rendezvous hashing. The other nodes receive changes from them (see
+`balsamspindle.settings.spread`) and poll about once a minute, in case the
+readers can't reach the platform.
 """
 
 import random
@@ -17,12 +17,12 @@
 
 from balsamspindle.settings.history import NEWS_CHANGES, News, read_changes, read_news
 from balsamspindle.settings.loading import (
-    REPLAY_MAX,
+    REPLAY_CHANGES_MAX,
     load_from_snapshot,
     load_settings,
 )
 from balsamspindle.settings.rows import FleetRow
-from balsamspindle.settings.snapshots import SNAPSHOT_EVERY, write_snapshot
+from balsamspindle.settings.snapshots import SNAPSHOT_INTERVAL_REVISIONS, write_snapshot
 from balsamspindle.settings.subtree import delta_of_change
 from balsamspindle.settings.tree import Applied, CurrentConfiguration
 from balsamspindle.tables import ObjectStore, TableService
@@ -35,20 +35,21 @@
 POLL_INTERVAL_S = 0.5
 POLL_INTERVAL_MAX_S = 3.0
 SPARE_POLL_INTERVAL_S = 60.0
-FIRST_POLL_S = 1.0
-PEERS_FIRST_S = 15.0
+FIRST_POLL_DELAY_S = 1.0
+PEERS_WAIT_MAX_S = 15.0
 JITTER = 0.2
 
 
 class PlatformState(StrEnum):
-    """What this node knows of the platform's settings.
+    """How the platform's settings compare with those in force at this node.
 
     Attributes
     ----------
     OLDER
-        The platform has an older revision than the node: it lost changes.
+        The platform lost changes: it has an older revision than this node or,
+        while this node has no settings, than its peers.
     DIVERGED
-        The platform has another history than the one in force here.
+        The platform's history of changes differs from this node's.
     """
 
     NOT_READ = "not_read"
@@ -63,20 +64,20 @@
     records: Iterable[NodeRecord],
     per_zone: int = READERS_PER_ZONE,
 ) -> bool:
-    """Tell whether a node is one of its zone's readers of the platform."""
-    zone = [
+    """Return whether a node is one of its zone's readers of the platform."""
+    zone_nodes = [
         record
         for record in (*records, own)
         if (record.region, record.availability_zone)
         == (own.region, own.availability_zone)
     ]
-    chosen = readers_of(zone, per_zone)
+    chosen = readers_of(zone_nodes, per_zone)
     return any(record.node_id == own.node_id for record in chosen)
 
 
-def readers_of(zone: Iterable[NodeRecord], per_zone: int) -> list[NodeRecord]:
-    """Return those of a zone's nodes that read the platform."""
-    by_id = {record.node_id: record for record in zone}
+def readers_of(zone_nodes: Iterable[NodeRecord], per_zone: int) -> list[NodeRecord]:
+    """Return the nodes of a zone that read the platform, selected by hash."""
+    by_id = {record.node_id: record for record in zone_nodes}
     order = sorted(by_id, key=lambda node_id: (_weight(node_id), node_id))
     return [by_id[node_id] for node_id in order[:per_zone]]
 
@@ -88,10 +89,11 @@
 class PollPlan:
     """How long this node waits between two polls.
 
-    Nodes that lose sight of each other would all choose themselves, and the
-    platform would meet the polls of the whole fleet. So a reader that sees
-    fewer nodes than it once did polls as much more slowly, down to a bound at
-    which 5,600 nodes, each alone, stay within the platform's reads.
+    Nodes that are partitioned from each other would each select themselves as
+    reader, and the whole fleet would poll the platform. A reader that knows
+    fewer nodes than before therefore lengthens its poll interval in proportion.
+    At the longest interval, 5,600 isolated nodes stay within the platform's
+    limit of reads per second.
     """
 
     def __init__(
@@ -104,48 +106,52 @@
         self._own = own
         self._records = records
         self._random = random.Random(f"{own.node_id}/{own.incarnation}/poll")
-        self._seen_max = 1
+        self._known_max = 1
 
     def first_wait_s(self) -> float:
-        """Return the time until the first poll: peers, if any, go first.
+        """Return the delay of the first poll; 0 without seed addresses.
 
-        Else a zone that comes back whole would read all settings from the
-        platform once for each of its nodes, at the same moment.
+        During the delay peers can send the settings. Without it, a zone whose nodes
+        all restart would read all settings from the platform once for each node, at
+        the same moment.
         """
-        return FIRST_POLL_S * self._random.uniform(0.5, 1) if self.has_seeds else 0.0
+        return (
+            FIRST_POLL_DELAY_S * self._random.uniform(0.5, 1) if self.has_seeds else 0.0
+        )
 
     def is_first(self) -> bool:
-        """Tell whether this node comes first of all that it knows."""
+        """Return whether this node has the lowest hash of all known nodes."""
         node_ids = {record.node_id for record in self._records()}
         return min({*node_ids, self._own.node_id}, key=_weight) == self._own.node_id
 
     def next_wait_s(self, has_settings: bool) -> float:
         """Return the time until the next poll."""
         records = self._records()
-        seen = max(1, len(records))
-        self._seen_max = max(self._seen_max, seen)
+        known = max(1, len(records))
+        self._known_max = max(self._known_max, known)
         wait_s = SPARE_POLL_INTERVAL_S if has_settings else POLL_INTERVAL_MAX_S
         if is_reader(self._own, records):
-            slower = POLL_INTERVAL_S * self._seen_max / seen
-            wait_s = min(POLL_INTERVAL_MAX_S, slower)
+            slowed_interval_s = POLL_INTERVAL_S * self._known_max / known
+            wait_s = min(POLL_INTERVAL_MAX_S, slowed_interval_s)
         return wait_s * self._random.uniform(1 - JITTER, 1 + JITTER)
 
 
 class SettingsReader:
-    """Asks the platform for changes, again and again.
+    """Polls the platform for changes and puts them in force.
 
     Parameters
     ----------
     plan : PollPlan
-        Says when to poll.
+        Determines when to poll.
     objects : ObjectStore or None
-        Where snapshots of all settings are.
+        Holds the snapshot of all settings; without it none is used.
     on_in_force : callable
         Called after each change that came in force.
     offered_revision : callable
         Returns the highest revision that peers offered this node.
     on_read : callable
-        Told when a poll began, and the platform's revision that it showed.
+        Called after a poll with the monotonic time at which it began and the
+        platform's revision.
     """
 
     def __init__(
@@ -163,7 +169,7 @@
         self._tables = tables
         self._objects = objects
         self._offered_revision = offered_revision
-        self._snapshot_revision = -SNAPSHOT_EVERY
+        self._snapshot_revision = -SNAPSHOT_INTERVAL_REVISIONS
         self._started_s = time.monotonic()
         self._configuration = configuration
         self._events = events
@@ -189,92 +195,94 @@
         self._wake.set()
 
     def hint(self, revision: int) -> None:
-        """Poll now, if the revision that somebody named is news."""
+        """Poll now if a revision is newer than the one in force."""
         if revision > self._configuration.revision:
             self._wake.set()
 
     def prove(self) -> None:
-        """Poll now, to learn whether the platform's revision is in force."""
+        """Poll now, so that `on_read` receives the platform's present revision."""
         self._wake.set()
 
     def poll(self) -> None:
-        """Compare the platform's revision with the own one and catch up."""
+        """Read the platform's revision and put missing changes in force."""
         began_s, own_revision = time.monotonic(), self._configuration.revision
         match read_news(self._tables, self._configuration.revision):
             case Result(tag="ok", ok=news):
                 self.platform_revision = news.fleet.revision
-                self._compare(news)
-                # An older one shows a platform that lost changes: what else it
-                # lost can't be seen.
+                self._compare_revisions(news)
+                # An older revision shows that the platform lost changes; it may
+                # have lost others that can't be detected.
                 if news.fleet.revision >= own_revision:
                     self._on_read(began_s, news.fleet.revision)
             case Result(error=error):
-                self._note(PlatformState.UNREACHABLE, error.message)
+                self._set_state(PlatformState.UNREACHABLE, error.message)
 
-    def _compare(self, news: News) -> None:
+    def _compare_revisions(self, news: News) -> None:
         own, fleet = self._configuration.get(), news.fleet
         if own is None:
-            self._load_first(fleet)
+            self._load_initial(fleet)
         elif fleet.revision > own.revision:
             self._catch_up(own.revision, news)
         elif fleet.revision < own.revision:
-            # A platform restored from a backup. To follow it would take
-            # accepted changes out of force; the node keeps what it has.
-            self._note(PlatformState.OLDER, "the platform lost accepted changes")
+            # The platform was restored from a backup. Loading its settings would
+            # revert accepted changes, so the node keeps those in force.
+            self._set_state(PlatformState.OLDER, "the platform lost accepted changes")
         elif fleet.chain != own.chain:
-            self._note(PlatformState.DIVERGED, "the platform has another history")
+            self._set_state(PlatformState.DIVERGED, "the platform has another history")
         else:
-            self._note(PlatformState.CURRENT)
+            self._set_state(PlatformState.CURRENT)
 
     def _catch_up(self, own_revision: int, news: News) -> None:
         changes, revision = news.changes, news.fleet.revision
         if revision > own_revision + NEWS_CHANGES:
-            last = min(revision, own_revision + REPLAY_MAX)
+            last = min(revision, own_revision + REPLAY_CHANGES_MAX)
             match read_changes(self._tables, own_revision + 1, last):
                 case Result(tag="ok", ok=changes):
                     pass
                 case Result(error=error):
-                    self._note(PlatformState.UNREACHABLE, error.message)
+                    self._set_state(PlatformState.UNREACHABLE, error.message)
                     return
             if not changes:
-                self._load()
+                self._load_all()
                 return
         deltas = [delta_of_change(change) for change in changes]
         match self._configuration.apply(deltas):
             case Applied.IN_FORCE:
-                self._in_force(deltas)
+                self._report_in_force(deltas)
             case Applied.DIVERGED:
-                self._note(PlatformState.DIVERGED, "the platform has another history")
+                self._set_state(
+                    PlatformState.DIVERGED, "the platform has another history"
+                )
             case Applied.GAP:
-                self._load()
+                self._load_all()
 
-    def _load_first(self, fleet: FleetRow) -> None:
-        # A replaced node must not begin below what its peers have in force,
-        # or callers would meet settings that were replaced before. It waits
-        # for the peers' pages, but not for ever: a peer may be gone.
+    def _load_initial(self, fleet: FleetRow) -> None:
+        # A replaced node must not start at an older revision than its peers have in
+        # force, or it would route callers by outdated settings. It waits for the
+        # peers' pages, but not without limit: the peers may be gone.
         waited_s = time.monotonic() - self._started_s
-        if fleet.revision < self._offered_revision() and waited_s < PEERS_FIRST_S:
-            self._note(PlatformState.OLDER, "peers offer a newer revision")
+        if fleet.revision < self._offered_revision() and waited_s < PEERS_WAIT_MAX_S:
+            self._set_state(PlatformState.OLDER, "peers offer a newer revision")
             return
         configuration = None
         if self._objects is not None:
             configuration = load_from_snapshot(self._tables, self._objects, fleet)
         if configuration is None:
-            self._load()
+            self._load_all()
         elif self._configuration.install(configuration) is Applied.IN_FORCE:
-            self._in_force([])
+            self._report_in_force([])
 
     def _write_snapshot(self) -> None:
-        """Write a snapshot once in many changes, at one node of the fleet."""
+        """Write the snapshot when it is due, if this node is the one to write it."""
         own = self._configuration.get()
         if self._objects is None or not self._plan.is_first():
             return
-        if own.revision - self._snapshot_revision < SNAPSHOT_EVERY:
+        if own.revision - self._snapshot_revision < SNAPSHOT_INTERVAL_REVISIONS:
             return
         if write_snapshot(self._objects, own).is_ok():
             self._snapshot_revision = own.revision
 
-    def _load(self) -> None:
+    def _load_all(self) -> None:
         match load_settings(self._tables):
             case Result(tag="ok", ok=stored):
                 fleet = stored.fleet
@@ -282,12 +290,12 @@
                     fleet.revision, stored.documents, fleet.chain
                 )
                 if applied is Applied.IN_FORCE:
-                    self._in_force([])
+                    self._report_in_force([])
             case Result(error=error):
-                self._note(PlatformState.UNREACHABLE, error.message)
+                self._set_state(PlatformState.UNREACHABLE, error.message)
 
-    def _in_force(self, deltas) -> None:
-        self._note(PlatformState.CURRENT)
+    def _report_in_force(self, deltas) -> None:
+        self._set_state(PlatformState.CURRENT)
         accepted_ms = deltas[-1].accepted_ms if deltas else None
         self._events.emit(
             "settings_in_force",
@@ -298,8 +306,8 @@
         self._on_in_force()
         self._write_snapshot()
 
-    def _note(self, state: PlatformState, cause: str | None = None) -> None:
-        """Write an event at each change of the platform's state."""
+    def _set_state(self, state: PlatformState, cause: str | None = None) -> None:
+        """Record the platform's state; emit an event if it changed."""
         if state is self.state:
             return
         self.state = state
--- a/balsamspindle/settings/recent.py
+++ b/balsamspindle/settings/recent.py
@@ -1,4 +1,4 @@
-"""The latest changes that came in force, kept for peers that lack them."""
+"""The latest changes that came in force, kept to send to peers that lack them."""
 
 from collections import deque
 from collections.abc import Mapping
@@ -10,18 +10,18 @@
 
 CHANGES_MAX = 512
 BYTES_MAX = 1024 * 1024
-# As for pages: what the byte cap never has room for would never be sent. A
-# single change is sent whatever its size.
+# As with pages, a message larger than the byte cap ever allows would never be
+# sent. A single change is returned whatever its size.
 ANSWER_MAX_BYTES = 32 * 1024
-# Revisions that a node names to the peer that it pulls from: those of some
-# seconds in which changes come a few times a second.
-OLDER_MAX = 16
+# Older revisions that a node lists in a pull: enough for some seconds with a few
+# changes each.
+OLDER_REVISIONS_MAX = 16
 
 
 def difference(
     before: Mapping[str, bytes], after: Mapping[str, bytes]
 ) -> dict[str, bytes | None]:
-    """Return the documents to put, and None for those to remove."""
+    """Return the documents that differ, with None for those to remove."""
     changed: dict[str, bytes | None] = {
         path: document
         for path, document in after.items()
@@ -34,48 +34,54 @@
 def changed_documents(
     documents: Mapping[str, bytes], changed: Mapping[str, bytes | None]
 ) -> dict[str, bytes]:
-    """Return documents after a change."""
+    """Return the documents after a change, in which None removes one."""
     after = {**documents, **changed}
     return {path: document for path, document in after.items() if document is not None}
 
 
-class _Kept(NamedTuple):
-    """A change, and the documents that it replaced; None where there was none."""
+class _RecentChange(NamedTuple):
+    """A change and the documents that it replaced; None where it added one."""
 
     delta: SettingsDelta
     replaced: dict[str, bytes | None]
 
 
 class RecentChanges:
-    """Consecutive changes up to the revision in force, bounded in size."""
+    """Consecutive changes up to the revision in force, limited in number and size."""
 
     def __init__(self) -> None:
-        self._kept: deque[_Kept] = deque()
+        self._changes: deque[_RecentChange] = deque()
         self._bytes = 0
 
     def append(
         self, delta: SettingsDelta, documents: Mapping[str, bytes] | None = None
     ) -> None:
-        """Add the change that just came in force, on top of some documents."""
+        """Add the change that just came in force.
+
+        Parameters
+        ----------
+        documents : mapping, optional
+            In force before the change.
+        """
         replaced = {path: (documents or {}).get(path) for path in delta.documents}
-        self._kept.append(_Kept(delta, replaced))
+        self._changes.append(_RecentChange(delta, replaced))
         self._bytes += _size(delta)
-        while len(self._kept) > CHANGES_MAX or self._bytes > BYTES_MAX:
-            self._bytes -= _size(self._kept.popleft().delta)
+        while len(self._changes) > CHANGES_MAX or self._bytes > BYTES_MAX:
+            self._bytes -= _size(self._changes.popleft().delta)
 
     def clear(self) -> None:
-        """Forget all: whole settings came in force."""
-        self._kept.clear()
+        """Discard all changes, since a whole configuration replaced the settings."""
+        self._changes.clear()
         self._bytes = 0
 
-    def above(self, revision: int) -> list[SettingsDelta]:
-        """Return the changes that follow a revision, as many as one answer takes.
+    def changes_above(self, revision: int) -> list[SettingsDelta]:
+        """Return the changes after a revision, as many as fit into one message.
 
-        Nothing when the change right after it is not kept.
+        The list is empty when the change right after the revision is not kept.
         """
         answer: list[SettingsDelta] = []
         answer_bytes = 0
-        for delta, _ in self._kept:
+        for delta, _ in self._changes:
             if not answer and delta.base_revision != revision:
                 continue
             answer_bytes += _size(delta)
@@ -86,24 +92,26 @@
 
     def older_revisions(self) -> tuple[int, ...]:
         """Return the latest revisions before the one in force, newest first."""
-        bases = [delta.base_revision for delta, _ in self._kept]
-        return tuple(bases[: -OLDER_MAX - 1 : -1])
+        bases = [delta.base_revision for delta, _ in self._changes]
+        return tuple(bases[: -OLDER_REVISIONS_MAX - 1 : -1])
 
     def documents_at(
         self, revision: int, chain: str, documents: Mapping[str, bytes]
     ) -> dict[str, bytes] | None:
-        """Return what was in force at an older revision of this history.
+        """Return the documents of an older revision; None if it is not kept.
 
         Parameters
         ----------
+        chain : str
+            Digest of the history up to that revision.
         documents : mapping
             In force now.
         """
-        undone: dict[str, bytes | None] = {}
-        for delta, replaced in reversed(self._kept):
-            undone.update(replaced)
+        restored_documents: dict[str, bytes | None] = {}
+        for delta, replaced in reversed(self._changes):
+            restored_documents.update(replaced)
             if delta.base_revision == revision and delta.previous_chain == chain:
-                return changed_documents(documents, undone)
+                return changed_documents(documents, restored_documents)
         return None
 
 
--- a/balsamspindle/settings/recovery.py
+++ b/balsamspindle/settings/recovery.py
@@ -1,10 +1,10 @@
-"""The operator's way on after the platform was restored from a backup.
+"""Lets an operator continue after the platform was restored from a backup.
 
-Nodes hold a newer revision than the platform then, and keep it: new edits
-would count the same revisions again and come in force nowhere. Only an
-operator can decide that what the backup holds is to be in force, since
-accepted changes are lost by it. That decision is a change of its own, above
-every revision that nodes hold; nodes load all settings anew for it.
+The nodes then have a newer revision than the platform and keep it. New edits
+would get revisions that the nodes already have, and would come in force
+nowhere. Putting the backup's settings in force loses accepted changes, so only
+an operator can decide it. The decision is written as a change with a revision
+above that of every node; nodes that receive it reload all settings.
 """
 
 import msgspec
@@ -53,22 +53,23 @@
     credentials: Credentials,
     now_s: float,
 ) -> Result[Accepted, EditError]:
-    """Put what the platform holds in force, above a revision of the nodes.
+    """Put the platform's settings in force at a revision above all nodes' own.
 
     Parameters
     ----------
     tables : TableService
     above_revision : int
-        Highest revision that any node has in force.
+        Highest revision in force at any node.
     credentials : Credentials
-        The fleet key, where the fleet has one.
+        Must include the fleet key if the fleet has one.
     now_s : float
-        Present wall time.
+        Wall clock time.
 
     Returns
     -------
     Result of Accepted
-        `NotKnown` is settled by `SettingsStore.settle`, as for any edit.
+        On `NotKnown`, `SettingsStore.settle` determines whether the change was
+        made, as for any edit.
     """
     revision_rows = tables.read(REVISION_TABLE, [REVISION_KEY])
     key_rows = tables.read(FLEET_TABLE, [FLEET_KEY_KEY])
@@ -106,7 +107,7 @@
 
 
 def _transaction(change: Change, operation_id: str, fleet_version: int) -> Transaction:
-    """Write the change while nobody else changed the fleet's revision."""
+    """Return a transaction that fails if the fleet's revision has changed."""
     checks = [
         Check(REVISION_TABLE, REVISION_KEY, fleet_version),
         Check(OPERATIONS_TABLE, operation_id, 0),
--- a/balsamspindle/settings/snapshots.py
+++ b/balsamspindle/settings/snapshots.py
@@ -1,8 +1,8 @@
-"""Snapshots of all settings in the platform's object store.
+"""The snapshot of all settings in the platform's object store.
 
-A joining node reads one object and the changes accepted since, where a scan
-of all teams' rows would cost the platform megabytes for each of the 45,000
-restarts of a day. A snapshot may be old or missing: it only saves work.
+A joining node reads this one object and the changes accepted since. A scan of
+all teams' rows instead would cost the platform megabytes for each of the 45,000
+restarts a day. The snapshot only saves work: it may be old or missing.
 """
 
 import msgspec
@@ -12,10 +12,15 @@
 from balsamspindle.settings.tree import Configuration
 from balsamspindle.tables import ObjectStore, PlatformError
 
-__all__ = ["SNAPSHOT_EVERY", "SNAPSHOT_NAME", "read_snapshot", "write_snapshot"]
+__all__ = [
+    "SNAPSHOT_INTERVAL_REVISIONS",
+    "SNAPSHOT_NAME",
+    "read_snapshot",
+    "write_snapshot",
+]
 
 SNAPSHOT_NAME = "settings/snapshot"
-SNAPSHOT_EVERY = 200
+SNAPSHOT_INTERVAL_REVISIONS = 200
 
 
 class _Snapshot(msgspec.Struct, frozen=True):
@@ -30,7 +35,7 @@
 def write_snapshot(
     objects: ObjectStore, configuration: Configuration
 ) -> Result[None, PlatformError]:
-    """Write a configuration as the object that joining nodes read."""
+    """Write a configuration as the snapshot that joining nodes read."""
     snapshot = _Snapshot(
         configuration.revision,
         configuration.chain,
@@ -40,7 +45,7 @@
 
 
 def read_snapshot(objects: ObjectStore) -> Configuration | None:
-    """Return the settings of the snapshot; None when there is no sound one."""
+    """Return the settings of the snapshot; None if it is missing or damaged."""
     match objects.get(SNAPSHOT_NAME):
         case Result(tag="ok", ok=bytes() as body):
             try:
--- a/balsamspindle/settings/subtree.py
+++ b/balsamspindle/settings/subtree.py
@@ -1,12 +1,12 @@
-"""One team's documents: what an edit makes of them, and what is wrong then.
+"""Applies edits to one team's documents (its subtree) and validates the result.
 
-The check reads the team's own documents and those rows of other teams whose
-services it names, so its cost does not grow with the fleet.
+Validation reads the team's own documents and the rows of other teams whose
+services they name, so its cost does not grow with the fleet.
 
 A team may remove a service that another team's routes name: a reference must
-not give one team power over another's subtree. The other team's route then
-answers ``not_run`` (no backend server), and its next edits are not refused
-for it: only faults that an edit itself brings in refuse the edit.
+not give one team control over another's subtree. The other team's route then
+answers ``not_run`` (no backend server), but that team can still edit its
+documents: an edit is refused only for faults that it introduces.
 """
 
 from collections.abc import Iterable, Mapping
@@ -31,18 +31,18 @@
 def changed_documents(
     documents: Mapping[str, Any], changes: Mapping[str, Any]
 ) -> dict[str, Any]:
-    """Return a subtree's documents after an edit; None removes one."""
+    """Return a subtree's documents after an edit, in which None removes one."""
     after = {**documents, **changes}
     return {path: value for path, value in after.items() if value is not None}
 
 
 def encode_documents(documents: Mapping[str, Any]) -> dict[str, bytes]:
-    """Return documents as JSON, the form in which they are checked."""
+    """Return documents as JSON, the form in which they are validated."""
     return {path: msgspec.json.encode(value) for path, value in documents.items()}
 
 
 def delta_of_change(change: Change) -> SettingsDelta:
-    """Return a change of the log in the form that nodes apply."""
+    """Convert a change of the log to the form that nodes apply."""
     return SettingsDelta(
         change.revision,
         change.previous_chain,
@@ -62,14 +62,14 @@
     before: Mapping[str, Any],
     after: Mapping[str, Any],
 ) -> Result[list[Fault], PlatformError]:
-    """Return the faults of a team's documents that an edit brings in."""
-    strangers = [
+    """Return the faults that an edit introduces in a team's documents."""
+    outside_subtree = [
         Fault(path, f"is not in the subtree of {team!r}")
         for path in after
         if path.partition("/")[0] != team
     ]
-    if strangers:
-        return Ok(strangers)
+    if outside_subtree:
+        return Ok(outside_subtree)
     match _named_services(tables, team, [*before.values(), *after.values()]):
         case Result(tag="ok", ok=others):
             pass
@@ -78,13 +78,14 @@
     faults = check_documents(encode_documents(after), others)
     if not faults:
         return Ok([])
-    known = set(check_documents(encode_documents(before), others))
-    # A fault of an unchanged document that stood before is not this edit's.
+    existing_faults = set(check_documents(encode_documents(before), others))
+    # A fault that an unchanged document had before is not due to this edit.
     return Ok(
         [
             fault
             for fault in faults
-            if fault not in known or before.get(fault.path) != after.get(fault.path)
+            if fault not in existing_faults
+            or before.get(fault.path) != after.get(fault.path)
         ]
     )
 
@@ -92,8 +93,10 @@
 def _named_services(
     tables: TableService, team: str, documents: Iterable[Any]
 ) -> Result[set[str], PlatformError]:
-    """Return the services of other teams that documents name and that exist."""
-    named = [document.get("service") for document in documents if _is_object(document)]
+    """Return the existing services of other teams that documents refer to."""
+    named = [
+        document.get("service") for document in documents if _is_json_object(document)
+    ]
     names = {name for name in named if isinstance(name, str) and "/" in name}
     teams = sorted({name.partition("/")[0] for name in names} - {team})
     if not teams:
@@ -103,7 +106,7 @@
     )
 
 
-def _is_object(document: Any) -> bool:
+def _is_json_object(document: Any) -> bool:
     return isinstance(document, dict)
 
 
--- a/balsamspindle/settings/tree.py
+++ b/balsamspindle/settings/tree.py
@@ -1,8 +1,8 @@
-"""The fleet's settings at one revision, ready to route by.
+"""The fleet's settings at one revision, decoded for routing.
 
-A change makes a new `Configuration` that shares all it does not touch: only
-the dictionaries are copied, so one change costs milliseconds of copying and
-the decoding of its own documents, whatever the number of routes.
+A change creates a new `Configuration` that shares all unchanged objects. Only
+dictionaries are copied, so a change costs milliseconds of copying and the
+decoding of its own documents, whatever the number of routes.
 """
 
 import sys
@@ -36,22 +36,22 @@
     "CurrentConfiguration",
 ]
 
-METHOD_SETS_SHARED_MAX = 256
+METHOD_SETS_CACHED_MAX = 256
 
 
 class Applied(StrEnum):
-    """What became of a change or of whole settings offered to a node.
+    """Result of applying changes or a whole configuration at a node.
 
     Attributes
     ----------
     IN_FORCE
-        In force now.
+        They are in force now.
     OLD
-        As new or newer settings are in force.
+        The same revision or a newer one was already in force.
     GAP
-        Changes between the ones in force and this one are missing.
+        Changes between the revision in force and these are missing.
     DIVERGED
-        Made on another history than the one in force.
+        They belong to another history than the settings in force.
     """
 
     IN_FORCE = "in_force"
@@ -61,7 +61,7 @@
 
 
 class Configuration:
-    """All settings at one revision; never changed after it is made.
+    """All settings at one revision; immutable once created.
 
     Attributes
     ----------
@@ -70,14 +70,14 @@
     chain : str
         Digest of all accepted changes in their order.
     documents : dict of str to bytes
-        Path to JSON, as they travel.
+        JSON by path, as sent between nodes.
     services : dict of str to ServiceDocument
-        ``TEAM/NAME`` to its document.
+        By ``TEAM/NAME``.
     routes : RouteTable
     customers : CustomerTable
     unusable : dict of str to str
-        Paths of documents that this node can't read, and why. A document
-        that was usable before stays in force in its older form.
+        Error by path, for documents that this node can't decode. If an older
+        version of such a document could be decoded, it stays in force.
     """
 
     def __init__(
@@ -97,7 +97,7 @@
         self.customers = CustomerTable(self._customers.values())
 
     def changed(self, deltas: Iterable[SettingsDelta]) -> "Configuration":
-        """Return the settings after changes that follow on these."""
+        """Return the configuration after changes that directly follow on this one."""
         after = Configuration.__new__(Configuration)
         after.documents = dict(self.documents)
         after.services = dict(self.services)
@@ -105,23 +105,31 @@
         after._routes = dict(self._routes)
         after._customers = dict(self._customers)
         after._limits = dict(self._limits)
-        touched: dict[str, None] = {}
+        changed_paths: dict[str, None] = {}
         for delta in deltas:
             after.revision, after.chain = delta.revision, delta.chain
             for path, document in delta.documents.items():
-                touched[path] = None
+                changed_paths[path] = None
                 if document is None:
                     after._remove(path)
                 else:
                     after.documents[path] = document
                     after._put(path, document)
         after.routes = self.routes.changed(
-            [self._routes[path] for path in touched if path in self._routes],
-            [after._routes[path] for path in touched if path in after._routes],
+            [self._routes[path] for path in changed_paths if path in self._routes],
+            [after._routes[path] for path in changed_paths if path in after._routes],
         )
         after.customers = self.customers.changed(
-            [self._customers[path] for path in touched if path in self._customers],
-            [after._customers[path] for path in touched if path in after._customers],
+            [
+                self._customers[path]
+                for path in changed_paths
+                if path in self._customers
+            ],
+            [
+                after._customers[path]
+                for path in changed_paths
+                if path in after._customers
+            ],
         )
         return after
 
@@ -132,15 +140,17 @@
 
     @property
     def caller_limits(self) -> CallerLimits | None:
-        """The strictest of all limits on callers; None without any."""
+        """The strictest value of each limit on callers; None without any limits."""
         if not self._limits:
             return None
-        every = [msgspec.structs.astuple(limits) for limits in self._limits.values()]
-        return CallerLimits(*map(min, zip(*every, strict=True)))
+        values_by_document = [
+            msgspec.structs.astuple(limits) for limits in self._limits.values()
+        ]
+        return CallerLimits(*map(min, zip(*values_by_document, strict=True)))
 
     def _put(self, path: str, document: bytes) -> None:
-        # A node must not be held at an old revision by one document that it
-        # can't read (written by a newer release): all others would wait too.
+        # A document that this node can't decode, such as one written by a newer
+        # release, must not keep all other documents at an old revision.
         try:
             value = msgspec.json.decode(document, type=document_type(path))
         except (msgspec.MsgspecError, TypeError) as error:
@@ -151,7 +161,7 @@
             case ServiceDocument():
                 self.services[_service_name(path)] = value
             case RouteDocument():
-                self._routes[path] = _shared(value)
+                self._routes[path] = _with_shared_strings(value)
             case CustomerDocument():
                 self._customers[path] = value
             case CallerLimits():
@@ -169,11 +179,12 @@
             self.services.pop(_service_name(path), None)
 
 
-def _shared(route: RouteDocument) -> RouteDocument:
-    """Share equal values: many routes name one service, one host, one method.
+def _with_shared_strings(route: RouteDocument) -> RouteDocument:
+    """Return the route with strings that it shares with other routes.
 
-    Each document brings strings of its own; at 49,000 routes that is a quarter
-    of what the settings take.
+    Each decoded document has its own strings, though many routes name the same
+    service, host and methods. At 49,000 routes the duplicates would take a quarter
+    of the memory of the settings.
     """
     return msgspec.structs.replace(
         route,
@@ -183,7 +194,7 @@
     )
 
 
-@lru_cache(METHOD_SETS_SHARED_MAX)
+@lru_cache(METHOD_SETS_CACHED_MAX)
 def _shared_methods(methods: tuple[str, ...]) -> tuple[str, ...]:
     return methods
 
@@ -194,7 +205,7 @@
 
 
 class CurrentConfiguration:
-    """The configuration in force at this node; its revision only rises."""
+    """The configuration in force at this node; its revision never decreases."""
 
     def __init__(self) -> None:
         self._lock = threading.Lock()
@@ -213,17 +224,17 @@
         return -1 if configuration is None else configuration.revision
 
     def in_force_for_s(self, now_s: float) -> float:
-        """Return how long the present settings have been in force; 0 for none."""
+        """Return how long the configuration has been in force; 0 if there is none."""
         return now_s - self._since_s if self._configuration is not None else 0.0
 
     def offer(
         self, revision: int, documents: Mapping[str, bytes], chain: str = ""
     ) -> Applied:
-        """Put whole settings in force unless the node has as new ones.
+        """Put whole settings in force if their revision is newer.
 
-        They become a change of those in force: decoding all routes for a few
-        new ones takes a small processor from its callers (40 ms for 4,000
-        routes on a fast one), and a peer that lacks them needs the change only.
+        Only their difference from the settings in force is applied. Decoding 4,000
+        routes takes 40 ms on a fast processor, and on a small one would delay
+        callers' requests. The difference is also all that a peer has to pull.
         """
         while revision > self.revision:
             current = self._configuration
@@ -239,15 +250,15 @@
             applied = self.apply([delta])
             if applied is Applied.IN_FORCE:
                 return applied
-            # Another change came in force meanwhile; it is compared with that.
+            # Another change came in force meanwhile: compute the difference again.
         return Applied.OLD
 
     def install(self, configuration: Configuration) -> Applied:
-        """Put a configuration in force unless the node has as new ones."""
+        """Put a configuration in force if its revision is newer."""
         with self._lock:
-            # Two sources (a peer and the platform) may offer at once. Without
-            # this second look the slower, older one would win and a node
-            # would go back to an older revision.
+            # A peer and the platform may deliver settings at the same time. Without
+            # this check under the lock, the slower source could replace a newer
+            # revision with an older one.
             if configuration.revision <= self.revision:
                 return Applied.OLD
             self._configuration = configuration
@@ -256,34 +267,35 @@
         return Applied.IN_FORCE
 
     def apply(self, deltas: list[SettingsDelta]) -> Applied:
-        """Put consecutive changes in force, those that this node lacks."""
+        """Put consecutive changes in force, except those that already are."""
         with self._lock:
             current = self._configuration
             if current is None:
                 return Applied.GAP
-            following: list[SettingsDelta] = []
+            missing_deltas: list[SettingsDelta] = []
             revision, chain = current.revision, current.chain
             for delta in deltas:
                 match _compare(delta, revision, chain):
                     case Applied.IN_FORCE:
-                        following.append(delta)
+                        missing_deltas.append(delta)
                         revision, chain = delta.revision, delta.chain
                     case Applied.OLD:
                         continue
-                    case verdict:
-                        return verdict
-            if not following:
+                    case result:
+                        return result
+            if not missing_deltas:
                 return Applied.OLD
-            self._configuration = current.changed(following)
+            self._configuration = current.changed(missing_deltas)
             self._since_s = time.monotonic()
-            self._keep(following, current.documents)
+            self._record_recent(missing_deltas, current.documents)
             return Applied.IN_FORCE
 
     def apply_to_older(self, deltas: list[SettingsDelta]) -> Applied:
-        """Put changes in force that follow on a revision of before.
+        """Put changes in force that follow on an older revision of this node.
 
-        Nodes that read the store at different moments have different revisions
-        of a quick succession; what they have in common is enough.
+        When changes come in quick succession, nodes that read the store at different
+        moments skip different revisions. One revision that both nodes have had in
+        force is enough for changes to pass from one to the other.
         """
         first, last = deltas[0], deltas[-1]
         with self._lock:
@@ -300,31 +312,33 @@
         return self.offer(last.revision, documents, last.chain)
 
     def older_revisions(self) -> tuple[int, ...]:
-        """Return revisions of before that `apply_to_older` takes changes of."""
+        """Return the older revisions on which `apply_to_older` accepts changes."""
         with self._lock:
             return self._recent.older_revisions()
 
-    def _keep(self, deltas: list[SettingsDelta], documents: dict[str, bytes]) -> None:
+    def _record_recent(
+        self, deltas: list[SettingsDelta], documents: dict[str, bytes]
+    ) -> None:
         for delta in deltas:
             self._recent.append(delta, documents)
             if delta is not deltas[-1]:
                 documents = changed_documents(documents, delta.documents)
 
     def changes_above(self, revision: int) -> list[SettingsDelta]:
-        """Return the changes that follow a revision, for a peer at it.
+        """Return the changes after a revision, as many as fit into one message.
 
-        Nothing when they are no longer kept; at most what one message takes.
+        The list is empty when the change right after the revision is not kept.
         """
         with self._lock:
-            return self._recent.above(revision)
+            return self._recent.changes_above(revision)
 
 
 def _compare(delta: SettingsDelta, revision: int, chain: str) -> Applied:
-    """Tell whether a change follows directly on a revision.
+    """Return how a change relates to a revision: IN_FORCE if it follows directly.
 
-    The revision alone does not tell: a platform that was restored from a
-    backup counts the same numbers again for other changes. Laid over each
-    other, two histories would give settings that nobody ever accepted.
+    The revision alone does not show this: a platform restored from a backup assigns
+    the same revisions again to other changes. Changes of two histories, applied
+    one after the other, would give settings that nobody ever accepted.
     """
     if delta.restart and delta.revision > revision:
         return Applied.GAP
--- a/tests/test_settings_pages.py
+++ b/tests/test_settings_pages.py
@@ -1,4 +1,4 @@
-"""Settings messages fit into what the byte cap lets one message take."""
+"""Settings messages are small enough for the byte cap on one message."""
 
 import random
 
@@ -28,7 +28,7 @@
 
 
 def varied_documents(count: int) -> dict[str, bytes]:
-    """Return routes whose names have little in common."""
+    """Return routes with random names that compress badly."""
     rng = random.Random(1)
 
     def word() -> str:
@@ -43,10 +43,10 @@
 
 
 class SettingsMessageSizeTests(TestCase):
-    # The platform is down and a replaced node asks a peer for all settings.
-    # The peer's cap refuses a page that is larger than its bucket ever holds;
-    # the node asks again, is refused again, and serves nothing for as long as
-    # the platform is away, with every peer ready to help.
+    # The platform is down and a replaced node asks a peer for all settings. The
+    # peer's byte cap refuses a page that is larger than its token bucket. The node
+    # requests the page again, the peer refuses again, and the node serves no request
+    # until the platform is back, though every peer has the settings.
     def assert_is_sent(self, kind, message):
         budget = ByteBudget(CAP_BYTES_PER_S, now_s=0.0)
         frame = encode_member(kind, Sender("node-0", 1, ADDRESS), message)
@@ -68,6 +68,6 @@
         for number, (path, document) in enumerate(varied_documents(500).items()):
             chain = f"{number:032x}"
             recent.append(SettingsDelta(number, chain, chain, {path: document}))
-        answer = SettingsDeltas(ADDRESS, 500, recent.above(0))
+        answer = SettingsDeltas(ADDRESS, 500, recent.changes_above(0))
         self.assertGreater(len(answer.deltas), 10)
         self.assert_is_sent("settings_deltas", answer)
