--- a/tests/test_settings_growth.py
+++ b/tests/test_settings_growth.py
@@ -1,4 +1,4 @@
-"""Settings that grow by many routes at once, on their way through a fleet."""
+"""How a change that adds many routes at once spreads through a fleet."""
 
 import random
 
@@ -11,16 +11,16 @@
 from tests.utils import encode as json_bytes
 
 NODES, ZONES = 120, 5
-# Each of them reads the store, the others hear from them.
+# The readers read the store; the other nodes receive changes from them.
 READERS_PER_ZONE = 8
 STEP_S = 0.02
-# Half of what callers are promised: the rest is for the store's answer and for
-# processors that serve requests meanwhile.
-IN_FORCE_S = 1.5
+# Half of the time promised to callers: the other half is for the store's answer and
+# for processors that are busy with requests.
+IN_FORCE_MAX_S = 1.5
 
 
 def documents(count: int) -> dict[str, bytes]:
-    """Return one service and routes to it, of names that have little in common."""
+    """Return a service and routes to it, with random names that compress badly."""
     rng = random.Random(7)
     routes = {
         f"operator/routes/{rng.randbytes(6).hex()}": json_bytes(
@@ -40,7 +40,7 @@
 
 
 class SpreadingNode:
-    """The member and the settings' spread of one node of a `MemberNetwork`."""
+    """The member and the settings spread task of one node of a `MemberNetwork`."""
 
     def __init__(self, network: MemberNetwork, node: FakeNode) -> None:
         self._network = network
@@ -55,7 +55,7 @@
             node.events,
         )
         node.member.register(
-            dict.fromkeys(SETTINGS_MESSAGES, self._take), self._note_revision
+            dict.fromkeys(SETTINGS_MESSAGES, self._handle), self._record_peer_revision
         )
 
     def is_reader(self) -> bool:
@@ -65,30 +65,30 @@
         self.spread.tick(self._network.now_s)
         self.node.member.channel.receive(0.0, lambda: self._network.now_s)
 
-    def _take(self, message) -> None:
+    def _handle(self, message) -> None:
         self.spread.handle(message, self._network.now_s)
 
-    def _note_revision(self, address: str, revision: int) -> None:
+    def _record_peer_revision(self, address: str, revision: int) -> None:
         if revision > self.configuration.revision:
-            self._take(SettingsNotice(address, revision))
+            self._handle(SettingsNotice(address, revision))
 
 
 class GrowingSettingsTests(TestCase):
     def setUp(self):
         super().setUp()
         self.network = MemberNetwork()
-        fakes = [
+        fake_nodes = [
             self.network.add(number, f"zone-{number % ZONES}")
             for number in range(NODES)
         ]
-        self.network.introduce(fakes)
-        self.nodes = [SpreadingNode(self.network, fake) for fake in fakes]
+        self.network.introduce(fake_nodes)
+        self.nodes = [SpreadingNode(self.network, fake) for fake in fake_nodes]
         self.readers = [node for node in self.nodes if node.is_reader()]
         self.assertEqual(ZONES * READERS_PER_ZONE, len(self.readers))
         self.routes = documents(3_000)
-        self.few = dict(list(self.routes.items())[:1_001])
+        self.few_routes = dict(list(self.routes.items())[:1_001])
         for node in self.nodes:
-            node.configuration.offer(4, self.few)
+            node.configuration.offer(4, self.few_routes)
         self.run_for(1.0)
 
     def run_for(self, duration_s: float) -> None:
@@ -97,7 +97,7 @@
             for node in self.nodes:
                 node.step()
 
-    def behind(self, revision: int) -> list[str]:
+    def nodes_behind(self, revision: int) -> list[str]:
         return [
             node.node.node_id
             for node in self.nodes
@@ -105,21 +105,21 @@
         ]
 
     def test_a_large_change_is_in_force_everywhere_in_time(self):
-        # An operator adds 2,000 routes. Nodes that don't read the store answer
-        # 404 to callers of the new routes for as long as they lack them: whole
-        # settings, page by page, were more than the byte caps of the nodes that
-        # had them let through, and all waited for the caps to fill again.
+        # An operator adds 2,000 routes. Nodes that don't read the store answer 404 to
+        # callers of the new routes until they have them. If whole settings were sent
+        # page by page, they would exceed the byte caps of the readers, and all other
+        # nodes would wait until the caps allow more bytes.
         for node in self.readers:
             node.configuration.offer(10, self.routes)
-        self.run_for(IN_FORCE_S)
-        self.assertEqual([], self.behind(10))
+        self.run_for(IN_FORCE_MAX_S)
+        self.assertEqual([], self.nodes_behind(10))
         for node in self.nodes:
             self.assertEqual(self.routes, node.configuration.get().documents)
 
     def test_readers_that_saw_other_changes_serve_the_same_peers(self):
-        # Changes come faster than readers follow: some saw revisions 10 and
-        # 14, some 14 alone. A node at 10 gets what it lacks from either, though
-        # those that went from 4 to 14 never had 10 in force.
+        # Changes come faster than readers read them: some readers read revisions 10
+        # and 14, others only 14. A node at revision 10 gets the missing changes from
+        # both, though readers that went from 4 to 14 never had 10 in force.
         middle = dict(list(self.routes.items())[:2_001])
         for number, node in enumerate(self.readers):
             if number % 2:
@@ -127,28 +127,31 @@
         self.run_for(0.2)
         for node in self.readers:
             node.configuration.offer(14, self.routes)
-        self.run_for(IN_FORCE_S)
-        self.assertEqual([], self.behind(14))
+        self.run_for(IN_FORCE_MAX_S)
+        self.assertEqual([], self.nodes_behind(14))
         for node in self.nodes:
             self.assertEqual(self.routes, node.configuration.get().documents)
 
     def test_a_change_crosses_zones_no_more_often_than_it_must(self):
-        # Bytes between availability zones are the dearest of all: where a zone
-        # has nodes with the new settings, the others take them from there.
+        # Traffic between availability zones costs the most. Where a zone has nodes
+        # with the new settings, the zone's other nodes pull from these.
         crossed_bytes = 0
         post = self.network.post
 
         def count(source, target, frame):
             nonlocal crossed_bytes
-            near, far = self.network.nodes[source], self.network.nodes[target]
-            zones = {near.settings.availability_zone, far.settings.availability_zone}
+            sender, receiver = self.network.nodes[source], self.network.nodes[target]
+            zones = {
+                sender.settings.availability_zone,
+                receiver.settings.availability_zone,
+            }
             crossed_bytes += len(frame) * (len(zones) > 1)
             post(source, target, frame)
 
         self.network.post = count
         for node in self.readers:
             node.configuration.offer(10, self.routes)
-        self.run_for(IN_FORCE_S)
-        self.assertEqual([], self.behind(10))
-        # What is left are hints of the revision and membership.
+        self.run_for(IN_FORCE_MAX_S)
+        self.assertEqual([], self.nodes_behind(10))
+        # The remaining bytes are notices of the revision and membership messages.
         self.assertLess(crossed_bytes, 400_000)
