--- a/balsamspindle/customers/admission.py
+++ b/balsamspindle/customers/admission.py
@@ -11,8 +11,8 @@
 from balsamspindle.customers.freshness import Freshness
 from balsamspindle.customers.limits import Grant, Limiter
 from balsamspindle.protocol.outcomes import Reason
+from balsamspindle.settings.configuration import Configuration, CurrentConfiguration
 from balsamspindle.settings.documents import CustomerDocument, RouteDocument
-from balsamspindle.settings.tree import Configuration, CurrentConfiguration
 
 __all__ = ["Admitted", "CustomerAdmission", "Refused", "identify"]
 
--- a/balsamspindle/customers/proofs.py
+++ b/balsamspindle/customers/proofs.py
@@ -19,8 +19,8 @@
 
 from balsamspindle.customers.freshness import Freshness, Proof
 from balsamspindle.membership.directory import Directory
-from balsamspindle.settings.reader import is_reader, readers_of
-from balsamspindle.settings.tree import CurrentConfiguration
+from balsamspindle.settings.configuration import CurrentConfiguration
+from balsamspindle.settings.reader import is_reader, select_readers
 from balsamspindle.timeline import EventLog
 from balsamspindle.wire import NodeRecord
 
@@ -217,11 +217,13 @@
         own_zone = zones.get(self._own.availability_zone, [])
         per_zone = self._readers_per_zone()
         if own_zone and question_count < READER_QUESTIONS:
-            return readers_of(own_zone, per_zone)
+            return select_readers(own_zone, per_zone)
         if own_zone and question_count < READER_QUESTIONS + ZONE_QUESTIONS:
             return own_zone
         return [
-            reader for zone in zones.values() for reader in readers_of(zone, per_zone)
+            reader
+            for zone in zones.values()
+            for reader in select_readers(zone, per_zone)
         ]
 
     def send_question(self, address: str, now_s: float) -> None:
--- a/balsamspindle/membership/member.py
+++ b/balsamspindle/membership/member.py
@@ -18,8 +18,8 @@
 from balsamspindle.membership.recent_max import RecentMax
 from balsamspindle.membership.sync import AntiEntropy
 from balsamspindle.membership.transport import Transport, ZmqTransport
+from balsamspindle.settings.configuration import CurrentConfiguration
 from balsamspindle.settings.process import NodeSettings
-from balsamspindle.settings.tree import CurrentConfiguration
 from balsamspindle.timeline import EventLog
 from balsamspindle.wire import BackendServerRecord, NodeRecord, Sender
 
--- a/balsamspindle/node/customer_side.py
+++ b/balsamspindle/node/customer_side.py
@@ -12,8 +12,8 @@
 from balsamspindle.membership import Directory, Member
 from balsamspindle.protocol.outcomes import Execution
 from balsamspindle.requests.links import Link, LinkPool
+from balsamspindle.settings.configuration import CurrentConfiguration
 from balsamspindle.settings.process import NodeSettings
-from balsamspindle.settings.tree import CurrentConfiguration
 from balsamspindle.timeline import EventLog
 from balsamspindle.wire import NodeRecord
 from balsamspindle.wire.limit_messages import LimitQuestion, LimitReturn, LimitTold
--- a/balsamspindle/node/gauges.py
+++ b/balsamspindle/node/gauges.py
@@ -11,7 +11,7 @@
 from balsamspindle.crashes.history import CrashHistory
 from balsamspindle.membership import Directory, Member
 from balsamspindle.requests.retries import RetryPolicy
-from balsamspindle.settings.tree import CurrentConfiguration
+from balsamspindle.settings.configuration import CurrentConfiguration
 from balsamspindle.tables import PlatformGuard
 
 __all__ = ["Gauge", "NodeGauges"]
--- a/balsamspindle/node/integration.py
+++ b/balsamspindle/node/integration.py
@@ -3,7 +3,7 @@
 from dataclasses import dataclass
 from typing import TextIO
 
-from balsamspindle.settings.feed import OperatorRow
+from balsamspindle.settings.watcher import OperatorRow
 
 __all__ = ["Integration"]
 
--- a/balsamspindle/node/process.py
+++ b/balsamspindle/node/process.py
@@ -32,9 +32,9 @@
 from balsamspindle.services.explanation import ServiceExplanation, explain_service
 from balsamspindle.services.floor import FloorDecision, Suspect
 from balsamspindle.services.picker import Picker
+from balsamspindle.settings.configuration import CurrentConfiguration
 from balsamspindle.settings.documents import ServiceDocument
 from balsamspindle.settings.process import NodeSettings
-from balsamspindle.settings.tree import CurrentConfiguration
 from balsamspindle.timeline import EventLog, HybridClock
 from balsamspindle.wire import NodeRecord, SuspectHint
 from balsamspindle.wire.security import start_authenticator
--- a/balsamspindle/node/settings_tasks.py
+++ b/balsamspindle/node/settings_tasks.py
@@ -5,11 +5,11 @@
 from balsamspindle.membership import Directory, Member
 from balsamspindle.node.status import SettingsStatus
 from balsamspindle.platform import HttpObjectStore, HttpTableService
-from balsamspindle.settings.feed import OperatorRow, SettingsFeed
+from balsamspindle.settings.configuration import CurrentConfiguration
+from balsamspindle.settings.gossip import SettingsGossip
 from balsamspindle.settings.process import NodeSettings
 from balsamspindle.settings.reader import PollPlan, SettingsReader, is_reader
-from balsamspindle.settings.spread import SettingsSpread
-from balsamspindle.settings.tree import CurrentConfiguration
+from balsamspindle.settings.watcher import OperatorRow, SettingsWatcher
 from balsamspindle.tables import (
     GuardedObjectStore,
     GuardedTableService,
@@ -25,11 +25,11 @@
 # Nodes of a zone that wait at the store for changes of the settings. At 23
 # zones these are 184 waits; all 5,600 nodes would read each of 45,000 changes
 # a day, over the store's 2,000 reads a second whenever a change comes.
-FEEDS_PER_ZONE = 8
+WATCHERS_PER_ZONE = 8
 
 
 class SettingsTasks:
-    """Reader and spread of one node, joined to its other parts.
+    """Reader and gossip of one node, joined to its other parts.
 
     Parameters
     ----------
@@ -55,7 +55,7 @@
         on_read: Callable[[float, int], None] = lambda began_s, revision: None,
     ) -> None:
         self._configuration = configuration
-        self._spread = SettingsSpread(
+        self._gossip = SettingsGossip(
             own,
             directory.alive,
             member.send_settings,
@@ -63,9 +63,9 @@
             events,
             settings.seed_addresses,
         )
-        handlers = dict.fromkeys(SETTINGS_MESSAGES, self._spread.take)
-        member.register(handlers, self._spread.note_revision)
-        self._reader: SettingsReader | SettingsFeed | None = None
+        handlers = dict.fromkeys(SETTINGS_MESSAGES, self._gossip.receive)
+        member.register(handlers, self._gossip.receive_revision)
+        self._reader: SettingsReader | SettingsWatcher | None = None
         self.guards: list[PlatformGuard] = []
         if settings.platform_address is not None:
             guard = PlatformGuard(f"{own.node_id}/{own.incarnation}")
@@ -73,13 +73,13 @@
             tables = HttpTableService(settings.platform_address, eras)
             objects = HttpObjectStore(settings.platform_address)
             if operator_row is not None:
-                self._reader = SettingsFeed(
+                self._reader = SettingsWatcher(
                     GuardedTableService(tables, guard),
                     operator_row,
                     configuration,
                     events,
-                    lambda: is_reader(own, directory.alive(), FEEDS_PER_ZONE),
-                    self._spread.wake,
+                    lambda: is_reader(own, directory.alive(), WATCHERS_PER_ZONE),
+                    self._gossip.wake,
                     on_read,
                 )
                 return
@@ -89,19 +89,19 @@
                 events,
                 PollPlan(own, directory.alive, bool(settings.seed_addresses)),
                 GuardedObjectStore(objects, guard),
-                self._spread.wake,
-                lambda: self._spread.offered_revision,
+                self._gossip.wake,
+                lambda: self._gossip.offered_revision,
                 on_read,
             )
 
     def tasks(self) -> list[Callable[[], None]]:
         """Return what to run, each in a thread of its own."""
         readers = [] if self._reader is None else [self._reader.run]
-        return [self._spread.run, *readers]
+        return [self._gossip.run, *readers]
 
     def stop(self) -> None:
         """End the tasks soon."""
-        self._spread.stop()
+        self._gossip.stop()
         if self._reader is not None:
             self._reader.stop()
 
@@ -113,7 +113,7 @@
     def accepted(self, revision: int) -> None:
         """Take an operator's word of a new revision: read it now."""
         if self._reader is not None:
-            self._reader.hint(revision)
+            self._reader.notify_revision(revision)
 
     def status(self) -> SettingsStatus:
         """Return how this node stands."""
--- a/balsamspindle/platform/configuration.py
+++ b/balsamspindle/platform/configuration.py
@@ -27,7 +27,7 @@
     ServiceDocument,
     ServiceShare,
 )
-from balsamspindle.settings.feed import OperatorRow, WholeSettings
+from balsamspindle.settings.watcher import OperatorRow, WholeSettings
 
 __all__ = ["TEAM", "operator_row", "service_name", "translate_configuration"]
 
--- a/balsamspindle/requests/admissions.py
+++ b/balsamspindle/requests/admissions.py
@@ -7,9 +7,9 @@
 from balsamspindle.customers import Admitted, CustomerAdmission, Refused
 from balsamspindle.protocol.outcomes import Reason
 from balsamspindle.requests.http import CallerRequest
+from balsamspindle.settings.configuration import CurrentConfiguration
 from balsamspindle.settings.documents import RouteDocument
 from balsamspindle.settings.routes import MethodNotAllowed
-from balsamspindle.settings.tree import CurrentConfiguration
 
 __all__ = ["Admissions"]
 
--- a/balsamspindle/requests/caller_protocol.py
+++ b/balsamspindle/requests/caller_protocol.py
@@ -8,9 +8,9 @@
 from balsamspindle.requests.answers import encode_answer, encode_problem
 from balsamspindle.requests.heads import BadRequest
 from balsamspindle.requests.http import CallerRequest, HttpLimits
+from balsamspindle.settings.configuration import CurrentConfiguration
 from balsamspindle.settings.documents import RouteDocument
 from balsamspindle.settings.process import NodeSettings
-from balsamspindle.settings.tree import CurrentConfiguration
 from balsamspindle.wire import Reply
 
 __all__ = ["CallerProtocol", "new_request_id"]
--- a/balsamspindle/requests/ingress.py
+++ b/balsamspindle/requests/ingress.py
@@ -23,8 +23,8 @@
 from balsamspindle.requests.request_log import RequestLog, elapsed_ms
 from balsamspindle.requests.siblings import SiblingRanks
 from balsamspindle.services.shares import ServiceShares
+from balsamspindle.settings.configuration import CurrentConfiguration
 from balsamspindle.settings.process import NodeSettings
-from balsamspindle.settings.tree import CurrentConfiguration
 from balsamspindle.timeline import EventLog, submit_logged
 
 __all__ = ["IDEMPOTENCY_KEY_HEADER", "Ingress"]
--- a/balsamspindle/requests/request_log.py
+++ b/balsamspindle/requests/request_log.py
@@ -4,7 +4,7 @@
 
 from balsamspindle.protocol.outcomes import Outcome, Reason
 from balsamspindle.requests.http import CallerRequest
-from balsamspindle.settings.tree import CurrentConfiguration
+from balsamspindle.settings.configuration import CurrentConfiguration
 from balsamspindle.timeline import EventLog
 
 __all__ = ["RequestLog", "elapsed_ms"]
--- a/balsamspindle/services/picker.py
+++ b/balsamspindle/services/picker.py
@@ -7,7 +7,7 @@
 from balsamspindle.protocol.outcomes import Execution
 from balsamspindle.services.floor import FloorDecision
 from balsamspindle.services.view import ServiceView, make_view
-from balsamspindle.settings.tree import CurrentConfiguration
+from balsamspindle.settings.configuration import CurrentConfiguration
 from balsamspindle.wire import BackendServerRecord, NodeRecord
 
 __all__ = ["FreeSlots", "Picker", "choose_freest"]
--- a/balsamspindle/settings/__init__.py
+++ b/balsamspindle/settings/__init__.py
@@ -1,8 +1,8 @@
 """Settings: of one process, and of the fleet by path.
 
 Start with `documents.py`, what teams write. Operators' edits go through
-`store.py` to the platform; `reader.py` and `spread.py` bring them to each node,
-into `tree.py`. `process.py` is what one node is told at its start.
+`store.py` to the platform; `reader.py` and `gossip.py` bring them to each node,
+into `configuration.py`. `process.py` is what one node is told at its start.
 """
 
 from balsamspindle.settings.documents import (
--- a/balsamspindle/settings/tree.py
+++ b/balsamspindle/settings/configuration.py
@@ -22,7 +22,7 @@
     ServiceDocument,
     document_type,
 )
-from balsamspindle.settings.recent import (
+from balsamspindle.settings.recent_changes import (
     RecentChanges,
     changed_documents,
     difference,
@@ -31,7 +31,7 @@
 from balsamspindle.wire.settings_messages import SettingsDelta
 
 __all__ = [
-    "Applied",
+    "ApplyResult",
     "Configuration",
     "CurrentConfiguration",
 ]
@@ -39,7 +39,7 @@
 METHOD_SETS_CACHED_MAX = 256
 
 
-class Applied(StrEnum):
+class ApplyResult(StrEnum):
     """Result of applying changes or a whole configuration at a node.
 
     Attributes
@@ -229,7 +229,7 @@
 
     def offer(
         self, revision: int, documents: Mapping[str, bytes], chain: str = ""
-    ) -> Applied:
+    ) -> ApplyResult:
         """Put whole settings in force if their revision is newer.
 
         Only their difference from the settings in force is applied. Decoding 4,000
@@ -248,49 +248,49 @@
                 previous_revision=current.revision,
             )
             applied = self.apply([delta])
-            if applied is Applied.IN_FORCE:
+            if applied is ApplyResult.IN_FORCE:
                 return applied
             # Another change came in force meanwhile: compute the difference again.
-        return Applied.OLD
+        return ApplyResult.OLD
 
-    def install(self, configuration: Configuration) -> Applied:
+    def install(self, configuration: Configuration) -> ApplyResult:
         """Put a configuration in force if its revision is newer."""
         with self._lock:
             # A peer and the platform may deliver settings at the same time. Without
             # this check under the lock, the slower source could replace a newer
             # revision with an older one.
             if configuration.revision <= self.revision:
-                return Applied.OLD
+                return ApplyResult.OLD
             self._configuration = configuration
             self._since_s = time.monotonic()
             self._recent.clear()
-        return Applied.IN_FORCE
+        return ApplyResult.IN_FORCE
 
-    def apply(self, deltas: list[SettingsDelta]) -> Applied:
+    def apply(self, deltas: list[SettingsDelta]) -> ApplyResult:
         """Put consecutive changes in force, except those that already are."""
         with self._lock:
             current = self._configuration
             if current is None:
-                return Applied.GAP
+                return ApplyResult.GAP
             missing_deltas: list[SettingsDelta] = []
             revision, chain = current.revision, current.chain
             for delta in deltas:
                 match _compare(delta, revision, chain):
-                    case Applied.IN_FORCE:
+                    case ApplyResult.IN_FORCE:
                         missing_deltas.append(delta)
                         revision, chain = delta.revision, delta.chain
-                    case Applied.OLD:
+                    case ApplyResult.OLD:
                         continue
                     case result:
                         return result
             if not missing_deltas:
-                return Applied.OLD
+                return ApplyResult.OLD
             self._configuration = current.changed(missing_deltas)
             self._since_s = time.monotonic()
             self._record_recent(missing_deltas, current.documents)
-            return Applied.IN_FORCE
+            return ApplyResult.IN_FORCE
 
-    def apply_to_older(self, deltas: list[SettingsDelta]) -> Applied:
+    def apply_to_older(self, deltas: list[SettingsDelta]) -> ApplyResult:
         """Put changes in force that follow on an older revision of this node.
 
         When changes come in quick succession, nodes that read the store at different
@@ -301,12 +301,12 @@
         with self._lock:
             current = self._configuration
             if current is None or last.revision <= current.revision:
-                return Applied.OLD
+                return ApplyResult.OLD
             documents = self._recent.documents_at(
                 first.base_revision, first.previous_chain, current.documents
             )
         if documents is None:
-            return Applied.GAP
+            return ApplyResult.GAP
         for delta in deltas:
             documents = changed_documents(documents, delta.documents)
         return self.offer(last.revision, documents, last.chain)
@@ -333,7 +333,7 @@
             return self._recent.changes_above(revision)
 
 
-def _compare(delta: SettingsDelta, revision: int, chain: str) -> Applied:
+def _compare(delta: SettingsDelta, revision: int, chain: str) -> ApplyResult:
     """Return how a change relates to a revision: IN_FORCE if it follows directly.
 
     The revision alone does not show this: a platform restored from a backup assigns
@@ -341,12 +341,12 @@
     one after the other, would give settings that nobody ever accepted.
     """
     if delta.restart and delta.revision > revision:
-        return Applied.GAP
+        return ApplyResult.GAP
     if delta.revision > revision:
         if delta.base_revision != revision:
-            return Applied.GAP
+            return ApplyResult.GAP
         same = delta.previous_chain == chain
-        return Applied.IN_FORCE if same else Applied.DIVERGED
+        return ApplyResult.IN_FORCE if same else ApplyResult.DIVERGED
     if delta.revision == revision and delta.chain != chain:
-        return Applied.DIVERGED
-    return Applied.OLD
+        return ApplyResult.DIVERGED
+    return ApplyResult.OLD
--- a/balsamspindle/settings/spread.py
+++ b/balsamspindle/settings/gossip.py
@@ -13,9 +13,13 @@
 from collections.abc import Callable
 from typing import Any
 
+from balsamspindle.settings.configuration import (
+    ApplyResult,
+    Configuration,
+    CurrentConfiguration,
+)
 from balsamspindle.settings.page_download import DownloadStep, PageDownload
 from balsamspindle.settings.pages import pages_of_documents
-from balsamspindle.settings.tree import Applied, Configuration, CurrentConfiguration
 from balsamspindle.timeline import EventLog
 from balsamspindle.wire import NodeRecord
 from balsamspindle.wire.settings_messages import (
@@ -26,10 +30,10 @@
     SettingsPull,
 )
 
-__all__ = ["SettingsSpread"]
+__all__ = ["SettingsGossip"]
 
 FANOUT_ZONE = 4
-FANOUT_ELSEWHERE = 1
+FANOUT_OTHER_ZONES = 1
 NOTICE_INTERVAL_S = 0.05
 # A peer sends a change of 2,000 routes (some 60 KB deflated) to four others within
 # a quarter of a second on a link of 10 Mbit/s.
@@ -47,7 +51,7 @@
 PAGED_REVISIONS_MAX = 2
 
 
-class SettingsSpread:
+class SettingsGossip:
     """Sends this node's settings to peers and pulls newer ones from them.
 
     Parameters
@@ -90,7 +94,7 @@
         self._next_no_source_s: float | None = None
         self._pages_by_revision: dict[int, tuple[str, list[bytes]]] = {}
 
-    def take(self, message: Any) -> None:
+    def receive(self, message: Any) -> None:
         """Enqueue a message of `balsamspindle.wire.settings_messages` for `run`."""
         try:
             self._inbox.put_nowait(message)
@@ -102,14 +106,14 @@
         """Highest revision that a peer offered; -1 before the first offer."""
         return self._download.offered_revision
 
-    def note_revision(self, address: str, revision: int) -> None:
+    def receive_revision(self, address: str, revision: int) -> None:
         """Enqueue a notice if a peer's member message carried a newer revision."""
         if revision > self._configuration.revision:
-            self.take(SettingsNotice(address, revision))
+            self.receive(SettingsNotice(address, revision))
 
     def wake(self) -> None:
         """Notify peers soon, after another task put settings in force."""
-        self.take(None)
+        self.receive(None)
 
     def run(self) -> None:
         """Exchange settings with peers until `stop` is called."""
@@ -232,12 +236,12 @@
 
     def _apply(self, address: str, deltas: list) -> None:
         applied = self._configuration.apply(deltas)
-        if applied is Applied.GAP and deltas:
+        if applied is ApplyResult.GAP and deltas:
             applied = self._configuration.apply_to_older(deltas)
         match applied:
-            case Applied.IN_FORCE:
+            case ApplyResult.IN_FORCE:
                 self._report_in_force(address, deltas[-1].accepted_ms)
-            case Applied.DIVERGED:
+            case ApplyResult.DIVERGED:
                 self._events.emit(
                     "settings_diverged",
                     peer=address,
@@ -299,7 +303,7 @@
             self._events.emit("settings_refused", peer=page.address, cause=str(error))
             return
         applied = self._configuration.offer(page.revision, documents, page.chain)
-        if applied is Applied.IN_FORCE:
+        if applied is ApplyResult.IN_FORCE:
             self._report_in_force(page.address)
 
     def _load_initial(self, now_s: float) -> None:
@@ -345,7 +349,7 @@
                 record.member_address
             )
         zone_count = min(FANOUT_ZONE, len(zone_peers))
-        other_zone_count = min(FANOUT_ELSEWHERE, len(other_zone_peers))
+        other_zone_count = min(FANOUT_OTHER_ZONES, len(other_zone_peers))
         return self._random.sample(zone_peers, zone_count) + self._random.sample(
             other_zone_peers, other_zone_count
         )
--- a/balsamspindle/settings/loading.py
+++ b/balsamspindle/settings/loading.py
@@ -4,6 +4,11 @@
 
 from expression import Error, Ok, Result
 
+from balsamspindle.settings.configuration import (
+    ApplyResult,
+    Configuration,
+    CurrentConfiguration,
+)
 from balsamspindle.settings.history import read_changes, read_fleet
 from balsamspindle.settings.rows import (
     SUBTREES_TABLE,
@@ -17,7 +22,6 @@
     delta_of_change,
     encode_documents,
 )
-from balsamspindle.settings.tree import Applied, Configuration, CurrentConfiguration
 from balsamspindle.tables import (
     ObjectStore,
     PlatformError,
@@ -92,7 +96,7 @@
     if changes.is_error():
         return None
     applied = current.apply([delta_of_change(change) for change in changes.ok])
-    if applied not in (Applied.IN_FORCE, Applied.OLD):
+    if applied not in (ApplyResult.IN_FORCE, ApplyResult.OLD):
         return None
     configuration = current.get()
     reached_fleet = FleetRow(configuration.revision, configuration.chain)
--- a/balsamspindle/settings/reader.py
+++ b/balsamspindle/settings/reader.py
@@ -2,7 +2,7 @@
 
 Only a few nodes of each availability zone poll often: the readers, selected by
 rendezvous hashing. The other nodes receive changes from them (see
-`balsamspindle.settings.spread`) and poll about once a minute, in case the
+`balsamspindle.settings.gossip`) and poll about once a minute, in case the
 readers can't reach the platform.
 """
 
@@ -15,6 +15,7 @@
 import xxhash
 from expression import Result
 
+from balsamspindle.settings.configuration import ApplyResult, CurrentConfiguration
 from balsamspindle.settings.history import NEWS_CHANGES, News, read_changes, read_news
 from balsamspindle.settings.loading import (
     REPLAY_CHANGES_MAX,
@@ -24,17 +25,16 @@
 from balsamspindle.settings.rows import FleetRow
 from balsamspindle.settings.snapshots import SNAPSHOT_INTERVAL_REVISIONS, write_snapshot
 from balsamspindle.settings.subtree import delta_of_change
-from balsamspindle.settings.tree import Applied, CurrentConfiguration
 from balsamspindle.tables import ObjectStore, TableService
 from balsamspindle.timeline import EventLog
 from balsamspindle.wire import NodeRecord
 
-__all__ = ["PlatformState", "PollPlan", "SettingsReader", "is_reader", "readers_of"]
+__all__ = ["PlatformState", "PollPlan", "SettingsReader", "is_reader", "select_readers"]
 
 READERS_PER_ZONE = 2
 POLL_INTERVAL_S = 0.5
 POLL_INTERVAL_MAX_S = 3.0
-SPARE_POLL_INTERVAL_S = 60.0
+NON_READER_POLL_INTERVAL_S = 60.0
 FIRST_POLL_DELAY_S = 1.0
 PEERS_WAIT_MAX_S = 15.0
 JITTER = 0.2
@@ -71,11 +71,11 @@
         if (record.region, record.availability_zone)
         == (own.region, own.availability_zone)
     ]
-    chosen = readers_of(zone_nodes, per_zone)
+    chosen = select_readers(zone_nodes, per_zone)
     return any(record.node_id == own.node_id for record in chosen)
 
 
-def readers_of(zone_nodes: Iterable[NodeRecord], per_zone: int) -> list[NodeRecord]:
+def select_readers(zone_nodes: Iterable[NodeRecord], per_zone: int) -> list[NodeRecord]:
     """Return the nodes of a zone that read the platform, selected by hash."""
     by_id = {record.node_id: record for record in zone_nodes}
     order = sorted(by_id, key=lambda node_id: (_weight(node_id), node_id))
@@ -129,7 +129,7 @@
         records = self._records()
         known = max(1, len(records))
         self._known_max = max(self._known_max, known)
-        wait_s = SPARE_POLL_INTERVAL_S if has_settings else POLL_INTERVAL_MAX_S
+        wait_s = NON_READER_POLL_INTERVAL_S if has_settings else POLL_INTERVAL_MAX_S
         if is_reader(self._own, records):
             slowed_interval_s = POLL_INTERVAL_S * self._known_max / known
             wait_s = min(POLL_INTERVAL_MAX_S, slowed_interval_s)
@@ -194,7 +194,7 @@
         self._stopped = True
         self._wake.set()
 
-    def hint(self, revision: int) -> None:
+    def notify_revision(self, revision: int) -> None:
         """Poll now if a revision is newer than the one in force."""
         if revision > self._configuration.revision:
             self._wake.set()
@@ -247,13 +247,13 @@
                 return
         deltas = [delta_of_change(change) for change in changes]
         match self._configuration.apply(deltas):
-            case Applied.IN_FORCE:
+            case ApplyResult.IN_FORCE:
                 self._report_in_force(deltas)
-            case Applied.DIVERGED:
+            case ApplyResult.DIVERGED:
                 self._set_state(
                     PlatformState.DIVERGED, "the platform has another history"
                 )
-            case Applied.GAP:
+            case ApplyResult.GAP:
                 self._load_all()
 
     def _load_initial(self, fleet: FleetRow) -> None:
@@ -269,7 +269,7 @@
             configuration = load_from_snapshot(self._tables, self._objects, fleet)
         if configuration is None:
             self._load_all()
-        elif self._configuration.install(configuration) is Applied.IN_FORCE:
+        elif self._configuration.install(configuration) is ApplyResult.IN_FORCE:
             self._report_in_force([])
 
     def _write_snapshot(self) -> None:
@@ -289,7 +289,7 @@
                 applied = self._configuration.offer(
                     fleet.revision, stored.documents, fleet.chain
                 )
-                if applied is Applied.IN_FORCE:
+                if applied is ApplyResult.IN_FORCE:
                     self._report_in_force([])
             case Result(error=error):
                 self._set_state(PlatformState.UNREACHABLE, error.message)
--- a/balsamspindle/settings/snapshots.py
+++ b/balsamspindle/settings/snapshots.py
@@ -8,8 +8,8 @@
 import msgspec
 from expression import Result
 
+from balsamspindle.settings.configuration import Configuration
 from balsamspindle.settings.pages import documents_of_pages, pages_of_documents
-from balsamspindle.settings.tree import Configuration
 from balsamspindle.tables import ObjectStore, PlatformError
 
 __all__ = [
--- a/balsamspindle/settings/feed.py
+++ b/balsamspindle/settings/watcher.py
@@ -14,12 +14,12 @@
 
 from expression import Result
 
+from balsamspindle.settings.configuration import ApplyResult, CurrentConfiguration
 from balsamspindle.settings.reader import PlatformState
-from balsamspindle.settings.tree import Applied, CurrentConfiguration
 from balsamspindle.tables import Changes, HistoryLost, Row, TableService
 from balsamspindle.timeline import EventLog
 
-__all__ = ["OperatorRow", "SettingsFeed", "WholeSettings"]
+__all__ = ["OperatorRow", "SettingsWatcher", "WholeSettings"]
 
 # Below the 30 s after which the store ends a wait. TCP keep-alive probes detect a
 # connection that dies during a wait.
@@ -61,7 +61,7 @@
     own_revision: int
 
 
-class SettingsFeed:
+class SettingsWatcher:
     """Watches the operator's row and puts its settings in force.
 
     Parameters
@@ -112,10 +112,10 @@
     def run(self) -> None:
         """Watch the row until `stop` is called."""
         while not self._stopped.is_set():
-            version = self.read()
+            version = self.read_row()
             while version is not None and not self._stopped.is_set():
                 if self._is_reader() or self._configuration.get() is None:
-                    version = self.wait(version)
+                    version = self.wait_for_change(version)
                 else:
                     version = None
                     self._wait_as_non_reader()
@@ -126,10 +126,10 @@
         self._stopped.set()
         self._tables.end_waits()
 
-    def hint(self, revision: int) -> None:
+    def notify_revision(self, revision: int) -> None:
         """Do nothing: the wait at the store returns each change anyway."""
 
-    def read(self) -> int | None:
+    def read_row(self) -> int | None:
         """Read the row; return the table version to wait after, None on failure."""
         read = self._start_read()
         return self._handle_result(self._tables.snapshot(self._row.table), read)
@@ -145,7 +145,7 @@
             case Result(tag="ok", ok=[row]):
                 self._report_read(read, self._apply_row(row))
 
-    def wait(self, version: int) -> int | None:
+    def wait_for_change(self, version: int) -> int | None:
         """Wait for a change; return the version to wait after, None on failure."""
         return self._handle_result(
             self._tables.wait_for_changes(self._row.table, version, WAIT_TIMEOUT_S)
@@ -212,7 +212,7 @@
         self._last_row = (row.version, settings.revision)
         self.platform_revision = max(self.platform_revision, settings.revision)
         applied = self._configuration.offer(*settings)
-        if applied is Applied.IN_FORCE:
+        if applied is ApplyResult.IN_FORCE:
             self._events.emit(
                 "settings_in_force", revision=settings.revision, source="platform"
             )
--- a/bench/capacity/bad_day_rows.py
+++ b/bench/capacity/bad_day_rows.py
@@ -3,7 +3,7 @@
 from typing import NamedTuple
 
 from balsamspindle.settings.page_download import OFFERS_WANTED
-from balsamspindle.settings.recent import CHANGES_MAX
+from balsamspindle.settings.recent_changes import CHANGES_MAX
 from bench.capacity.bad_days import RACK_NODES, ZONE_NODES
 from bench.capacity.rows import RECORD_CHANGES_PER_S, SETTINGS_CHANGES_PER_S
 from bench.capacity.sizes import LIMITS, LONG_RUN
--- a/bench/capacity/customers.py
+++ b/bench/capacity/customers.py
@@ -13,7 +13,7 @@
 
 from balsamspindle.node.process import NodeProcess
 from balsamspindle.protocol.api_keys import key_digest
-from balsamspindle.settings.tree import Applied, CurrentConfiguration
+from balsamspindle.settings.configuration import ApplyResult, CurrentConfiguration
 from balsamspindle.wire.settings_messages import SettingsDelta
 from bench.capacity.memory import resident_bytes
 from bench.capacity.sizes import LONG_RUN
@@ -69,7 +69,7 @@
     documents = dict(_document(number) for number in range(customers))
     configuration = CurrentConfiguration()
     started_s = time.process_time()
-    assert configuration.offer(1, documents, CHAIN) is Applied.IN_FORCE
+    assert configuration.offer(1, documents, CHAIN) is ApplyResult.IN_FORCE
     load_cpu_s = time.process_time() - started_s
     del documents
     gc.collect()
@@ -89,7 +89,7 @@
     ]
     started_s = time.process_time()
     for delta in deltas:
-        assert configuration.apply([delta]) is Applied.IN_FORCE
+        assert configuration.apply([delta]) is ApplyResult.IN_FORCE
     return (time.process_time() - started_s) / CHANGES * 1000
 
 
--- a/bench/capacity/in_force.py
+++ b/bench/capacity/in_force.py
@@ -1,7 +1,7 @@
 """How soon an accepted change is in force on all nodes, by their number.
 
 Two parts. Real processes, as many as the machine honestly carries, give the
-time of polls and hops. The spread tasks of a whole fleet, joined by queues in
+time of polls and hops. The gossip tasks of a whole fleet, joined by queues in
 one process, give the number of hops: how many rounds of 0.1 s pass until all
 nodes have a change that every zone's readers have.
 """
@@ -11,7 +11,7 @@
 from balsamspindle.settings.reader import JITTER, POLL_INTERVAL_S, READERS_PER_ZONE
 from bench.capacity.sizes import LONG_RUN
 from bench.settings import spread
-from tests.test_settings_spread import History, Network
+from tests.test_settings_gossip import History, Network
 
 __all__ = ["measure"]
 
@@ -76,6 +76,6 @@
         # A node at one message in a round at most: the first one is enough.
         if rng.random() < per_s * ROUND_S:
             peer = rng.randrange(len(network.nodes))
-            node.note_revision(f"n{peer}", network.configurations[peer].revision)
+            node.receive_revision(f"n{peer}", network.configurations[peer].revision)
         while not node._inbox.empty():
             node.handle(node._inbox.get(), network.now_s)
--- a/bench/capacity/joining.py
+++ b/bench/capacity/joining.py
@@ -10,8 +10,8 @@
 from balsamspindle.membership.directory import Directory
 from balsamspindle.membership.member import TICK_S, Member
 from balsamspindle.membership.transport import Route
+from balsamspindle.settings.configuration import CurrentConfiguration
 from balsamspindle.settings.process import NodeSettings
-from balsamspindle.settings.tree import CurrentConfiguration
 from balsamspindle.wire import Ack, Ping, Sender, decode_member, encode_member
 from bench.capacity import synthetic
 from bench.capacity.sizes import LIMITS, LONG_RUN, FleetSize
--- a/bench/capacity/look_ups.py
+++ b/bench/capacity/look_ups.py
@@ -9,8 +9,8 @@
 from balsamspindle.protocol.outcomes import Execution
 from balsamspindle.services.picker import Picker
 from balsamspindle.services.view import make_view
+from balsamspindle.settings.configuration import Configuration, CurrentConfiguration
 from balsamspindle.settings.routes import RouteTable
-from balsamspindle.settings.tree import Configuration, CurrentConfiguration
 from bench.capacity import synthetic
 from bench.capacity.sizes import LONG_RUN
 
--- a/bench/capacity/memory.py
+++ b/bench/capacity/memory.py
@@ -16,7 +16,7 @@
 from balsamspindle.membership import Directory
 from balsamspindle.node.process import NodeProcess
 from balsamspindle.services.picker import Picker
-from balsamspindle.settings.tree import Applied, CurrentConfiguration
+from balsamspindle.settings.configuration import ApplyResult, CurrentConfiguration
 from balsamspindle.wire.settings_messages import SettingsDelta
 from bench.capacity import synthetic
 from bench.capacity.ledgers import fill_ledgers
@@ -92,7 +92,7 @@
 def _fill_settings(size: FleetSize) -> CurrentConfiguration:
     configuration = CurrentConfiguration()
     applied = configuration.offer(1, synthetic.documents(size), CHAIN)
-    assert applied is Applied.IN_FORCE
+    assert applied is ApplyResult.IN_FORCE
     return configuration
 
 
@@ -114,7 +114,7 @@
     path, document = next(iter(configuration.get().documents.items()))
     before = configuration.get()
     delta = SettingsDelta(2, CHAIN, CHAIN, {path: document}, 1)
-    assert configuration.apply([delta]) is Applied.IN_FORCE
+    assert configuration.apply([delta]) is ApplyResult.IN_FORCE
     assert before is not configuration.get()
     return picker, ledgers, configuration
 
--- a/bench/capacity/mirror.py
+++ b/bench/capacity/mirror.py
@@ -15,8 +15,8 @@
 from balsamspindle.membership.directory import Directory
 from balsamspindle.membership.member import TICK_S, Member
 from balsamspindle.membership.transport import Route
+from balsamspindle.settings.configuration import CurrentConfiguration
 from balsamspindle.settings.process import NodeSettings
-from balsamspindle.settings.tree import CurrentConfiguration
 from balsamspindle.wire import (
     Ack,
     Gossip,
--- a/bench/capacity/rows.py
+++ b/bench/capacity/rows.py
@@ -7,10 +7,10 @@
 from typing import NamedTuple
 
 from balsamspindle.settings.reader import (
+    NON_READER_POLL_INTERVAL_S,
     POLL_INTERVAL_MAX_S,
     POLL_INTERVAL_S,
     READERS_PER_ZONE,
-    SPARE_POLL_INTERVAL_S,
 )
 from bench.capacity.sizes import LIMITS, LONG_RUN
 
@@ -344,7 +344,7 @@
 def _platform_rows(settings) -> list[Row]:
     readers = READERS_PER_ZONE * LONG_RUN.availability_zones
     ordinary = readers * (1 / POLL_INTERVAL_S + SETTINGS_CHANGES_PER_S)
-    spare = LONG_RUN.nodes / SPARE_POLL_INTERVAL_S
+    spare = LONG_RUN.nodes / NON_READER_POLL_INTERVAL_S
     edits = SETTINGS_CHANGES_PER_S * READS_PER_EDIT
     alone = LONG_RUN.nodes / POLL_INTERVAL_MAX_S
     row_bytes = settings["subtree_row_bytes"]
--- a/bench/capacity/settings.py
+++ b/bench/capacity/settings.py
@@ -13,15 +13,15 @@
     CONNECT_OVERHEAD_BYTES,
     MESSAGE_OVERHEAD_BYTES,
 )
+from balsamspindle.settings.configuration import ApplyResult, CurrentConfiguration
+from balsamspindle.settings.gossip import (
+    FANOUT_OTHER_ZONES,
+    FANOUT_ZONE,
+    SettingsGossip,
+)
 from balsamspindle.settings.pages import pages_of_documents
 from balsamspindle.settings.reader import PollPlan
 from balsamspindle.settings.rows import SubtreeRow
-from balsamspindle.settings.spread import (
-    FANOUT_ELSEWHERE,
-    FANOUT_ZONE,
-    SettingsSpread,
-)
-from balsamspindle.settings.tree import Applied, CurrentConfiguration
 from balsamspindle.wire import Sender, encode_member
 from balsamspindle.wire.settings_messages import (
     SettingsDelta,
@@ -68,7 +68,7 @@
 def _change_cpu_ms(documents: dict[str, bytes]) -> float:
     """Return the cost of putting one changed document in force."""
     configuration = CurrentConfiguration()
-    assert configuration.offer(1, documents, CHAIN) is Applied.IN_FORCE
+    assert configuration.offer(1, documents, CHAIN) is ApplyResult.IN_FORCE
     paths = [path for path in documents if "/routes/" in path][:CHANGES]
     deltas = [
         SettingsDelta(2 + number, CHAIN, CHAIN, {path: documents[path]}, 1)
@@ -76,7 +76,7 @@
     ]
     started_s = time.process_time()
     for delta in deltas:
-        assert configuration.apply([delta]) is Applied.IN_FORCE
+        assert configuration.apply([delta]) is ApplyResult.IN_FORCE
     return (time.process_time() - started_s) / CHANGES * 1000
 
 
@@ -86,7 +86,7 @@
     sent: list[Any] = []
     configuration = CurrentConfiguration()
     configuration.offer(1, {}, CHAIN)
-    spread = SettingsSpread(
+    gossip = SettingsGossip(
         headers[0],
         lambda: headers,
         lambda address, message: sent.append(message),
@@ -96,9 +96,9 @@
     started_s = time.process_time()
     for number in range(CALLS):
         configuration.offer(2 + number, {}, CHAIN)
-        spread.tick(float(number))
+        gossip.tick(float(number))
     told_s = time.process_time() - started_s
-    assert len(sent) == CALLS * (FANOUT_ZONE + FANOUT_ELSEWHERE)
+    assert len(sent) == CALLS * (FANOUT_ZONE + FANOUT_OTHER_ZONES)
     plan = PollPlan(headers[0], lambda: headers)
     started_s = time.process_time()
     for _ in range(CALLS):
@@ -110,7 +110,7 @@
     """Return what a node sends for a change, each connection a fresh one."""
     path = next(path for path in documents if "/routes/" in path)
     delta = SettingsDelta(50_000, CHAIN, CHAIN, {path: documents[path]}, 1)
-    notices = FANOUT_ZONE + FANOUT_ELSEWHERE
+    notices = FANOUT_ZONE + FANOUT_OTHER_ZONES
     return (
         notices * _cost("settings_notice", SettingsNotice(ADDRESS, 50_000))
         + _cost("settings_pull", SettingsPull(ADDRESS, 49_999))
--- a/bench/retry_storm.py
+++ b/bench/retry_storm.py
@@ -22,8 +22,8 @@
 from balsamspindle.requests.links import LinkPool
 from balsamspindle.requests.retries import RetryPolicy
 from balsamspindle.services.picker import Picker
+from balsamspindle.settings.configuration import CurrentConfiguration
 from balsamspindle.settings.documents import RetryBudget, RouteDocument
-from balsamspindle.settings.tree import CurrentConfiguration
 from balsamspindle.timeline import EventLog, HybridClock
 from balsamspindle.wire import BackendServerRecord, Dispatch, NodeRecord, Reply
 
--- a/bench/settings_full_size.py
+++ b/bench/settings_full_size.py
@@ -10,6 +10,7 @@
 from typing import Any
 
 from balsamspindle.platform import HttpTableService
+from balsamspindle.settings.configuration import ApplyResult, CurrentConfiguration
 from balsamspindle.settings.pages import pages_of_documents
 from balsamspindle.settings.reader import is_reader
 from balsamspindle.settings.rows import next_chain
@@ -19,7 +20,6 @@
     SettingsStore,
     new_operation_id,
 )
-from balsamspindle.settings.tree import Applied, CurrentConfiguration
 from balsamspindle.timeline import parse_event
 from balsamspindle.wire.settings_messages import SettingsDelta
 from bench.percentiles import percentile
@@ -175,7 +175,7 @@
         began_s = time.process_time()
         applied = current.apply([delta])
         applied_s.append(time.process_time() - began_s)
-        assert applied is Applied.IN_FORCE
+        assert applied is ApplyResult.IN_FORCE
     began_s = time.process_time()
     pages = pages_of_documents(current.get().documents)
     pages_s = time.process_time() - began_s
--- a/tests/caller_side.py
+++ b/tests/caller_side.py
@@ -12,8 +12,8 @@
 from balsamspindle.customers import CustomerAdmission
 from balsamspindle.protocol import Outcome
 from balsamspindle.requests.ingress import Ingress
+from balsamspindle.settings.configuration import ApplyResult, CurrentConfiguration
 from balsamspindle.settings.process import NodeSettings
-from balsamspindle.settings.tree import Applied, CurrentConfiguration
 from balsamspindle.timeline import EventLog, HybridClock
 from balsamspindle.wire import AttemptId, Reply
 from tests.utils import free_address, wait_until
@@ -175,7 +175,7 @@
         self.events = EventLog("node-1", 1, HybridClock(), self.log)
         self.forwarder = EchoForwarder()
         configuration = self.configuration = CurrentConfiguration()
-        assert configuration.offer(1, documents) is Applied.IN_FORCE
+        assert configuration.offer(1, documents) is ApplyResult.IN_FORCE
         self.executor = ThreadPoolExecutor(settings.connections_max)
         self.ingress = Ingress(
             settings,
--- a/tests/member_network.py
+++ b/tests/member_network.py
@@ -17,8 +17,8 @@
     Route,
     Transport,
 )
+from balsamspindle.settings.configuration import CurrentConfiguration
 from balsamspindle.settings.process import NodeSettings
-from balsamspindle.settings.tree import CurrentConfiguration
 from balsamspindle.wire import BackendServerRecord
 
 LATENCY_S = 0.0015
--- a/tests/settings_network.py
+++ b/tests/settings_network.py
@@ -1,8 +1,8 @@
-"""Fixtures: settings spread between many nodes, without sockets."""
+"""Fixtures: settings gossip between many nodes, without sockets."""
 
+from balsamspindle.settings.configuration import CurrentConfiguration
+from balsamspindle.settings.gossip import SettingsGossip
 from balsamspindle.settings.rows import next_chain
-from balsamspindle.settings.spread import SettingsSpread
-from balsamspindle.settings.tree import CurrentConfiguration
 from balsamspindle.wire import encode
 from balsamspindle.wire.settings_messages import SettingsDelta
 from tests.settings_utils import node_record
@@ -32,7 +32,7 @@
 
 
 class Network:
-    """Spread tasks of many nodes, connected by queues instead of sockets.
+    """Gossip tasks of many nodes, connected by queues instead of sockets.
 
     Messages to the addresses in `unreachable` are lost.
     """
@@ -47,7 +47,7 @@
         self.unreachable: set[str] = set()
         self.now_s = 0.0
         self.nodes = [
-            SettingsSpread(
+            SettingsGossip(
                 record,
                 lambda: self.records,
                 lambda address, message: self.sent.append((address, message)),
--- a/tests/test_admission_queries.py
+++ b/tests/test_admission_queries.py
@@ -21,8 +21,8 @@
 from balsamspindle.requests.http import CallerRequest, HttpConnection, HttpLimits
 from balsamspindle.requests.links import LinkPool
 from balsamspindle.services.picker import Picker
+from balsamspindle.settings.configuration import CurrentConfiguration
 from balsamspindle.settings.documents import RouteDocument
-from balsamspindle.settings.tree import CurrentConfiguration
 from balsamspindle.timeline import EventLog, HybridClock
 from balsamspindle.wire import (
     AttemptId,
--- a/tests/test_customer_documents.py
+++ b/tests/test_customer_documents.py
@@ -7,9 +7,9 @@
 from balsamspindle.platform.configuration import translate_configuration
 from balsamspindle.platform.values import PlatformFormatError
 from balsamspindle.protocol.api_keys import key_digest
+from balsamspindle.settings.configuration import Configuration, CurrentConfiguration
 from balsamspindle.settings.customers import CHANGES_MAX, CustomerTable
 from balsamspindle.settings.documents import CustomerDocument
-from balsamspindle.settings.tree import Configuration, CurrentConfiguration
 from balsamspindle.settings.validation import check_documents
 from tests.test_platform_translation import CONFIGURATION, RETRIES
 
--- a/tests/test_key_proofs.py
+++ b/tests/test_key_proofs.py
@@ -18,8 +18,8 @@
     ProofQuestion,
     ProofRefresher,
 )
-from balsamspindle.settings.feed import OperatorRow, SettingsFeed, WholeSettings
-from balsamspindle.settings.tree import CurrentConfiguration
+from balsamspindle.settings.configuration import CurrentConfiguration
+from balsamspindle.settings.watcher import OperatorRow, SettingsWatcher, WholeSettings
 from balsamspindle.tables import Changes, Row, TableService
 from balsamspindle.timeline import EventLog, HybridClock
 from balsamspindle.wire import NodeRecord
@@ -341,13 +341,13 @@
         return Ok([row])
 
 
-class FeedProofTests(TestCase):
+class WatcherProofTests(TestCase):
     def setUp(self):
         super().setUp()
         self.tables = SlowTables()
         self.configuration = CurrentConfiguration()
         self.proofs: list[Proof] = []
-        self.feed = SettingsFeed(
+        self.watcher = SettingsWatcher(
             self.tables,
             OperatorRow("op", "config", self._decode),
             self.configuration,
@@ -365,7 +365,7 @@
     def test_the_age_of_a_proof_counts_from_the_start_of_the_read(self):
         # Guards against a revision that was accepted during the read.
         began_s = time.monotonic()
-        self.feed.prove()
+        self.watcher.prove()
         (proof,) = self.proofs
         self.assertLess(proof.began_s - began_s, self.tables.read_s / 2)
         self.assertEqual(1, proof.revision)
@@ -374,25 +374,25 @@
     def test_an_older_revision_than_the_nodes_proves_nothing(self):
         # Guards against a store that has lost the revision which revoked a key.
         self.configuration.offer(5, {})
-        self.feed.prove()
+        self.watcher.prove()
         self.assertEqual([], self.proofs)
 
     def test_a_revision_from_a_peer_during_the_read_keeps_the_proof(self):
         self.tables.meanwhile = lambda: self.configuration.offer(5, {})
-        self.feed.prove()
+        self.watcher.prove()
         self.assertEqual([1], [proof.revision for proof in self.proofs])
 
     def test_a_row_that_cant_be_decoded_proves_nothing(self):
         # Guards against keys that the unreadable revision revokes.
-        self.feed.prove()
+        self.watcher.prove()
         self.tables.row = Row("config", 2, "garbage")
-        self.feed.prove()
+        self.watcher.prove()
         self.assertEqual(1, len(self.proofs))
 
     def test_a_wait_without_changes_proves_nothing(self):
         # Guards against a broken connection that is taken for an unchanged store.
         self.tables.wait_for_changes = lambda *_: Ok(Changes([], 1))
-        self.feed.wait(1)
+        self.watcher.wait_for_change(1)
         self.assertEqual([], self.proofs)
 
 
--- a/tests/test_platform_translation.py
+++ b/tests/test_platform_translation.py
@@ -15,7 +15,7 @@
     parse_version,
 )
 from balsamspindle.protocol.outcomes import Execution, Reason
-from balsamspindle.settings.tree import Configuration
+from balsamspindle.settings.configuration import Configuration
 
 RETRIES = RetryBounds(0.2, 6.0)
 CONFIGURATION = {
--- a/tests/test_settings_spread.py
+++ b/tests/test_settings_gossip.py
@@ -8,9 +8,13 @@
 from expression import Error, Ok
 from testtools import TestCase
 
+from balsamspindle.settings.configuration import (
+    ApplyResult,
+    Configuration,
+    CurrentConfiguration,
+)
 from balsamspindle.settings.pages import pages_of_documents
 from balsamspindle.settings.reader import PollPlan, is_reader
-from balsamspindle.settings.tree import Applied, Configuration, CurrentConfiguration
 from balsamspindle.tables import PlatformGuard, Unreachable
 from balsamspindle.wire.settings_messages import (
     SettingsNotice,
@@ -40,13 +44,13 @@
         first, second, third = (
             history.change({f"t/services/s{n}": b"{}"}) for n in range(3)
         )
-        self.assertEqual(Applied.GAP, current.apply([first]))
-        self.assertEqual(Applied.IN_FORCE, current.offer(0, {}))
-        self.assertEqual(Applied.GAP, current.apply([second]))
-        self.assertEqual(Applied.IN_FORCE, current.apply([first, second]))
-        self.assertEqual(Applied.OLD, current.apply([first]))
-        self.assertEqual(Applied.OLD, current.offer(1, {}, first.chain))
-        self.assertEqual(Applied.IN_FORCE, current.apply([first, second, third]))
+        self.assertEqual(ApplyResult.GAP, current.apply([first]))
+        self.assertEqual(ApplyResult.IN_FORCE, current.offer(0, {}))
+        self.assertEqual(ApplyResult.GAP, current.apply([second]))
+        self.assertEqual(ApplyResult.IN_FORCE, current.apply([first, second]))
+        self.assertEqual(ApplyResult.OLD, current.apply([first]))
+        self.assertEqual(ApplyResult.OLD, current.offer(1, {}, first.chain))
+        self.assertEqual(ApplyResult.IN_FORCE, current.apply([first, second, third]))
         self.assertEqual(3, len(current.get().services))
 
     def test_a_slow_older_source_does_not_replace_a_newer_one(self):
@@ -80,7 +84,7 @@
         restored.change({})
         restored.chain = "another"
         next_there = restored.change({"t/services/b": b"{}"})
-        self.assertEqual(Applied.DIVERGED, current.apply([next_there]))
+        self.assertEqual(ApplyResult.DIVERGED, current.apply([next_there]))
         self.assertEqual(["t/services/a"], list(current.get().documents))
 
     def test_changes_one_by_one_give_what_a_whole_load_gives(self):
@@ -101,7 +105,7 @@
             if draw.random() < 0.3:
                 document = None
             self.assertEqual(
-                Applied.IN_FORCE, current.apply([history.change({path: document})])
+                ApplyResult.IN_FORCE, current.apply([history.change({path: document})])
             )
             step, whole = current.get(), Configuration(0, current.get().documents)
             self.assertEqual(whole.services, step.services)
@@ -174,7 +178,7 @@
         self.assertTrue(guard.read(lambda: Ok([])).is_ok())
 
 
-class SpreadTests(TestCase):
+class GossipTests(TestCase):
     def test_a_change_reaches_every_node_once(self):
         network, history = Network(250), History()
         for configuration in network.configurations:
@@ -187,7 +191,7 @@
         # A node that missed all notices learns the revision from a peer's next member
         # message.
         for number, node in enumerate(network.nodes):
-            node.note_revision(f"n{(number + 1) % 250}", 1)
+            node.receive_revision(f"n{(number + 1) % 250}", 1)
             if not node._inbox.empty():
                 node.handle(node._inbox.get(), network.now_s)
         network.run(10)
--- a/tests/test_settings_growth.py
+++ b/tests/test_settings_growth.py
@@ -4,8 +4,8 @@
 
 from testtools import TestCase
 
+from balsamspindle.settings.gossip import SettingsGossip
 from balsamspindle.settings.reader import is_reader
-from balsamspindle.settings.spread import SettingsSpread
 from balsamspindle.wire.settings_messages import SETTINGS_MESSAGES, SettingsNotice
 from tests.member_network import FakeNode, MemberNetwork
 from tests.utils import encode as json_bytes
@@ -40,14 +40,14 @@
 
 
 class SpreadingNode:
-    """The member and the settings spread task of one node of a `MemberNetwork`."""
+    """The member and the settings gossip task of one node of a `MemberNetwork`."""
 
     def __init__(self, network: MemberNetwork, node: FakeNode) -> None:
         self._network = network
         self.node = node
         self.record = node.settings.own_record(1_000)
         self.configuration = node.configuration
-        self.spread = SettingsSpread(
+        self.gossip = SettingsGossip(
             self.record,
             node.directory.alive,
             node.member.send_settings,
@@ -55,20 +55,20 @@
             node.events,
         )
         node.member.register(
-            dict.fromkeys(SETTINGS_MESSAGES, self._handle), self._record_peer_revision
+            dict.fromkeys(SETTINGS_MESSAGES, self._handle), self._receive_revision
         )
 
     def is_reader(self) -> bool:
         return is_reader(self.record, self.node.directory.alive(), READERS_PER_ZONE)
 
     def step(self) -> None:
-        self.spread.tick(self._network.now_s)
+        self.gossip.tick(self._network.now_s)
         self.node.member.channel.receive(0.0, lambda: self._network.now_s)
 
     def _handle(self, message) -> None:
-        self.spread.handle(message, self._network.now_s)
+        self.gossip.handle(message, self._network.now_s)
 
-    def _record_peer_revision(self, address: str, revision: int) -> None:
+    def _receive_revision(self, address: str, revision: int) -> None:
         if revision > self.configuration.revision:
             self._handle(SettingsNotice(address, revision))
 
--- a/tests/test_settings_pages.py
+++ b/tests/test_settings_pages.py
@@ -12,7 +12,7 @@
 )
 from balsamspindle.settings.pages import documents_of_pages, pages_of_documents
 from balsamspindle.settings.process import NodeSettings
-from balsamspindle.settings.recent import RecentChanges
+from balsamspindle.settings.recent_changes import RecentChanges
 from balsamspindle.wire import Sender, encode_member
 from balsamspindle.wire.settings_messages import (
     SettingsDelta,
--- a/tests/test_settings_races.py
+++ b/tests/test_settings_races.py
@@ -9,6 +9,7 @@
 from testtools import TestCase
 
 from balsamspindle.platform import HttpObjectStore
+from balsamspindle.settings.configuration import Configuration, CurrentConfiguration
 from balsamspindle.settings.history import (
     DocumentDiff,
     change_diffs,
@@ -33,7 +34,6 @@
     Withdrawn,
     new_operation_id,
 )
-from balsamspindle.settings.tree import Configuration, CurrentConfiguration
 from balsamspindle.standins.store_faults import FaultMode, FaultSwitch
 from balsamspindle.tables import TableService, Unknown, Unreachable
 from tests.settings_utils import PlatformServer, node_record
--- a/tests/test_store_came_back.py
+++ b/tests/test_store_came_back.py
@@ -10,8 +10,8 @@
 from balsamspindle.protocol.outcomes import Execution, Outcome, Reason
 from balsamspindle.requests.claim_eras import ClaimEras
 from balsamspindle.requests.claims import ClaimsTable, GateIdentity, KeyClaimant
-from balsamspindle.settings.feed import OperatorRow, SettingsFeed, WholeSettings
-from balsamspindle.settings.tree import CurrentConfiguration
+from balsamspindle.settings.configuration import CurrentConfiguration
+from balsamspindle.settings.watcher import OperatorRow, SettingsWatcher, WholeSettings
 from balsamspindle.tables import (
     Check,
     Conflict,
@@ -124,14 +124,14 @@
 
 
 class RestoredSettingsTests(RestoredStoreCase):
-    def _feed(self) -> tuple[SettingsFeed, CurrentConfiguration]:
+    def _watcher(self) -> tuple[SettingsWatcher, CurrentConfiguration]:
         configuration = CurrentConfiguration()
         log = EventLog("node", 1, HybridClock(), io.StringIO())
         row = OperatorRow(
             "op", "config", lambda value: WholeSettings(value["revision"], {})
         )
-        feed = SettingsFeed(self.tables, row, configuration, log, lambda: True)
-        return feed, configuration
+        watcher = SettingsWatcher(self.tables, row, configuration, log, lambda: True)
+        return watcher, configuration
 
     def _operate(self, revision: int) -> None:
         call(self.store.address, "/op/config", "PUT", encode({"revision": revision}))
@@ -140,29 +140,29 @@
         # Guards against a node that keeps replaced routes: it waits for changes after a
         # version that the store has assigned again, and the change that it lacks has a
         # lower one.
-        feed, configuration = self._feed()
+        watcher, configuration = self._watcher()
         self._operate(3)
         self._copy()
-        version = feed.read()
+        version = watcher.read_row()
         for number in range(4):
             self._put(f"row-{number}", 1, self._other_process())
-        version = feed.wait(version) or feed.read()
+        version = watcher.wait_for_change(version) or watcher.read_row()
         self._restore()
         self._operate(5)
         for number in range(9):
             self._put(f"row-{number}", 1, self._other_process())
-        version = feed.wait(version)
+        version = watcher.wait_for_change(version)
         if version is None:
-            feed.read()
+            watcher.read_row()
         self.assertEqual(5, configuration.revision)
 
     def test_settings_are_not_restored_to_an_older_revision_with_the_store(self):
-        feed, configuration = self._feed()
+        watcher, configuration = self._watcher()
         self._operate(3)
-        feed.read()
+        watcher.read_row()
         self._copy()
         self._operate(5)
-        feed.read()
+        watcher.read_row()
         # The operator has not written its newest settings to the restored store yet.
         call(
             self.store.address,
@@ -172,7 +172,7 @@
         )
         self._restore()
         self._operate(3)
-        feed.read()
+        watcher.read_row()
         self.assertEqual(5, configuration.revision)
 
 
