--- a/tests/test_key_proofs.py
+++ b/tests/test_key_proofs.py
@@ -1,7 +1,4 @@
-"""Proofs of how new a node's settings are, and the peers that are asked for them.
-
-``python -m tests.test_key_proofs 1000`` runs many schedules of faults.
-"""
+"""Proofs of how new a node's settings are, and the peers that are asked for them."""
 
 import random
 import sys
@@ -237,11 +234,7 @@
 
 
 def latest_use_s(seed: int) -> float:
-    """Return how long after its revocation a key was still used by any of six nodes.
-
-    The seed selects delays, nodes that the store refuses, nodes without connections,
-    and pauses of nodes.
-    """
+    """Return how long after its revocation a key was used, with faults by the seed."""
     fleet = Fleet(6, zones=2)
     rng = fleet.random = random.Random(seed)
     fleet.delays_s = (0.001, rng.choice((0.01, 0.5, 3.0)))
@@ -319,15 +312,7 @@
 
 
 class SlowTables(TableService):
-    """A store with slow reads.
-
-    Attributes
-    ----------
-    row : Row
-        The operator's row, as it is when a read begins.
-    meanwhile : callable
-        Called during each read.
-    """
+    """A store with slow reads of the operator's row; `meanwhile` runs during each."""
 
     def __init__(self) -> None:
         self.row = Row("config", 1, 1)
