--- a/balsamspindle/settings/reader.py
+++ b/balsamspindle/settings/reader.py
@@ -248,7 +248,7 @@
         deltas = [delta_of_change(change) for change in changes]
         match self._configuration.apply(deltas):
             case ApplyResult.IN_FORCE:
-                self._report_in_force(deltas)
+                self._handle_in_force(deltas)
             case ApplyResult.DIVERGED:
                 self._set_state(
                     PlatformState.DIVERGED, "the platform has another history"
@@ -270,7 +270,7 @@
         if configuration is None:
             self._load_all()
         elif self._configuration.install(configuration) is ApplyResult.IN_FORCE:
-            self._report_in_force([])
+            self._handle_in_force([])
 
     def _write_snapshot(self) -> None:
         """Write the snapshot when it is due, if this node is the one to write it."""
@@ -290,11 +290,11 @@
                     fleet.revision, stored.documents, fleet.chain
                 )
                 if applied is ApplyResult.IN_FORCE:
-                    self._report_in_force([])
+                    self._handle_in_force([])
             case Result(error=error):
                 self._set_state(PlatformState.UNREACHABLE, error.message)
 
-    def _report_in_force(self, deltas) -> None:
+    def _handle_in_force(self, deltas) -> None:
         self._set_state(PlatformState.CURRENT)
         accepted_ms = deltas[-1].accepted_ms if deltas else None
         self._events.emit(
