--- a/balsamspindle/crashes/history.py
+++ b/balsamspindle/crashes/history.py
@@ -30,7 +30,7 @@
 CRASHES_MAX = 256
 CRASH_EXPIRY_S = 600.0
 RUNS_MAX = 32
-# Crashes while a request ran from which the request counts as a suspect.
+# A request counts as a suspect when this many backend servers crashed while running it.
 SUSPECT_CRASHES = 2
 # How long a newly quarantined request is blocked, that is, sent to no backend server.
 # Then it is tried again, since the backend server's fault may be mended; one more
@@ -58,9 +58,9 @@
 class CrashHistory:
     """Crashes and quarantines of the whole fleet; thread-safe.
 
-    Merging is commutative and idempotent, so nodes converge in whatever order updates
-    arrive: crashes are added, a run is removed from its crash when its content was
-    answered, and of two quarantines the one with the later term wins.
+    Nodes converge in whatever order and however often they receive updates: crashes are
+    added, a run is removed from its crash when its content was answered, and of two
+    quarantines the one with the higher term wins.
 
     Most requests that are lost in a crash are answered at their next attempt and never
     lost again. Such answers are not shared, as that would cost six updates for each
--- a/balsamspindle/services/held_out_servers.py
+++ b/balsamspindle/services/held_out_servers.py
@@ -47,7 +47,10 @@
         return self._select(0, now_s)
 
     def failing(self, now_s: float) -> set[str]:
-        """Return the ids of those held out after several bad results in a row."""
+        """Return the ids of those held out with `FAILING_IN_A_ROW` bad results or more.
+
+        These bad results came one after the other, without a good one between them.
+        """
         return self._select(FAILING_IN_A_ROW, now_s)
 
     def _select(self, bad_in_a_row_min: int, now_s: float) -> set[str]:
--- a/balsamspindle/services/subset.py
+++ b/balsamspindle/services/subset.py
@@ -33,11 +33,10 @@
     except for the entries reserved for other zones; then those of the own region; and
     those of other regions only if the own region has too few.
 
-    The zone is preferred because a subset chosen without regard to zones, of 16 of 90
-    backend servers in five zones, holds three of the own zone. At two thirds of their
-    load and with a third of them unhealthy, 6 to 7 of 100 requests then go to other
-    zones although backend servers of the own zone have free slots; with the
-    preference, less than one does.
+    The zone is preferred because otherwise a subset of 16 of 90 backend servers in five
+    zones holds only three of the own zone. At two thirds of their load and with a third
+    of them unhealthy, 6 to 7 of 100 requests would go to other zones although backend
+    servers of the own zone have free slots; with the preference, less than one does.
     """
     if len(placements) <= size_max:
         return list(placements)
