--- a/balsamspindle/tables/__init__.py
+++ b/balsamspindle/tables/__init__.py
@@ -1,7 +1,8 @@
-"""A transactional table service and an object store, as the product sees them.
+"""Interfaces to the platform's transactional table service and object store.
 
-Start with `protocol.py`, the interface that a deployment's store is met by;
-`guard.py` bounds how often a node asks and how long it waits.
+`protocol.py` defines the interfaces that a deployment's store implements. `guard.py`
+adds rate limits and a circuit breaker to a node's calls, and `eras.py` keeps row
+versions rising after the store is restored from an older copy.
 """
 
 from balsamspindle.tables.eras import StoreEras
--- a/balsamspindle/tables/eras.py
+++ b/balsamspindle/tables/eras.py
@@ -1,8 +1,8 @@
-"""Versions of a store that may come back from an older copy of itself.
+"""Row versions that keep rising when the store is restored from an older copy.
 
-A store that comes back so gives the versions out again that it had given out since
-the copy. It tells a new era then. A version of ours is one number over both, so that
-those of a later era are the larger ones, and none is ever the same as an earlier one.
+A restored store assigns again the numbers that it had assigned after the copy was
+made, and reports a new era with each answer. A version here combines the era and the
+store's number, so versions of a later era are larger and no version occurs twice.
 """
 
 import threading
@@ -11,85 +11,87 @@
 
 __all__ = ["StoreEras", "era_of", "number_of", "packed_version"]
 
-# More than a store counts up to: 4,000 writes a second for nine years.
+# 4,000 writes a second for nearly nine years: no store reaches this number.
 NUMBERS_PER_ERA = 1 << 40
 
 
 def packed_version(era: int, number: int) -> int:
-    """Return the version for an era and the store's own number."""
+    """Combine an era and a number assigned by the store into a version."""
     return era * NUMBERS_PER_ERA + number
 
 
 def era_of(version: int) -> int:
-    """Return the era of a version."""
+    """Return the era that a version was made from."""
     return version // NUMBERS_PER_ERA
 
 
 def number_of(version: int) -> int:
-    """Return the store's own number of a version."""
+    """Return the number within a version that the store assigned."""
     return version % NUMBERS_PER_ERA
 
 
 class StoreEras:
-    """The newest era that this process heard of; safe from all threads.
+    """Tracks the newest store era that this process knows of; thread-safe.
 
     Parameters
     ----------
     on_new : callable
-        Told each new era but the first.
-    on_odd : callable
-        Told why an answer's era can't be believed.
+        Called with each new era except the first.
+    on_invalid : callable
+        Called with the reason when an answer's era is missing, malformed or outdated.
     clock : callable, default=time.monotonic
-        Tells the present time.
+        Returns the present time in seconds.
 
     Attributes
     ----------
     newest : int
-        0 before the first, and for a store that has none.
+        0 before the first era is known, and for a store that reports none.
     answered_s : float
-        When the store last answered in that era, on the monotonic clock; a peer's
-        word does not count.
+        When the store itself last answered in that era, on the monotonic clock. An
+        era reported by a peer does not change it.
     """
 
     def __init__(
         self,
         on_new: Callable[[int], None] = lambda era: None,
-        on_odd: Callable[[str], None] = lambda cause: None,
+        on_invalid: Callable[[str], None] = lambda cause: None,
         clock: Callable[[], float] = time.monotonic,
     ) -> None:
         self._on_new = on_new
-        self._on_odd = on_odd
+        self._on_invalid = on_invalid
         self._lock = threading.Lock()
         self._clock = clock
         self.newest = 0
         self.answered_s = float("-inf")
 
-    def note(self, told: str | None) -> int | None:
-        """Take what an answer says; return its era, None when it is to be dropped.
+    def note(self, reported: str | None) -> int | None:
+        """Record the era of a store answer and return it.
+
+        Returns None when the caller must discard the answer.
 
         Parameters
         ----------
-        told : str or None
-            None where the answer does not tell one.
+        reported : str or None
+            Era as the store sent it; None where the answer has none.
         """
-        if told is None:
+        if reported is None:
             if self.newest:
-                self._on_odd("the store's answer tells no era")
+                self._on_invalid("the store's answer has no era")
             return self.newest
-        if not told.isdecimal():
-            self._on_odd(f"the store's era is no number: {told[:40]!r}")
+        if not reported.isdecimal():
+            self._on_invalid(f"the store's era is not a number: {reported[:40]!r}")
             return None
-        era = int(told)
+        era = int(reported)
         before = self.hear(era)
         if era < before:
-            # It was sent before the store came back: what it tells is gone.
-            self._on_odd(f"the store's answer is of era {era}, after {before}")
+            # Sent before the store was restored: its data may no longer exist.
+            self._on_invalid(f"the store's answer is of era {era}, after {before}")
             return None
         self.answered_s = self._clock()
         return era
 
     def hear(self, era: int) -> int:
-        """Take an era from a peer or the store; return the newest known before."""
+        """Record an era from a peer or the store; return the newest known before."""
         with self._lock:
             before, self.newest = self.newest, max(self.newest, era)
         if before and era > before:
--- a/balsamspindle/tables/guard.py
+++ b/balsamspindle/tables/guard.py
@@ -1,8 +1,8 @@
-"""A node's bounds on its use of the platform.
+"""Rate limits and a circuit breaker for a node's calls to the platform.
 
-Each node has a rate of calls that it never goes over, and a circuit: after a
-few failures in a row, calls fail at once for a time that doubles, with jitter,
-so that a fleet does not call a platform that is down or overloaded in step.
+After a few consecutive failures the circuit opens, and calls fail at once without
+reaching the platform. The open time doubles with each further failure and has jitter,
+so that the nodes of a fleet don't retry a failed or overloaded platform all at once.
 """
 
 import random
@@ -23,7 +23,7 @@
 )
 
 __all__ = [
-    "Circuit",
+    "CircuitBreaker",
     "CircuitState",
     "GuardedObjectStore",
     "GuardedTableService",
@@ -33,9 +33,9 @@
 
 FAILURES_TO_OPEN = 3
 OPEN_FIRST_S = 0.5
-# Short enough that a change accepted right after an outage is in force within
-# its three seconds; the callers of the whole fleet are few (the nodes that
-# poll), so their tries cost a platform that is down little.
+# A change accepted right after an outage has to be in force within three seconds.
+# Only the few nodes that poll call the platform, so frequent trial calls add little
+# load to a platform that is down.
 OPEN_MAX_S = 2.0
 READS_PER_S = 10.0
 READS_BURST = 30.0
@@ -44,15 +44,15 @@
 
 
 class CircuitState(StrEnum):
-    """Whether calls pass."""
+    """Whether calls reach the platform; TRIAL while one call tests it."""
 
     CLOSED = "closed"
     OPEN = "open"
     TRIAL = "trial"
 
 
-class Circuit:
-    """Stops calls for a while after failures; lets one trial call through."""
+class CircuitBreaker:
+    """Rejects calls for a time after failures, then allows one trial call."""
 
     def __init__(self, seed: str) -> None:
         self._random = random.Random(seed)
@@ -60,8 +60,8 @@
         self._open_until_s = 0.0
         self.state = CircuitState.CLOSED
 
-    def allows(self, now_s: float) -> bool:
-        """Tell whether a call may be made; it must be followed by `note`."""
+    def try_enter(self, now_s: float) -> bool:
+        """Return whether a call may be made; if so, `record` must follow it."""
         match self.state:
             case CircuitState.CLOSED:
                 return True
@@ -70,8 +70,8 @@
                 return True
         return False
 
-    def note(self, success: bool, now_s: float) -> None:
-        """Take the outcome of a call."""
+    def record(self, success: bool, now_s: float) -> None:
+        """Record the outcome of a call."""
         if success:
             self._failures = 0
             self.state = CircuitState.CLOSED
@@ -86,7 +86,7 @@
 
 
 class TokenBucket:
-    """A rate of calls with a burst."""
+    """Limits calls to a rate; after idle time allows a burst."""
 
     def __init__(self, per_s: float, burst: float) -> None:
         self._per_s = per_s
@@ -94,11 +94,11 @@
         self._tokens = burst
         self._last_s: float | None = None
 
-    def take(self, now_s: float) -> bool:
-        """Take one token; False when there is none."""
+    def try_spend(self, now_s: float) -> bool:
+        """Spend one token; return False when none is available."""
         if self._last_s is not None:
-            grown = self._tokens + (now_s - self._last_s) * self._per_s
-            self._tokens = min(self._burst, grown)
+            refilled = self._tokens + (now_s - self._last_s) * self._per_s
+            self._tokens = min(self._burst, refilled)
         self._last_s = now_s
         if self._tokens < 1:
             return False
@@ -107,57 +107,57 @@
 
 
 class PlatformGuard:
-    """One node's circuit and rates, shared by all its platform calls.
+    """One node's circuit breaker and rate limits, shared by all its platform calls.
 
     Attributes
     ----------
     calls : Counter
         Calls by verb and result: ``ok``, ``conflict``, ``unknown``, ... and
-        ``held_back`` for those that were not made.
+        ``held_back`` for calls that were rejected before they were made.
     """
 
     def __init__(self, seed: str, clock: Callable[[], float] = time.monotonic) -> None:
         self._lock = threading.Lock()
         self._clock = clock
-        self._circuit = Circuit(seed)
+        self._circuit = CircuitBreaker(seed)
         self._reads = TokenBucket(READS_PER_S, READS_BURST)
         self._writes = TokenBucket(WRITES_PER_S, WRITES_BURST)
         self.calls: Counter[tuple[str, str]] = Counter()
 
     @property
     def state(self) -> CircuitState:
-        """State of the circuit, for the node's status."""
+        """State of the circuit breaker, for the node's status."""
         return self._circuit.state
 
     def read(self, call: Callable[[], Result], verb: str = "read") -> Result:
-        """Make a read within the bounds."""
+        """Call a read, unless the limits reject it."""
         return self._call(self._reads, call, verb)
 
     def write(self, call: Callable[[], Result], verb: str = "write") -> Result:
-        """Make a write within the bounds."""
+        """Call a write, unless the limits reject it."""
         return self._call(self._writes, call, verb)
 
     def _call(
         self, bucket: TokenBucket, call: Callable[[], Result], verb: str
     ) -> Result:
         with self._lock:
-            held_back = self._held_back(bucket, self._clock())
-            if held_back is not None:
+            rejection = self._reject(bucket, self._clock())
+            if rejection is not None:
                 self.calls[verb, "held_back"] += 1
-                return Error(held_back)
+                return Error(rejection)
         result = call()
         answered = result.is_ok() or isinstance(result.error, (Conflict, HistoryLost))
         with self._lock:
-            self._circuit.note(answered, self._clock())
+            self._circuit.record(answered, self._clock())
             self.calls[verb, _result_name(result)] += 1
         return result
 
-    def _held_back(self, bucket: TokenBucket, now_s: float) -> Unreachable | None:
-        """Return why a call must not be made now."""
-        if not bucket.take(now_s):
-            return Unreachable("over this node's rate of platform calls")
-        if not self._circuit.allows(now_s):
-            return Unreachable("the platform failed; waiting to try again")
+    def _reject(self, bucket: TokenBucket, now_s: float) -> Unreachable | None:
+        """Return why a call must not be made now, or None if it may be made."""
+        if not bucket.try_spend(now_s):
+            return Unreachable("this node's rate limit on platform calls is exceeded")
+        if not self._circuit.try_enter(now_s):
+            return Unreachable("recent platform calls failed; new calls are paused")
         return None
 
 
@@ -166,7 +166,7 @@
 
 
 class GuardedTableService(TableService):
-    """Tables within a node's bounds."""
+    """A table service whose calls pass through a `PlatformGuard`."""
 
     def __init__(self, tables: TableService, guard: PlatformGuard) -> None:
         self._tables = tables
@@ -211,7 +211,7 @@
 
 
 class GuardedObjectStore(ObjectStore):
-    """Objects within a node's bounds."""
+    """An object store whose calls pass through a `PlatformGuard`."""
 
     def __init__(self, objects: ObjectStore, guard: PlatformGuard) -> None:
         self._objects = objects
--- a/balsamspindle/tables/protocol.py
+++ b/balsamspindle/tables/protocol.py
@@ -1,8 +1,8 @@
-"""The interface of a transactional table service and of an object store.
+"""The interfaces of a transactional table service and of an object store.
 
-A row has a version that differs after each write of it and never falls, also where
-the store comes back from an older copy; version 0 is a row that is not there. A
-transaction checks versions of rows, then writes rows: all of it takes effect or none.
+A row's version changes with each write and never falls, not even when the store is
+restored from an older copy. A row that does not exist has version 0. A transaction
+checks versions of rows and then writes rows; it takes effect whole or not at all.
 """
 
 from typing import Any
@@ -27,7 +27,7 @@
 
 
 class Row(msgspec.Struct, frozen=True):
-    """One row; `value` is JSON, None where the row is not there."""
+    """One row; `value` is JSON, None where the row does not exist."""
 
     key: str
     version: int
@@ -40,9 +40,9 @@
     Attributes
     ----------
     rows : list of Row
-        Those removed have no value.
+        Removed rows have a value of None.
     version : int
-        Of the store; the next wait goes on after it.
+        Version of the store, to pass to the next `TableService.wait_for_changes`.
     """
 
     rows: list[Row]
@@ -50,7 +50,7 @@
 
 
 class Check(msgspec.Struct, frozen=True):
-    """The transaction holds only if the row still has this version."""
+    """The transaction takes effect only if the row still has this version."""
 
     table: str
     key: str
@@ -66,14 +66,14 @@
 
 
 class Transaction(msgspec.Struct, frozen=True):
-    """Checks, then writes: all or nothing."""
+    """Checks and writes that take effect together or not at all."""
 
     checks: list[Check]
     puts: list[Put]
 
 
 class Unreachable(msgspec.Struct, frozen=True):
-    """The store did not take the call: nothing was written."""
+    """The call did not reach the store, or was rejected: nothing was written."""
 
     message: str
 
@@ -85,13 +85,13 @@
 
 
 class Conflict(msgspec.Struct, frozen=True):
-    """A check failed: nothing was written; the checked rows as they are."""
+    """A check failed and nothing was written; `rows` are the checked rows now."""
 
     rows: list[Row]
 
 
 class HistoryLost(msgspec.Struct, frozen=True):
-    """The store no longer has the changes asked for: read the table anew."""
+    """The store no longer has the requested changes: read the whole table again."""
 
     message: str
 
@@ -105,7 +105,8 @@
     Attributes
     ----------
     era : int
-        The newest that was heard of: how often the store came back from a copy.
+        The newest known era of the store, which rises each time that the store is
+        restored from an older copy; 0 where none is known.
     answered_s : float
         When the store last answered in that era, on the monotonic clock.
     """
@@ -116,15 +117,15 @@
     def read(
         self, table: str, keys: list[str]
     ) -> Result[list[Row], Unreachable | Unknown]:
-        """Return the rows, in the order asked for."""
+        """Return the rows in the order of `keys`."""
         raise NotImplementedError
 
     def scan(self, table: str) -> Result[list[Row], Unreachable | Unknown]:
-        """Return all rows of a table, by key."""
+        """Return all rows of a table, sorted by key."""
         raise NotImplementedError
 
     def transact(self, transaction: Transaction) -> Result[int, PlatformError]:
-        """Check and write rows, all or nothing; return the version written."""
+        """Apply a transaction whole or not at all; return the version written."""
         raise NotImplementedError
 
     def snapshot(self, table: str) -> Result[Changes, Unreachable | Unknown]:
@@ -134,20 +135,20 @@
     def wait_for_changes(
         self, table: str, after_version: int, wait_s: float
     ) -> Result[Changes, Unreachable | Unknown | HistoryLost]:
-        """Wait until rows of a table change; none when the wait ends first."""
+        """Wait for changes of a table; return no rows when `wait_s` passes first."""
         raise NotImplementedError
 
     def end_waits(self) -> None:
-        """End `wait_for_changes` at once, now and from now on."""
+        """Make running and later calls of `wait_for_changes` return at once."""
 
 
 class ObjectStore:
-    """A store of whole objects."""
+    """A store of named byte strings, each read and written as a whole."""
 
     def get(self, name: str) -> Result[bytes | None, Unreachable | Unknown]:
-        """Return an object, None where there is none."""
+        """Return an object, or None where it does not exist."""
         raise NotImplementedError
 
     def put(self, name: str, body: bytes) -> Result[None, Unreachable | Unknown]:
-        """Write an object whole."""
+        """Write or replace an object."""
         raise NotImplementedError
