--- a/balsamspindle/settings/__init__.py
+++ b/balsamspindle/settings/__init__.py
@@ -1,8 +1,9 @@
-"""Settings: of one process, and of the fleet by path.
+"""Settings of one node process, and of the whole fleet.
 
-Start with `documents.py`, what teams write. Operators' edits go through
-`store.py` to the platform; `reader.py` and `gossip.py` bring them to each node,
-into `configuration.py`. `process.py` is what one node is told at its start.
+`documents.py` defines the documents that teams write. Operators' edits go through
+`store.py` to the platform. `reader.py` and `gossip.py` bring accepted edits to each
+node, where `configuration.py` holds the settings in force. `process.py` defines the settings
+that a node process reads from a file when it starts.
 """
 
 from balsamspindle.settings.documents import (
--- a/balsamspindle/settings/customers.py
+++ b/balsamspindle/settings/customers.py
@@ -1,4 +1,4 @@
-"""Which customer a key belongs to."""
+"""Finds the customer to whom a key belongs."""
 
 from collections.abc import Iterable, Iterator
 
@@ -6,15 +6,15 @@
 
 __all__ = ["CustomerTable"]
 
-# Changes kept beside the keys that tables share; beyond it they are copied together.
+# Above this number of changes, a table merges them into a copy of the shared keys.
 CHANGES_MAX = 4096
 
 
 class CustomerTable:
-    """Customers by the digests of their keys; never changed after it is made.
+    """An immutable table of customers by the digests of their keys.
 
-    A table that follows on another shares its keys and keeps the changes beside
-    them, so that one changed customer costs no copy of all keys.
+    A table derived from another one shares that table's keys and stores only the
+    changes itself, so that a change of one customer does not copy all keys.
 
     Parameters
     ----------
@@ -22,11 +22,11 @@
     """
 
     def __init__(self, customers: Iterable[CustomerDocument] = ()) -> None:
-        self._shared: dict[bytes, CustomerDocument] = dict(_keys(customers))
+        self._shared: dict[bytes, CustomerDocument] = dict(_by_key(customers))
         self._changes: dict[bytes, CustomerDocument | None] = {}
 
     def find(self, digest: str) -> CustomerDocument | None:
-        """Return the customer that a key belongs to, by the key's digest."""
+        """Return the customer of a key, by the key's hexadecimal digest."""
         key = bytes.fromhex(digest)
         if key in self._changes:
             return self._changes[key]
@@ -37,20 +37,20 @@
         removed: Iterable[CustomerDocument],
         added: Iterable[CustomerDocument],
     ) -> "CustomerTable":
-        """Return a table with some customers replaced."""
+        """Return a new table with some customers replaced."""
         table = CustomerTable()
         table._shared = self._shared
         table._changes = dict(self._changes)
-        for key, customer in _keys(removed):
-            # Its key may be another customer's by now.
+        for key, customer in _by_key(removed):
+            # The key may already belong to another customer.
             if self.find(key.hex()) is customer:
                 table._changes[key] = None
-        table._changes.update(_keys(added))
+        table._changes.update(_by_key(added))
         if len(table._changes) > CHANGES_MAX:
-            table._fold()
+            table._merge_changes()
         return table
 
-    def _fold(self) -> None:
+    def _merge_changes(self) -> None:
         shared = self._shared | self._changes
         self._shared = {
             key: customer for key, customer in shared.items() if customer is not None
@@ -58,7 +58,7 @@
         self._changes = {}
 
 
-def _keys(
+def _by_key(
     customers: Iterable[CustomerDocument],
 ) -> Iterator[tuple[bytes, CustomerDocument]]:
     for customer in customers:
--- a/balsamspindle/settings/documents.py
+++ b/balsamspindle/settings/documents.py
@@ -1,8 +1,8 @@
 """The documents of the fleet's settings: services, routes, customers, limits.
 
-A document lives at ``TEAM/services/NAME``, ``TEAM/routes/NAME``,
-``TEAM/customers/NAME`` or ``TEAM/limits/NAME``. The first segment is the subtree
-that one team owns.
+The path of a document is ``TEAM/services/NAME``, ``TEAM/routes/NAME``,
+``TEAM/customers/NAME`` or ``TEAM/limits/NAME``. All documents whose paths start with
+the same team form a subtree, which that team owns.
 """
 
 import re
@@ -27,7 +27,7 @@
     "document_type",
 ]
 
-# More attempts at one request than this have never been its cure.
+# A request that failed this often does not succeed with further attempts.
 ATTEMPTS_MAX = 5
 
 Fraction = Annotated[float, msgspec.Meta(ge=0, le=1)]
@@ -76,36 +76,40 @@
 
 
 class Detection(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """The trade between detection time and false ejections.
+    """How a service's backend servers are judged and held out.
 
     Attributes
     ----------
     threshold : float
-        Evidence that ejects: higher is slower and errs less often.
+        Evidence at which a backend server is ejected. A higher value detects
+        failures later and causes fewer false ejections.
     error_rate_healthy, error_rate_sick : float
-        The two error rates that the test tells apart.
+        The two error rates between which the statistical test decides.
     slow_factor : float
-        What counts as slow: over so many times the 99th percentile of the
-        service's other backend servers.
+        A request is slow if it takes more than this many times the 99th
+        percentile of the service's other backend servers.
     pause_ms : float
-        Time that a healthy backend server may stand still (a pause of its
-        runtime, a lock): what is slow within it counts once.
+        How long a healthy backend server may stop answering, for example
+        during garbage collection or while it waits for a lock. All slow
+        requests within that time count as one.
     hold_out_s, hold_out_max_s : float
-        Time without work after an ejection: the first one, and the bound of
-        its growth.
+        Length of the first hold-out after an ejection, and its upper limit
+        as it grows.
     hold_out_growth : float
-        What each further hold-out is multiplied by.
+        Factor by which each further hold-out is longer.
     trial_successes : int
-        Good requests in a row that end a trial.
+        Consecutive good requests that end a trial.
     calm_s : float
-        Good service that takes one growth of the hold-out back.
+        Time of good service after which one growth step of the hold-out is
+        undone.
     independent_errors : bool
-        Whether backend servers fail each by itself, some of them at any time
-        and at once. Then one error ejects, whatever the others do: where one
-        in four is sick, an error comes from a sick one far more often than
-        from a healthy one. Else an error shared with the others excuses.
+        Whether backend servers fail independently, with some of them failing
+        at any time. Then a single error ejects, whatever the other backend
+        servers do: where one in four is sick, an error comes from a sick one
+        far more often than from a healthy one. Otherwise an error is excused
+        if other backend servers have errors at the same time.
     slow_ms_min : float
-        Nothing under it counts as slow.
+        A request that takes less than this never counts as slow.
     """
 
     threshold: Positive = 10.0
@@ -123,20 +127,20 @@
 
 
 class RetryBudget(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Retries allowed, as a fraction of requests and a small floor.
+    """Retries allowed: a fraction of the requests, and a minimum rate.
 
     Attributes
     ----------
     fraction : float
-        Retries per request, over the last ten seconds or so.
+        Retries per request, over about the last ten seconds.
     per_s_min : float
-        Retries a second that each node is always allowed.
+        Retries per second that each node may always make.
     fleet_per_s_min : float
-        In place of `per_s_min` where it is set: for all nodes together, in
-        equal parts.
+        If above 0, replaces `per_s_min`: retries per second of all nodes
+        together, divided equally among them.
     on_errors : bool
-        Whether an idempotent request is also made again after a backend
-        server's own error (500 and above).
+        Whether an idempotent request is also retried after a backend server
+        answered it with an error of its own (status 500 and above).
     """
 
     fraction: Fraction = 0.1
@@ -151,11 +155,11 @@
     Attributes
     ----------
     floor_fraction : float
-        Part of the known capacity that ejection never goes below.
+        Fraction of the known capacity that ejections always leave in use.
     probe_path : str
         Path of the backend servers' health endpoint.
     cold_start_s : float
-        Time over which a new backend server's capacity ramps up.
+        Time in which a new backend server's capacity rises to its full value.
     queue_max : int
         Requests that may wait for a slot at one gate.
     """
@@ -181,27 +185,30 @@
     Attributes
     ----------
     host : str
-        Host name without port; ``*`` takes any.
+        Host name without port; ``*`` matches any.
     path_prefix : str
-        Whole segments: ``/a`` takes ``/a`` and ``/a/b``, not ``/ab``. With a
-        slash at its end it takes ``/a/`` and what is under it, not ``/a``.
+        Matches whole segments: ``/a`` matches ``/a`` and ``/a/b``, not ``/ab``.
+        With a slash at its end, ``/a/`` matches itself and all paths below it,
+        but not ``/a``.
     service : str
         Name of a service document, ``TEAM/NAME``.
     shares : tuple of ServiceShare
-        Where there are any, requests go to these services in proportion to
-        the weights, and `service` is not used. What one of them has no room
-        for is refused, not moved to another.
+        If not empty, requests go to these services in proportion to their
+        weights, and `service` is not used. A request for which the selected
+        service has no capacity is refused, not moved to another service.
     timeout_ms : float
         Time for the whole request, retries included.
     weight : float
-        Worth of one answered request; the lightest is shed first.
+        Value of one answered request. Under overload, requests with the
+        lowest weight are shed first.
     attempts_max : int
-        Backend servers that one request may be sent to.
+        Maximum number of backend servers to which one request is sent.
     target_ms : float
-        Time within which an answer has its full worth; 0 when nobody has said.
-        It decides who waits where, and who goes first in a queue.
+        Time within which an answer has its full value; 0 where it is not
+        specified. It determines the gate at which a request waits, and its
+        place in the queue there.
     allows_anonymous : bool
-        Whether it may be asked without a customer's key.
+        Whether requests without a customer's key are served.
     """
 
     service: ServiceName
@@ -218,20 +225,20 @@
 
 
 class CustomerDocument(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Who may ask with which keys, and how much.
+    """One customer: its keys, its request limit and its weight.
 
     Attributes
     ----------
     name : str
-        What backend servers are told of the customer's requests.
+        Name that is sent to backend servers with the customer's requests.
     key_digests : tuple of str
-        Of each key that is valid; two while one replaces the other.
+        Digests of all valid keys; two while one key replaces another.
     rate_per_s : float
-        Requests a second, over all nodes together; 0 for no limit.
+        Requests per second over all nodes together; 0 for no limit.
     burst : float
-        Requests beyond the rate at one moment.
+        Requests that may exceed the rate at one moment.
     weight : float or None
-        In place of the route's.
+        Replaces the weight of the route; None keeps the route's.
     """
 
     name: CustomerName
@@ -242,10 +249,10 @@
 
 
 class CallerLimits(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """What one caller may send, and how long it may take.
+    """Limits on the size and the time of each caller's requests.
 
-    They hold for all callers. Of several documents the strictest value counts,
-    so that a team's document can't widen what another one has to bear.
+    They apply to all callers. If there are several documents, the strictest value of
+    each field applies, so that no team's document can loosen another team's limits.
     """
 
     head_max_bytes: Annotated[int, msgspec.Meta(ge=1024)]
@@ -263,7 +270,7 @@
 
 
 def document_type(path: str) -> type | None:
-    """Return the type of the document at a path, or None for a wrong path."""
+    """Return the type of the document at a path, or None for an invalid path."""
     segments = path.split("/")
     if len(segments) != 3:
         return None
--- a/balsamspindle/settings/process.py
+++ b/balsamspindle/settings/process.py
@@ -1,7 +1,8 @@
-"""What one node process is told at its start: its names and addresses.
+"""Settings of one node process: its names, addresses, limits and time-outs.
 
-These settings are a JSON file beside the process. All else comes from the
-fleet's settings (see `balsamspindle.settings.documents`).
+A node process reads them from a local JSON file when it starts. Services, routes,
+customers and callers' limits come from the fleet's settings instead (see
+`balsamspindle.settings.documents`).
 """
 
 from pathlib import Path
@@ -24,7 +25,7 @@
 ]
 
 NODE_ALIVE = "alive"
-# As long as a gate remembers keys.
+# Equal to the time for which a gate retains keys.
 KEY_RESEND_MAX_S = 1800.0
 
 Address = Annotated[
@@ -47,7 +48,7 @@
 
 
 class SettingsError(msgspec.Struct, frozen=True):
-    """Settings that can't be used; `message` says where and what to do."""
+    """Why settings can't be used; `message` names each field and its correction."""
 
     message: str
 
@@ -58,71 +59,78 @@
     Attributes
     ----------
     caller_address : str
-        Where callers' HTTP comes in, as IP:port.
+        Where this node accepts callers' HTTP connections, as IP:port.
     link_address : str
         Where other nodes send attempts.
     member_address : str
-        Where other nodes send what they know.
+        Where other nodes send membership and control messages.
     admin_address : str
-        Announcements of backend servers, status and metrics; keep it on
-        loopback or behind the VM's firewall.
+        Where backend servers announce themselves and status and metrics are
+        read. Keep it on loopback or behind the VM's firewall.
     link_advertised_address, member_advertised_address : str, optional
-        What other nodes are told, where it differs from the address that
-        this process listens on.
+        The addresses that other nodes connect to, where they differ from
+        those that this process listens on.
     admin_advertised_address : str, optional
-        Where operators reach the admin address from other VMs; without it
-        they have to name the node's address themselves.
+        Where operators reach the admin address from other VMs. Without it,
+        operators have to enter the node's address themselves.
     platform_address : str
-        The platform's table service and object store.
+        Address of the platform's table service and object store.
     seed_addresses : tuple of str
-        Member addresses of first peers, for a start with the platform down.
+        Member addresses of the first peers to contact if the platform is
+        down when the node starts.
     member_bytes_per_s : float
-        Cap on what this node sends to peers for control.
+        Maximum rate of control traffic from this node to its peers.
     fleet_keys : FleetKeys, optional
-        Without them any machine that reaches the member and link addresses
-        is trusted as a node. All nodes of a fleet have them, or none.
+        Without them, any machine that reaches the member and link addresses
+        is trusted as a node. Set them on all nodes of a fleet or on none.
     wall_clock_offset_s : float
-        Sets the wall clock of the events wrong, for tests.
+        Error added to the wall clock of events, for tests.
     headers : HeaderNames
-        How callers and backend servers name what the fleet reads and sets.
+        Names of the headers that the fleet reads from and adds to requests
+        and answers.
     caller_service : str
-        The service beside this node, as backend servers are told of the
-        requests that came in here; nothing is told when empty.
+        Name of the service that runs beside this node. It is sent to backend
+        servers with the requests that this node accepted; not sent when empty.
     start_wait_s : float
-        How long a node that starts refuses connections while it does not know
-        where to send requests: for callers who have other nodes to turn to.
+        How long a starting node refuses connections while it does not know
+        where to send requests. For callers that can use other nodes.
     start_hold_s : float
-        How long after its start requests wait for settings and backend
-        servers to be known: for callers who have no other node.
+        How long after the node's start requests wait until settings and
+        backend servers are known. For callers that have no other node.
     retry_after_decimals : int
-        Of the seconds in Retry-After; the standard knows whole ones only.
+        Decimals of the seconds in Retry-After. The HTTP standard allows whole
+        seconds only.
     takes_unframed_answers : bool
-        Whether a backend server's answer without a length is whole when its
-        connection ends in order. Not so where backend servers that die half
-        way end it just the same.
+        Whether a backend server's answer without a length counts as complete
+        when its connection closes in order. Leave it off if backend servers
+        that crash during an answer close their connections in the same way.
     announcement_ttl_s : float
-        How long a backend server is believed to live without announcing.
+        How long a backend server counts as alive after its last announcement.
     ready_notice_s : float
-        How long a node that leaves still takes requests, so that whoever
-        sends them to it has heard.
+        How long a leaving node still accepts requests, so that its callers
+        can learn that it leaves.
     availability_zones : int
-        Of the whole fleet; 0 counts those that are known. Each grants its part of
-        customers' limits.
+        Number of zones in the whole fleet; 0 counts the zones that are known.
+        Each zone grants its part of customers' limits.
     limit_window_s : float
-        In any window of this length a customer may run its rate's requests and its
-        burst; 0 where the burst comes once, and again as the rate fills it.
+        Within any time span of this length, a customer may run the requests of
+        its rate plus its burst. With 0, the burst may be used once and is then
+        refilled at the customer's rate.
     limit_over_part : float
-        Part of that by which a customer may be over, at one moment.
+        Fraction of these requests by which a customer may exceed them at one
+        moment.
     limit_slack : float
-        Requests by which it may be over besides, over all nodes; small bursts fall
-        into parts too small to serve anybody without it.
+        Further requests by which a customer may exceed its limit, over all
+        nodes. Without it, each node's part of a small burst may be too small
+        for a single request.
     key_proof_max_age_s : float or None
-        For how long keys of customers are served after a proof that they are
-        valid; None where they are served without one.
+        How long customers' keys are accepted after the last proof that they
+        are valid; None accepts them without proofs.
     key_resend_max_s : float
-        How long after its first send a caller may send a request with the same
-        Idempotency-Key again. So long no new key is run where the store came back
-        from an older copy and a node had ended before it wrote its claims again.
+        How long after it first sent a request a caller may send it again with the
+        same Idempotency-Key. After the store was restored from an older copy, no
+        new key is run for this time if a node ended before it had written its
+        claims again.
     """
 
     node_id: Name
@@ -163,7 +171,7 @@
     shutdown_timeout_s: float = 30.0
 
     def own_record(self, incarnation: int) -> NodeRecord:
-        """Return this node's first record of an incarnation."""
+        """Return the first membership record of this node for an incarnation."""
         return NodeRecord(
             self.node_id,
             incarnation,
@@ -178,7 +186,7 @@
 
 
 def load_node_settings(path: Path) -> Result[NodeSettings, SettingsError]:
-    """Read and check the JSON file of a node process; list all its faults."""
+    """Read and check a node's settings file; the error lists all its faults."""
     try:
         document = path.read_bytes()
     except OSError as error:
--- a/balsamspindle/settings/routes.py
+++ b/balsamspindle/settings/routes.py
@@ -1,4 +1,4 @@
-"""Which route takes a request."""
+"""Finds the route of a request by host, path and method."""
 
 import sys
 from collections.abc import Iterable
@@ -15,16 +15,16 @@
 
 
 class MethodNotAllowed(NamedTuple):
-    """Routes take this host and path, none of them this method."""
+    """Routes match this host and path, but none of them this method."""
 
     methods: tuple[str, ...]
 
 
 class RouteTable:
-    """Routes by host, then by longest path prefix of whole segments.
+    """Routes by host, then by the longest path prefix of whole segments.
 
-    A look-up costs one dictionary access for each path segment, whatever the
-    number of routes.
+    A look-up takes up to two dictionary accesses per path segment, however many
+    routes there are.
     """
 
     def __init__(self, routes: Iterable[RouteDocument]) -> None:
@@ -32,51 +32,51 @@
         for route in routes:
             self._routes.setdefault(_key(route), []).append(route)
         for key, known in self._routes.items():
-            self._routes[key] = _ordered(known)
+            self._routes[key] = _sort_by_content(known)
 
     def changed(
         self, removed: Iterable[RouteDocument], added: Iterable[RouteDocument]
     ) -> "RouteTable":
-        """Return a table with some routes replaced; it shares the others."""
+        """Return a new table with some routes replaced, which shares the others."""
         table = RouteTable(())
         table._routes = dict(self._routes)
         for route in removed:
             key = _key(route)
-            left = [known for known in table._routes[key] if known is not route]
-            table._routes[key] = left
-            if not left:
+            remaining = [known for known in table._routes[key] if known is not route]
+            table._routes[key] = remaining
+            if not remaining:
                 del table._routes[key]
         for route in added:
             key = _key(route)
-            table._routes[key] = _ordered([*table._routes.get(key, ()), route])
+            table._routes[key] = _sort_by_content([*table._routes.get(key, ()), route])
         return table
 
     def find(
         self, host: str, path: str, method: str
     ) -> RouteDocument | MethodNotAllowed | Reason:
-        """Return the route, or why there is none.
+        """Return the route of a request, or why there is none.
 
-        A host of its own goes before ``*``; the longest path prefix before
-        shorter ones; the method comes last. So a request that the routes of
-        its prefix refuse never reaches a shorter prefix, which may be another
-        team's.
+        Routes that name the host take precedence over ``*``, then longer path
+        prefixes over shorter ones. The method is compared only among the routes of
+        the selected prefix, so a request with another method never falls through to
+        a shorter prefix, which may belong to another team.
         """
         for known_host in (_host_name(host), ANY_HOST):
             for prefix in _prefixes(path):
                 routes = self._routes.get((known_host, prefix))
                 if routes is not None and path == prefix:
-                    routes = [one for one in routes if not _is_folder(one)]
+                    routes = [route for route in routes if not _ends_in_slash(route)]
                 if routes:
-                    return _by_method(routes, method)
+                    return _select_method(routes, method)
         return Reason.NO_ROUTE
 
 
-def _is_folder(route: RouteDocument) -> bool:
-    """Tell whether a route takes only what lies under its prefix."""
+def _ends_in_slash(route: RouteDocument) -> bool:
+    """Return whether a route's prefix ``/a/`` excludes the path ``/a``."""
     return len(route.path_prefix) > 1 and route.path_prefix.endswith("/")
 
 
-def _by_method(
+def _select_method(
     routes: list[RouteDocument], method: str
 ) -> RouteDocument | MethodNotAllowed:
     for route in routes:
@@ -87,22 +87,23 @@
 
 
 def _host_name(host: str) -> str:
-    """Return a Host header's name: lower case, without port and final dot."""
+    """Return the host name of a Host header, lower case, without port or final dot."""
     if host.startswith("["):
         return host.partition("]")[0].lower() + "]"
     return host.partition(":")[0].rstrip(".").lower()
 
 
 def _key(route: RouteDocument) -> tuple[str, str]:
-    # Interned: the routes of one host share its name.
+    # Interned, so that all routes of a host share one string.
     return sys.intern(route.host.lower()), _normal_prefix(route.path_prefix)
 
 
-def _ordered(routes: list[RouteDocument]) -> list[RouteDocument]:
-    """Order routes that take the same requests.
+def _sort_by_content(routes: list[RouteDocument]) -> list[RouteDocument]:
+    """Sort routes that match the same requests by their content.
 
-    Nodes meet changes in one go or one by one. An order of arrival would let
-    two nodes at the same revision send the same request to different services.
+    A node may receive changes together or one by one. If routes were kept in order of
+    arrival, two nodes at the same revision could send the same request to different
+    services.
     """
     return routes if len(routes) == 1 else sorted(routes, key=msgspec.json.encode)
 
@@ -112,7 +113,7 @@
 
 
 def _prefixes(path: str) -> Iterable[str]:
-    """Yield the prefixes of a path, whole segments, longest first."""
+    """Yield a path's prefixes of whole segments, longest first."""
     prefix = path.rstrip("/")
     while prefix:
         yield prefix
--- a/balsamspindle/settings/validation.py
+++ b/balsamspindle/settings/validation.py
@@ -1,8 +1,8 @@
-"""Checks of the fleet's settings: all faults, each with its place.
+"""Checks settings and reports all faults, each with its document and field.
 
-A decoder stops at the first fault of a document. An operator who mends one
-fault only to meet the next loses time on each round, so a document that does
-not decode is checked again field by field.
+A decoder stops at the first fault of a document, so an operator would have to fix and
+resubmit a document once for each of its faults. A document that does not decode is
+therefore checked again field by field.
 """
 
 import difflib
@@ -20,9 +20,15 @@
     ServiceDocument,
     document_type,
 )
-from balsamspindle.settings.shapes import shape
+from balsamspindle.settings.type_descriptions import describe_type
 
-__all__ = ["Fault", "Note", "check_documents", "note_documents", "struct_faults"]
+__all__ = [
+    "DocumentWarning",
+    "Fault",
+    "check_documents",
+    "note_documents",
+    "struct_faults",
+]
 
 SIMILARITY_MIN = 0.6
 VALUE_SHOWN_MAX = 60
@@ -37,11 +43,11 @@
     Attributes
     ----------
     path : str
-        Of the document.
+        Path of the document.
     message : str
-        What is wrong and what is expected.
+        What is wrong, and what is expected instead.
     field : str
-        Place within the document, such as ``detection.threshold`` or
+        Field within the document, such as ``detection.threshold`` or
         ``methods[1]``; empty for the document as a whole.
     """
 
@@ -54,15 +60,15 @@
         return f"{place}: {self.message}"
 
 
-class Note(msgspec.Struct, frozen=True):
-    """Something allowed that its author should know of."""
+class DocumentWarning(msgspec.Struct, frozen=True):
+    """Something that is allowed but that the author of the document should know."""
 
     path: str
     message: str
 
 
 class _RouteKey(NamedTuple):
-    """Two routes with the same key would take the same requests."""
+    """What a route matches; two routes with the same key match the same requests."""
 
     host: str
     path_prefix: str
@@ -74,20 +80,20 @@
 ) -> list[Fault]:
     """Return all faults of a set of documents, not just the first.
 
-    The work grows with the documents given, so one team's subtree can be
-    checked by itself.
+    The documents are checked on their own, so that the cost of a check of one team's
+    subtree does not grow with the other teams' documents.
 
     Parameters
     ----------
     documents : mapping of str to bytes
-        Path to JSON.
+        JSON documents by path.
     known_services : collection of str, default=()
-        Services, as ``TEAM/NAME``, that are defined elsewhere.
+        Services, as ``TEAM/NAME``, that other documents define.
 
     Returns
     -------
     list of Fault
-        Empty when the documents can be put in force.
+        Empty when the documents are valid.
     """
     faults: list[Fault] = []
     services = set(known_services)
@@ -99,27 +105,27 @@
             faults.append(Fault(path, _path_fault(path)))
             continue
         if kind is ServiceDocument:
-            # Also one with faults is defined: its routes are not at fault.
+            # A service with faults counts as defined: its routes are not at fault.
             services.add(_service_name(path))
         try:
             value = _decoders[kind].decode(document)
         except msgspec.MsgspecError:
             faults.extend(struct_faults(path, document, kind))
             continue
-        faults.extend(_agreement_faults(path, value))
+        faults.extend(_combination_faults(path, value))
         if isinstance(value, RouteDocument):
             routes[path] = value
         if isinstance(value, CustomerDocument):
             customers[path] = value
-    faults.extend(_unknown_services(routes, services))
-    faults.extend(_same_requests(routes))
-    faults.extend(_same_keys(customers))
+    faults.extend(_unknown_service_faults(routes, services))
+    faults.extend(_duplicate_route_faults(routes))
+    faults.extend(_duplicate_key_faults(customers))
     return faults
 
 
-def note_documents(documents: Mapping[str, bytes]) -> list[Note]:
-    """Return what is allowed in sound documents but should be known."""
-    notes = []
+def note_documents(documents: Mapping[str, bytes]) -> list[DocumentWarning]:
+    """Return warnings about valid documents, such as routes to other teams."""
+    warnings = []
     for path, document in documents.items():
         if document_type(path) is not RouteDocument:
             continue
@@ -127,8 +133,8 @@
         team, owner = path.partition("/")[0], service.partition("/")[0]
         if team != owner:
             message = f"routes to {service!r}, a service of another team ({owner})"
-            notes.append(Note(path, message))
-    return notes
+            warnings.append(DocumentWarning(path, message))
+    return warnings
 
 
 def _service_name(path: str) -> str:
@@ -144,13 +150,13 @@
         return expected
     team, kind, name = segments
     if kind not in DOCUMENT_TYPES:
-        return f"{expected}{_did_you_mean(kind, DOCUMENT_TYPES)}"
+        return f"{expected}{_suggest(kind, DOCUMENT_TYPES)}"
     wrong = [segment for segment in (team, name) if not NAME_PATTERN.match(segment)]
     return f"{wrong[0]!r} is no name: use a-z, 0-9, '.' and '-', at most 64 characters"
 
 
 def struct_faults(path: str, document: bytes, kind: type) -> Iterator[Fault]:
-    """Yield all faults of a JSON document that is to be of a struct type."""
+    """Yield all faults of a JSON document that should decode to a struct type."""
     try:
         value = msgspec.json.decode(document)
     except msgspec.MsgspecError as error:
@@ -160,26 +166,26 @@
 
 
 def _struct_faults(path: str, prefix: str, value: Any, kind: type) -> Iterator[Fault]:
-    """Yield the faults of an object, field by field."""
+    """Yield the faults of a decoded JSON object, field by field."""
     if not isinstance(value, dict):
-        message = f"expected a JSON object, got {_shown(value)}"
+        message = f"expected a JSON object, got {_format_value(value)}"
         yield Fault(path, message, prefix.rstrip("."))
         return
     fields = {field.encode_name: field for field in msgspec.structs.fields(kind)}
     for name in value:
         if name not in fields:
-            message = f"no such field{_did_you_mean(name, fields)}"
+            message = f"no such field{_suggest(name, fields)}"
             yield Fault(path, message, f"{prefix}{name}")
     for name, field in fields.items():
         place = f"{prefix}{name}"
         if name in value:
             yield from _field_faults(path, place, value[name], field.type)
         elif field.required:
-            yield Fault(path, f"missing: expected {shape(field.type)}", place)
+            yield Fault(path, f"missing: expected {describe_type(field.type)}", place)
 
 
 def _field_faults(path: str, place: str, value: Any, kind: Any) -> Iterator[Fault]:
-    if _fits(value, kind):
+    if _is_valid(value, kind):
         return
     struct = _struct_type(kind)
     if struct is not None:
@@ -187,10 +193,10 @@
         return
     faults = list(_item_faults(path, place, value, kind))
     if not faults:
-        expected = shape(kind)
-        hint = _did_you_mean(value, expected.choices)
-        # A fault goes to terminals and logs, where a key must not stand.
-        got = "another" if _is_secret(place) else f"{_shown(value)}{hint}"
+        expected = describe_type(kind)
+        hint = _suggest(value, expected.choices)
+        # Faults are shown on terminals and in logs, so they must not contain keys.
+        got = "another" if _is_secret(place) else f"{_format_value(value)}{hint}"
         faults = [Fault(path, f"expected {expected}, got {got}", place)]
     yield from faults
 
@@ -200,7 +206,7 @@
 
 
 def _struct_type(kind: Any) -> type | None:
-    """Return the struct of a field's type, also of an optional one."""
+    """Return the struct class of a field's type, also of an optional field."""
     is_union = get_origin(kind) in (Union, UnionType)
     for option in get_args(kind) if is_union else (kind,):
         if isinstance(option, type) and issubclass(option, msgspec.Struct):
@@ -209,7 +215,7 @@
 
 
 def _item_faults(path: str, place: str, value: Any, kind: Any) -> Iterator[Fault]:
-    """Yield the faults of the items of a list; none for any other value."""
+    """Yield the faults of a list's items; nothing for any other value."""
     item_kind = _item_type(kind)
     if item_kind is None or not isinstance(value, list):
         return
@@ -223,7 +229,7 @@
     return get_args(kind)[0] if get_origin(kind) is tuple else None
 
 
-def _fits(value: Any, kind: Any) -> bool:
+def _is_valid(value: Any, kind: Any) -> bool:
     try:
         msgspec.convert(value, kind)
     except msgspec.ValidationError:
@@ -231,8 +237,8 @@
     return True
 
 
-def _agreement_faults(path: str, value: Any) -> Iterator[Fault]:
-    """Yield faults of fields that are sound one by one but not together."""
+def _combination_faults(path: str, value: Any) -> Iterator[Fault]:
+    """Yield the faults of fields that are valid alone but not in combination."""
     match value:
         case ServiceDocument(detection=detection):
             if detection.error_rate_sick <= detection.error_rate_healthy:
@@ -251,7 +257,7 @@
                 yield Fault(path, message, "burst")
 
 
-def _unknown_services(
+def _unknown_service_faults(
     routes: Mapping[str, RouteDocument], services: Collection[str]
 ) -> Iterator[Fault]:
     for path, route in routes.items():
@@ -260,21 +266,21 @@
             named[f"shares[{index}].service"] = share.service
         for place, service in named.items():
             if service not in services:
-                hint = _did_you_mean(service, services)
+                hint = _suggest(service, services)
                 message = f"no service {service!r} is defined{hint}"
                 yield Fault(path, message, place)
 
 
-def _same_requests(routes: Mapping[str, RouteDocument]) -> Iterator[Fault]:
-    """Yield one fault for each pair of routes that take the same requests."""
+def _duplicate_route_faults(routes: Mapping[str, RouteDocument]) -> Iterator[Fault]:
+    """Yield one fault for each pair of routes that match the same requests."""
     taken: dict[_RouteKey, str] = {}
-    told: set[tuple[str, str]] = set()
+    reported: set[tuple[str, str]] = set()
     for path, route in routes.items():
         for key in _route_keys(route):
             other = taken.setdefault(key, path)
-            if other == path or (path, other) in told:
+            if other == path or (path, other) in reported:
                 continue
-            told.add((path, other))
+            reported.add((path, other))
             message = (
                 f"takes the same requests as {other} "
                 f"(host {key.host}, path_prefix {key.path_prefix}, {key.method})"
@@ -282,8 +288,8 @@
             yield Fault(path, message)
 
 
-def _same_keys(customers: Mapping[str, CustomerDocument]) -> Iterator[Fault]:
-    """Yield a fault for each key that belongs to two customers."""
+def _duplicate_key_faults(customers: Mapping[str, CustomerDocument]) -> Iterator[Fault]:
+    """Yield a fault for each key that occurs in a second customer's document."""
     taken: dict[str, str] = {}
     for path, customer in customers.items():
         for index, digest in enumerate(customer.key_digests):
@@ -299,14 +305,14 @@
         yield _RouteKey(route.host.lower(), prefix, method)
 
 
-def _did_you_mean(word: Any, choices: Iterable[str]) -> str:
+def _suggest(word: Any, choices: Iterable[str]) -> str:
     if not isinstance(word, str):
         return ""
     close = difflib.get_close_matches(word, list(choices), 1, SIMILARITY_MIN)
     return f"; did you mean {close[0]!r}?" if close else ""
 
 
-def _shown(value: Any) -> str:
+def _format_value(value: Any) -> str:
     text = msgspec.json.encode(value).decode()
     if len(text) <= VALUE_SHOWN_MAX:
         return text
--- a/tests/test_settings_validation.py
+++ b/tests/test_settings_validation.py
@@ -1,4 +1,4 @@
-"""Faults of the fleet's settings, as an operator is told of them."""
+"""Faults of settings, in the form in which operators read them."""
 
 import json
 import tempfile
@@ -16,7 +16,7 @@
 )
 from tests.utils import encode
 
-SOUND = {
+VALID = {
     "crew/services/contracts": {},
     "crew/routes/sign": {
         "service": "crew/contracts",
@@ -28,21 +28,20 @@
 
 
 def faults_of(changes: dict) -> list[str]:
-    documents = {**SOUND, **changes}
+    documents = {**VALID, **changes}
     encoded = {path: encode(document) for path, document in documents.items()}
     return [str(fault) for fault in check_documents(encoded)]
 
 
 class SettingsValidationTests(TestCase):
-    def test_sound_documents_have_no_fault(self):
+    def test_valid_documents_have_no_fault(self):
         self.assertEqual([], faults_of({}))
 
-    def test_all_faults_are_told_each_with_document_and_field(self):
-        """An operator mends a tree once.
+    def test_all_faults_are_reported_with_document_and_field(self):
+        """One service and one route have eight faults.
 
-        One service and one route hold eight faults. A decoder alone would
-        tell one for each document, and the operator would come back for each
-        of the others.
+        A decoder alone reports one fault per document, so that the operator would
+        have to check the documents again after each correction.
         """
         faults = faults_of(
             {
@@ -79,8 +78,8 @@
             faults,
         )
 
-    def test_faults_between_documents_are_told(self):
-        route = SOUND["crew/routes/sign"]
+    def test_faults_between_documents_are_reported(self):
+        route = VALID["crew/routes/sign"]
         cases = {
             "no service 'crew/contract' is defined; did you mean": {
                 "crew/routes/sign": {**route, "service": "crew/contract"}
@@ -101,36 +100,36 @@
             self.assertIn(words, faults[0])
 
     def test_same_path_for_another_host_or_method_is_no_fault(self):
-        route = SOUND["crew/routes/sign"]
+        route = VALID["crew/routes/sign"]
         others = {
             "crew/routes/read": {**route, "methods": ["GET"]},
             "crew/routes/port": {**route, "host": "port.example"},
         }
         self.assertEqual([], faults_of(others))
 
-    def test_a_route_to_another_teams_service_is_allowed_and_noted(self):
-        route = {**SOUND["crew/routes/sign"], "service": "yard/cranes"}
+    def test_a_route_to_another_teams_service_is_valid_with_a_warning(self):
+        route = {**VALID["crew/routes/sign"], "service": "yard/cranes"}
         documents = {"crew/routes/sign": encode(route)}
         self.assertEqual([], check_documents(documents, {"yard/cranes"}))
-        (note,) = note_documents(documents)
-        self.assertIn("a service of another team (yard)", note.message)
+        (warning,) = note_documents(documents)
+        self.assertIn("a service of another team (yard)", warning.message)
 
-    def test_all_faults_of_a_nodes_own_settings_are_told(self):
+    def test_all_faults_of_a_nodes_own_settings_are_reported(self):
         with tempfile.TemporaryDirectory() as folder:
             path = Path(folder) / "node.json"
             path.write_text('{"node_id": "Node 1", "caller_adress": "127.0.0.1:1"}')
-            told = load_node_settings(path).error.message
-        self.assertIn("node_id: expected a name of a-z", told)
-        self.assertIn("did you mean 'caller_address'?", told)
-        self.assertIn("availability_zone: missing", told)
+            report = load_node_settings(path).error.message
+        self.assertIn("node_id: expected a name of a-z", report)
+        self.assertIn("did you mean 'caller_address'?", report)
+        self.assertIn("availability_zone: missing", report)
 
     def test_a_fault_in_a_key_does_not_show_the_key(self):
         keys = {"public_key": "P" * 40, "secret_key": "S3CRET"}
         faults = struct_faults("n", encode({"fleet_keys": keys}), NodeSettings)
-        told = [str(fault) for fault in faults if "fleet_keys" in fault.field]
-        self.assertEqual(1, len(told), told)
-        self.assertIn("n fleet_keys.secret_key: expected", told[0])
-        self.assertNotIn("S3CRET", told[0])
+        messages = [str(fault) for fault in faults if "fleet_keys" in fault.field]
+        self.assertEqual(1, len(messages), messages)
+        self.assertIn("n fleet_keys.secret_key: expected", messages[0])
+        self.assertNotIn("S3CRET", messages[0])
 
     @settings(max_examples=200, deadline=None, derandomize=True)
     @given(
