--- a/balsamspindle/settings/editing.py
+++ b/balsamspindle/settings/editing.py
@@ -1,4 +1,4 @@
-"""One edit of the settings: what it reads, and the transaction that it makes."""
+"""One edit of the settings: the rows that it reads, and its transaction."""
 
 import uuid
 from dataclasses import dataclass
@@ -29,11 +29,11 @@
     "Edit",
     "EditRows",
     "EditRun",
-    "conflict",
-    "decided",
+    "build_transaction",
+    "conflict_error",
     "fleet_row",
     "new_operation_id",
-    "transaction",
+    "operation_outcome",
 ]
 
 
@@ -45,12 +45,12 @@
     documents : dict of str to JSON value or None
         Paths to write; None removes the document.
     operation_id : str
-        Names this edit for ever; the same edit sent again keeps it.
+        Identifies this edit permanently; a retry of the edit has the same id.
     expected_version : int or None
-        Version of the subtree's row that the operator looked at; None takes
-        the version that the edit itself reads first.
+        Version of the subtree's row on which the operator based the edit.
+        None stands for the version that the edit itself reads first.
     owner : str or None
-        New hash of the team's key, where the edit replaces it.
+        Hash of the team's new key, where the edit replaces the key.
     in_doubt : bool
         Whether an earlier call with this operation id may have taken effect.
     """
@@ -64,7 +64,7 @@
 
 
 class EditRows(NamedTuple):
-    """Rows that decide an edit, in the order of the transaction's checks."""
+    """The rows that a transaction checks, in the order of its checks."""
 
     subtree: Row
     operation: Row
@@ -73,25 +73,28 @@
 
 @dataclass
 class EditRun:
-    """An edit between its attempts.
+    """State of an edit, kept between its attempts.
 
     Attributes
     ----------
-    base : int or None
-        Version of the subtree's row that the edit builds on.
+    base_version : int or None
+        Version of the subtree's row on which the edit is based; None before
+        the rows are first read.
     in_doubt : bool
-        Whether an attempt may have taken effect.
+        Whether an earlier attempt may have taken effect.
     rows : EditRows or None
-        None when they must be read again.
+        None when the rows must be read again.
     documents : dict or None
-        The subtree after the edit, once it is checked.
+        The subtree's documents after the edit, once they are checked.
+    cause : str
+        Why the last attempt did not succeed.
     failures : int
-        Attempts that the platform did not answer.
+        Attempts that failed because the platform did not answer.
     """
 
     edit: Edit
     credentials: Credentials
-    base: int | None
+    base_version: int | None
     in_doubt: bool
     rows: EditRows | None = None
     documents: dict[str, Any] | None = None
@@ -100,15 +103,15 @@
 
 
 def new_operation_id() -> str:
-    """Return an operation id that no other edit has."""
+    """Return a unique operation id for a new edit."""
     return uuid.uuid4().hex
 
 
-def transaction(run: EditRun, wall_ms: int) -> Transaction:
-    """Return the checks and writes of a checked edit."""
+def build_transaction(run: EditRun, wall_ms: int) -> Transaction:
+    """Return the transaction that writes an edit whose documents were checked."""
     edit, rows = run.edit, run.rows
     owner = row_value(rows.subtree, SubtreeRow, SubtreeRow()).owner
-    change = _change(edit, run.credentials.author, rows, wall_ms)
+    change = _build_change(edit, run.credentials.author, rows, wall_ms)
     after = SubtreeRow(
         run.documents,
         edit.owner or owner,
@@ -133,11 +136,11 @@
 
 
 def fleet_row(rows: EditRows) -> FleetRow:
-    """Return the fleet's revision as an edit read it."""
+    """Return the row of the fleet's revision, decoded; the default if absent."""
     return row_value(rows.fleet, FleetRow, FleetRow())
 
 
-def _change(edit: Edit, author: str, rows: EditRows, wall_ms: int) -> Change:
+def _build_change(edit: Edit, author: str, rows: EditRows, wall_ms: int) -> Change:
     fleet = fleet_row(rows)
     subtree = row_value(rows.subtree, SubtreeRow, SubtreeRow())
     return Change(
@@ -154,16 +157,16 @@
     )
 
 
-def decided(row: Row, operation_id: str) -> Result[Accepted, Withdrawn]:
-    """Read from an operation's row how the edit was decided."""
+def operation_outcome(row: Row, operation_id: str) -> Result[Accepted, Withdrawn]:
+    """Return the outcome of an edit from the row of its operation."""
     revision = row_value(row, OperationRow, OperationRow()).revision
     if revision is None:
-        return Error(Withdrawn("it was settled as not accepted"))
+        return Error(Withdrawn("the edit was already settled as not accepted"))
     return Ok(Accepted(revision, operation_id))
 
 
-def conflict(team: str, row: Row) -> SettingsConflict:
-    """Tell who changed what meanwhile."""
+def conflict_error(team: str, row: Row) -> SettingsConflict:
+    """Describe the edit that changed a team's subtree since it was read."""
     last = row_value(row, SubtreeRow, SubtreeRow())
     paths = ", ".join(last.paths) or "the team's key"
     return SettingsConflict(
--- a/balsamspindle/settings/history.py
+++ b/balsamspindle/settings/history.py
@@ -1,4 +1,4 @@
-"""Reads of the change log: who changed what, and how documents differ."""
+"""Reads the change log, and compares documents before and after a change."""
 
 from collections.abc import Mapping
 from typing import Any, NamedTuple
@@ -38,14 +38,14 @@
 
 
 class News(NamedTuple):
-    """The newest revision, and the first changes above a known one."""
+    """The newest revision, and the first changes after a given revision."""
 
     fleet: FleetRow
     changes: list[Change]
 
 
 class DocumentDiff(msgspec.Struct, frozen=True):
-    """One document that differs; None where it is not there."""
+    """One changed document; a side is None where the document does not exist."""
 
     path: str
     before: Any
@@ -55,7 +55,7 @@
 def diff_documents(
     before: Mapping[str, Any], after: Mapping[str, Any]
 ) -> list[DocumentDiff]:
-    """Return the documents that differ, by path."""
+    """Return the documents that differ, sorted by path."""
     return [
         DocumentDiff(path, before.get(path), after.get(path))
         for path in sorted({*before, *after})
@@ -64,14 +64,14 @@
 
 
 def change_diffs(change: Change) -> list[DocumentDiff]:
-    """Return what one accepted change did to each document."""
+    """Return the documents that an accepted change added, edited or removed."""
     return diff_documents(change.before, change.documents)
 
 
 def diff_team(
     tables: TableService, team: str, planned: Mapping[str, Any]
 ) -> Result[list[DocumentDiff], PlatformError]:
-    """Return what would change if these were all documents of a team."""
+    """Compare a team's stored documents with the complete set of planned ones."""
     return tables.read(SUBTREES_TABLE, [team]).map(
         lambda rows: diff_documents(
             row_value(rows[0], SubtreeRow, SubtreeRow()).documents, planned
@@ -80,7 +80,7 @@
 
 
 def read_fleet(tables: TableService) -> Result[FleetRow, PlatformError]:
-    """Return the newest accepted revision: one read of one row."""
+    """Return the newest accepted revision; reads a single row."""
     return tables.read(REVISION_TABLE, [REVISION_KEY]).map(
         lambda rows: row_value(rows[0], FleetRow, FleetRow())
     )
@@ -89,7 +89,7 @@
 def read_changes(
     tables: TableService, first: int, last: int
 ) -> Result[list[Change], PlatformError]:
-    """Return the changes of revisions `first` to `last` that are kept."""
+    """Return the changes of revisions `first` to `last` that the log still has."""
     keys = [change_key(revision) for revision in range(first, last + 1)]
     return tables.read(CHANGES_TABLE, keys).map(
         lambda rows: [row_value(row, Change) for row in rows if row.value is not None]
@@ -97,10 +97,10 @@
 
 
 def read_news(tables: TableService, above_revision: int) -> Result[News, PlatformError]:
-    """Return the newest revision and the first changes above a known one.
+    """Return the newest revision and the first changes after a given revision.
 
-    One read: on a slow platform a second one would double the time until a
-    change is in force.
+    Both are fetched in one read. On a slow platform, a second read would double the
+    time until a change is in force.
     """
     revisions = range(above_revision + 1, above_revision + 1 + NEWS_CHANGES)
     keys = [REVISION_KEY, *map(change_key, revisions)]
@@ -131,8 +131,8 @@
 ) -> Result[list[Change], PlatformError]:
     """Return a team's latest changes, newest first.
 
-    Each change names the one before it, so the cost is one read a change,
-    whatever the other teams did in between.
+    Each change names the team's previous change, so this takes one read per change
+    however many changes other teams made in between.
     """
     match tables.read(SUBTREES_TABLE, [team]):
         case Result(tag="ok", ok=rows):
--- a/balsamspindle/settings/ownership.py
+++ b/balsamspindle/settings/ownership.py
@@ -1,8 +1,8 @@
 """Keys of teams and of the fleet, kept as salted scrypt hashes.
 
-The check runs in the operators' tool: it keeps one team's operator from
-editing another's subtree by mistake or by a wrong key. Whoever holds the
-platform's own credentials can write its rows without it.
+The operators' tool checks the keys, which keeps one team's operator from editing
+another team's subtree by mistake. The platform does not check them: anyone with the
+platform's own credentials can write its rows directly.
 """
 
 import hashlib
@@ -19,16 +19,16 @@
 
 
 class Credentials(NamedTuple):
-    """What an operator shows with an edit.
+    """The name and keys that an operator submits with an edit.
 
     Attributes
     ----------
     author : str
-        Name for the change log.
+        Name to record in the change log.
     team_key : str or None
-        Opens the team's own subtree.
+        Permits edits of the team's own subtree.
     fleet_key : str or None
-        Creates teams and replaces lost team keys.
+        Permits edits of every subtree, creating teams and replacing lost team keys.
     """
 
     author: str = "unnamed"
@@ -37,7 +37,7 @@
 
 
 def hash_key(key: str, salt: bytes | None = None) -> str:
-    """Return ``SALT$HASH`` in hexadecimal; a fresh salt when none is given."""
+    """Return ``SALT$HASH`` in hexadecimal, with a random salt if none is given."""
     salt = os.urandom(SALT_BYTES) if salt is None else salt
     digest = hashlib.scrypt(
         key.encode(), salt=salt, n=SCRYPT_COST, r=SCRYPT_BLOCK, p=SCRYPT_PARALLEL
@@ -46,7 +46,7 @@
 
 
 def key_matches(key: str | None, hashed: str | None) -> bool:
-    """Tell whether a key is the one that was hashed; no key matches nothing."""
+    """Return whether the hash is of this key; False if either is missing."""
     if not key or not hashed:
         return False
     salt = bytes.fromhex(hashed.partition("$")[0])
--- a/balsamspindle/settings/results.py
+++ b/balsamspindle/settings/results.py
@@ -1,4 +1,4 @@
-"""How an edit of the settings ends: accepted, not accepted, or not known."""
+"""Outcomes of an edit of the settings: accepted, not accepted, or unknown."""
 
 import msgspec
 
@@ -17,36 +17,36 @@
 
 
 class Accepted(msgspec.Struct, frozen=True):
-    """The change is accepted at this revision."""
+    """The edit was accepted as this revision."""
 
     revision: int
     operation_id: str = ""
 
 
 class InvalidSettings(msgspec.Struct, frozen=True):
-    """Not accepted: the change would make settings with these faults."""
+    """Not accepted: the settings after the edit would have these faults."""
 
     faults: list[Fault]
 
     @property
     def message(self) -> str:
-        """All faults with their paths, one a line."""
+        """All faults with their paths, one per line."""
         return "\n".join(f"{fault.path}: {fault.message}" for fault in self.faults)
 
 
 class NotOwner(msgspec.Struct, frozen=True):
-    """Not accepted: the key shown does not open this subtree."""
+    """Not accepted: the submitted key does not permit edits of this subtree."""
 
     message: str
 
 
 class SettingsConflict(msgspec.Struct, frozen=True):
-    """Not accepted: somebody else changed the subtree meanwhile.
+    """Not accepted: another edit changed the subtree first.
 
     Attributes
     ----------
     author, paths, revision
-        Who changed what, at which revision.
+        The author, the changed paths and the revision of that other edit.
     """
 
     message: str
@@ -56,19 +56,19 @@
 
 
 class SettingsUnavailable(msgspec.Struct, frozen=True):
-    """Not accepted: the platform could not be used; nothing was written."""
+    """Not accepted: the platform did not answer; nothing was written."""
 
     message: str
 
 
 class Withdrawn(msgspec.Struct, frozen=True):
-    """Not accepted, and it can't be accepted any more: it was settled so."""
+    """Not accepted: recorded as withdrawn, so a delayed write can't take effect."""
 
     message: str
 
 
 class NotKnown(msgspec.Struct, frozen=True):
-    """No reply to a write: ask `SettingsStore.settle` with the operation id."""
+    """A write got no reply; `SettingsStore.settle` decides whether it was accepted."""
 
     message: str
     operation_id: str = ""
--- a/balsamspindle/settings/rows.py
+++ b/balsamspindle/settings/rows.py
@@ -5,13 +5,13 @@
 ========== =============== ==================================================
 subtrees   TEAM            `SubtreeRow`: one team's documents and owner
 fleet      ``key``         `FleetKeyRow`: hash of the fleet key
-changes    ``revision``    `FleetRow`: the newest accepted change
-changes    revision        `Change`: one accepted change
-operations operation id    `OperationRow`: how one write was decided
+changes    ``revision``    `FleetRow`: the newest accepted revision
+changes    revision number `Change`: one accepted change
+operations operation id    `OperationRow`: outcome of one edit
 ========== =============== ==================================================
 
-The newest revision stands in the table of the changes, so that one read brings
-it and the changes after a known one.
+The row of the newest revision is in the table of changes, so that one read fetches
+it together with the changes after a given revision.
 """
 
 from typing import Any
@@ -60,9 +60,9 @@
     revision : int
         Fleet revision of the last change; 0 before the first.
     author : str
-        Who made that change.
+        Author of that change.
     paths : list of str
-        What it changed.
+        Paths of the documents that it changed.
     """
 
     documents: dict[str, Any] = {}
@@ -80,8 +80,8 @@
     revision : int
         Rises by one with each accepted change.
     chain : str
-        Digest over all accepted operations in their order: two histories
-        with the same revision but other changes differ in it.
+        Digest over the ids of all accepted operations in order. It differs
+        between two histories that have the same revision but other changes.
     """
 
     revision: int = 0
@@ -89,35 +89,36 @@
 
 
 class FleetKeyRow(msgspec.Struct, frozen=True):
-    """Hash of the key that creates teams."""
+    """Hash of the fleet key, with which teams are created."""
 
     owner: str
 
 
 class OperationRow(msgspec.Struct, frozen=True):
-    """How a write was decided: accepted at a revision, or withdrawn (None)."""
+    """Outcome of an edit: the revision it was accepted as, or None if withdrawn."""
 
     revision: int | None = None
 
 
 class Change(msgspec.Struct, frozen=True):
-    """One accepted change, as the change log keeps it.
+    """One accepted change, as stored in the change log.
 
     Attributes
     ----------
     documents : dict of str to JSON value or None
-        Documents written; None for one that was removed.
+        The documents written, by path; None for a document that was removed.
     before : dict of str to JSON value or None
-        The same paths before the change.
+        The documents at the same paths before the change.
     previous_team_revision : int
         Revision of the team's change before this one; 0 when there is none.
     previous_chain, chain : str
         `FleetRow.chain` before and after the change.
     wall_ms : int
-        Wall time at the writer.
+        Wall time at the writer, in milliseconds.
     restart : bool
-        Whether an operator declared the platform's rows to be in force after
-        changes were lost (see `balsamspindle.settings.recovery`).
+        Whether this change restarts the history: changes were lost, and an
+        operator put the platform's remaining rows in force (see
+        `balsamspindle.settings.recovery`).
     """
 
     revision: int
@@ -134,20 +135,20 @@
 
     @property
     def paths(self) -> list[str]:
-        """Paths that the change wrote or removed."""
+        """Sorted paths of the documents that the change wrote or removed."""
         return sorted(self.documents)
 
 
 def change_key(revision: int) -> str:
-    """Return the key of a change: it sorts as the revision does."""
+    """Return the row key of a change; keys sort in the order of revisions."""
     return f"{revision:0{REVISION_DIGITS}}"
 
 
 def next_chain(chain: str, operation_id: str) -> str:
-    """Return the chain's digest after one more operation."""
+    """Return the digest `FleetRow.chain` after one more operation."""
     return xxhash.xxh3_128_hexdigest(f"{chain}/{operation_id}".encode())
 
 
 def row_value(row: Row, kind: type, default: Any = None) -> Any:
-    """Return a row's value as its type, or the default where there is none."""
+    """Decode a row's value as a type; return the default where the row has none."""
     return default if row.value is None else msgspec.convert(row.value, kind)
--- a/balsamspindle/settings/store.py
+++ b/balsamspindle/settings/store.py
@@ -1,9 +1,9 @@
 """Edits of the fleet's settings in the platform's tables.
 
-An edit reads its team's row, checks the result, and writes the row, the
-change log, the operation and the fleet's revision in one transaction (see
-`balsamspindle.settings.rows`). It reads and checks its own subtree and the
-services of other teams that it names, never all subtrees.
+An edit reads its team's row, checks the documents as they would be afterwards, and
+writes the row, the change log, the operation and the fleet's revision in one
+transaction (see `balsamspindle.settings.rows`). It reads only its own subtree and
+the other teams' services to which its documents refer, never all subtrees.
 """
 
 import random
@@ -18,11 +18,11 @@
     Edit,
     EditRows,
     EditRun,
-    conflict,
-    decided,
+    build_transaction,
+    conflict_error,
     fleet_row,
     new_operation_id,
-    transaction,
+    operation_outcome,
 )
 from balsamspindle.settings.history import read_fleet
 from balsamspindle.settings.loading import StoredSettings, load_settings
@@ -75,10 +75,10 @@
     "new_operation_id",
 ]
 
-# The fleet's revision is one row that every edit writes. Two teams that edit
-# at once must both succeed, so an attempt that lost only that race is made
-# again after a short random pause. The pause does not grow with the losses:
-# an edit that lost often would wait longest and lose to newcomers.
+# Every edit writes the row of the fleet's revision. Two teams that edit at the same
+# time must both succeed, so an attempt that conflicts only in that row is retried
+# after a short random pause. The pause does not grow with each conflict: an edit with
+# many conflicts would wait longest and keep losing to newer edits.
 RACE_PAUSE_S = 0.06
 EDIT_FAILURES_MAX = 12
 EDIT_TIMEOUT_S = 15.0
@@ -88,15 +88,15 @@
 
 
 class SettingsStore:
-    """Changes the settings at the platform.
+    """Reads and edits the fleet's settings at the platform.
 
     Parameters
     ----------
     tables : TableService
     wall_clock : callable
-        Wall time in seconds, for the change log.
+        Returns wall time in seconds, for the change log.
     sleep : callable
-        Waits between attempts.
+        Called to wait between attempts, with the time in seconds.
     """
 
     def __init__(
@@ -111,11 +111,11 @@
         self._random = random.Random()
 
     def revision(self) -> Result[int, PlatformError]:
-        """Return the fleet's revision: one read of one row."""
+        """Return the fleet's revision; reads a single row."""
         return read_fleet(self._tables).map(lambda fleet: fleet.revision)
 
     def load(self) -> Result[StoredSettings, PlatformError]:
-        """Return all settings, as of one revision."""
+        """Return all settings as they are at a single revision."""
         return load_settings(self._tables)
 
     def subtree(self, team: str) -> Result[tuple[SubtreeRow, int], PlatformError]:
@@ -150,13 +150,14 @@
     ) -> Result[Accepted, EditError]:
         """Create a team with a key, or replace its key.
 
-        Needs the fleet key; in a fleet without one, the team's present key.
+        This needs the fleet key, or the team's current key where the team has one.
+        In a fleet without a fleet key, a team without a key needs neither.
         """
         edit = Edit(team, {}, new_operation_id(), owner=hash_key(team_key))
         return self.apply(edit, credentials)
 
     def set_fleet_key(self, fleet_key: str) -> Result[None, EditError]:
-        """Set the fleet's key once; from then on it alone creates teams."""
+        """Set the fleet key, which is possible once; creating teams then needs it."""
         row = FleetKeyRow(hash_key(fleet_key))
         transaction = Transaction(
             [Check(FLEET_TABLE, FLEET_KEY_KEY, 0)],
@@ -166,7 +167,7 @@
             case Result(tag="ok"):
                 return Ok(None)
             case Result(error=Conflict()):
-                return Error(NotOwner("the fleet has a key already"))
+                return Error(NotOwner("the fleet already has a key"))
             case Result(error=Unknown(message)):
                 return Error(NotKnown(message))
             case Result(error=error):
@@ -175,34 +176,34 @@
     def apply(
         self, edit: Edit, credentials: Credentials
     ) -> Result[Accepted, EditError]:
-        """Make an edit; safe to call again with the same edit.
+        """Make an edit; calling it again with the same edit is safe.
 
         Returns
         -------
         Result of Accepted
-            `NotKnown` means that only `settle` can tell; every other error
-            means that the edit did not and will not take effect.
+            After `NotKnown`, only `settle` can determine the outcome. Every other
+            error means that the edit has not taken effect and never will.
         """
         run = EditRun(edit, credentials, edit.expected_version, edit.in_doubt)
-        give_up_s = time.monotonic() + EDIT_TIMEOUT_S
-        while run.failures < EDIT_FAILURES_MAX and time.monotonic() < give_up_s:
-            ended = self._attempt(run)
-            if ended is not None:
-                return ended
+        deadline_s = time.monotonic() + EDIT_TIMEOUT_S
+        while run.failures < EDIT_FAILURES_MAX and time.monotonic() < deadline_s:
+            outcome = self._attempt(run)
+            if outcome is not None:
+                return outcome
             if run.rows is None:
                 run.failures += 1
                 self._pause(run.failures)
             else:
                 self._sleep(self._random.uniform(0, RACE_PAUSE_S))
-        return self._end(run, SettingsUnavailable(run.cause))
+        return self._fail(run, SettingsUnavailable(run.cause))
 
     def settle(self, operation_id: str) -> Result[Accepted, Withdrawn | NotKnown]:
-        """Decide an edit whose reply was lost: accepted, or never to be."""
+        """Determine the outcome of an edit without a reply, or withdraw it for good."""
         key = operation_id
-        # Only to find no operation is no proof: the write may be held up and
-        # take effect after this look, and an operator who was told "not
-        # accepted" would see the change in force. So absence is written down;
-        # the late write checks that the operation is absent and fails.
+        # That the operation's row is absent does not prove that the edit failed. Its
+        # write may be delayed and take effect after this check, so that a change
+        # reported as "not accepted" would be in force. So a tombstone is written in
+        # the row; the delayed write checks that the row is absent and fails.
         tombstone = Transaction(
             [Check(OPERATIONS_TABLE, key, 0)],
             [Put(OPERATIONS_TABLE, key, msgspec.to_builtins(OperationRow()))],
@@ -212,15 +213,15 @@
             self._pause(attempt)
             match self._tables.transact(tombstone):
                 case Result(tag="ok"):
-                    return Error(Withdrawn("it had not taken effect"))
+                    return Error(Withdrawn("the edit had not taken effect"))
                 case Result(error=Conflict(rows)):
-                    return decided(rows[0], operation_id)
+                    return operation_outcome(rows[0], operation_id)
                 case Result(error=error):
                     cause = error.message
         return Error(NotKnown(cause, operation_id))
 
-    def _refuse(self, run: EditRun) -> EditError | None:
-        """Return why these credentials may not make the edit, or None."""
+    def _check_credentials(self, run: EditRun) -> EditError | None:
+        """Return why the credentials do not permit the edit, or None."""
         team, credentials = run.edit.team, run.credentials
         match self._tables.read(FLEET_TABLE, [FLEET_KEY_KEY]):
             case Result(tag="ok", ok=[row]):
@@ -233,15 +234,15 @@
         if owner is not None:
             if key_matches(credentials.team_key, owner):
                 return None
-            return NotOwner(f"the key does not open the subtree of {team!r}")
+            return NotOwner(f"the key does not permit edits of the subtree of {team!r}")
         if fleet_owner:
             return NotOwner(f"{team!r} has no owner yet: the fleet key is needed")
         return None
 
     def _attempt(self, run: EditRun) -> Result[Accepted, EditError] | None:
-        """Make one attempt; None asks for another one."""
+        """Make one attempt; return None if another attempt is needed."""
         if run.rows is None:
-            match self._read(run.edit):
+            match self._read_rows(run.edit):
                 case Result(tag="ok", ok=rows):
                     run.rows = rows
                 case Result(error=error):
@@ -249,35 +250,41 @@
                     return None
         rows = run.rows
         if rows.operation.version:
-            return decided(rows.operation, run.edit.operation_id)
-        if run.base is None:
-            run.base = rows.subtree.version
-        # The operation is absent and the subtree moved, so it was another
-        # edit that moved it, and no late write of this one can pass its check.
-        if rows.subtree.version != run.base:
-            return Error(conflict(run.edit.team, rows.subtree))
+            return operation_outcome(rows.operation, run.edit.operation_id)
+        if run.base_version is None:
+            run.base_version = rows.subtree.version
+        # The operation is absent and the subtree has changed, so another edit changed
+        # it, and the version check of any delayed write of this edit will fail.
+        if rows.subtree.version != run.base_version:
+            return Error(conflict_error(run.edit.team, rows.subtree))
         if run.documents is None:
-            error = self._refuse(run) or self._check(run)
+            error = self._check_credentials(run) or self._check_documents(run)
             if isinstance(error, SettingsUnavailable):
                 run.rows, run.cause = None, error.message
                 return None
             if error is not None:
-                return self._end(run, error)
-        match self._tables.transact(transaction(run, int(self._wall_clock() * 1000))):
+                return self._fail(run, error)
+        match self._tables.transact(
+            build_transaction(run, int(self._wall_clock() * 1000))
+        ):
             case Result(tag="ok"):
                 return Ok(Accepted(fleet_row(rows).revision + 1, run.edit.operation_id))
             case Result(error=Conflict(current)):
                 run.rows, run.cause = EditRows(*current), "other edits came first"
             case Result(error=error):
-                # A write without a reply may have taken effect. It is made
-                # again with the same operation id: had the first one taken
-                # effect, the check on the operation's row fails.
+                # A write without a reply may have taken effect. It is retried with
+                # the same operation id: if the first write took effect, the retry
+                # fails at the check of the operation's row.
                 run.in_doubt = run.in_doubt or isinstance(error, Unknown)
                 run.rows, run.cause = None, error.message
         return None
 
-    def _end(self, run: EditRun, error: EditError) -> Result[Accepted, EditError]:
-        """End without acceptance; an attempt in doubt is settled first."""
+    def _fail(self, run: EditRun, error: EditError) -> Result[Accepted, EditError]:
+        """Return the error that ends an edit.
+
+        If an attempt is in doubt, the edit is settled first. Unless it is then
+        withdrawn, the result of `settle` is returned instead of the error.
+        """
         if not run.in_doubt:
             return Error(error)
         settled = self.settle(run.edit.operation_id)
@@ -286,8 +293,11 @@
                 return Error(error)
         return settled
 
-    def _check(self, run: EditRun) -> EditError | None:
-        """Check the documents after the edit; once, as their base is fixed."""
+    def _check_documents(self, run: EditRun) -> EditError | None:
+        """Check the subtree after the edit, and keep its documents in `run`.
+
+        It is done once for an edit, which always builds on the same base version.
+        """
         before = row_value(run.rows.subtree, SubtreeRow, SubtreeRow()).documents
         documents = changed_documents(before, run.edit.documents)
         match new_faults(self._tables, run.edit.team, before, documents):
@@ -299,10 +309,11 @@
             case Result(error=error):
                 return SettingsUnavailable(error.message)
 
-    def _read(self, edit: Edit) -> Result[EditRows, PlatformError]:
-        # The subtree goes first: if this edit's own late write moves it, the
-        # operation, read after it, is there as well. The other way round the
-        # edit could take its own effect for another's and report a conflict.
+    def _read_rows(self, edit: Edit) -> Result[EditRows, PlatformError]:
+        # The subtree is read before the operation: if a delayed write of this edit
+        # has changed the subtree, the operation read afterwards exists too. In the
+        # reverse order, this edit's own write could be reported as a conflict with
+        # another edit.
         subtree = self._tables.read(SUBTREES_TABLE, [edit.team])
         operation = self._tables.read(OPERATIONS_TABLE, [edit.operation_id])
         fleet = self._tables.read(REVISION_TABLE, [REVISION_KEY])
--- a/tests/restorable_store.py
+++ b/tests/restorable_store.py
@@ -1,4 +1,4 @@
-"""A store in memory that comes back from older copies, as several processes see it."""
+"""An in-memory store that can be restored from an older copy of itself."""
 
 import random
 from collections.abc import Callable
@@ -20,7 +20,7 @@
 
 
 class RestorableStore:
-    """Rows with numbers that go back when the store does."""
+    """Rows whose version numbers fall back when the store is restored."""
 
     def __init__(self) -> None:
         self.rows: dict[tuple[str, str], tuple[int, object]] = {}
@@ -41,14 +41,14 @@
 
 
 class StoreView(TableService):
-    """The store as one process calls it; each call may fail.
+    """One process's access to the store, whose calls may fail.
 
     Attributes
     ----------
     fails : float
-        Part of the calls that fail.
+        Fraction of the calls that fail.
     is_cut : bool
-        No call gets through.
+        Whether all calls fail.
     """
 
     def __init__(
@@ -75,19 +75,19 @@
         self._eras.hear(era)
 
     def read(self, table, keys):
-        if self._fails():
+        if self._call_fails():
             return Error(Unreachable("down"))
         self._eras.note(str(self._store.era))
         return Ok([self._store.row(table, key) for key in keys])
 
     def scan(self, table):
-        keys = sorted(key for one, key in self._store.rows if one == table)
+        keys = sorted(key for name, key in self._store.rows if name == table)
         return self.read(table, keys)
 
     def transact(self, transaction: Transaction):
-        if self._fails():
+        if self._call_fails():
             return Error(Unreachable("down"))
-        if self._fails():
+        if self._call_fails():
             return Error(Unknown("the call was lost"))
         is_old = any(
             check.version and era_of(check.version) != self.era
@@ -103,9 +103,9 @@
         self._store.number += 1
         for put in transaction.puts:
             self._store.rows[put.table, put.key] = self._store.number, put.value
-        if self._fails():
+        if self._call_fails():
             return Error(Unknown("the reply was lost"))
         return Ok(packed_version(self._store.era, self._store.number))
 
-    def _fails(self) -> bool:
+    def _call_fails(self) -> bool:
         return self.is_cut or self._rng.random() < self.fails
--- a/tests/test_settings_races.py
+++ b/tests/test_settings_races.py
@@ -1,4 +1,4 @@
-"""Operators race on the settings while the platform fails."""
+"""Concurrent edits of the settings, also while calls to the platform fail."""
 
 import random
 from concurrent.futures import ThreadPoolExecutor
@@ -50,8 +50,8 @@
 ]
 
 
-class Told(NamedTuple):
-    """What one operator was told of one edit."""
+class ReportedEdit(NamedTuple):
+    """One edit and the result that its operator received."""
 
     operation_id: str
     path: str
@@ -77,47 +77,47 @@
 
 
 class SettingsRaceTests(SettingsTestCase):
-    def _write(self, number: int) -> list[Told]:
-        """Make one operator's edits, each of a document of its own."""
+    def _make_edits(self, number: int) -> list[ReportedEdit]:
+        """Make one operator's edits, each of a different document."""
         store = SettingsStore(self.platform.tables())
         choice = random.Random(number)
-        told = []
+        reported = []
         for edit in range(EDITS_EACH):
             path = f"{choice.choice(TEAMS)}/services/s{number}-{edit}"
             operation_id = new_operation_id()
-            # The edit names its operation at its first call, as a tool does
-            # that writes the id down before it sends.
+            # The first call already has an operation id, as with a tool that
+            # stores the id before it sends the edit.
             result = store.put(path, {}, operation_id=operation_id)
             while result.is_error() and isinstance(result.error, NotKnown):
                 result = store.settle(operation_id)
-            told.append(Told(operation_id, path, result))
-        return told
+            reported.append(ReportedEdit(operation_id, path, result))
+        return reported
 
     def test_no_edit_is_lost_or_made_twice_while_the_platform_fails(self):
-        # Operators see: an edit that was reported as accepted is gone, or is
-        # in the log twice, or one that was reported as not accepted is there.
-        # Order: a write takes effect and its reply is lost (or it is held up
-        # and takes effect late); the tool sends it again or gives it up, while
-        # others move the same subtree and the fleet's revision.
-        # Why: without a check on the operation a resend is a second edit, and
-        # to find no effect is no proof while the write is still on its way.
+        # Failure: an edit that was reported as accepted is missing or is in the
+        # log twice, or one that was reported as not accepted is in the log.
+        # A write takes effect and its reply is lost, or it is delayed and takes
+        # effect later. The tool retries or settles it while others change the same
+        # subtree and the fleet's revision. Unless the operation is checked, a retry
+        # is a second edit; and finding no effect proves nothing while the write may
+        # still arrive.
         self.platform.standin.set_faults(*FAULTS)
         with ThreadPoolExecutor(WRITERS) as executor:
-            told = [
-                one
-                for many in executor.map(self._write, range(WRITERS))
-                for one in many
+            reported = [
+                edit
+                for edits in executor.map(self._make_edits, range(WRITERS))
+                for edit in edits
             ]
         self.platform.standin.set_faults()
         changes = self.changes()
         by_operation = {}
         for change in changes:
             by_operation.setdefault(change.operation_id, []).append(change)
-        for one in told:
+        for edit in reported:
             found = [
-                change.revision for change in by_operation.get(one.operation_id, [])
+                change.revision for change in by_operation.get(edit.operation_id, [])
             ]
-            match one.result:
+            match edit.result:
                 case Result(tag="ok", ok=Accepted(revision)):
                     self.assertEqual([revision], found)
                 case Result(error=error):
@@ -126,12 +126,12 @@
                     )
                     self.assertEqual([], found)
         self._check_log(changes)
-        accepted = {one.path for one in told if one.result.is_ok()}
+        accepted = {edit.path for edit in reported if edit.result.is_ok()}
         self.assertEqual(accepted, set(self.store.load().ok.documents))
-        self.assertGreater(len(accepted), len(told) // 3)
+        self.assertGreater(len(accepted), len(reported) // 3)
 
     def _check_log(self, changes):
-        """Revisions rise by one and each change builds on the one before."""
+        """Check that revisions rise by one and each change follows on the previous."""
         self.assertEqual(
             list(range(1, len(changes) + 1)), [change.revision for change in changes]
         )
@@ -142,9 +142,9 @@
             self.assertEqual(chain, change.chain)
 
     def test_two_teams_that_edit_at_once_both_succeed(self):
-        # Operators see: a team's edit is refused although nobody touched its
-        # subtree. All edits write the fleet's revision, so one of two that
-        # run at once loses that row; it must be made again by itself.
+        # Failure: a team's edit is refused although nobody else edited its subtree.
+        # All edits write the row of the fleet's revision, so one of two concurrent
+        # edits conflicts in that row; the store must retry it.
         def edit(team):
             store = SettingsStore(self.platform.tables())
             return [store.put(f"{team}/services/s{n}", {}) for n in range(8)]
@@ -152,34 +152,37 @@
         with ThreadPoolExecutor(6) as executor:
             results = list(executor.map(edit, [f"team{n}" for n in range(6)]))
         self.assertEqual(
-            [], [r.error for many in results for r in many if r.is_error()]
+            [], [r.error for edits in results for r in edits if r.is_error()]
         )
         self.assertEqual(48, self.store.revision().ok)
 
     def test_a_write_that_takes_effect_after_it_was_settled_is_refused(self):
-        # Operators see: "not accepted", and later the edit in force.
-        # Order: the write is held up past the tool's patience; the tool looks,
-        # finds nothing and says so; then the write takes effect.
-        tables = FirstWriteHeld(self.platform.tables())
+        # Failure: an edit is reported as not accepted and is later in force.
+        # The write is delayed beyond the tool's time-out. The tool checks, finds no
+        # effect and reports so; then the write arrives.
+        tables = DelayedWriteTables(self.platform.tables())
         store = SettingsStore(tables, sleep=lambda pause_s: None)
-        told = store.put("crew/services/board", {}).error
-        self.assertIsInstance(told, NotKnown)
-        tables.cut = False
-        self.assertIsInstance(store.settle(told.operation_id).error, Withdrawn)
-        self.assertTrue(tables.release().is_error())
+        unanswered = store.put("crew/services/board", {}).error
+        self.assertIsInstance(unanswered, NotKnown)
+        tables.is_cut_off = False
+        self.assertIsInstance(store.settle(unanswered.operation_id).error, Withdrawn)
+        self.assertTrue(tables.deliver_write().is_error())
         self.assertEqual(0, self.store.revision().ok)
 
     def test_a_lost_reply_is_settled_by_the_log(self):
-        # The write took effect, its reply and all later calls were lost.
-        tables = FirstWriteHeld(self.platform.tables())
+        # The write takes effect; its reply and all later calls are lost.
+        tables = DelayedWriteTables(self.platform.tables())
         store = SettingsStore(tables, sleep=lambda pause_s: None)
-        told = store.put("crew/services/board", {}).error
-        self.assertTrue(tables.release().is_ok())
-        tables.cut = False
+        unanswered = store.put("crew/services/board", {}).error
+        self.assertTrue(tables.deliver_write().is_ok())
+        tables.is_cut_off = False
         self.assertEqual(
-            Accepted(1, told.operation_id), store.settle(told.operation_id).ok
+            Accepted(1, unanswered.operation_id),
+            store.settle(unanswered.operation_id).ok,
+        )
+        resent = store.put(
+            "crew/services/board", {}, operation_id=unanswered.operation_id
         )
-        resent = store.put("crew/services/board", {}, operation_id=told.operation_id)
         self.assertEqual(1, resent.ok.revision)
         self.assertEqual(1, len(self.changes()))
 
@@ -202,7 +205,7 @@
             Configuration(stored.fleet.revision, stored.documents, stored.fleet.chain),
         )
 
-    def test_a_snapshot_and_the_log_give_what_the_rows_give(self):
+    def test_a_snapshot_and_the_log_equal_the_rows(self):
         self.assertIsNone(self.load())
         self.snapshot_now()
         self.assertEqual(self.store.load().ok.documents, self.load().documents)
@@ -213,9 +216,9 @@
         self.assertEqual(6, loaded.revision)
 
     def test_a_snapshot_of_a_lost_history_is_not_used(self):
-        # The tables come back from a backup, the objects stay: a node that
-        # trusted the snapshot would serve changes that the platform no longer
-        # has, mixed with new ones of the same numbers.
+        # The tables are restored from a backup and the objects are not. A node that
+        # used the snapshot would serve changes that the platform no longer has,
+        # mixed with new changes of the same revision numbers.
         backup = call(self.platform.address, "/v1/backup").body
         self.accept("crew/services/lost", {})
         self.snapshot_now()
@@ -240,8 +243,8 @@
         )
 
     def test_a_replaced_node_does_not_begin_below_its_peers(self):
-        # The platform was restored from a backup. Callers of a node that boots
-        # from it would meet settings older than those in force all around.
+        # After the platform is restored from a backup, a node that starts from it
+        # would serve its callers by settings older than those of its peers.
         self.accept("crew/services/old", {})
         self.offered_revision = 4
         self.reader.poll()
@@ -252,9 +255,9 @@
         self.assertEqual(1, self.configuration.revision)
 
     def test_a_node_far_behind_a_restarted_history_catches_up(self):
-        # The operator restarted the history far above the platform's own
-        # revision. The changes in between never were, so a node that waits
-        # for them would stay behind for ever and say nothing.
+        # An operator restarts the history far above the platform's own revision.
+        # The changes in between never existed, so a node that waited for them
+        # would stay behind for ever without an error.
         self.accept("crew/services/a", {})
         self.reader.poll()
         self.accept("crew/services/b", {})
@@ -268,34 +271,40 @@
         self.assertEqual(3, len(self.configuration.get().services))
 
 
-class FirstWriteHeld(TableService):
-    """Tables whose first write is held up and that then are cut off."""
+class DelayedWriteTables(TableService):
+    """Tables that delay their first write and fail all calls after it.
+
+    Attributes
+    ----------
+    is_cut_off : bool
+        Whether calls after the first write fail.
+    """
 
     def __init__(self, tables: TableService) -> None:
         self._tables = tables
-        self._held = None
-        self.cut = True
+        self._delayed = None
+        self.is_cut_off = True
 
     def read(self, table, keys):
-        if self._held and self.cut:
+        if self._delayed and self.is_cut_off:
             return Error(Unreachable("cut off"))
         return self._tables.read(table, keys)
 
     def transact(self, transaction):
-        if self._held is None:
-            self._held = transaction
+        if self._delayed is None:
+            self._delayed = transaction
             return Error(Unknown("no reply"))
-        if self.cut:
+        if self.is_cut_off:
             return Error(Unreachable("cut off"))
         return self._tables.transact(transaction)
 
-    def release(self):
-        """Let the first write arrive."""
-        return self._tables.transact(self._held)
+    def deliver_write(self):
+        """Make the delayed write."""
+        return self._tables.transact(self._delayed)
 
 
 class SettingsEditTests(SettingsTestCase):
-    def test_a_conflict_tells_who_changed_what(self):
+    def test_a_conflict_names_the_other_author_and_paths(self):
         _, version = self.store.subtree("crew").ok
         self.accept("crew/services/a", {}, credentials=Credentials("ana"))
         result = self.store.put("crew/services/b", {}, expected_version=version)
@@ -306,8 +315,8 @@
         )
 
     def test_another_teams_key_is_refused(self):
-        # Without the check a wrong path in one team's command would quietly
-        # replace another team's document.
+        # Without the check, a wrong path in one team's command would replace
+        # another team's document without an error.
         self.assertTrue(self.store.set_fleet_key("fleet").is_ok())
         self.assertIsInstance(self.store.set_fleet_key("other").error, NotOwner)
         fleet = Credentials("root", fleet_key="fleet")
@@ -325,8 +334,8 @@
         )
         self.assertNotIn("crew-key", str(self.store.subtree("crew").ok))
 
-    def test_a_check_reads_only_the_rows_that_it_needs(self):
-        # A scan of all subtrees at 49,000 routes is megabytes for each edit.
+    def test_an_edit_reads_only_the_rows_that_it_needs(self):
+        # With 49,000 routes, a scan of all subtrees reads megabytes for each edit.
         for team in range(20):
             self.accept(f"team{team}/services/s", {})
         self.accept("crew/routes/r", {"service": "team3/s", "execution": "idempotent"})
@@ -337,9 +346,10 @@
         self.assertIsInstance(refused, InvalidSettings)
         self.assertEqual("crew/routes/q", refused.faults[0].path)
 
-    def test_a_team_may_remove_a_service_that_another_teams_route_names(self):
-        # Otherwise any team could hold another team's subtree fast by naming
-        # it; and the team left with the dead name could not edit at all.
+    def test_a_team_can_remove_a_service_that_another_teams_route_uses(self):
+        # Otherwise a team could keep another team from removing a service by routing
+        # to it. The team whose route uses a removed service must still be able to
+        # edit its other documents.
         self.accept("medical/services/fit", {})
         self.accept("crew/services/own", {})
         route = {"service": "medical/fit", "execution": "idempotent"}
@@ -351,7 +361,7 @@
             InvalidSettings,
         )
 
-    def test_the_log_tells_who_changed_what_and_how(self):
+    def test_the_log_has_authors_and_differences_of_changes(self):
         ana, ben = Credentials("ana"), Credentials("ben")
         self.accept("crew/services/a", {"queue_max": 1}, credentials=ana)
         self.accept("medical/services/a", {})
