--- a/balsamspindle/cli/ctl_edits.py
+++ b/balsamspindle/cli/ctl_edits.py
@@ -23,7 +23,7 @@
 )
 from balsamspindle.settings.store import Accepted, Credentials, Edit, new_operation_id
 from balsamspindle.settings.subtree import encode_documents
-from balsamspindle.settings.validation import note_documents
+from balsamspindle.settings.validation import document_warnings
 
 __all__ = ["apply", "remove", "set_document"]
 
@@ -136,5 +136,5 @@
 
 def _tell_notes(documents: dict[str, Any]) -> None:
     kept = {path: value for path, value in documents.items() if value is not None}
-    for note in note_documents(encode_documents(kept)):
-        warn(f"{note.path}: {note.message}")
+    for warning in document_warnings(encode_documents(kept)):
+        warn(f"{warning.path}: {warning.message}")
--- a/balsamspindle/cli/ctl_settings.py
+++ b/balsamspindle/cli/ctl_settings.py
@@ -28,7 +28,7 @@
 from balsamspindle.settings.rows import Change
 from balsamspindle.settings.store import SettingsStore, StoredSettings
 from balsamspindle.settings.subtree import encode_documents
-from balsamspindle.settings.validation import check_documents, note_documents
+from balsamspindle.settings.validation import check_documents, document_warnings
 
 __all__ = ["app"]
 
@@ -88,8 +88,8 @@
     if faults:
         fail_invalid(faults, as_json)
     typer.echo("[]" if as_json else f"{len(encoded)} documents, no fault")
-    for note in note_documents(encoded):
-        warn(f"{note.path}: {note.message}")
+    for warning in document_warnings(encoded):
+        warn(f"{warning.path}: {warning.message}")
 
 
 @app.command("diff")
--- a/balsamspindle/node/store_eras.py
+++ b/balsamspindle/node/store_eras.py
@@ -61,7 +61,7 @@
 
         self._tell = tell
         member.register({StoreCameBack: self._take})
-        member.share_store_era(lambda: self.known.newest, self.known.hear)
+        member.share_store_era(lambda: self.known.newest, self.known.record_era)
 
     def want_claims(self, era: int) -> None:
         """Take that callers here wait for the claims that the store has lost."""
--- a/balsamspindle/platform/store.py
+++ b/balsamspindle/platform/store.py
@@ -38,7 +38,7 @@
     Unknown,
     Unreachable,
 )
-from balsamspindle.tables.eras import era_of, number_of, packed_version
+from balsamspindle.tables.eras import era_of, number_of, pack_version
 
 __all__ = ["HttpObjectStore", "HttpTableService"]
 
@@ -198,7 +198,7 @@
                     lambda page: _followed(page, era_of(after_version))
                 )
             case Result(tag="ok", ok=StoreAnswer(410) as answer):
-                self._eras.note(answer.era)
+                self._eras.record_answer(answer.era)
                 return Error(HistoryLost("the store dropped its older changes"))
             case result:
                 return _failure(result)
@@ -217,7 +217,7 @@
                 return page
             rows += _rows(page.ok)
             if version is None:
-                version = packed_version(page.ok.era, page.ok.ver)
+                version = pack_version(page.ok.era, page.ok.ver)
             if page.ok.era != era_of(version):
                 return Error(Unknown("the store came back older between two pages"))
             if not page.ok.has_more:
@@ -241,7 +241,7 @@
 
     def _decoded(self, answer: StoreAnswer) -> Result[_Page, Unknown]:
         """Read an answer, unless it is of an earlier era."""
-        era = self._eras.note(answer.era)
+        era = self._eras.record_answer(answer.era)
         if era is None:
             return Error(Unknown("the store's answer is of another era"))
         try:
@@ -296,14 +296,14 @@
     """
     if any(era != page.era for era in read_in):
         return Error(Unknown("the store came back older before it was written"))
-    return Ok(packed_version(page.era, page.ver))
+    return Ok(pack_version(page.era, page.ver))
 
 
 def _followed(page: _Page, era: int) -> Result[Changes, HistoryLost]:
     """Return what changed, unless the store went back meanwhile."""
     if page.era != era:
         return Error(_CAME_BACK)
-    return Ok(Changes(_rows(page), packed_version(page.era, page.ver)))
+    return Ok(Changes(_rows(page), pack_version(page.era, page.ver)))
 
 
 def _rows(page: _Page) -> list[Row]:
@@ -312,7 +312,7 @@
 
 def _row(stored: _StoredRow, era: int) -> Row:
     """Return a row; one whose value is not ours to read has none."""
-    version = packed_version(era, stored.ver) if stored.ver else 0
+    version = pack_version(era, stored.ver) if stored.ver else 0
     if stored.deleted or stored.value is None:
         return Row(stored.key, 0 if stored.deleted else version)
     try:
--- a/balsamspindle/requests/claim_restorer.py
+++ b/balsamspindle/requests/claim_restorer.py
@@ -33,7 +33,7 @@
     claim_key,
 )
 from balsamspindle.tables import Check, Conflict, Put, Row, TableService, Transaction
-from balsamspindle.tables.eras import era_of, packed_version
+from balsamspindle.tables.eras import era_of, pack_version
 from balsamspindle.timeline import EventLog
 
 __all__ = ["CLAIM_ERAS_TABLE", "ClaimRestorer"]
@@ -187,7 +187,7 @@
     def _collect_claims(self, era: int, now_s: float) -> list[_ClaimRewrite]:
         """Return the claims of this process that the store may have lost."""
         after_s = self._lost_after_s
-        held_keys = self._begin_era(packed_version(era, 0), after_s, now_s)
+        held_keys = self._begin_era(pack_version(era, 0), after_s, now_s)
         claims = [self._rewrite_after_run(held_key) for held_key in held_keys]
         known = {claim.key for claim in claims}
         claims += [
--- a/balsamspindle/settings/__init__.py
+++ b/balsamspindle/settings/__init__.py
@@ -2,8 +2,8 @@
 
 `documents.py` defines the documents that teams write. Operators' edits go through
 `store.py` to the platform. `reader.py` and `gossip.py` bring accepted edits to each
-node, where `configuration.py` holds the settings in force. `process.py` defines the settings
-that a node process reads from a file when it starts.
+node, where `configuration.py` holds the settings in force. `process.py` defines the
+settings that a node process reads from a file when it starts.
 """
 
 from balsamspindle.settings.documents import (
--- a/balsamspindle/settings/configuration.py
+++ b/balsamspindle/settings/configuration.py
@@ -115,11 +115,11 @@
                 else:
                     after.documents[path] = document
                     after._put(path, document)
-        after.routes = self.routes.changed(
+        after.routes = self.routes.with_changes(
             [self._routes[path] for path in changed_paths if path in self._routes],
             [after._routes[path] for path in changed_paths if path in after._routes],
         )
-        after.customers = self.customers.changed(
+        after.customers = self.customers.with_changes(
             [
                 self._customers[path]
                 for path in changed_paths
--- a/balsamspindle/settings/customers.py
+++ b/balsamspindle/settings/customers.py
@@ -32,7 +32,7 @@
             return self._changes[key]
         return self._shared.get(key)
 
-    def changed(
+    def with_changes(
         self,
         removed: Iterable[CustomerDocument],
         added: Iterable[CustomerDocument],
--- a/balsamspindle/settings/history.py
+++ b/balsamspindle/settings/history.py
@@ -20,24 +20,24 @@
 from balsamspindle.tables import PlatformError, TableService
 
 __all__ = [
-    "NEWS_CHANGES",
+    "UPDATE_CHANGES_MAX",
     "DocumentDiff",
-    "News",
+    "RevisionUpdate",
     "change_diffs",
     "diff_documents",
     "diff_team",
     "read_changes",
     "read_fleet",
     "read_history",
-    "read_news",
+    "read_update",
     "read_team_history",
 ]
 
 HISTORY_LIMIT = 20
-NEWS_CHANGES = 8
+UPDATE_CHANGES_MAX = 8
 
 
-class News(NamedTuple):
+class RevisionUpdate(NamedTuple):
     """The newest revision, and the first changes after a given revision."""
 
     fleet: FleetRow
@@ -96,16 +96,18 @@
     )
 
 
-def read_news(tables: TableService, above_revision: int) -> Result[News, PlatformError]:
+def read_update(
+    tables: TableService, above_revision: int
+) -> Result[RevisionUpdate, PlatformError]:
     """Return the newest revision and the first changes after a given revision.
 
     Both are fetched in one read. On a slow platform, a second read would double the
     time until a change is in force.
     """
-    revisions = range(above_revision + 1, above_revision + 1 + NEWS_CHANGES)
+    revisions = range(above_revision + 1, above_revision + 1 + UPDATE_CHANGES_MAX)
     keys = [REVISION_KEY, *map(change_key, revisions)]
     return tables.read(CHANGES_TABLE, keys).map(
-        lambda rows: News(
+        lambda rows: RevisionUpdate(
             row_value(rows[0], FleetRow, FleetRow()),
             [row_value(row, Change) for row in rows[1:] if row.value is not None],
         )
--- a/balsamspindle/settings/reader.py
+++ b/balsamspindle/settings/reader.py
@@ -16,7 +16,12 @@
 from expression import Result
 
 from balsamspindle.settings.configuration import ApplyResult, CurrentConfiguration
-from balsamspindle.settings.history import NEWS_CHANGES, News, read_changes, read_news
+from balsamspindle.settings.history import (
+    UPDATE_CHANGES_MAX,
+    RevisionUpdate,
+    read_changes,
+    read_update,
+)
 from balsamspindle.settings.loading import (
     REPLAY_CHANGES_MAX,
     load_from_snapshot,
@@ -206,23 +211,23 @@
     def poll(self) -> None:
         """Read the platform's revision and put missing changes in force."""
         began_s, own_revision = time.monotonic(), self._configuration.revision
-        match read_news(self._tables, self._configuration.revision):
-            case Result(tag="ok", ok=news):
-                self.platform_revision = news.fleet.revision
-                self._compare_revisions(news)
+        match read_update(self._tables, self._configuration.revision):
+            case Result(tag="ok", ok=update):
+                self.platform_revision = update.fleet.revision
+                self._compare_revisions(update)
                 # An older revision shows that the platform lost changes; it may
                 # have lost others that can't be detected.
-                if news.fleet.revision >= own_revision:
-                    self._on_read(began_s, news.fleet.revision)
+                if update.fleet.revision >= own_revision:
+                    self._on_read(began_s, update.fleet.revision)
             case Result(error=error):
                 self._set_state(PlatformState.UNREACHABLE, error.message)
 
-    def _compare_revisions(self, news: News) -> None:
-        own, fleet = self._configuration.get(), news.fleet
+    def _compare_revisions(self, update: RevisionUpdate) -> None:
+        own, fleet = self._configuration.get(), update.fleet
         if own is None:
             self._load_initial(fleet)
         elif fleet.revision > own.revision:
-            self._catch_up(own.revision, news)
+            self._catch_up(own.revision, update)
         elif fleet.revision < own.revision:
             # The platform was restored from a backup. Loading its settings would
             # revert accepted changes, so the node keeps those in force.
@@ -232,9 +237,9 @@
         else:
             self._set_state(PlatformState.CURRENT)
 
-    def _catch_up(self, own_revision: int, news: News) -> None:
-        changes, revision = news.changes, news.fleet.revision
-        if revision > own_revision + NEWS_CHANGES:
+    def _catch_up(self, own_revision: int, update: RevisionUpdate) -> None:
+        changes, revision = update.changes, update.fleet.revision
+        if revision > own_revision + UPDATE_CHANGES_MAX:
             last = min(revision, own_revision + REPLAY_CHANGES_MAX)
             match read_changes(self._tables, own_revision + 1, last):
                 case Result(tag="ok", ok=changes):
--- a/balsamspindle/settings/routes.py
+++ b/balsamspindle/settings/routes.py
@@ -34,7 +34,7 @@
         for key, known in self._routes.items():
             self._routes[key] = _sort_by_content(known)
 
-    def changed(
+    def with_changes(
         self, removed: Iterable[RouteDocument], added: Iterable[RouteDocument]
     ) -> "RouteTable":
         """Return a new table with some routes replaced, which shares the others."""
--- a/balsamspindle/settings/validation.py
+++ b/balsamspindle/settings/validation.py
@@ -26,7 +26,7 @@
     "DocumentWarning",
     "Fault",
     "check_documents",
-    "note_documents",
+    "document_warnings",
     "struct_faults",
 ]
 
@@ -123,7 +123,7 @@
     return faults
 
 
-def note_documents(documents: Mapping[str, bytes]) -> list[DocumentWarning]:
+def document_warnings(documents: Mapping[str, bytes]) -> list[DocumentWarning]:
     """Return warnings about valid documents, such as routes to other teams."""
     warnings = []
     for path, document in documents.items():
--- a/balsamspindle/tables/eras.py
+++ b/balsamspindle/tables/eras.py
@@ -9,13 +9,13 @@
 import time
 from collections.abc import Callable
 
-__all__ = ["StoreEras", "era_of", "number_of", "packed_version"]
+__all__ = ["StoreEras", "era_of", "number_of", "pack_version"]
 
 # 4,000 writes a second for nearly nine years: no store reaches this number.
 NUMBERS_PER_ERA = 1 << 40
 
 
-def packed_version(era: int, number: int) -> int:
+def pack_version(era: int, number: int) -> int:
     """Combine an era and a number assigned by the store into a version."""
     return era * NUMBERS_PER_ERA + number
 
@@ -64,7 +64,7 @@
         self.newest = 0
         self.answered_s = float("-inf")
 
-    def note(self, reported: str | None) -> int | None:
+    def record_answer(self, reported: str | None) -> int | None:
         """Record the era of a store answer and return it.
 
         Returns None when the caller must discard the answer.
@@ -82,7 +82,7 @@
             self._on_invalid(f"the store's era is not a number: {reported[:40]!r}")
             return None
         era = int(reported)
-        before = self.hear(era)
+        before = self.record_era(era)
         if era < before:
             # Sent before the store was restored: its data may no longer exist.
             self._on_invalid(f"the store's answer is of era {era}, after {before}")
@@ -90,7 +90,7 @@
         self.answered_s = self._clock()
         return era
 
-    def hear(self, era: int) -> int:
+    def record_era(self, era: int) -> int:
         """Record an era from a peer or the store; return the newest known before."""
         with self._lock:
             before, self.newest = self.newest, max(self.newest, era)
--- a/tests/restorable_store.py
+++ b/tests/restorable_store.py
@@ -14,7 +14,7 @@
     Unknown,
     Unreachable,
 )
-from balsamspindle.tables.eras import era_of, number_of, packed_version
+from balsamspindle.tables.eras import era_of, number_of, pack_version
 
 __all__ = ["RestorableStore", "StoreView"]
 
@@ -28,7 +28,7 @@
         self.era = 1
         self._copy = ({}, 0)
 
-    def copy(self) -> None:
+    def save_copy(self) -> None:
         self._copy = dict(self.rows), self.number
 
     def restore(self) -> None:
@@ -37,7 +37,7 @@
 
     def row(self, table: str, key: str) -> Row:
         number, value = self.rows.get((table, key), (0, None))
-        return Row(key, packed_version(self.era, number) if number else 0, value)
+        return Row(key, pack_version(self.era, number) if number else 0, value)
 
 
 class StoreView(TableService):
@@ -45,7 +45,7 @@
 
     Attributes
     ----------
-    fails : float
+    failure_rate : float
         Fraction of the calls that fail.
     is_cut : bool
         Whether all calls fail.
@@ -60,7 +60,7 @@
         self._store = store
         self._rng = rng
         self._eras = StoreEras(clock=clock)
-        self.fails = 0.0
+        self.failure_rate = 0.0
         self.is_cut = False
 
     @property
@@ -71,13 +71,13 @@
     def answered_s(self) -> float:
         return self._eras.answered_s
 
-    def hear(self, era: int) -> None:
-        self._eras.hear(era)
+    def record_era(self, era: int) -> None:
+        self._eras.record_era(era)
 
     def read(self, table, keys):
         if self._call_fails():
             return Error(Unreachable("down"))
-        self._eras.note(str(self._store.era))
+        self._eras.record_answer(str(self._store.era))
         return Ok([self._store.row(table, key) for key in keys])
 
     def scan(self, table):
@@ -93,7 +93,7 @@
             check.version and era_of(check.version) != self.era
             for check in transaction.checks
         )
-        self._eras.note(str(self._store.era))
+        self._eras.record_answer(str(self._store.era))
         found = [
             self._store.row(check.table, check.key) for check in transaction.checks
         ]
@@ -105,7 +105,7 @@
             self._store.rows[put.table, put.key] = self._store.number, put.value
         if self._call_fails():
             return Error(Unknown("the reply was lost"))
-        return Ok(packed_version(self._store.era, self._store.number))
+        return Ok(pack_version(self._store.era, self._store.number))
 
     def _call_fails(self) -> bool:
-        return self.is_cut or self._rng.random() < self.fails
+        return self.is_cut or self._rng.random() < self.failure_rate
--- a/tests/test_claim_schedules.py
+++ b/tests/test_claim_schedules.py
@@ -34,7 +34,7 @@
         self.lost_claims = 0
         self.runs_after_restore = 0
         for process in self.world.processes.values():
-            process.view.fails = 0.1
+            process.view.failure_rate = 0.1
 
     def step(self) -> None:
         """Advance the time and perform one random action."""
@@ -113,7 +113,7 @@
         return ended
 
     def copy(self) -> None:
-        self.world.store.copy()
+        self.world.store.save_copy()
         self.copied_s = self.world.now_s
 
     def restore(self) -> None:
@@ -126,7 +126,7 @@
         if self.rng.random() < 0.2:
             name = self.rng.choice("abc")
             self.world.replace(name)
-            self.world.processes[name].view.fails = 0.1
+            self.world.processes[name].view.failure_rate = 0.1
 
     def cut(self) -> None:
         for process in self.world.processes.values():
@@ -138,7 +138,7 @@
         process.restorer.step(self.world.now_s)
 
     def gossip(self) -> None:
-        self._any().view.hear(self._any().view.era)
+        self._any().view.record_era(self._any().view.era)
 
     def check(self) -> None:
         assert max(self.runs.values(), default=0) <= 1, "a key ran twice"
--- a/tests/test_claims_restored.py
+++ b/tests/test_claims_restored.py
@@ -8,7 +8,7 @@
 from balsamspindle.protocol.outcomes import Outcome, Reason
 from balsamspindle.requests import claim_eras
 from balsamspindle.requests.claim_eras import ClaimEras, ClaimHolder, Confirmation
-from balsamspindle.tables.eras import packed_version
+from balsamspindle.tables.eras import pack_version
 from balsamspindle.wire import Claim
 from tests.claim_world import KEY, World, dispatch_of, reply
 
@@ -27,7 +27,7 @@
     def test_the_gate_that_ran_a_key_claims_it_again(self):
         # Guards against a second run of a key whose claim the store has lost.
         world = World()
-        world.store.copy()
+        world.store.save_copy()
         world.run_at("a")
         world.store.restore()
         world.step_all()
@@ -40,7 +40,7 @@
     def test_a_gate_that_was_restarted_leaves_a_key_unknown(self):
         # Guards against a second run of a key whose gate lost its memory in a restart.
         world = World()
-        world.store.copy()
+        world.store.save_copy()
         world.run_at("a", ingress="a")
         world.store.restore()
         world.replace("a")
@@ -55,7 +55,7 @@
         # Guards against a second run after the time for resends, when the claims of
         # processes that ended are no longer in doubt.
         world = World()
-        world.store.copy()
+        world.store.save_copy()
         world.run_at("a", ingress="c")
         world.store.restore()
         world.replace("a")
@@ -74,7 +74,7 @@
         # Guards against a second run of a key whose gate can't reach the store to
         # claim it again.
         world = World()
-        world.store.copy()
+        world.store.save_copy()
         world.run_at("a", ingress="a")
         world.processes["a"].view.is_cut = True
         world.store.restore()
@@ -92,7 +92,7 @@
     def test_a_claim_made_before_its_writer_heard_of_the_era_runs_nothing(self):
         # Guards against a run under a claim that replaced a lost one.
         world = World()
-        world.store.copy()
+        world.store.save_copy()
         world.run_at("a")
         world.store.restore()
         gate = world.processes["b"]
@@ -112,7 +112,7 @@
         world = World()
         gate = world.processes["a"]
         claim = world.processes["c"].claimant().claim_for(gate.gate, world.now_s)
-        held = gate.ledger.begin_era(packed_version(2, 0), 0.0, world.now_s)
+        held = gate.ledger.begin_era(pack_version(2, 0), 0.0, world.now_s)
         self.assertEqual([], held)
         refused = gate.ledger.begin(dispatch_of(claim), world.now_s)
         self.assertEqual(KeyRefused(Outcome.NOT_RUN, Reason.CLAIM_MOVED), refused)
@@ -120,10 +120,10 @@
     def test_not_run_is_not_replied_for_a_key_whose_claim_may_be_lost(self):
         # Guards against 'not run' for a key that ran before the store was restored.
         world = World()
-        world.store.copy()
+        world.store.save_copy()
         world.run_at("a")
         world.store.restore()
-        world.processes["b"].view.hear(2)
+        world.processes["b"].view.record_era(2)
         refusal = reply(Outcome.NOT_RUN, Reason.NO_BACKEND_SERVER)
         final = world.processes["b"].claimant().final_reply(refusal)
         self.assertIs(Outcome.UNKNOWN, final.outcome)
@@ -131,7 +131,7 @@
     def test_keys_are_claimed_again_soon_when_all_processes_live(self):
         # Guards against a fleet that serves no new keys after a restore.
         world = World()
-        world.store.copy()
+        world.store.save_copy()
         world.store.restore()
         world.step_all()
         self._resend(world, "b", "a", "first")
@@ -144,7 +144,7 @@
     def test_a_fleet_without_keys_calls_the_store_no_more_than_before(self):
         # Guards against needless calls of all nodes at once after a restore.
         world = World()
-        world.store.copy()
+        world.store.save_copy()
         world.store.restore()
         for _ in range(3):
             world.step_all()
@@ -153,7 +153,7 @@
     def test_a_process_that_started_later_learns_that_the_era_is_settled(self):
         # Guards against new processes that never learn that the era is settled.
         world = World()
-        world.store.copy()
+        world.store.save_copy()
         world.run_at("a")
         world.store.restore()
         for _ in range(3):
@@ -170,7 +170,7 @@
         # Guards against claims that are written again and then lost in a second
         # restore.
         world = World()
-        world.store.copy()
+        world.store.save_copy()
         world.run_at("a")
         for _ in range(2):
             world.store.restore()
--- a/tests/test_customer_documents.py
+++ b/tests/test_customer_documents.py
@@ -78,12 +78,12 @@
         )
         table = CustomerTable([anna, ben])
         rotated = CustomerDocument("Anna", (FIRST, THIRD))
-        after = table.changed([anna], [rotated])
+        after = table.with_changes([anna], [rotated])
         self.assertEqual("Anna", after.find(THIRD).name)
         self.assertEqual("Anna", after.find(FIRST).name)
         self.assertEqual("Ben", after.find(SECOND).name)
         self.assertIsNone(table.find(THIRD))
-        done = after.changed([rotated], [CustomerDocument("Anna", (THIRD,))])
+        done = after.with_changes([rotated], [CustomerDocument("Anna", (THIRD,))])
         self.assertIsNone(done.find(FIRST))
 
     def test_a_key_that_moved_stays_with_its_new_customer(self):
@@ -91,20 +91,20 @@
         # opposite order, so that the old owner's removal deletes the moved key.
         anna, ben = CustomerDocument("Anna", (FIRST,)), CustomerDocument("Ben", ())
         table = CustomerTable([anna, ben])
-        after = table.changed([anna, ben], [CustomerDocument("Ben", (FIRST,))])
+        after = table.with_changes([anna, ben], [CustomerDocument("Ben", (FIRST,))])
         self.assertEqual("Ben", after.find(FIRST).name)
-        later = after.changed([anna], [])
+        later = after.with_changes([anna], [])
         self.assertEqual("Ben", later.find(FIRST).name)
 
     def test_no_key_is_lost_after_many_changes(self):
         table = CustomerTable()
         for number in range(CHANGES_MAX + 2):
             digest = key_digest(str(number))
-            table = table.changed([], [CustomerDocument(str(number), (digest,))])
+            table = table.with_changes([], [CustomerDocument(str(number), (digest,))])
         gone = CustomerDocument("0", (key_digest("0"),))
         self.assertEqual("0", table.find(key_digest("0")).name)
         self.assertEqual(str(CHANGES_MAX + 1), table.find(digest).name)
-        self.assertIsNotNone(table.changed([gone], []).find(key_digest("0")))
+        self.assertIsNotNone(table.with_changes([gone], []).find(key_digest("0")))
 
     def test_a_key_is_unknown_once_settings_without_it_are_in_force(self):
         current = CurrentConfiguration()
--- a/tests/test_settings_validation.py
+++ b/tests/test_settings_validation.py
@@ -11,7 +11,7 @@
 from balsamspindle.settings import NodeSettings, load_node_settings
 from balsamspindle.settings.validation import (
     check_documents,
-    note_documents,
+    document_warnings,
     struct_faults,
 )
 from tests.utils import encode
@@ -111,7 +111,7 @@
         route = {**VALID["crew/routes/sign"], "service": "yard/cranes"}
         documents = {"crew/routes/sign": encode(route)}
         self.assertEqual([], check_documents(documents, {"yard/cranes"}))
-        (warning,) = note_documents(documents)
+        (warning,) = document_warnings(documents)
         self.assertIn("a service of another team (yard)", warning.message)
 
     def test_all_faults_of_a_nodes_own_settings_are_reported(self):
--- a/tests/test_store_came_back.py
+++ b/tests/test_store_came_back.py
@@ -108,17 +108,17 @@
     def test_an_answer_of_an_earlier_era_changes_nothing(self):
         # The answer was in flight during the restore, and its data no longer exists.
         self._put("row", 1)
-        self.known.note("7")
+        self.known.record_answer("7")
         result = self.tables.read("test", ["row"])
         self.assertIsInstance(result.error, Unknown)
         self.assertIn("is of era 1, after 7", self.odd_eras[-1])
 
     def test_an_unreadable_era_is_reported_and_ignored(self):
-        self.assertEqual(0, self.known.note(None))
+        self.assertEqual(0, self.known.record_answer(None))
         self.assertEqual([], self.odd_eras)
-        self.assertEqual(3, self.known.note("3"))
-        self.assertIsNone(self.known.note("three"))
-        self.assertEqual(3, self.known.note(None))
+        self.assertEqual(3, self.known.record_answer("3"))
+        self.assertIsNone(self.known.record_answer("three"))
+        self.assertEqual(3, self.known.record_answer(None))
         self.assertEqual(2, len(self.odd_eras))
         self.assertEqual(3, self.known.newest)
 
