--- a/balsamspindle/platform/__init__.py
+++ b/balsamspindle/platform/__init__.py
@@ -1,9 +1,11 @@
-"""The deployment's platform: all that translates, and nothing else.
+"""Adapters between the users' platform and the product.
 
-`store.py` is the client of its metadata store, `values.py` reads how it writes
-times and versions, `configuration.py` and `settings.py` turn the operator's
-configuration and the process's settings into the product's, `announcements.py`
-takes what backend servers say of themselves. `__main__.py` starts a node there.
+- `store.py`: client of the platform's metadata store.
+- `values.py`: decoders of the platform's durations, versions, bytes and bounds.
+- `configuration.py`: translates the operator's configuration.
+- `settings.py`: translates the settings file of a process.
+- `announcements.py`: receives the announcements of backend servers.
+- `__main__.py`: runs a node on the platform.
 """
 
 from balsamspindle.platform.store import HttpObjectStore, HttpTableService
--- a/balsamspindle/platform/__main__.py
+++ b/balsamspindle/platform/__main__.py
@@ -1,4 +1,4 @@
-"""``python -m balsamspindle.platform``: a node beside a backend server there."""
+"""``python -m balsamspindle.platform``: runs a node on the users' platform."""
 
 import os
 import signal
@@ -18,7 +18,7 @@
 from balsamspindle.platform.configuration import operator_row, service_name
 from balsamspindle.platform.settings import MachineSettings, load_machine_settings
 
-# Kept of the time to SIGKILL for the last lines of the log.
+# Time before SIGKILL that is reserved for writing the last lines of the log.
 EXIT_RESERVE_S = 0.2
 
 SETTINGS_VARIABLE = "BALSAMSPINDLE_SETTINGS"
@@ -39,23 +39,26 @@
     process = NodeProcess(
         machine.node, Integration(operator_row(machine.retries), sys.stdout)
     )
-    process.serve(machine.announcement_address, _announcements(process, machine))
+    process.serve(
+        machine.announcement_address, _announcement_application(process, machine)
+    )
     process.serve(machine.ready_address, ReadinessApplication(process.is_ready))
-    signal.signal(signal.SIGTERM, lambda *_: _leave(process, machine.grace_s))
+    signal.signal(signal.SIGTERM, lambda *_: _shut_down(process, machine.grace_s))
     signal.signal(signal.SIGHUP, lambda *_: process.reload())
-    process.watch_settings(Path(path), _reloaded)
+    process.watch_settings(Path(path), _load_node_settings)
     process.run()
     process.events.flush()
-    # A thread that still waits for a caller would hold the interpreter's end.
+    # sys.exit would wait for threads that are still blocked on a caller.
     os._exit(ExitStatus.DONE)
 
 
-def _announcements(
+def _announcement_application(
     process: NodeProcess, machine: MachineSettings
 ) -> AnnouncementApplication:
-    """Return what the backend server beside the node announces itself to.
+    """Return the application that receives the backend server's announcements.
 
-    It may do so before the configuration that first names its service arrives.
+    The service in the node's own settings is accepted at any time: the backend
+    server may start before the configuration that first names its service arrives.
     """
     own_service = service_name(machine.node.caller_service)
     return AnnouncementApplication(
@@ -65,25 +68,25 @@
     )
 
 
-def _leave(process: NodeProcess, grace_s: float) -> None:
-    """End in order, and in any case before the platform kills the process.
+def _shut_down(process: NodeProcess, grace_s: float) -> None:
+    """Start a graceful shutdown, and a timer that ends it before SIGKILL.
 
-    A connection that neither end closes would hold the orderly end up. The
-    kill would lose the last lines of the log, which say what held it up.
+    A connection that neither end closes would block the graceful shutdown. SIGKILL
+    would lose the last lines of the log, which say what blocked it.
     """
     process.stop()
-    end = threading.Timer(grace_s - EXIT_RESERVE_S, _exit, [process])
-    end.daemon = True
-    end.start()
+    timer = threading.Timer(grace_s - EXIT_RESERVE_S, _force_exit, [process])
+    timer.daemon = True
+    timer.start()
 
 
-def _exit(process: NodeProcess) -> None:
+def _force_exit(process: NodeProcess) -> None:
     process.events.emit("shutdown_cut_short")
     process.events.flush()
     os._exit(ExitStatus.FAILED)
 
 
-def _reloaded(path: Path):
+def _load_node_settings(path: Path):
     return load_machine_settings(path).map(lambda machine: machine.node)
 
 
--- a/balsamspindle/platform/announcements.py
+++ b/balsamspindle/platform/announcements.py
@@ -1,7 +1,7 @@
-"""Two small servers that the platform calls: announcements and readiness.
+"""WSGI applications for announcements of backend servers and for readiness checks.
 
-The backend server beside the node says here that it lives, drains or leaves.
-What was acknowledged binds the gate from that moment on.
+The backend server beside the node announces here that it is ready, drains or
+leaves. The gate acts on an announcement from the moment it was acknowledged.
 """
 
 import time
@@ -36,14 +36,14 @@
 
 
 class _Status(msgspec.Struct):
-    """What changes from one announcement to the next.
+    """The part of an announcement that changes from one to the next.
 
     Attributes
     ----------
     sequence : int
-        Rises with each announcement of one start of a backend server.
+        Increases with each announcement until the backend server restarts.
     cold_remaining : str
-        How much longer it stays slow after its start.
+        Time until the backend server reaches its full speed after its start.
     """
 
     state: Literal["ready", "draining"]
@@ -52,13 +52,13 @@
 
 
 class _Announcement(msgspec.Struct):
-    """One announcement.
+    """The body of an announcement.
 
     Attributes
     ----------
     born : int
-        When the backend server started, in Unix milliseconds; 0 where it does
-        not say. One that starts again keeps its id.
+        When the backend server started, in Unix milliseconds; 0 if unknown.
+        A later time under the same id means that the backend server restarted.
     """
 
     address: str
@@ -67,8 +67,8 @@
     born: Annotated[int, msgspec.Meta(ge=0)] = 0
 
 
-class _Leave(msgspec.Struct):
-    """The body of a call that says that a backend server leaves; may be empty."""
+class _LeaveBody(msgspec.Struct):
+    """The body of a call by which a backend server leaves; the body may be empty."""
 
     born: Annotated[int, msgspec.Meta(ge=0)] = 0
 
@@ -76,28 +76,28 @@
 class AnnouncementApplication:
     """The WSGI application that backend servers announce themselves to.
 
-    Anybody on the VM may call it. What is not written as agreed names no backend
-    server: taken in part, it would put an address into service that is none,
-    or take the place of the living one.
+    Any process on the VM may call it. A body that does not match the schema is
+    ignored as a whole: otherwise requests could be sent to an address without a
+    backend server, or the running backend server could be replaced.
 
     Parameters
     ----------
-    knows_service : callable
-        Tells whether a service may be in the settings in force; True as long
-        as there are none.
-    on_foreign : callable
-        Told why an announcement was not taken.
+    is_service_allowed : callable
+        Takes a service's name; returns whether the settings in force may define it.
+        Returns True while no settings are in force.
+    on_ignored : callable
+        Called with the reason why an announcement was ignored.
     """
 
     def __init__(
         self,
         lifetimes: Lifetimes,
-        knows_service: Callable[[str], bool] = lambda service: True,
-        on_foreign: Callable[[str], None] = lambda cause: None,
+        is_service_allowed: Callable[[str], bool] = lambda service: True,
+        on_ignored: Callable[[str], None] = lambda cause: None,
     ) -> None:
         self._lifetimes = lifetimes
-        self._knows_service = knows_service
-        self._on_foreign = on_foreign
+        self._is_service_allowed = is_service_allowed
+        self._on_ignored = on_ignored
 
     def __call__(self, environ, start_response):
         """Answer one call."""
@@ -109,40 +109,40 @@
         except HTTPException as error:
             response = error
         except (msgspec.MsgspecError, PlatformFormatError, UnicodeError) as error:
-            self._on_foreign(str(error))
+            self._on_ignored(str(error))
             response = BadRequest(str(error))
         return response(environ, start_response)
 
     def _announce(self, request, server_id):
-        said = msgspec.json.decode(request.get_data(), type=_Announcement)
-        service = service_name(said.info.service)
-        if not self._knows_service(service):
-            raise PlatformFormatError(f"no settings define {said.info.service!r}")
+        body = msgspec.json.decode(request.get_data(), type=_Announcement)
+        service = service_name(body.info.service)
+        if not self._is_service_allowed(service):
+            raise PlatformFormatError(f"no settings define {body.info.service!r}")
         announcement = msgspec.convert(
             {
                 "service": service,
-                "address": said.address,
-                "slots": said.info.slots,
+                "address": body.address,
+                "slots": body.info.slots,
                 "boot_id": server_id,
             },
             Announcement,
         )
         status = AnnouncedStatus(
-            said.status.sequence,
-            said.status.state == "draining",
-            parse_duration_ms(said.status.cold_remaining) / 1000,
-            said.born,
+            body.status.sequence,
+            body.status.state == "draining",
+            parse_duration_ms(body.status.cold_remaining) / 1000,
+            body.born,
         )
         self._lifetimes.announce(server_id, announcement, status, time.monotonic())
 
     def _leave(self, request, server_id):
-        body = request.get_data()
-        said = msgspec.json.decode(body, type=_Leave) if body else _Leave()
-        self._lifetimes.record_leave(server_id, start_unix_ms=said.born)
+        data = request.get_data()
+        body = msgspec.json.decode(data, type=_LeaveBody) if data else _LeaveBody()
+        self._lifetimes.record_leave(server_id, start_unix_ms=body.born)
 
 
 class ReadinessApplication:
-    """The WSGI application that tells whether callers may be sent here."""
+    """The WSGI application that answers 200 when the node accepts callers, else 503."""
 
     def __init__(self, is_ready: Callable[[], bool]) -> None:
         self._is_ready = is_ready
--- a/balsamspindle/platform/configuration.py
+++ b/balsamspindle/platform/configuration.py
@@ -1,7 +1,7 @@
-"""The operator's configuration, as documents of the product's settings.
+"""Translates the operator's configuration into documents of the product's settings.
 
-The operator writes all of it at once, as one row of the store. It becomes the
-documents of one team, named `TEAM`, at a revision that is the row's version.
+The operator writes the whole configuration as one row of the store. It becomes the
+documents of one team, named `TEAM`; their revision is the configuration's version.
 """
 
 import re
@@ -34,28 +34,29 @@
 TEAM = "operator"
 TABLE, KEY = "op", "config"
 
-# Of the retries that the bounds allow, those that gates grant. The rest is for what
-# no gate can see: requests counted in another window, and that the calls of repeated
-# runs are only counted as expected.
-RETRY_FRACTION_USED = 0.8
-RETRY_PER_S_USED = 0.8
+# Fractions of the retries allowed by the bounds that gates grant. The rest covers what
+# gates can't count exactly: the platform counts requests in another time window, and
+# the calls that repeated runs make are only estimated.
+RETRY_RATIO_USED_FRACTION = 0.8
+RETRY_RATE_USED_FRACTION = 0.8
 
-# Backend servers there fall sick on their own, many at a time and for seconds, and
-# answer errors or reset connections at once meanwhile. A healthy one fails a request
-# now and then, too. So after the first error a trial follows at once; after a failed
-# one it waits.
+# On this platform many backend servers can fail at the same time, each for seconds of
+# its own; they answer errors or reset connections at once meanwhile. A healthy backend
+# server fails single requests, too. So the first trial follows soon after an error, and
+# each failed trial makes the wait for the next one longer.
 HOLD_OUT_S, HOLD_OUT_MAX_S = 0.05, 1.0
 HOLD_OUT_GROWTH = 4.0
 TRIAL_SUCCESSES = 1
-# A sick spell shows by trials that fail one after the other; an error after a
-# second of good service is as likely a single one.
+# A backend server that keeps failing fails its trials in a row. An error after a second
+# without errors may well be a single failure, so one growth step of the hold-out is
+# undone.
 CALM_S = 1.0
-# Attempts that may wait at one gate; the time that each still has decides
-# first, so this only bounds memory.
+# Attempts that may wait at one gate. They are refused earlier if they can't end before
+# their deadline, so this only bounds memory.
 QUEUE_MAX = 64
 
 _METHODS = ("GET", "HEAD", "POST", "PUT", "PATCH", "DELETE", "OPTIONS")
-_is_name = re.compile(r"[a-z0-9][a-z0-9.-]{0,63}").fullmatch
+_is_valid_name = re.compile(r"[a-z0-9][a-z0-9.-]{0,63}").fullmatch
 
 
 class _Share(msgspec.Struct):
@@ -64,22 +65,22 @@
 
 
 class _Route(msgspec.Struct):
-    """A route on the wire.
+    """A route as the operator writes it.
 
     Attributes
     ----------
     kind : str
-        Whether a request may run more than once: ``safe`` or not.
+        ``safe`` if a request may run more than once.
     timeout : str
-        How long a caller is kept waiting at most.
+        Time after which the caller gets an answer at the latest.
     target_latency : str
-        Within it an answer has its full worth.
+        Latency up to which an answer counts in full.
     retry_attempts : int
-        Backend servers that one request may be sent to, the first included.
+        Backend servers that one request may be sent to, including the first.
     priority : int
         0 is the most urgent.
     allow_anonymous : bool
-        Whether a request needs no key.
+        Whether requests without a key are accepted.
     """
 
     name: str
@@ -108,7 +109,7 @@
 
 
 class _Tenant(msgspec.Struct):
-    """A customer on the wire; a rate of 0 is no limit."""
+    """A customer as the operator writes it; a rate of 0 means no limit."""
 
     name: str
     api_keys: list[str]
@@ -118,7 +119,7 @@
 
 
 class _Configuration(msgspec.Struct):
-    """All of it; without tenants no request needs a key."""
+    """The whole configuration; if `tenants` is None, no request needs a key."""
 
     version: str
     routes: list[_Route]
@@ -127,24 +128,24 @@
     tenants: list[_Tenant] | None = None
 
 
-# What is not named here may run once at most.
+# Requests of any other kind may run at most once.
 _EXECUTIONS = {
     "safe": Execution.IDEMPOTENT,
     "unsafe": Execution.NON_IDEMPOTENT,
-    # Large bodies.
+    # Requests with large bodies.
     "upload": Execution.NON_IDEMPOTENT,
 }
 
 
 def operator_row(retries: RetryBounds) -> OperatorRow:
-    """Return where the operator's configuration lies and how it is read."""
+    """Return the store's row of the operator's configuration, and its decoder."""
     return OperatorRow(
         TABLE, KEY, lambda value: translate_configuration(value, retries)
     )
 
 
 def service_name(name: str) -> str:
-    """Return the product's name, ``TEAM/NAME``, of a service of the platform."""
+    """Return the product's name ``TEAM/NAME`` for a service of the platform."""
     return f"{TEAM}/{_document_name(name)}"
 
 
@@ -154,25 +155,25 @@
     Raises
     ------
     PlatformFormatError
-        When it can't be read; nothing of it may come in force then.
+        If any part is invalid; then no part of it may come into force.
     """
     try:
         configuration = msgspec.convert(value, _Configuration)
     except msgspec.ValidationError as error:
-        raise PlatformFormatError(f"the configuration: {error}") from None
+        raise PlatformFormatError(f"invalid configuration: {error}") from None
     revision = parse_version(configuration.version)
     documents: dict[str, msgspec.Struct] = {}
     for service in configuration.services:
-        slowest_ms = max(
+        slowest_target_ms = max(
             (
                 parse_duration_ms(route.target_latency)
                 for route in configuration.routes
-                if service.name in _services_of(route)
+                if service.name in _route_services(route)
             ),
             default=0.0,
         )
         documents[_path("services", service.name)] = _service_document(
-            service, slowest_ms, retries
+            service, slowest_target_ms, retries
         )
     for route in configuration.routes:
         is_open = configuration.tenants is None or route.allow_anonymous
@@ -184,18 +185,18 @@
     return WholeSettings(revision, encoded)
 
 
-def _services_of(route: _Route) -> list[str]:
+def _route_services(route: _Route) -> list[str]:
     shares = [share.service for share in route.weighted_clusters]
     return shares or [route.service]
 
 
 def _service_document(
-    service: _Service, slowest_ms: float, retries: RetryBounds
+    service: _Service, slowest_target_ms: float, retries: RetryBounds
 ) -> ServiceDocument:
     return ServiceDocument(
         detection=Detection(
             independent_errors=True,
-            slow_ms_min=slowest_ms,
+            slow_ms_min=slowest_target_ms,
             hold_out_s=HOLD_OUT_S,
             hold_out_max_s=HOLD_OUT_MAX_S,
             hold_out_growth=HOLD_OUT_GROWTH,
@@ -203,8 +204,8 @@
             calm_s=CALM_S,
         ),
         retry_budget=RetryBudget(
-            fraction=retries.fraction * RETRY_FRACTION_USED,
-            fleet_per_s_min=retries.per_s * RETRY_PER_S_USED,
+            fraction=retries.fraction * RETRY_RATIO_USED_FRACTION,
+            fleet_per_s_min=retries.per_s * RETRY_RATE_USED_FRACTION,
             on_errors=True,
         ),
         probe_path=service.health_path,
@@ -217,11 +218,11 @@
         ServiceShare(service_name(share.service), share.weight)
         for share in route.weighted_clusters
     )
-    named = [route.service] if route.service else _services_of(route)
-    if not named or named[0] is None:
-        raise PlatformFormatError(f"the route {route.name!r} names no service")
+    service_names = [route.service] if route.service else _route_services(route)
+    if not service_names or service_names[0] is None:
+        raise PlatformFormatError(f"route {route.name!r} has no service")
     return RouteDocument(
-        service=service_name(named[0]),
+        service=service_name(service_names[0]),
         execution=_EXECUTIONS.get(route.kind, Execution.NON_IDEMPOTENT),
         host=route.hostname,
         path_prefix=route.prefix,
@@ -236,34 +237,34 @@
 
 
 def _customer_documents(tenants: list[_Tenant]) -> dict[str, CustomerDocument]:
-    """Return the customers' documents, without their keys.
+    """Return the customers' documents, which hold digests in place of keys.
 
     Raises
     ------
     PlatformFormatError
-        When one can't be taken; the message holds no key.
+        If a customer is invalid. The message contains no key.
     """
     documents: dict[str, CustomerDocument] = {}
     owners: dict[str, str] = {}
     for index, tenant in enumerate(tenants):
-        place = f"tenants[{index}]"
+        location = f"tenants[{index}]"
         path = _path("customers", tenant.name)
         if path in documents:
-            raise PlatformFormatError(f"{place}: the name {tenant.name!r} twice")
-        documents[path] = _customer_document(tenant, place)
+            raise PlatformFormatError(f"{location}: duplicate name {tenant.name!r}")
+        documents[path] = _customer_document(tenant, location)
         for digest in documents[path].key_digests:
             if owners.setdefault(digest, path) != path:
                 raise PlatformFormatError(
-                    f"{place}: {tenant.name!r} has a key of another tenant"
+                    f"{location}: {tenant.name!r} uses a key of another tenant"
                 )
     return documents
 
 
-def _customer_document(tenant: _Tenant, place: str) -> CustomerDocument:
+def _customer_document(tenant: _Tenant, location: str) -> CustomerDocument:
     try:
         digests = tuple(map(key_digest, tenant.api_keys))
     except ValueError as error:
-        raise PlatformFormatError(f"{place}.api_keys: {error}") from None
+        raise PlatformFormatError(f"{location}.api_keys: {error}") from None
     try:
         return msgspec.convert(
             {
@@ -276,7 +277,7 @@
             CustomerDocument,
         )
     except msgspec.ValidationError as error:
-        raise PlatformFormatError(f"{place}: {error}") from None
+        raise PlatformFormatError(f"{location}: {error}") from None
 
 
 def _weight(priority: int) -> float:
@@ -297,7 +298,7 @@
 
 
 def _document_name(name: str) -> str:
-    """Return a name that the product takes; usual ones stay as they are."""
-    if _is_name(name):
+    """Return the name itself if it is valid in the product, else a hash of it."""
+    if _is_valid_name(name):
         return name
     return f"x-{xxhash.xxh3_64_hexdigest(name.encode())}"
--- a/balsamspindle/platform/headers.py
+++ b/balsamspindle/platform/headers.py
@@ -1,10 +1,10 @@
-"""The platform's header names, as the product's `HeaderNames`."""
+"""The platform's header names."""
 
 from balsamspindle.protocol.header_names import HeaderNames
 
 __all__ = ["HEADER_NAMES", "RETRY_AFTER_DECIMALS"]
 
-# Callers there read fractions of a second in Retry-After.
+# Callers on the platform accept fractions of a second in Retry-After.
 RETRY_AFTER_DECIMALS = 2
 
 HEADER_NAMES = HeaderNames(
--- a/balsamspindle/platform/settings.py
+++ b/balsamspindle/platform/settings.py
@@ -1,4 +1,4 @@
-"""The platform's settings file of a process, as the product's `NodeSettings`."""
+"""Translates the platform's settings file of a process into `NodeSettings`."""
 
 import math
 from pathlib import Path
@@ -10,53 +10,53 @@
 from balsamspindle.platform.headers import HEADER_NAMES, RETRY_AFTER_DECIMALS
 from balsamspindle.platform.values import (
     PlatformFormatError,
-    bound_values,
+    parse_bounds,
     parse_duration_ms,
 )
 from balsamspindle.settings.process import NodeSettings, SettingsError
 
 __all__ = ["MachineSettings", "RetryBounds", "load_machine_settings"]
 
-# Ports between nodes, counted from the first that the machine gives us.
-MEMBER_PORT, ADMIN_PORT = 0, 1
+# Offsets from the first port of the file's `port_range`.
+MEMBER_PORT_OFFSET, ADMIN_PORT_OFFSET = 0, 1
 
-# Two missed readiness checks, one a second, take a node's callers away; till
-# then they still send to it.
+# The platform checks readiness once per second and moves a node's callers away after
+# two failed checks. Until then callers still send to the node.
 READY_NOTICE_S = 2.6
-# Callers on the machine have no other node. A node that starts finds its peers
-# within half a second, and the first backend servers have announced themselves
-# after one and a half.
+# Callers on the machine have no other node, so requests wait while the node starts. It
+# finds its peers within 0.5 s, and the first backend servers announce themselves within
+# 1.5 s.
 START_HOLD_S = 2.0
-# Of the time between SIGTERM and SIGKILL, what is left to end in order after
-# the last requests were given up.
+# Part of the time between SIGTERM and SIGKILL that is reserved for a graceful end after
+# the last requests were cancelled.
 SHUTDOWN_RESERVE_S = 1.0
-# Callers' connections at once: a thread each, within the descriptors and the memory
-# of a small machine.
+# Callers' connections open at a time. Each takes a thread, and all must fit into the
+# file descriptors and the memory of a small machine.
 CONNECTIONS_MAX = 1200
-# Backend servers may be cut off from announcing for ten seconds while
-# requests still reach them; one that crashed shows by its failing work.
+# A backend server can be unable to announce itself for 10 s while requests still reach
+# it. A crashed backend server is detected earlier, by its failing requests.
 ANNOUNCEMENT_TTL_S = 30.0
-# Of the requests beyond a customer's limit that the bounds allow. The rest is for
-# nodes that begin to grant while another one still does.
-LIMIT_OVER_USED = 0.7
-# Bytes that a node may send to others for control, per second: the target of
-# the fleet at its full size.
+# Fraction used of the requests that the bounds allow beyond a customer's limit. The
+# rest covers nodes that begin to grant a limit while another node still grants it.
+LIMIT_EXCESS_USED_FRACTION = 0.7
+# Control traffic that a node may send to other nodes, in bytes per second: the target
+# for a fleet of full size.
 MEMBER_BYTES_PER_S = 9000.0
 
 
 class _Listen(msgspec.Struct):
-    """Addresses that the process serves.
+    """Addresses, as IP:port, that the process listens on.
 
     Attributes
     ----------
     outbound : str
-        Where requests come in, of callers and of the backend server beside it.
+        For requests of callers and of the backend server beside the node.
     inbound : str
-        Where other nodes reach this one.
+        For attempts from other nodes.
     ready : str
-        Where the platform asks whether callers may be sent here.
+        For the platform's readiness checks.
     control : str
-        Where the backend server beside it announces itself.
+        For announcements of the backend server beside the node.
     """
 
     outbound: str
@@ -66,24 +66,24 @@
 
 
 class _Store(msgspec.Struct):
-    """The metadata store; its rates and sizes bound the fleet, not one node."""
+    """The metadata store; its rate and size limits apply to the whole fleet."""
 
     address: str
 
 
-class _File(msgspec.Struct):
-    """The settings file; what is not named here is not needed.
+class _SettingsFile(msgspec.Struct):
+    """The settings file; other fields of it are ignored.
 
     Attributes
     ----------
     service : str
-        Of the backend server beside this process.
+        Service of the backend server beside this process.
     port_range : tuple of int
         First and last port for traffic between nodes.
     bounds : list of str
-        ``name=value`` each.
+        Entries of the form ``name=value``.
     zones : dict of str to str
-        Each zone's region.
+        Region of each availability zone.
     """
 
     node: str
@@ -99,14 +99,14 @@
 
 
 class RetryBounds(NamedTuple):
-    """What all nodes together may send more than once, for each service.
+    """The retries that all nodes together may send for a service.
 
     Attributes
     ----------
     fraction : float
-        Of the service's requests.
+        Retries as a fraction of the service's requests.
     per_s : float
-        Besides, whatever the number of requests.
+        Retries per second allowed in addition, whatever the number of requests.
     """
 
     fraction: float
@@ -114,12 +114,12 @@
 
 
 class MachineSettings(NamedTuple):
-    """What a node is told about its machine.
+    """The translated settings file.
 
     Attributes
     ----------
     ready_address, announcement_address : str
-        IP:port of two small servers that the platform calls.
+        IP:port for readiness checks and for announcements of backend servers.
     grace_s : float
         Time from SIGTERM to SIGKILL.
     """
@@ -134,15 +134,17 @@
 def load_machine_settings(path: Path) -> Result[MachineSettings, SettingsError]:
     """Read and translate the settings file."""
     try:
-        return Ok(_translate(msgspec.json.decode(path.read_bytes(), type=_File)))
+        return Ok(
+            _translate(msgspec.json.decode(path.read_bytes(), type=_SettingsFile))
+        )
     except OSError as error:
         return Error(SettingsError(f"{path}: {error.strerror}"))
     except (msgspec.MsgspecError, PlatformFormatError) as error:
         return Error(SettingsError(f"{path}: {error}"))
 
 
-def _translate(file: _File) -> MachineSettings:
-    bounds = bound_values(file.bounds)
+def _translate(file: _SettingsFile) -> MachineSettings:
+    bounds = parse_bounds(file.bounds)
     first_port = file.port_range[0]
     grace_s = parse_duration_ms(bounds.get("grace", "10s")) / 1000
     node = NodeSettings(
@@ -151,8 +153,8 @@
         availability_zone=file.zone,
         caller_address=file.listen.outbound,
         link_address=file.listen.inbound,
-        member_address=f"{file.ip}:{first_port + MEMBER_PORT}",
-        admin_address=f"{file.ip}:{first_port + ADMIN_PORT}",
+        member_address=f"{file.ip}:{first_port + MEMBER_PORT_OFFSET}",
+        admin_address=f"{file.ip}:{first_port + ADMIN_PORT_OFFSET}",
         platform_address=file.platform.address,
         member_bytes_per_s=MEMBER_BYTES_PER_S,
         headers=HEADER_NAMES,
@@ -168,8 +170,10 @@
         key_proof_max_age_s=_key_proof_max_age_s(bounds),
         availability_zones=len(file.zones),
         limit_window_s=parse_duration_ms(bounds.get("quota_window", "0s")) / 1000,
-        limit_over_part=_bound(bounds, "quota_over", "0") * LIMIT_OVER_USED,
-        limit_slack=_bound(bounds, "quota_slack", "0") * LIMIT_OVER_USED,
+        limit_over_part=_number_bound(bounds, "quota_over", "0")
+        * LIMIT_EXCESS_USED_FRACTION,
+        limit_slack=_number_bound(bounds, "quota_slack", "0")
+        * LIMIT_EXCESS_USED_FRACTION,
     )
     return MachineSettings(
         node, file.listen.ready, file.listen.control, _retry_bounds(bounds), grace_s
@@ -177,28 +181,33 @@
 
 
 def _key_proof_max_age_s(bounds: dict[str, str]) -> float | None:
-    """Return for how long a key may be served after it was proven valid."""
+    """Return how long a key is served after a proof of it, in seconds.
+
+    None if keys are served without a proof.
+    """
     match bounds.get("strict_revocation", "false"):
         case "false":
             return None
         case "true":
             return parse_duration_ms(bounds.get("revoke", "5s")) / 1000
         case value:
-            raise PlatformFormatError(f"strict_revocation={value!r}: not true or false")
+            raise PlatformFormatError(
+                f"strict_revocation={value!r}: expected true or false"
+            )
 
 
 def _retry_bounds(bounds: dict[str, str]) -> RetryBounds:
     window_s = parse_duration_ms(bounds.get("budget_window", "10s")) / 1000
-    fraction = _bound(bounds, "retry_budget_ratio", "0.1")
-    return RetryBounds(fraction, _bound(bounds, "budget_slack", "0") / window_s)
+    fraction = _number_bound(bounds, "retry_budget_ratio", "0.1")
+    return RetryBounds(fraction, _number_bound(bounds, "budget_slack", "0") / window_s)
 
 
-def _bound(bounds: dict[str, str], name: str, default: str) -> float:
+def _number_bound(bounds: dict[str, str], name: str, default: str) -> float:
     text = bounds.get(name, default)
     try:
         value = float(text)
     except ValueError:
         value = math.nan
     if not 0 <= value < math.inf:
-        raise PlatformFormatError(f"{name}={text!r}: expected a number from 0 on")
+        raise PlatformFormatError(f"{name}={text!r}: expected a number of at least 0")
     return value
--- a/balsamspindle/platform/store.py
+++ b/balsamspindle/platform/store.py
@@ -1,15 +1,15 @@
 """The client of the platform's metadata store.
 
-One HTTP call for each call of the interface, on a connection of its own: a
-reused one would let libcurl send a write a second time by itself.
+Each HTTP call has a connection of its own, because libcurl may send a write a second
+time when a reused connection turns out to be closed.
 
-What an answer proves: 503 and 429 mean that nothing was done, and so does a
-connection that was never up. Any other silence leaves a write in doubt; it
-may even take effect later.
+A refusal such as 503 or 429, or a connection that could not be opened, proves that
+nothing was written. After any other failure the result of a write is unknown; it may
+even take effect later.
 
-The store may come back from a copy of itself that is some seconds old, and tells a new
-era then (see `balsamspindle.tables.eras`). Versions that the product keeps are of one
-era: nothing is written, and no wait goes on, by one of an earlier era.
+The store may be restored from a copy that is some seconds old; it then announces a new
+era (see `balsamspindle.tables.eras`). A version belongs to one era: a version of an
+earlier era is neither used to check a write nor to wait for changes.
 """
 
 from typing import Any
@@ -18,7 +18,11 @@
 import msgspec
 from expression import Error, Ok, Result
 
-from balsamspindle.platform.store_calls import StoreAnswer, Waits, call_store
+from balsamspindle.platform.store_calls import (
+    LongPollConnections,
+    StoreAnswer,
+    call_store,
+)
 from balsamspindle.platform.values import (
     PlatformFormatError,
     decode_value,
@@ -42,21 +46,23 @@
 
 __all__ = ["HttpObjectStore", "HttpTableService"]
 
-# Rows of one answer; the store's own bound.
+# Rows in one answer; the store's own limit.
 PAGE_ROWS_MAX = 500
-# Rows between those asked for that one answer may bring along.
+# Rows with keys between the requested ones that one answer may contain besides.
 OTHER_ROWS_MAX = 16
-# All of the product's rows lie in one part, so that a transaction may write
-# several tables.
-PART = ""
-_AFTER_KEY = "\0"
+# All of the product's rows are in one partition (`part` on the wire), because a
+# transaction may write several tables but only one partition.
+PARTITION = ""
+# A key with this suffix is the next possible key after it.
+_NEXT_KEY_SUFFIX = "\0"
 
 _OK, _NOT_FOUND, _GONE, _CONFLICT = 200, 404, 410, 412
-# Nothing was done: not taken (4xx), over a rate (429), down (503), full (507).
+# Statuses after which nothing was written: invalid call (other 4xx), rate limit (429),
+# unavailable (503), storage full (507).
 _REFUSALS = frozenset({400, 403, 404, 413, 429, 503, 507})
 
 
-_CAME_BACK = HistoryLost("the store came back from an older copy")
+_RESTORED = HistoryLost("the store was restored from an older copy")
 
 
 class _StoredRow(msgspec.Struct):
@@ -65,9 +71,9 @@
     Attributes
     ----------
     ver : int
-        Version of the transaction that wrote the row; 0 for one not there.
+        Version of the transaction that wrote the row; 0 if the row does not exist.
     deleted : bool
-        Set in feeds, for a row that was removed.
+        True only in feeds, for a row that was removed.
     """
 
     key: str
@@ -79,12 +85,14 @@
 
 
 class _Page(msgspec.Struct):
-    """An answer of the store; `ver` is its newest version.
+    """An answer of the store.
 
     Attributes
     ----------
+    ver : int
+        The store's newest version.
     era : int
-        Told by a header.
+        The store's era. It is not in the body, but in a header.
     """
 
     rows: list[_StoredRow] = []
@@ -98,14 +106,14 @@
 
     Parameters
     ----------
-    eras : StoreEras, default=one of its own
-        What the process knows of the store's eras.
+    eras : StoreEras, optional
+        The process's record of the store's eras; by default a new one.
     """
 
     def __init__(self, address: str, eras: StoreEras | None = None) -> None:
         self._url = f"http://{address}"
         self._eras = eras or StoreEras()
-        self._waits = Waits()
+        self._long_polls = LongPollConnections()
 
     @property
     def era(self):
@@ -119,24 +127,31 @@
 
     def end_waits(self):
         """See `TableService.end_waits`."""
-        self._waits.end()
+        self._long_polls.shut_down_all()
 
     def read(self, table, keys):
-        """See `TableService.read`: as of one moment when the keys lie close."""
+        """See `TableService.read`.
+
+        The rows are of one moment only if one page holds the whole range of keys.
+        """
         if not keys:
             return Ok([])
         wanted = sorted(set(keys))
         rows: dict[str, Row] = {}
         while wanted:
             page = self._read_page(
-                table, wanted[0], wanted[-1] + _AFTER_KEY, len(wanted) + OTHER_ROWS_MAX
+                table,
+                wanted[0],
+                wanted[-1] + _NEXT_KEY_SUFFIX,
+                len(wanted) + OTHER_ROWS_MAX,
             )
             if page.is_error():
                 return page
-            rows |= {row.key: row for row in _rows(page.ok)}
+            rows |= {row.key: row for row in _to_rows(page.ok)}
             if not page.ok.has_more:
                 break
-            # Rows of others lie between; go on with the first key behind them.
+            # Rows with other keys filled the page: go on with the first requested
+            # key after them.
             last = page.ok.rows[-1].key
             wanted = [key for key in wanted if key > last]
         return Ok([rows.get(key, Row(key, 0)) for key in keys])
@@ -152,24 +167,27 @@
     def transact(self, transaction: Transaction) -> Result[int, PlatformError]:
         """See `TableService.transact`."""
         checks = transaction.checks
-        read_in = [era_of(check.version) for check in checks if check.version]
-        if any(era != self._eras.newest for era in read_in):
-            return self._read_checked(checks)
+        checked_eras = [era_of(check.version) for check in checks if check.version]
+        if any(era != self._eras.newest for era in checked_eras):
+            return self._reread_checked_rows(checks)
         body = msgspec.json.encode(_transaction_body(transaction))
         match call_store("POST", f"{self._url}/rows-tx", body):
             case Result(tag="ok", ok=StoreAnswer(200) as answer):
-                return self._decoded(answer).bind(lambda page: _written(page, read_in))
+                return self._decode_page(answer).bind(
+                    lambda page: _transaction_result(page, checked_eras)
+                )
             case Result(tag="ok", ok=StoreAnswer(412) as answer):
-                return self._decoded(answer).bind(
+                return self._decode_page(answer).bind(
                     lambda page: Error(Conflict(_checked_rows(transaction, page)))
                 )
             case result:
-                return _failure(result)
+                return _classify_failure(result)
 
-    def _read_checked(self, checks: list[Check]) -> Result[int, PlatformError]:
-        """Answer a transaction whose rows were read before the store came back.
+    def _reread_checked_rows(self, checks: list[Check]) -> Result[int, PlatformError]:
+        """Return a conflict for a transaction whose rows were read in an earlier era.
 
-        Sent by the numbers alone, it could find others' rows under them.
+        The transaction is not sent: the store has given out the same version numbers
+        again, so a check could pass on a row with other contents.
         """
         rows: list[Row] = []
         for check in checks:
@@ -183,31 +201,31 @@
     def wait_for_changes(self, table, after_version, wait_s):
         """See `TableService.wait_for_changes`."""
         if era_of(after_version) != self._eras.newest:
-            return Error(_CAME_BACK)
+            return Error(_RESTORED)
         wait_ms = int(wait_s * 1000)
         after = number_of(after_version)
         query = {"table": table, "after": after, "wait_ms": wait_ms}
         url = f"{self._url}/rows-feed?{urlencode(query)}"
         result = call_store(
-            "GET", url, wait_ms=wait_ms, open_socket=self._waits.open_socket
+            "GET", url, wait_ms=wait_ms, open_socket=self._long_polls.open_socket
         )
-        self._waits.forget()
+        self._long_polls.close_finished()
         match result:
             case Result(tag="ok", ok=StoreAnswer(200) as answer):
-                return self._decoded(answer).bind(
-                    lambda page: _followed(page, era_of(after_version))
+                return self._decode_page(answer).bind(
+                    lambda page: _feed_result(page, era_of(after_version))
                 )
             case Result(tag="ok", ok=StoreAnswer(410) as answer):
                 self._eras.record_answer(answer.era)
-                return Error(HistoryLost("the store dropped its older changes"))
+                return Error(HistoryLost("the store no longer has these older changes"))
             case result:
-                return _failure(result)
+                return _classify_failure(result)
 
     def _read_all(self, table: str) -> Result[Changes, Unreachable | Unknown]:
         """Read a table page by page.
 
-        The version is the first page's: what changed while the others were
-        read comes with the next wait.
+        The returned version is that of the first page, so the next wait returns what
+        changed while the other pages were read.
         """
         rows: list[Row] = []
         first, version = "", None
@@ -215,39 +233,42 @@
             page = self._read_page(table, first, None, PAGE_ROWS_MAX)
             if page.is_error():
                 return page
-            rows += _rows(page.ok)
+            rows += _to_rows(page.ok)
             if version is None:
                 version = pack_version(page.ok.era, page.ok.ver)
             if page.ok.era != era_of(version):
-                return Error(Unknown("the store came back older between two pages"))
+                return Error(Unknown("the store was restored between two pages"))
             if not page.ok.has_more:
                 return Ok(Changes(rows, version))
-            first = rows[-1].key + _AFTER_KEY
+            first = rows[-1].key + _NEXT_KEY_SUFFIX
 
     def _read_page(
         self, table: str, first: str, end: str | None, limit: int
     ) -> Result[_Page, Unreachable | Unknown]:
-        """Read the first rows of a range of keys; without an end, of the table."""
-        query = {"table": table, "part": PART, "limit": limit}
+        """Read the first rows with keys from `first` to before `end`.
+
+        If `end` is None, the range ends with the table.
+        """
+        query = {"table": table, "part": PARTITION, "limit": limit}
         if first:
             query["from"] = first
         if end is not None:
             query["to"] = end
         match call_store("GET", f"{self._url}/rows-get?{urlencode(query)}"):
             case Result(tag="ok", ok=StoreAnswer(200) as answer):
-                return self._decoded(answer)
+                return self._decode_page(answer)
             case result:
-                return _failure(result)
+                return _classify_failure(result)
 
-    def _decoded(self, answer: StoreAnswer) -> Result[_Page, Unknown]:
-        """Read an answer, unless it is of an earlier era."""
+    def _decode_page(self, answer: StoreAnswer) -> Result[_Page, Unknown]:
+        """Decode an answer; an answer of an earlier era is an error."""
         era = self._eras.record_answer(answer.era)
         if era is None:
-            return Error(Unknown("the store's answer is of another era"))
+            return Error(Unknown("the store's answer belongs to another era"))
         try:
             page = msgspec.json.decode(answer.body, type=_Page)
         except msgspec.MsgspecError as error:
-            return Error(Unknown(f"the store's answer can't be read: {error}"))
+            return Error(Unknown(f"the store's answer can't be decoded: {error}"))
         page.era = era
         return Ok(page)
 
@@ -266,7 +287,7 @@
             case Result(tag="ok", ok=StoreAnswer(404)):
                 return Ok(None)
             case result:
-                return _failure(result)
+                return _classify_failure(result)
 
     def put(self, name, body):
         """See `ObjectStore.put`."""
@@ -274,11 +295,11 @@
             case Result(tag="ok", ok=StoreAnswer(200)):
                 return Ok(None)
             case result:
-                return _failure(result)
+                return _classify_failure(result)
 
 
-def _failure(result: Result) -> Result[Any, Unreachable | Unknown]:
-    """Return what a call that was not answered as hoped proves."""
+def _classify_failure(result: Result) -> Result[Any, Unreachable | Unknown]:
+    """Return the error of a failed call: whether a write is excluded or unknown."""
     match result:
         case Result(tag="ok", ok=StoreAnswer(status)) if status in _REFUSALS:
             return Error(Unreachable(f"the store refused the call ({status})"))
@@ -288,44 +309,48 @@
             return Error(error)
 
 
-def _written(page: _Page, read_in: list[int]) -> Result[int, Unknown]:
+def _transaction_result(page: _Page, checked_eras: list[int]) -> Result[int, Unknown]:
     """Return the version that a transaction wrote.
 
-    Where the store came back after the checked rows were read, their versions may
-    stand for other rows by now: the write took effect, and not as it was meant.
+    If the store was restored after the checked rows were read, the same versions may
+    belong to other contents by now. The write took effect, but its checks prove
+    nothing.
     """
-    if any(era != page.era for era in read_in):
-        return Error(Unknown("the store came back older before it was written"))
+    if any(era != page.era for era in checked_eras):
+        return Error(Unknown("the store was restored before the write"))
     return Ok(pack_version(page.era, page.ver))
 
 
-def _followed(page: _Page, era: int) -> Result[Changes, HistoryLost]:
-    """Return what changed, unless the store went back meanwhile."""
+def _feed_result(page: _Page, era: int) -> Result[Changes, HistoryLost]:
+    """Return the changes; an error if the store was restored during the wait."""
     if page.era != era:
-        return Error(_CAME_BACK)
-    return Ok(Changes(_rows(page), pack_version(page.era, page.ver)))
+        return Error(_RESTORED)
+    return Ok(Changes(_to_rows(page), pack_version(page.era, page.ver)))
 
 
-def _rows(page: _Page) -> list[Row]:
-    return [_row(stored, page.era) for stored in page.rows]
+def _to_rows(page: _Page) -> list[Row]:
+    return [_to_row(stored, page.era) for stored in page.rows]
 
 
-def _row(stored: _StoredRow, era: int) -> Row:
-    """Return a row; one whose value is not ours to read has none."""
+def _to_row(stored: _StoredRow, era: int) -> Row:
+    """Convert a row; its value is None if the stored value can't be decoded."""
     version = pack_version(era, stored.ver) if stored.ver else 0
     if stored.deleted or stored.value is None:
         return Row(stored.key, 0 if stored.deleted else version)
     try:
         value = msgspec.json.decode(decode_value(stored.value))
     except (PlatformFormatError, msgspec.MsgspecError):
-        # A row that somebody else wrote: its readers say what they miss.
+        # Others, such as the operator, write rows too. The reader of the row reports
+        # that its value is missing.
         value = None
     return Row(stored.key, version, value)
 
 
 def _checked_rows(transaction: Transaction, page: _Page) -> list[Row]:
-    """Return the rows of the transaction's checks, in their order."""
-    found = {(row.table, row.key): _row(row, page.era) for row in page.rows if row.ver}
+    """Return the current rows of the transaction's checks, in the checks' order."""
+    found = {
+        (row.table, row.key): _to_row(row, page.era) for row in page.rows if row.ver
+    }
     return [
         found.get((check.table, check.key), Row(check.key, 0))
         for check in transaction.checks
@@ -337,15 +362,15 @@
     removals = [put for put in transaction.puts if put.value is None]
     return {
         "precondition": [
-            {**_address(check), "ver": number_of(check.version)}
+            {**_row_address(check), "ver": number_of(check.version)}
             for check in transaction.checks
         ],
         "upserts": [
-            {**_address(put), "value": encode_value(put.value)} for put in written
+            {**_row_address(put), "value": encode_value(put.value)} for put in written
         ],
-        "deletes": [_address(put) for put in removals],
+        "deletes": [_row_address(put) for put in removals],
     }
 
 
-def _address(item: Any) -> dict[str, str]:
-    return {"table": item.table, "part": PART, "key": item.key}
+def _row_address(item: Any) -> dict[str, str]:
+    return {"table": item.table, "part": PARTITION, "key": item.key}
--- a/balsamspindle/platform/store_calls.py
+++ b/balsamspindle/platform/store_calls.py
@@ -12,14 +12,14 @@
 from balsamspindle.protocol.field_values import field_value
 from balsamspindle.tables import Unknown, Unreachable
 
-__all__ = ["StoreAnswer", "Waits", "call_store"]
+__all__ = ["StoreAnswer", "LongPollConnections", "call_store"]
 
 CONNECT_TIMEOUT_MS = 500
-# The store answers in a few milliseconds; slowed sixtyfold it still does so
-# well within this.
+# The store answers in a few milliseconds, so this suffices even if it becomes 60 times
+# slower.
 CALL_TIMEOUT_MS = 2000
-# A connection that fell silent without a reset is found by keep-alive probes:
-# after a second of silence one each second, given up after the second.
+# TCP keep-alive detects a connection that was lost without a reset: probes start after
+# 1 s of silence, and the connection fails after two without an answer.
 KEEP_ALIVE_IDLE_S = 1
 KEEP_ALIVE_INTERVAL_S = 1
 KEEP_ALIVE_PROBES = 2
@@ -41,12 +41,12 @@
 
 
 class StoreAnswer(NamedTuple):
-    """What came back from a call.
+    """The store's answer to a call.
 
     Attributes
     ----------
     era : str or None
-        As the store wrote it.
+        Text of the era header, not validated; None without this header.
     """
 
     status: int
@@ -54,8 +54,8 @@
     era: str | None = None
 
 
-class Waits:
-    """The connections on which calls wait for changes."""
+class LongPollConnections:
+    """Sockets of the calls that wait for changes, so that they can be ended early."""
 
     def __init__(self) -> None:
         self._lock = threading.Lock()
@@ -63,30 +63,31 @@
         self._ended = False
 
     def open_socket(self, _purpose, address) -> socket.socket | int:
-        """Open the socket of a waiting call, unless all waits were ended."""
+        """Open the socket of a call; refuse it after `shut_down_all`."""
         with self._lock:
             if self._ended:
                 return pycurl.SOCKET_BAD
             opened = _open_socket(_purpose, address)
-            # A duplicate: libcurl's own may be closed and its number reused.
+            # Keep a duplicate, because libcurl closes its own descriptor and the
+            # number may then belong to another file.
             self._open.add(opened.dup())
             return opened
 
-    def forget(self) -> None:
-        """Close the duplicates of calls that are over; one waits at a time."""
+    def close_finished(self) -> None:
+        """Close all duplicates after a call; only one call waits at a time."""
         with self._lock:
             while self._open:
                 self._open.pop().close()
 
-    def end(self) -> None:
-        """Cut the connections of all waiting calls."""
+    def shut_down_all(self) -> None:
+        """Shut down the connections of all waiting calls and refuse new ones."""
         with self._lock:
             self._ended = True
             for opened in self._open:
                 try:
                     opened.shutdown(socket.SHUT_RDWR)
                 except OSError:
-                    # Not connected: the call ends by itself.
+                    # The socket is not connected, so the call ends by itself.
                     pass
 
 
@@ -97,12 +98,15 @@
     wait_ms: int = 0,
     open_socket: Callable = lambda *arguments: _open_socket(*arguments),
 ) -> Result[StoreAnswer, Unreachable | Unknown]:
-    """Make one call.
+    """Make one call on a new connection.
 
     Parameters
     ----------
     wait_ms : int
-        How long the store may hold the answer back on purpose.
+        Time that the store may wait for changes before it answers. It is added to the
+        timeout.
+    open_socket : callable
+        Callback for libcurl's ``OPENSOCKETFUNCTION``.
     """
     handle = pycurl.Curl()
     answer, eras = io.BytesIO(), []
@@ -114,7 +118,7 @@
     handle.setopt(pycurl.OPENSOCKETFUNCTION, open_socket)
     handle.setopt(pycurl.PROXY, "")
     handle.setopt(pycurl.WRITEDATA, answer)
-    handle.setopt(pycurl.HEADERFUNCTION, lambda line: _take_era(line, eras))
+    handle.setopt(pycurl.HEADERFUNCTION, lambda line: _record_era(line, eras))
     handle.setopt(pycurl.HTTPHEADER, ["Content-Type: application/json", "Expect:"])
     if body is not None:
         handle.setopt(pycurl.POSTFIELDS, body)
@@ -132,15 +136,15 @@
         handle.close()
 
 
-def _take_era(line: bytes, eras: list[str]) -> None:
-    """Keep the era that a line of a head tells."""
+def _record_era(line: bytes, eras: list[str]) -> None:
+    """Append the era if a header line contains it."""
     name, _, value = line.partition(b":")
     if name.lower() == ERA_HEADER:
         eras.append(field_value(value.rstrip(b"\r\n")))
 
 
 def _open_socket(_purpose, address) -> socket.socket:
-    """Return a socket that notices when its connection falls silent."""
+    """Return a socket whose connection fails when keep-alive probes go unanswered."""
     opened = socket.socket(address.family, address.socktype, address.protocol)
     opened.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
     for option, value in _KEEP_ALIVE.items():
--- a/balsamspindle/standins/__init__.py
+++ b/balsamspindle/standins/__init__.py
@@ -1,4 +1,4 @@
-"""Small stand-ins for outside systems; for tests and the demo only.
+"""Stand-ins for the users' platform and for backend servers.
 
-`platform.py` and `backend_server.py`, each with switches for its faults.
+They are for tests and the demo only. Faults can be injected into each of them.
 """
--- a/balsamspindle/standins/backend_server.py
+++ b/balsamspindle/standins/backend_server.py
@@ -1,9 +1,10 @@
-"""A stand-in for a backend server, with switches for its faults.
+"""A stand-in for a backend server, with fault injection.
 
-It announces itself to the node beside it, counts how often it ran each
-request, and answers with what it was asked, so that a test can tell whose
-answer it holds. ``POST /faults`` sets its fault, ``GET /runs`` tells its
-counts; each run with a run key is also a line on standard error.
+It announces itself to the node beside it and counts how often it ran each request.
+Its answer contains the request and the server's name, so that a test can tell which
+request was answered and by which server. ``POST /faults`` sets its fault, ``GET
+/runs`` returns its counts. For each run with a run key it also writes a line to
+standard error.
 """
 
 import json
@@ -18,15 +19,20 @@
 import msgspec
 import pycurl
 
-__all__ = ["Announcer", "BackendFault", "BackendFaultSwitch", "StandinBackendServer"]
+__all__ = [
+    "Announcer",
+    "BackendFaultMode",
+    "BackendFaultSwitch",
+    "StandinBackendServer",
+]
 
 RUN_KEY_HEADER = "X-Run-Key"
-# Of one request, in place of the time that each of them takes.
+# Overrides the working time of one request.
 WORK_MS_HEADER = "X-Work-Ms"
 
 
-class BackendFault(StrEnum):
-    """How the stand-in misbehaves on real work; its health stays well."""
+class BackendFaultMode(StrEnum):
+    """How requests fail; health checks keep succeeding."""
 
     NONE = "none"
     HANG = "hang"
@@ -43,18 +49,26 @@
     Attributes
     ----------
     share : float
-        Part of the requests that it takes, spread evenly.
+        Fraction of the requests that meet the fault, spread evenly.
     delay_s : float
-        Time that a slow or hanging request takes.
+        Time added to a slow or hanging request.
     """
 
-    mode: BackendFault = BackendFault.NONE
+    mode: BackendFaultMode = BackendFaultMode.NONE
     share: float = 1.0
     delay_s: float = 30.0
 
 
 class StandinBackendServer(ThreadingHTTPServer):
-    """The HTTP server of one stand-in."""
+    """The HTTP server of one stand-in.
+
+    Attributes
+    ----------
+    runs : Counter of str
+        Number of runs by run key.
+    running, running_max : int
+        Requests that run now, and the most that ran at a time.
+    """
 
     daemon_threads = True
     request_queue_size = 512
@@ -68,19 +82,19 @@
         self.runs: Counter[str] = Counter()
         self.running = 0
         self.running_max = 0
-        self._taken = 0.0
+        self._share_sum = 0.0
 
-    def take_fault(self) -> BackendFault:
-        """Return the fault that the next request meets."""
+    def next_fault(self) -> BackendFaultMode:
+        """Return the fault that the next request meets, `NONE` for no fault."""
         with self.lock:
-            self._taken += self.fault.share
-            if self._taken < 1:
-                return BackendFault.NONE
-            self._taken -= 1
+            self._share_sum += self.fault.share
+            if self._share_sum < 1:
+                return BackendFaultMode.NONE
+            self._share_sum -= 1
             return self.fault.mode
 
     def handle_error(self, request, client_address):
-        """Say nothing of a caller that went away."""
+        """Print nothing when a caller has closed its connection."""
 
 
 class _Handler(BaseHTTPRequestHandler):
@@ -90,7 +104,7 @@
     wbufsize = -1
 
     def log_message(self, format, *args):
-        """Keep quiet: the node writes the events."""
+        """Log nothing, since the node writes events for all requests."""
 
     def do_GET(self):
         body = self._read_body()
@@ -116,16 +130,16 @@
         return self.rfile.read(int(self.headers.get("Content-Length", 0)))
 
     def _work(self, body):
-        fault = self.server.take_fault()
-        if fault is BackendFault.SHED:
+        fault = self.server.next_fault()
+        if fault is BackendFaultMode.SHED:
             self._send(503, b'{"shed": true}')
             return
         key = self.headers.get(RUN_KEY_HEADER)
         if key:
-            # Written at once and outside this process: a count in memory is
-            # gone when the process is killed.
-            # One write: `print` writes the line's end apart, and two runs at once
-            # would stand in one line, so that a second run could go unseen.
+            # The run is also recorded outside this process, because the counts in
+            # memory are lost when the process is killed. It is a single write: `print`
+            # writes the line end separately, so two concurrent runs could end up in
+            # one line and the second one could be overlooked.
             sys.stderr.write(f"event=run run_key={key}\n")
             sys.stderr.flush()
         with self.server.lock:
@@ -145,9 +159,9 @@
         work_s = self.server.work_s if work_ms is None else float(work_ms) / 1000
         if work_s:
             time.sleep(work_s)
-        if fault in (BackendFault.SLOW, BackendFault.HANG):
+        if fault in (BackendFaultMode.SLOW, BackendFaultMode.HANG):
             time.sleep(self.server.fault.delay_s)
-        if fault is BackendFault.CLOSE:
+        if fault is BackendFaultMode.CLOSE:
             self.connection.shutdown(socket.SHUT_RDWR)
             self.close_connection = True
             return
@@ -160,14 +174,14 @@
             "body": body.decode("latin-1"),
         }
         encoded = json.dumps(answer).encode()
-        if fault is BackendFault.TRUNCATE:
+        if fault is BackendFaultMode.TRUNCATE:
             self._head(200, len(encoded))
             self.wfile.write(encoded[: len(encoded) // 2])
             self.wfile.flush()
             self.connection.shutdown(socket.SHUT_RDWR)
             self.close_connection = True
             return
-        self._send(500 if fault is BackendFault.ERROR else 200, encoded)
+        self._send(500 if fault is BackendFaultMode.ERROR else 200, encoded)
 
     def _head(self, status, length):
         self.send_response(status)
@@ -183,12 +197,12 @@
 
 
 class Announcer:
-    """Announces a backend server to the node beside it, again and again.
+    """Announces a backend server to the node beside it at regular intervals.
 
     Parameters
     ----------
     admin_address : str
-        Of the node.
+        Admin address of the node.
     backend_server_id : str
     announcement : dict
         Body of the announcement.
@@ -204,16 +218,16 @@
     def run(self) -> None:
         """Announce until `leave` is called."""
         while not self._stopped.is_set():
-            _call("PUT", self._url, self._body)
+            _send_to_node("PUT", self._url, self._body)
             self._stopped.wait(self._interval_s)
 
     def leave(self) -> None:
-        """Stop announcing and tell the node so."""
+        """Stop announcing and ask the node to drain the backend server."""
         self._stopped.set()
-        _call("POST", f"{self._url}/drain", b"")
+        _send_to_node("POST", f"{self._url}/drain", b"")
 
 
-def _call(method, url, body):
+def _send_to_node(method, url, body):
     handle = pycurl.Curl()
     handle.setopt(pycurl.URL, url)
     handle.setopt(pycurl.CUSTOMREQUEST, method)
@@ -225,7 +239,7 @@
     try:
         handle.perform()
     except pycurl.error:
-        # The node beside us may be restarting; the next round tells it.
+        # The node may be restarting. The next announcement will reach it.
         pass
     finally:
         handle.close()
--- a/balsamspindle/standins/platform.py
+++ b/balsamspindle/standins/platform.py
@@ -1,6 +1,6 @@
-"""A stand-in for the platform's metadata store, with switches for its faults.
+"""A stand-in for the platform's metadata store, with fault injection.
 
-It speaks the store's published protocol::
+It implements the store's published protocol::
 
     POST /rows-tx                         a transaction with preconditions
     GET  /rows-get?table=&part=&from=&to=&limit=
@@ -9,17 +9,17 @@
     PUT, GET, DELETE /blob-put/ID, /blob-get/ID, /blob-drop/ID
     GET  /blob-list?prefix=&after=
 
-and besides, for tests alone::
+and, for tests only::
 
     POST /faults          {"mode": M, "count": N, ...} or a list of these
-    GET  /counts          calls of each endpoint
-    GET, PUT /v1/backup   all rows, as a backup that can be put back
-    PUT  /op/NAME         the operator's row of that name
+    GET  /counts          number of calls by endpoint
+    GET, PUT /v1/backup   all rows, as a backup that can be restored with PUT
+    PUT  /op/NAME         write the operator's row of that name
     POST /compact         drop the history of changes
-    POST /copy            take a copy of the store as it is
-    POST /restore         come back from that copy, in a new era
+    POST /copy            copy the present rows and history
+    POST /restore         replace rows and history by that copy, in a new era
 
-Each fault is a `FaultSwitch`; a call meets the first one that takes it.
+Each fault is a `FaultSwitch`; a call meets the first one that applies to it.
 """
 
 import base64
@@ -37,7 +37,7 @@
     FaultMode,
     FaultSwitch,
     decode_faults,
-    take_fault,
+    select_fault,
 )
 from balsamspindle.standins.store_rows import (
     Address,
@@ -76,12 +76,13 @@
     {"faults", "counts", "backup", "operate", "compact", "copy", "restore"}
 )
 ERA_HEADER = "Store-Era"
-# Not ours: who wrote there writes again after the store came back.
-_FOREIGN_TABLES = frozenset({"op", "servers"})
+# Tables that the operator and the platform write. They write their rows again after the
+# store was restored.
+_EXTERNAL_TABLES = frozenset({"op", "servers"})
 
 
-class _Copy(NamedTuple):
-    """A store at one moment."""
+class _StoreCopy(NamedTuple):
+    """A copy of the store's rows and history."""
 
     rows: dict[Address, StoredRow]
     history: list[StoredRow]
@@ -90,18 +91,18 @@
 
 
 class StandinPlatform:
-    """A WSGI application that keeps rows and objects in memory.
+    """The WSGI application of the stand-in; it keeps rows and objects in memory.
 
     Parameters
     ----------
     seed : int, default=0
-        Of the draws that decide which calls meet a fault.
+        Seed of the random numbers that decide which calls meet a fault.
     """
 
     def __init__(self, seed: int = 0) -> None:
         self._changed = threading.Condition()
         self._rows: dict[Address, StoredRow] = {}
-        # All writes, oldest first; what lies before `_history_from` is lost.
+        # All writes after version `_history_from`, oldest first.
         self._history: list[StoredRow] = []
         self._history_from = 0
         self._version = 0
@@ -110,7 +111,7 @@
         self._random = random.Random(seed)
         self._calls: dict[str, int] = {}
         self._era = 1
-        self._copied = _Copy({}, [], 0, 0)
+        self._saved_copy = _StoreCopy({}, [], 0, 0)
 
     def __call__(self, environ, start_response):
         """Answer one call."""
@@ -133,25 +134,25 @@
             self._switches = list(faults)
 
     def put_operator_row(self, name: str, value: bytes) -> int:
-        """Write a row of the operator and return its version."""
+        """Write a row of the operator; return its version."""
         with self._changed:
             self._version += 1
             encoded = base64.b64encode(value).decode()
-            self._store(StoredRow("op", "", name, self._version, encoded))
+            self._write_row(StoredRow("op", "", name, self._version, encoded))
             self._changed.notify_all()
             return self._version
 
-    def forget_history(self) -> None:
-        """Drop all changes: feeds that ask for older ones get 410."""
+    def drop_history(self) -> None:
+        """Drop the history; feeds that ask for changes in it get 410."""
         with self._changed:
             self._history.clear()
             self._history_from = self._version
             self._changed.notify_all()
 
-    def take_copy(self) -> None:
-        """Take a copy of the store as it is."""
+    def save_copy(self) -> None:
+        """Copy the present rows and history for `restore_copy`."""
         with self._changed:
-            self._copied = _Copy(
+            self._saved_copy = _StoreCopy(
                 dict(self._rows),
                 list(self._history),
                 self._history_from,
@@ -159,35 +160,36 @@
             )
 
     def restore_copy(self) -> None:
-        """Come back from the copy: what was written since is gone.
+        """Replace rows and history by the copy and start a new era.
 
-        Versions go on from the copy's. Rows of the operator and of backend servers
-        are written again, by whoever wrote them.
+        Everything written since the copy is lost, and versions continue from the
+        copy's. Changed rows in the tables of the operator and the platform are written
+        again, as their writers would do.
         """
         with self._changed:
             rewritten = [
                 row
                 for row in self._rows.values()
-                if row.table in _FOREIGN_TABLES
-                and self._copied.rows.get(row.address) != row
+                if row.table in _EXTERNAL_TABLES
+                and self._saved_copy.rows.get(row.address) != row
             ]
-            self._rows = dict(self._copied.rows)
-            self._history = list(self._copied.history)
-            self._history_from = self._copied.history_from
-            self._version = self._copied.version
+            self._rows = dict(self._saved_copy.rows)
+            self._history = list(self._saved_copy.history)
+            self._history_from = self._saved_copy.history_from
+            self._version = self._saved_copy.version
             self._era += 1
             for row in rewritten:
                 self._version += 1
-                self._store(msgspec.structs.replace(row, ver=self._version))
+                self._write_row(msgspec.structs.replace(row, ver=self._version))
             self._changed.notify_all()
 
     def _answer(self, request, endpoint, arguments):
         if endpoint in _TEST_CALLS:
             return getattr(self, f"_{endpoint}")(request, **arguments)
-        called = endpoint
+        fault_endpoint = endpoint
         if endpoint == "read" and "from" not in request.args:
-            called = "scan"
-        fault = self._take_fault(called, request.remote_addr)
+            fault_endpoint = "scan"
+        fault = self._select_fault(fault_endpoint, request.remote_addr)
         match fault.mode:
             case FaultMode.DOWN:
                 raise ServiceUnavailable()
@@ -198,28 +200,28 @@
             case FaultMode.SLOW | FaultMode.STALL:
                 time.sleep(fault.delay_s)
             case FaultMode.LATE:
-                self._do_later(request, endpoint, arguments, fault.delay_s)
+                self._call_later(request, endpoint, arguments, fault.delay_s)
                 raise ConnectionResetError
         response = getattr(self, f"_{endpoint}")(request, **arguments)
         if fault.mode is FaultMode.LOST_REPLY:
-            # werkzeug's server drops the connection when the application
-            # raises a connection error: the caller sees silence.
+            # werkzeug's server closes the connection without an answer when the
+            # application raises a connection error.
             raise ConnectionResetError
         return response
 
-    def _do_later(self, request, endpoint, arguments, delay_s) -> None:
+    def _call_later(self, request, endpoint, arguments, delay_s) -> None:
         request.get_data()
         call = getattr(self, f"_{endpoint}")
         timer = threading.Timer(delay_s, lambda: call(request, **arguments))
         timer.daemon = True
         timer.start()
 
-    def _take_fault(self, endpoint, caller_ip) -> FaultSwitch:
+    def _select_fault(self, endpoint, caller_ip) -> FaultSwitch:
         with self._changed:
             self._calls[endpoint] = self._calls.get(endpoint, 0) + 1
-            return take_fault(self._switches, endpoint, caller_ip, self._random)
+            return select_fault(self._switches, endpoint, caller_ip, self._random)
 
-    # Calls for tests alone.
+    # Calls for tests only.
 
     def _faults(self, request):
         self.set_faults(*decode_faults(request.get_data()))
@@ -241,11 +243,11 @@
         return _json({"ver": self.put_operator_row(name, request.get_data())})
 
     def _compact(self, _request):
-        self.forget_history()
+        self.drop_history()
         return _json({})
 
     def _copy(self, _request):
-        self.take_copy()
+        self.save_copy()
         return _json({})
 
     def _restore(self, _request):
@@ -261,20 +263,20 @@
             current = [self._row(item) for item in transaction.precondition]
             expected = [item.ver for item in transaction.precondition]
             if [_version(row) for row in current] != expected:
-                rows = [row.on_wire() for row in current if row is not None]
+                rows = [row.to_wire() for row in current if row is not None]
                 return self._reply({"rows": rows}, status=412)
             self._version += 1
             for item in transaction.upserts:
                 row = StoredRow(
                     item.table, item.part, item.key, self._version, item.value
                 )
-                self._store(row)
+                self._write_row(row)
             for item in transaction.deletes:
                 if self._row(item) is not None:
                     row = StoredRow(
                         item.table, item.part, item.key, self._version, None
                     )
-                    self._store(row)
+                    self._write_row(row)
             self._changed.notify_all()
             return self._reply({})
 
@@ -294,26 +296,26 @@
                 ),
                 key=lambda row: row.key.encode(),
             )
-            shown = [row.on_wire() for row in rows[:limit]]
-            return self._reply({"rows": shown, "has_more": len(rows) > limit})
+            returned = [row.to_wire() for row in rows[:limit]]
+            return self._reply({"rows": returned, "has_more": len(rows) > limit})
 
     def _feed(self, request):
         table, after = request.args["table"], int(request.args["after"])
         wait_ms = min(int(request.args.get("wait_ms", 0)), WAIT_MAX_MS)
-        give_up_s = time.monotonic() + wait_ms / 1000
+        deadline_s = time.monotonic() + wait_ms / 1000
         with self._changed:
             while True:
                 if not self._history_from <= after <= self._version:
                     return self._reply({}, status=410)
                 rows = [
-                    row.on_wire()
+                    row.to_wire()
                     for row in self._history
                     if row.table == table and row.ver > after
                 ]
-                left_s = give_up_s - time.monotonic()
-                if rows or left_s <= 0:
+                remaining_s = deadline_s - time.monotonic()
+                if rows or remaining_s <= 0:
                     return self._reply({"rows": rows})
-                self._changed.wait(left_s)
+                self._changed.wait(remaining_s)
 
     def _parts(self, request):
         after = request.args.get("after")
@@ -321,8 +323,11 @@
             table = request.args["table"]
             rows = [row for row in self._rows.values() if row.table == table]
             parts = sorted({row.part for row in rows})
-            left = [part for part in parts if after is None or part > after]
-            body = {"parts": left[:NAMES_MAX], "has_more": len(left) > NAMES_MAX}
+            remaining = [part for part in parts if after is None or part > after]
+            body = {
+                "parts": remaining[:NAMES_MAX],
+                "has_more": len(remaining) > NAMES_MAX,
+            }
             return self._reply(body)
 
     def _object(self, request, name):
@@ -352,7 +357,7 @@
     def _row(self, item) -> StoredRow | None:
         return self._rows.get(Address(item.table, item.key, item.part))
 
-    def _store(self, row: StoredRow) -> None:
+    def _write_row(self, row: StoredRow) -> None:
         if row.value is None:
             self._rows.pop(row.address, None)
         else:
--- a/balsamspindle/standins/store_faults.py
+++ b/balsamspindle/standins/store_faults.py
@@ -6,11 +6,11 @@
 
 import msgspec
 
-__all__ = ["FaultMode", "FaultSwitch", "decode_faults", "take_fault"]
+__all__ = ["FaultMode", "FaultSwitch", "decode_faults", "select_fault"]
 
 
 class FaultMode(StrEnum):
-    """How the stand-in misbehaves."""
+    """How calls fail; see `FaultSwitch`."""
 
     NONE = "none"
     DOWN = "down"
@@ -28,22 +28,23 @@
     Attributes
     ----------
     mode : FaultMode
-        ``down`` answers 503, ``busy`` 429, ``refuse`` closes the connection
-        without an effect, ``slow`` takes effect after a delay, ``stall`` does
-        so although the caller has long given up, ``lost_reply`` takes effect
-        and closes the connection, ``late`` closes the connection and takes
-        effect after a delay.
+        ``down`` answers 503 and ``busy`` 429. ``refuse`` closes the connection
+        without executing the call. ``slow`` executes the call after a delay, and so
+        does ``stall``, which is for delays longer than the caller's timeout.
+        ``lost_reply`` executes the call and closes the connection without an answer.
+        ``late`` closes the connection and executes the call after a delay.
     count : int or None
-        Calls that meet it; None until the faults are changed.
+        Number of further calls that meet the fault; None for no limit.
     delay_s : float
         Delay of ``slow``, ``stall`` and ``late``.
     endpoint : str or None
         ``read``, ``scan`` (a read without a range), ``transact``, ``feed``,
         ``parts`` or ``object``; None for all.
     probability : float
-        Part of the calls that meet it.
+        Probability that a call meets the fault.
     caller_ip : str or None
-        Only calls from this address meet it: the store turns one machine away.
+        Only calls from this address meet the fault, as if the store refused one
+        machine; None for all.
     """
 
     mode: FaultMode = FaultMode.NONE
@@ -55,7 +56,7 @@
 
 
 def decode_faults(body: bytes) -> list[FaultSwitch]:
-    """Return the faults of a JSON body: one, or a list of them.
+    """Decode a JSON body that holds one fault or a list of faults.
 
     Raises
     ------
@@ -65,13 +66,16 @@
     return faults if isinstance(faults, list) else [faults]
 
 
-def take_fault(
+def select_fault(
     switches: Iterable[FaultSwitch],
     endpoint: str,
     caller_ip: str | None,
     rng: random.Random,
 ) -> FaultSwitch:
-    """Return the first fault that a call meets; one that does nothing for none."""
+    """Return the first fault that applies to a call, and count it down.
+
+    If none applies, return a fault of mode `NONE`.
+    """
     for fault in switches:
         if fault.endpoint not in (None, endpoint) or fault.count == 0:
             continue
--- a/balsamspindle/standins/store_rows.py
+++ b/balsamspindle/standins/store_rows.py
@@ -11,11 +11,11 @@
 ROW_BYTES_MAX = 65_536
 NAME_BYTES_MAX = 200
 # Tables that the operator and the platform write.
-_FOREIGN_TABLES = frozenset({"op", "servers"})
+_EXTERNAL_TABLES = frozenset({"op", "servers"})
 
 
 class Address(msgspec.Struct, frozen=True):
-    """Where a row lies."""
+    """Identifies a row."""
 
     table: str
     key: str
@@ -31,7 +31,13 @@
 
 
 class StoredTransaction(msgspec.Struct):
-    """A transaction as it comes in."""
+    """The body of a transaction.
+
+    Attributes
+    ----------
+    across : bool
+        Whether the entries may be in different partitions (`part` on the wire).
+    """
 
     precondition: list[Precondition] = []
     upserts: list[Upsert] = []
@@ -40,7 +46,7 @@
 
 
 class StoredRow(msgspec.Struct, frozen=True):
-    """A row as it lies in the store; `value` is base64, None once removed."""
+    """A row of the store; `value` is base64, None for a removed row."""
 
     table: str
     part: str
@@ -50,11 +56,11 @@
 
     @property
     def address(self) -> Address:
-        """Where it lies."""
+        """The row's table, key and partition."""
         return Address(self.table, self.key, self.part)
 
-    def on_wire(self) -> dict:
-        """Return it as feeds and reads show it."""
+    def to_wire(self) -> dict:
+        """Return the row as reads and feeds return it."""
         row = {
             "table": self.table,
             "part": self.part,
@@ -67,7 +73,15 @@
 
 
 def check_transaction(transaction: StoredTransaction) -> None:
-    """Refuse what the store refuses."""
+    """Check a transaction against the store's limits.
+
+    Raises
+    ------
+    ValueError
+        If the transaction is too large or spans partitions.
+    HTTPException
+        With status 403, if the transaction writes a table of others.
+    """
     entries = [
         *transaction.precondition,
         *transaction.upserts,
@@ -81,7 +95,7 @@
         if len(item.key.encode()) > NAME_BYTES_MAX:
             raise ValueError(f"a key has at most {NAME_BYTES_MAX} bytes")
     for item in (*transaction.upserts, *transaction.deletes):
-        if item.table in _FOREIGN_TABLES:
+        if item.table in _EXTERNAL_TABLES:
             raise _Forbidden()
     for item in transaction.upserts:
         if len(base64.b64decode(item.value)) > ROW_BYTES_MAX:
--- a/tests/platform_fleet.py
+++ b/tests/platform_fleet.py
@@ -1,4 +1,4 @@
-"""Fixtures: nodes as they run on the users' platform, as real processes."""
+"""Fixtures: nodes on the users' platform, each a process of its own."""
 
 import json
 import os
@@ -12,23 +12,23 @@
 __all__ = ["PlatformFleet", "PlatformNode"]
 
 HOST = "127.0.0.1"
-# What a node uses of its ports: members and operators.
-PORTS = 2
+# Ports that a node uses of its range: member messages and the admin address.
+PORT_COUNT = 2
 
 
-def _free_ports() -> int:
-    """Return the first of some free ports that follow on each other."""
+def _free_port_range() -> int:
+    """Return the first of `PORT_COUNT` consecutive free ports."""
     while True:
         first = free_port()
-        if all(free_port() == first + number for number in range(1, PORTS)):
+        if all(free_port() == first + number for number in range(1, PORT_COUNT)):
             return first
 
 
 class PlatformNode:
-    """One process ``python -m balsamspindle.platform``."""
+    """A process that runs ``python -m balsamspindle.platform``."""
 
     def __init__(self, name: str, zone: str, store: str, folder: Path) -> None:
-        first = _free_ports()
+        first = _free_port_range()
         self.admin_address = f"{HOST}:{first + 1}"
         listen = {
             name: f"{HOST}:{free_port()}"
@@ -42,7 +42,7 @@
             "zone": zone,
             "region": "south",
             "listen": listen,
-            "port_range": [first, first + PORTS - 1],
+            "port_range": [first, first + PORT_COUNT - 1],
             "service": "crew",
             "platform": {"address": store},
             "bounds": ["retry_budget_ratio=0.2", "budget_slack=60", "grace=6s"],
@@ -53,7 +53,7 @@
         self.start()
 
     def start(self) -> None:
-        """Start the process, again after it was killed."""
+        """Start the process, also after `kill`."""
         with self.log_path.open("ab") as log:
             self.process = subprocess.Popen(
                 [sys.executable, "-m", "balsamspindle.platform"],
@@ -71,23 +71,23 @@
         return answer.json()["settings_revision"]
 
     def peers(self) -> int:
-        """Return how many nodes it knows, itself included."""
+        """Return the number of nodes that this node knows, including itself."""
         answer = try_call(self.admin_address, "/status", timeout_s=2)
         return 0 if answer is None else len(answer.json()["nodes"])
 
     def status_of(self, host: str, path: str) -> int:
-        """Return the status that a caller of a route gets."""
+        """Send a request through this node; return the status of the answer."""
         return call(self.caller_address, path, headers={"Host": host}).status
 
     def kill(self) -> None:
-        """End the process at once."""
+        """Send SIGKILL to the process if it runs, and wait until it has ended."""
         if self.process.poll() is None:
             self.process.kill()
         self.process.wait()
 
 
 class PlatformFleet(Fleet):
-    """The store inside the test, and nodes that know no more than its address."""
+    """The stand-in store in the test's process, and nodes that get its address."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -98,14 +98,14 @@
         self.store.stop()
 
     def start_nodes(self, count: int, zone: str = "here") -> list[PlatformNode]:
-        """Start nodes of one zone, all at once."""
+        """Start nodes in one availability zone, without waiting for them."""
         return [
             self._add(PlatformNode(f"n{number}", zone, self.store.address, self.folder))
             for number in range(count)
         ]
 
     def put_configuration(self, configuration: dict, name: str = "config") -> None:
-        """Write the operator's row, or another one beside it."""
+        """Write the operator's configuration, or another row of that table."""
         body = json.dumps(configuration).encode()
         answer = call(self.store.address, f"/op/{name}", "PUT", body)
         assert answer.status == 200, answer
--- a/tests/raw_server.py
+++ b/tests/raw_server.py
@@ -1,4 +1,4 @@
-"""A backend server of raw bytes: it answers what no library would send."""
+"""A backend server that sends raw bytes, such as invalid HTTP answers."""
 
 import socket
 import threading
@@ -11,7 +11,7 @@
 
 
 def length_answer(body: bytes, head: bytes = b"") -> bytes:
-    """Return a whole answer with its length."""
+    """Return an answer with status 200 and a Content-Length header."""
     return b"HTTP/1.1 200 OK\r\n%bContent-Length: %d\r\n\r\n%b" % (
         head,
         len(body),
@@ -20,13 +20,19 @@
 
 
 class RawServer:
-    """Reads requests whole and answers each by a script.
+    """Reads each request completely and answers it with given bytes.
 
     Parameters
     ----------
     answer : callable
-        Takes the request's number, from 1, and returns (bytes, keep open).
-        None as bytes waits until the other end closes.
+        Takes the request's number, from 1; returns the answer's bytes and whether the
+        connection stays open. If the bytes are None, the server sends nothing and waits
+        until the other end closes the connection.
+
+    Attributes
+    ----------
+    closed_s : list of float
+        When the other end closed such a connection, on the monotonic clock.
     """
 
     def __init__(self, answer: Callable[[int], tuple[bytes | None, bool]]) -> None:
@@ -41,8 +47,8 @@
     def close(self) -> None:
         """Refuse new connections from now on; safe to repeat."""
         try:
-            # Closing alone does not wake the task that waits in accept, and
-            # the kernel would go on listening for it.
+            # Closing alone does not wake the thread that waits in accept, and the
+            # kernel would keep listening until that call returns.
             self._listener.shutdown(socket.SHUT_RDWR)
         except OSError:
             pass
--- a/tests/test_platform_store.py
+++ b/tests/test_platform_store.py
@@ -1,4 +1,4 @@
-"""The client of the store, against a stand-in that speaks its protocol."""
+"""Tests of the store's client against the stand-in for the platform's store."""
 
 import threading
 import time
@@ -33,10 +33,10 @@
             Transaction([Check(table, key, version)], [Put(table, key, value)])
         )
 
-    def fault(self, mode, **changes):
+    def set_fault(self, mode, **changes):
         self.server.standin.set_faults(FaultSwitch(mode, **changes))
 
-    def test_a_write_holds_only_while_the_rows_are_as_they_were_read(self):
+    def test_a_write_conflicts_if_a_checked_row_has_changed(self):
         first = self.put("a", {"n": 1}).ok
         self.assertEqual([Row("a", first, {"n": 1})], self.tables.read("t", ["a"]).ok)
         conflict = self.put("a", {"n": 2}).error
@@ -45,7 +45,7 @@
         self.assertGreater(second, first)
         self.assertEqual([Row("a", second, {"n": 2})], self.tables.scan("t").ok)
 
-    def test_a_conflict_tells_each_checked_row_also_one_that_is_not_there(self):
+    def test_a_conflict_returns_each_checked_row_even_if_missing(self):
         version = self.put("a", 1).ok
         transaction = Transaction(
             [Check("t", "b", 7), Check("t", "a", 0)], [Put("t", "b", 1)]
@@ -53,13 +53,13 @@
         conflict = self.tables.transact(transaction).error
         self.assertEqual(Conflict([Row("b", 0), Row("a", version, 1)]), conflict)
 
-    def test_a_removed_row_is_not_there(self):
+    def test_a_removed_row_is_missing(self):
         version = self.put("a", 1).ok
         self.put("a", None, version)
         self.assertEqual([Row("a", 0)], self.tables.read("t", ["a"]).ok)
         self.assertEqual([], self.tables.scan("t").ok)
 
-    def test_many_rows_are_read_page_by_page_in_the_order_asked_for(self):
+    def test_many_rows_are_read_in_pages_and_returned_in_the_requested_order(self):
         keys = [f"{number:04}" for number in range(1200)]
         for start in range(0, len(keys), 100):
             puts = [Put("t", key, key) for key in keys[start : start + 100]]
@@ -70,7 +70,7 @@
         self.assertEqual(wanted, [row.key for row in found])
         self.assertEqual(["1199", "0000", None, "0600"], [row.value for row in found])
 
-    def test_a_wait_ends_with_the_change_and_not_before(self):
+    def test_a_wait_ends_when_a_row_changes(self):
         self.put("a", 1)
         start = self.tables.snapshot("t").ok
         timer = threading.Timer(0.3, lambda: self.put("b", 2))
@@ -83,8 +83,8 @@
         self.assertEqual(Changes([], changes.version), nothing)
 
     def test_a_wait_at_the_store_ends_when_the_node_ends(self):
-        # A node that leaves has seconds before it is killed; a wait for
-        # changes lasts half a minute and would hold the process to the end.
+        # A leaving node is killed after some seconds. A wait for changes can last 25 s
+        # and would keep the process from ending before that.
         start = self.tables.snapshot("t").ok
         timer = threading.Timer(0.3, self.tables.end_waits)
         timer.start()
@@ -92,46 +92,46 @@
         result = self.tables.wait_for_changes("t", start.version, 20)
         self.assertTrue(result.is_error())
         self.assertLess(time.monotonic() - begun_s, 5)
-        # Nor does another one begin.
+        # A wait that begins later fails at once.
         self.assertTrue(self.tables.wait_for_changes("t", 0, 20).is_error())
         self.assertLess(time.monotonic() - begun_s, 5)
 
-    def test_a_lost_history_is_told_and_the_table_can_be_read_anew(self):
+    def test_after_a_lost_history_the_table_can_be_read_again(self):
         start = self.tables.snapshot("t").ok
         self.put("a", 1)
-        self.server.standin.forget_history()
+        self.server.standin.drop_history()
         lost = self.tables.wait_for_changes("t", start.version, 0.1).error
         self.assertIsInstance(lost, HistoryLost)
         self.assertEqual(["a"], [row.key for row in self.tables.snapshot("t").ok.rows])
 
-    def test_only_an_answer_that_proves_it_says_that_nothing_was_done(self):
-        # Down and busy are promises that nothing was done. A connection that
-        # ends without an answer promises nothing: the write may be there, or
-        # come seconds later.
-        kinds = {
+    def test_only_a_refusal_proves_that_nothing_was_written(self):
+        # 503 (down) and 429 (busy) prove that nothing was written. A connection that
+        # ends without an answer proves nothing: the write may have taken effect, or do
+        # so seconds later.
+        error_types = {
             FaultMode.DOWN: Unreachable,
             FaultMode.BUSY: Unreachable,
             FaultMode.REFUSE: Unknown,
             FaultMode.LOST_REPLY: Unknown,
             FaultMode.LATE: Unknown,
         }
-        for mode, kind in kinds.items():
-            self.fault(mode, count=1, delay_s=0.1)
-            self.assertIsInstance(self.put(mode.value, 1).error, kind, mode)
+        for mode, error_type in error_types.items():
+            self.set_fault(mode, count=1, delay_s=0.1)
+            self.assertIsInstance(self.put(mode.value, 1).error, error_type, mode)
         time.sleep(0.5)
         written = {row.key for row in self.tables.scan("t").ok}
         self.assertEqual({FaultMode.LOST_REPLY, FaultMode.LATE}, written)
 
-    def test_what_the_system_may_not_write_is_refused(self):
+    def test_a_write_to_the_operators_table_is_refused(self):
         self.assertIsInstance(self.put("config", 1, table="op").error, Unreachable)
 
-    def test_a_value_that_is_no_json_is_a_row_without_a_value(self):
+    def test_a_row_that_is_not_json_is_read_without_a_value(self):
         self.server.standin.put_operator_row("config", b"\xff{")
         [row] = self.tables.read("op", ["config"]).ok
         self.assertIsNone(row.value)
         self.assertGreater(row.version, 0)
 
-    def test_objects_are_written_and_read_whole(self):
+    def test_an_object_is_read_as_it_was_written(self):
         objects = HttpObjectStore(self.server.address)
         self.assertIsNone(objects.get("settings/snapshot").ok)
         objects.put("settings/snapshot", b"\x00whole")
--- a/tests/test_platform_translation.py
+++ b/tests/test_platform_translation.py
@@ -1,4 +1,4 @@
-"""What the platform writes, as the product's types."""
+"""Tests of translating the platform's configuration and settings file."""
 
 import json
 from pathlib import Path
@@ -100,7 +100,7 @@
         self.assertEqual(500, service.detection.slow_ms_min)
         self.assertEqual(15_000, configuration.caller_limits.idle_timeout_ms)
 
-    def test_a_prefix_takes_what_is_under_it_and_not_its_bare_name(self):
+    def test_a_prefix_with_a_slash_does_not_match_the_bare_path(self):
         routes = self.translate().routes
         for path in ("/xapu/ny", "/xapu/nyx/", "/xapu/"):
             self.assertIs(Reason.NO_ROUTE, routes.find("sign.example", path, "GET"))
@@ -108,23 +108,23 @@
             routes.find("sign.example", "/xapu/ny/", "GET"), Reason
         )
 
-    def test_what_cannot_be_read_is_refused_whole_with_its_place(self):
+    def test_an_invalid_configuration_is_refused_as_a_whole(self):
         route = CONFIGURATION["routes"][0]
-        faults = {
+        invalid = {
             "version": {"version": "later"},
             "timeout": {"routes": [{**route, "timeout": "8"}]},
             "hostname": {"routes": [{**route, "hostname": None}]},
             "r-sign": {"routes": [{**route, "service": None}]},
             "limits": {"limits": {"max_header_bytes": "many"}},
         }
-        for name, changes in faults.items():
+        for name, changes in invalid.items():
             broken = {**CONFIGURATION, **changes}
             error = self.assertRaises(
                 PlatformFormatError, translate_configuration, broken, RETRIES
             )
             self.assertNotEqual("", str(error), name)
 
-    def test_times_and_versions(self):
+    def test_durations_and_versions(self):
         self.assertEqual(1500, parse_duration_ms("1500ms"))
         self.assertEqual(2500, parse_duration_ms("2.5s"))
         self.assertEqual(12, parse_version("0000000c"))
@@ -141,7 +141,7 @@
             path.write_text(text)
             return load_machine_settings(path)
 
-    def test_the_file_becomes_the_nodes_settings(self):
+    def test_the_file_becomes_node_settings(self):
         machine = self.load(json.dumps(SETTINGS)).ok
         node = machine.node
         self.assertEqual("10.1.0.41:8629", node.caller_address)
@@ -151,10 +151,10 @@
         self.assertEqual("wuno96b", node.caller_service)
         self.assertEqual(RetryBounds(0.2, 6.0), machine.retries)
         self.assertTrue(3 < node.shutdown_timeout_s < 6)
-        # What a node is given is what its own file could have said.
+        # The translated settings also pass the validation of the product's own file.
         msgspec.convert(msgspec.to_builtins(node), type(node))
 
-    def test_a_file_that_cannot_be_read_says_where(self):
+    def test_the_error_of_an_invalid_file_names_the_field(self):
         broken = {**SETTINGS, "listen": {**SETTINGS["listen"], "ready": 7}}
         self.assertIn("listen.ready", self.load(json.dumps(broken)).error.message)
         self.assertIn("node.json", self.load("{").error.message)
