--- a/balsamspindle/requests/forwarding.py
+++ b/balsamspindle/requests/forwarding.py
@@ -196,12 +196,12 @@
             if is_success(reply):
                 took_s = now_s - started_s if is_alone else None
                 self._record_success(forwarded, reply, took_s)
-                self._hedge_planner.give_back(forwarded, hedge)
+                self._hedge_planner.refund(forwarded, hedge)
                 break
             self._record_failure(forwarded, selected.placement, reply)
             if self._must_stop(forwarded, reply):
                 forwarded.stopped_by = self._stop_reason(forwarded)
-                self._hedge_planner.give_back(forwarded, hedge)
+                self._hedge_planner.refund(forwarded, hedge)
                 break
             if not self._may_retry(forwarded, replies, hedge, now_s):
                 forwarded.stopped_by = StopReason.REPEAT_DENIED
--- a/balsamspindle/requests/hedging.py
+++ b/balsamspindle/requests/hedging.py
@@ -81,10 +81,10 @@
             hedge_delay_s, lambda: self._choose_second_placement(forwarded), is_paid
         )
 
-    def give_back(self, forwarded: ForwardedRequest, hedge: Hedge | None) -> None:
-        """Return the retry paid for a second attempt that was not made."""
+    def refund(self, forwarded: ForwardedRequest, hedge: Hedge | None) -> None:
+        """Refund the retry token paid for a second attempt that was not made."""
         if hedge is not None and hedge.is_paid:
-            self._retries.give_back(forwarded.route.service)
+            self._retries.refund(forwarded.route.service)
 
     def _choose_second_placement(self, forwarded: ForwardedRequest) -> Placement | None:
         if self._blocked(forwarded) is not None:
--- a/balsamspindle/requests/retries.py
+++ b/balsamspindle/requests/retries.py
@@ -234,13 +234,13 @@
                 kept_part = state.heaviest.reserved_fraction(weight)
                 return is_paid or state.tokens.take(budget, now_s, kept_part)
             if is_paid:
-                state.tokens.give_back()
+                state.tokens.refund()
             return cost is RetryCost.FREE
 
-    def give_back(self, service: str) -> None:
-        """Give back the token of a retry that was paid for and not made."""
+    def refund(self, service: str) -> None:
+        """Refund the token of a retry that was paid for and not made."""
         with self._lock:
-            self._state(service).tokens.give_back()
+            self._state(service).tokens.refund()
 
     def is_final(self, service: str, reply: Reply) -> bool:
         """Return whether a reply goes to the caller whatever other attempts bring."""
--- a/balsamspindle/requests/retry_tokens.py
+++ b/balsamspindle/requests/retry_tokens.py
@@ -58,8 +58,8 @@
             self._earned -= 1
         return True
 
-    def give_back(self) -> None:
-        """Return a token that was taken for a retry which was not made."""
+    def refund(self) -> None:
+        """Return a token that was spent on a retry which was not made."""
         self._floor += 1
 
     def _advance_time(self, budget: RetryBudget, now_s: float) -> None:
--- a/tests/platform_fleet.py
+++ b/tests/platform_fleet.py
@@ -70,7 +70,7 @@
             return -1
         return answer.json()["settings_revision"]
 
-    def peers(self) -> int:
+    def known_node_count(self) -> int:
         """Return the number of nodes that this node knows, including itself."""
         answer = try_call(self.admin_address, "/status", timeout_s=2)
         return 0 if answer is None else len(answer.json()["nodes"])
--- a/tests/raw_server.py
+++ b/tests/raw_server.py
@@ -5,12 +5,12 @@
 import time
 from collections.abc import Callable
 
-__all__ = ["RawServer", "length_answer"]
+__all__ = ["RawServer", "answer_with_length"]
 
 HEAD_END = b"\r\n\r\n"
 
 
-def length_answer(body: bytes, head: bytes = b"") -> bytes:
+def answer_with_length(body: bytes, head: bytes = b"") -> bytes:
     """Return an answer with status 200 and a Content-Length header."""
     return b"HTTP/1.1 200 OK\r\n%bContent-Length: %d\r\n\r\n%b" % (
         head,
--- a/tests/test_backend_client.py
+++ b/tests/test_backend_client.py
@@ -18,11 +18,11 @@
 )
 from balsamspindle.protocol.header_names import HeaderNames
 from balsamspindle.protocol.outcomes import CancelCause, Execution, Reason
-from tests.raw_server import RawServer, length_answer
+from tests.raw_server import RawServer, answer_with_length
 from tests.utils import free_address, wait_until
 
 BODY_MAX_BYTES = 1000
-WHOLE = length_answer(b"whole")
+WHOLE = answer_with_length(b"whole")
 HEAD_200 = b"HTTP/1.1 200 OK\r\n"
 
 # The bytes that a backend server sends before it closes the connection, and the
@@ -50,7 +50,7 @@
         Reason.BROKEN_ANSWER,
     ),
     "a second head inside a header": (
-        length_answer(b"whole", b"X-Note: a\rSet-Cookie: b\r\n"),
+        answer_with_length(b"whole", b"X-Note: a\rSet-Cookie: b\r\n"),
         Reason.BROKEN_ANSWER,
     ),
     "no HTTP": (b"SSH-2.0-server\r\n\r\n", Reason.BROKEN_ANSWER),
@@ -62,7 +62,10 @@
         b"HTTP/1.1 101 Switching Protocols\r\nUpgrade: x\r\n\r\n",
         Reason.BROKEN_ANSWER,
     ),
-    "too much": (length_answer(b"x" * (BODY_MAX_BYTES + 1)), Reason.ANSWER_TOO_LARGE),
+    "too much": (
+        answer_with_length(b"x" * (BODY_MAX_BYTES + 1)),
+        Reason.ANSWER_TOO_LARGE,
+    ),
 }
 
 WHOLE_ANSWERS = {
@@ -165,7 +168,7 @@
     def test_an_unexpected_second_answer_is_not_given_to_the_next_request(self):
         # The backend server sends two answers to one request. On a reused connection
         # the second one would be taken for the answer to the next request.
-        stray = WHOLE + length_answer(b"stray")
+        stray = WHOLE + answer_with_length(b"stray")
         server = self._server(
             lambda number: (stray, True) if number == 1 else (WHOLE, True)
         )
@@ -183,7 +186,7 @@
             self.assertEqual((200, b""), (answer.status, answer.body))
 
     def test_hop_by_hop_headers_are_not_passed_on(self):
-        answer = length_answer(
+        answer = answer_with_length(
             b"whole",
             b"Connection: X-Hop\r\nX-Hop: 1\r\nX-Kept: 2\r\n"
             b"X-Balsamspindle-Outcome: not_run\r\n",
@@ -304,7 +307,7 @@
         }
         for head, expected in heads.items():
             server = self._server(
-                lambda number, head=head: (length_answer(b"whole", head), True)
+                lambda number, head=head: (answer_with_length(b"whole", head), True)
             )
             result = client.call(
                 server.address,
@@ -324,8 +327,8 @@
         # that request. The request must not fail: it is sent once more, on a new
         # connection. Requests that must not run twice never reuse a connection.
         names = HeaderNames(echoes_request_id=True)
-        one = length_answer(b"one", b"X-Request-Id: r1\r\n")
-        two = length_answer(b"two", b"X-Request-Id: r2\r\n")
+        one = answer_with_length(b"one", b"X-Request-Id: r1\r\n")
+        two = answer_with_length(b"two", b"X-Request-Id: r2\r\n")
         for stray in (one, b"no answer\r\n\r\n"):
             answers = [one, stray, two]
             client = BackendServerClient(BODY_MAX_BYTES, names)
--- a/tests/test_caller_gone.py
+++ b/tests/test_caller_gone.py
@@ -6,7 +6,7 @@
 from testtools import TestCase
 
 from tests.leaving_utils import read_events
-from tests.raw_server import RawServer, length_answer
+from tests.raw_server import RawServer, answer_with_length
 from tests.utils import call, start_fleet, wait_until
 
 SERVICE = "crew/contracts"
@@ -37,7 +37,7 @@
     def _answer(self, number):
         """Answer probes; let a signature request wait until its connection ends."""
         if self.server.requests[number - 1].startswith(b"GET"):
-            return length_answer(b"{}"), False
+            return answer_with_length(b"{}"), False
         return None, False
 
     def _signatures(self) -> int:
--- a/tests/test_crash_watch.py
+++ b/tests/test_crash_watch.py
@@ -23,7 +23,7 @@
 from balsamspindle.settings.documents import RetryBudget
 from balsamspindle.timeline import EventLog, HybridClock, parse_event
 from balsamspindle.wire import AttemptId, Dispatch, Question, checksum
-from tests.raw_server import RawServer, length_answer
+from tests.raw_server import RawServer, answer_with_length
 from tests.utils import wait_until
 
 SERVICE = "crew/vacancies"
@@ -224,7 +224,7 @@
         self.hold.set()
         self.assertEqual(Reason.SERVER_CRASHED, self._begin(1).result().reason)
         self.assertEqual(1, len(self.history.export(time.monotonic()).crashes[0].runs))
-        self.server.answer = lambda number: (length_answer(b"whole"), True)
+        self.server.answer = lambda number: (answer_with_length(b"whole"), True)
         self.assertEqual(200, self._begin(2, OTHER).result().status)
         self.assertEqual((), self.history.export(time.monotonic()).crashes[0].runs)
 
@@ -261,7 +261,7 @@
 
     def test_an_answer_clears_the_request_at_its_gate(self):
         self._earlier_crashes(2, OTHER)
-        self.server.answer = lambda number: (length_answer(b"whole"), True)
+        self.server.answer = lambda number: (answer_with_length(b"whole"), True)
         self.assertEqual(200, self._begin(1, OTHER).result().status)
         self.assertFalse(self.history.status(OTHER, time.monotonic()).is_suspect)
 
--- a/tests/test_crashing_requests_processes.py
+++ b/tests/test_crashing_requests_processes.py
@@ -67,7 +67,9 @@
         self._numbers = itertools.count()
         self._done = threading.Event()
         for node in self.nodes:
-            wait_until(lambda node=node: node.peers() == NODES, "all are known", 40)
+            wait_until(
+                lambda node=node: node.known_node_count() == NODES, "all are known", 40
+            )
         for node in self.nodes:
             wait_until(
                 lambda node=node: self._send(node, INNOCENT).status == 200,
--- a/tests/test_gate.py
+++ b/tests/test_gate.py
@@ -28,7 +28,7 @@
 from balsamspindle.settings.documents import RetryBudget
 from balsamspindle.timeline import EventLog, HybridClock, parse_event
 from balsamspindle.wire import AttemptId, Claim, Dispatch, checksum
-from tests.raw_server import RawServer, length_answer
+from tests.raw_server import RawServer, answer_with_length
 from tests.utils import wait_until
 
 SERVICE = "crew/contracts"
@@ -54,7 +54,9 @@
 class GateTests(TestCase):
     def setUp(self):
         super().setUp()
-        self.server = RawServer(lambda number: (length_answer(b"%d" % number), True))
+        self.server = RawServer(
+            lambda number: (answer_with_length(b"%d" % number), True)
+        )
         self.addCleanup(self.server.close)
         self.servers = LocalBackendServers()
         self._announce("1")
@@ -236,9 +238,9 @@
 
     def test_ends_of_runs_are_reported_as_evidence_of_health(self):
         ends = [
-            (length_answer(b""), WorkResult.ANSWERED),
-            (length_answer(b"").replace(b"200", b"503"), WorkResult.SHED),
-            (length_answer(b"").replace(b"200", b"500"), WorkResult.ERROR),
+            (answer_with_length(b""), WorkResult.ANSWERED),
+            (answer_with_length(b"").replace(b"200", b"503"), WorkResult.SHED),
+            (answer_with_length(b"").replace(b"200", b"500"), WorkResult.ERROR),
             (b"garbage", WorkResult.BROKEN),
         ]
         self.server.answer = lambda number: (ends[number - 1][0], False)
--- a/tests/test_independent_errors.py
+++ b/tests/test_independent_errors.py
@@ -20,7 +20,7 @@
 from balsamspindle.settings.documents import Detection
 from balsamspindle.timeline import EventLog, HybridClock
 from balsamspindle.wire import SERVES, AttemptId, Dispatch, HeldOut, checksum
-from tests.raw_server import RawServer, length_answer
+from tests.raw_server import RawServer, answer_with_length
 
 DETECTION = Detection(
     independent_errors=True,
@@ -237,7 +237,7 @@
         return self.gate.handle(dispatch, now_s)
 
     def test_a_suspected_backend_server_gets_only_last_resort_attempts(self):
-        server = self.announce(length_answer(b"whole"))
+        server = self.announce(answer_with_length(b"whole"))
         self.observer.is_admitting = False
         refused = self.handle(time.monotonic())
         self.assertEqual(
--- a/tests/test_load.py
+++ b/tests/test_load.py
@@ -13,7 +13,7 @@
 from balsamspindle.load.plan import Arrival, FaultPeriod, LoadPlan
 from balsamspindle.load.schedule import ScheduledCall, schedule_calls, schedule_faults
 from balsamspindle.protocol.outcomes import Execution
-from tests.raw_server import RawServer, length_answer
+from tests.raw_server import RawServer, answer_with_length
 from tests.utils import ROOT, start_fleet
 from tests.utils import call as call_server
 
@@ -198,7 +198,7 @@
         # before a connection; taken for 'nothing was sent' the audit would
         # blame the fleet for a request that ran.
         server = RawServer(
-            lambda number: (length_answer(b"{}") if number == 1 else None, True)
+            lambda number: (answer_with_length(b"{}") if number == 1 else None, True)
         )
         self.addCleanup(server.close)
         caller = Caller({"node-0": server.address})
--- a/tests/test_settings_growth_processes.py
+++ b/tests/test_settings_growth_processes.py
@@ -51,7 +51,9 @@
         nodes = fleet.start_nodes(NODES)
         for node in nodes:
             wait_until(
-                lambda node=node: node.peers() == NODES, "the node knows all nodes", 40
+                lambda node=node: node.known_node_count() == NODES,
+                "the node knows all nodes",
+                40,
             )
             wait_until(
                 lambda node=node: node.revision() == 4,
