--- a/balsamspindle/cli/__init__.py
+++ b/balsamspindle/cli/__init__.py
@@ -1,5 +1,6 @@
-"""The binaries: thin entry points that parse, call and report.
+"""Command-line programs: they parse arguments, call the other packages and report.
 
-Start with `ctl.py`, whose commands are in `ctl_*.py`; `program.py` has what all
-binaries share, and `exit_status.py` how they end.
+Start with `ctl.py`, whose commands are in `ctl_*.py`. `program.py` has the options,
+errors and signal handling that all programs share, `exit_status.py` their exit
+statuses.
 """
--- a/balsamspindle/cli/admin_client.py
+++ b/balsamspindle/cli/admin_client.py
@@ -1,4 +1,4 @@
-"""Calls to the admin addresses of nodes."""
+"""HTTP client for the admin address of a node."""
 
 import io
 from collections.abc import Iterator
@@ -10,7 +10,7 @@
 
 from balsamspindle.timeline import EventPage
 
-__all__ = ["AdminClient", "NodeRefused", "NodeUnreachable"]
+__all__ = ["AdminClient", "NodeRefusal", "NodeUnreachable"]
 
 CONNECT_TIMEOUT_MS = 1_000
 CALL_TIMEOUT_MS = 5_000
@@ -19,19 +19,25 @@
 
 
 class NodeUnreachable(msgspec.Struct, frozen=True):
-    """The node gave no answer; `message` says what to look at."""
+    """The node did not answer; `message` says what to check."""
 
     message: str
 
 
-class NodeRefused(msgspec.Struct, frozen=True):
-    """The node answered that it can't do it; `message` says why."""
+class NodeRefusal(msgspec.Struct, frozen=True):
+    """The node answered with an error, or its answer could not be decoded.
+
+    Attributes
+    ----------
+    status : int
+        HTTP status of the answer.
+    """
 
     status: int
     message: str
 
 
-class _Problem(msgspec.Struct):
+class _ErrorBody(msgspec.Struct):
     error: str = ""
 
 
@@ -41,7 +47,7 @@
 
 
 class AdminClient:
-    """The admin address of one node.
+    """Client for the admin address of one node.
 
     Parameters
     ----------
@@ -54,18 +60,18 @@
 
     def read(
         self, path: str, kind: type[T]
-    ) -> Result[T, NodeUnreachable | NodeRefused]:
-        """Return what the node answers at a path."""
+    ) -> Result[T, NodeUnreachable | NodeRefusal]:
+        """Send a GET request and return the answer's JSON, decoded as `kind`."""
         return self._call("GET", path).bind(lambda body: self._decode(body, kind))
 
     def post(
         self, path: str, body: bytes = b""
-    ) -> Result[None, NodeUnreachable | NodeRefused]:
-        """Ask the node to do something."""
+    ) -> Result[None, NodeUnreachable | NodeRefusal]:
+        """Send a POST request; the body of a successful answer is discarded."""
         return self._call("POST", path, body).map(lambda _: None)
 
-    def events(self) -> Iterator[Result[EventPage, NodeUnreachable | NodeRefused]]:
-        """Yield all pages of the node's recent events; an error is the last."""
+    def events(self) -> Iterator[Result[EventPage, NodeUnreachable | NodeRefusal]]:
+        """Yield the node's recent events page by page; ends after an error."""
         after = 0
         more = True
         while more:
@@ -74,16 +80,16 @@
             more = page.is_ok() and page.ok.more
             after = page.ok.last_sequence if more else after
 
-    def _decode(self, body: bytes, kind: type[T]) -> Result[T, NodeRefused]:
+    def _decode(self, body: bytes, kind: type[T]) -> Result[T, NodeRefusal]:
         try:
             return Ok(msgspec.json.decode(body, type=kind))
         except msgspec.MsgspecError as error:
-            message = f"{self.address} is no admin address of a node: {error}"
-            return Error(NodeRefused(200, message))
+            message = f"{self.address} is not the admin address of a node: {error}"
+            return Error(NodeRefusal(200, message))
 
     def _call(
         self, method: str, path: str, body: bytes = b""
-    ) -> Result[bytes, NodeUnreachable | NodeRefused]:
+    ) -> Result[bytes, NodeUnreachable | NodeRefusal]:
         try:
             answer = _perform(method, f"http://{self.address}{path}", body)
         except pycurl.error as error:
@@ -94,15 +100,15 @@
             return Error(NodeUnreachable(message))
         if answer.status == 200:
             return Ok(answer.body)
-        return Error(NodeRefused(answer.status, self._problem(answer)))
+        return Error(NodeRefusal(answer.status, self._error_message(answer)))
 
-    def _problem(self, answer: _Answer) -> str:
+    def _error_message(self, answer: _Answer) -> str:
         try:
-            problem = msgspec.json.decode(answer.body, type=_Problem)
+            problem = msgspec.json.decode(answer.body, type=_ErrorBody)
         except msgspec.MsgspecError:
-            problem = _Problem()
-        words = problem.error or f"HTTP status {answer.status}"
-        return f"node {self.address}: {words}"
+            problem = _ErrorBody()
+        message = problem.error or f"HTTP status {answer.status}"
+        return f"node {self.address}: {message}"
 
 
 def _perform(method: str, url: str, body: bytes) -> _Answer:
--- a/balsamspindle/cli/ctl.py
+++ b/balsamspindle/cli/ctl.py
@@ -1,9 +1,9 @@
-"""``balsamspindle-ctl``: the operators' tool."""
+"""``balsamspindle-ctl``: the command-line tool for operators."""
 
 from balsamspindle.cli import ctl_customers, ctl_fleet, ctl_settings, ctl_status
 from balsamspindle.cli.program import VERSION_OPTION, make_app
 
-app = make_app("Drive the fleet: its settings, its nodes, its explanations.")
+app = make_app("Operate the fleet: show and change its settings and nodes.")
 app.add_typer(ctl_settings.app, name="settings")
 app.add_typer(ctl_customers.app, name="customers")
 for command in (
@@ -17,7 +17,7 @@
 
 @app.callback()
 def common(version: bool = VERSION_OPTION) -> None:
-    """Drive the fleet: its settings, its nodes, its explanations.
+    """Operate the fleet: show and change its settings and nodes.
 
     Example: balsamspindle-ctl status --node 127.0.0.1:8083
     """
--- a/balsamspindle/cli/ctl_customers.py
+++ b/balsamspindle/cli/ctl_customers.py
@@ -8,7 +8,7 @@
 import typer
 from expression import Result
 
-from balsamspindle.cli.edit_ends import open_store, report_edit
+from balsamspindle.cli.edit_results import open_store, report_edit
 from balsamspindle.cli.exit_status import ExitStatus
 from balsamspindle.cli.program import JSON_OPTION, fail, make_app
 from balsamspindle.cli.settings_options import (
@@ -24,17 +24,21 @@
 __all__ = ["app"]
 
 LIST_HEADER = ("CUSTOMER", "TOLD AS", "RATE/S", "BURST", "WEIGHT", "KEYS")
-# Of a digest, what tells the few keys of one customer apart.
-DIGEST_SHOWN_CHARACTERS = 8
+# Enough of a digest to tell the few keys of one customer apart.
+DIGEST_PREFIX_CHARACTERS = 8
 
 CUSTOMER_ARGUMENT = typer.Argument(..., help="TEAM/NAME of the customer.")
 RATE_OPTION = typer.Option(
-    None, "--rate", help="Requests a second over all nodes; 0 for no limit."
+    None, "--rate", help="Requests per second over all nodes; 0 for no limit."
+)
+BURST_OPTION = typer.Option(
+    None, "--burst", help="Requests admitted at once, beyond the rate."
+)
+WEIGHT_OPTION = typer.Option(
+    None, "--weight", help="Weight of the requests, in place of the routes' weights."
 )
-BURST_OPTION = typer.Option(None, "--burst", help="Requests beyond it at one moment.")
-WEIGHT_OPTION = typer.Option(None, "--weight", help="In place of the routes' weights.")
 
-_split = re.compile(r"([^/]+)/([^/]+)").fullmatch
+_match_customer = re.compile(r"([^/]+)/([^/]+)").fullmatch
 
 app = make_app("Customers, their limits and their keys.")
 
@@ -45,21 +49,21 @@
     platform: str = PLATFORM_OPTION,
     as_json: bool = JSON_OPTION,
 ) -> None:
-    """Show a team's customers; of each key the start of its digest.
+    """List a team's customers, with the start of the digest of each key.
 
     Example: balsamspindle-ctl customers list crew
     """
     documents, _ = _read_team(team, platform)
     prefix = f"{team}/customers/"
-    found = {
+    customers = {
         f"{team}/{path.removeprefix(prefix)}": document
         for path, document in sorted(documents.items())
         if path.startswith(prefix)
     }
     if as_json:
-        typer.echo(msgspec.json.encode(found).decode())
+        typer.echo(msgspec.json.encode(customers).decode())
         return
-    rows = [_list_row(name, document) for name, document in found.items()]
+    rows = [_list_row(name, document) for name, document in customers.items()]
     typer.echo(format_table(LIST_HEADER, rows))
 
 
@@ -67,7 +71,7 @@
 def add(
     customer: str = CUSTOMER_ARGUMENT,
     told_as: str = typer.Option(
-        None, "--told-as", help="What backend servers are told; NAME without it."
+        None, "--told-as", help="Name sent to backend servers; NAME by default."
     ),
     rate_per_s: float = RATE_OPTION,
     burst: float = BURST_OPTION,
@@ -78,16 +82,16 @@
     fleet_key: str = FLEET_KEY_OPTION,
     as_json: bool = JSON_OPTION,
 ) -> None:
-    """Add a customer; it has no key yet.
+    """Add a customer, without a key.
 
     Example: balsamspindle-ctl customers add crew/anna --rate 20 --burst 20
     """
-    team, name = _team_and_name(customer)
+    team, name = _split_customer(customer)
     path = f"{team}/customers/{name}"
     documents, version = _read_team(team, platform)
     if path in documents:
-        fail(f"{customer} is there already", ExitStatus.CONFLICT)
-    document = {"name": told_as or name, **_limits(rate_per_s, burst, weight)}
+        fail(f"{customer} already exists", ExitStatus.CONFLICT)
+    document = {"name": told_as or name, **_limit_fields(rate_per_s, burst, weight)}
     credentials = Credentials(author, team_key, fleet_key)
     _write(path, document, version, credentials, platform, as_json)
 
@@ -104,15 +108,21 @@
     fleet_key: str = FLEET_KEY_OPTION,
     as_json: bool = JSON_OPTION,
 ) -> None:
-    """Change a customer's limit or weight; what is not given stays.
+    """Change a customer's limit or weight; options left out change nothing.
 
     Example: balsamspindle-ctl customers limit crew/anna --rate 5 --burst 5
     """
-    changes = _limits(rate_per_s, burst, weight)
+    changes = _limit_fields(rate_per_s, burst, weight)
     if not changes:
         fail("give --rate, --burst or --weight", ExitStatus.USAGE)
     credentials = Credentials(author, team_key, fleet_key)
-    _change(customer, lambda one: {**one, **changes}, credentials, platform, as_json)
+    _change(
+        customer,
+        lambda document: {**document, **changes},
+        credentials,
+        platform,
+        as_json,
+    )
 
 
 @app.command("give-key")
@@ -124,9 +134,9 @@
     fleet_key: str = FLEET_KEY_OPTION,
     as_json: bool = JSON_OPTION,
 ) -> None:
-    """Make a key and write it, this once; the settings keep its digest.
+    """Create a key and print it; it is shown only once, as a digest is stored.
 
-    Keys that the customer has stay valid, so that it can change over.
+    The customer's other keys stay valid, so that it can switch to the new one.
 
     Example: balsamspindle-ctl customers give-key crew/anna
     """
@@ -135,7 +145,10 @@
     credentials = Credentials(author, team_key, fleet_key)
     _change(
         customer,
-        lambda one: {**one, "key_digests": [*_digests(one), digest]},
+        lambda document: {
+            **document,
+            "key_digests": [*_digests(document), digest],
+        },
         credentials,
         platform,
         as_json,
@@ -153,24 +166,30 @@
     fleet_key: str = FLEET_KEY_OPTION,
     as_json: bool = JSON_OPTION,
 ) -> None:
-    """Take a key away.
+    """Remove a key from a customer.
 
     Example: balsamspindle-ctl customers take-key crew/anna 3f9a01bc
     """
 
-    def without(one: dict[str, Any]) -> dict[str, Any]:
-        digests = _digests(one)
-        taken = [known for known in digests if known.startswith(digest)]
-        if len(taken) != 1:
-            message = f"{len(taken)} keys of {customer} begin with {digest!r}"
+    def remove_key(document: dict[str, Any]) -> dict[str, Any]:
+        digests = _digests(document)
+        matching = [known for known in digests if known.startswith(digest)]
+        if len(matching) != 1:
+            message = (
+                f"{len(matching)} keys of {customer} have a digest that begins with "
+                f"{digest!r}: expected one"
+            )
             fail(message, ExitStatus.NOT_FOUND)
-        return {**one, "key_digests": [one for one in digests if one != taken[0]]}
+        return {
+            **document,
+            "key_digests": [kept for kept in digests if kept != matching[0]],
+        }
 
     credentials = Credentials(author, team_key, fleet_key)
-    _change(customer, without, credentials, platform, as_json)
+    _change(customer, remove_key, credentials, platform, as_json)
 
 
-def _limits(
+def _limit_fields(
     rate_per_s: float | None, burst: float | None, weight: float | None
 ) -> dict[str, float]:
     given = {"rate_per_s": rate_per_s, "burst": burst, "weight": weight}
@@ -181,11 +200,11 @@
     return list(document.get("key_digests", ()))
 
 
-def _team_and_name(customer: str) -> tuple[str, str]:
-    found = _split(customer)
-    if found is None:
-        fail(f"{customer!r} is no customer: expected TEAM/NAME", ExitStatus.USAGE)
-    return found[1], found[2]
+def _split_customer(customer: str) -> tuple[str, str]:
+    match = _match_customer(customer)
+    if match is None:
+        fail(f"{customer!r} is not a customer: expected TEAM/NAME", ExitStatus.USAGE)
+    return match[1], match[2]
 
 
 def _change(
@@ -195,8 +214,8 @@
     platform: str,
     as_json: bool,
 ) -> None:
-    """Change one customer's document, unless another edit comes between."""
-    team, name = _team_and_name(customer)
+    """Change one customer's document; fail if the team is edited meanwhile."""
+    team, name = _split_customer(customer)
     path = f"{team}/customers/{name}"
     documents, version = _read_team(team, platform)
     if path not in documents:
@@ -222,16 +241,16 @@
         case Result(tag="ok", ok=(subtree, version)):
             return subtree.documents, version
         case Result(error=error):
-            _fail_unread(platform, error.message)
+            _fail_unavailable(platform, error.message)
 
 
-def _fail_unread(platform: str, cause: str) -> NoReturn:
-    message = f"the platform at {platform} gave no settings: {cause}"
+def _fail_unavailable(platform: str, cause: str) -> NoReturn:
+    message = f"cannot read the settings from the platform at {platform}: {cause}"
     fail(message, ExitStatus.UNAVAILABLE)
 
 
 def _list_row(name: str, document: dict[str, Any]) -> tuple[object, ...]:
-    keys = [digest[:DIGEST_SHOWN_CHARACTERS] for digest in _digests(document)]
+    keys = [digest[:DIGEST_PREFIX_CHARACTERS] for digest in _digests(document)]
     return (
         name,
         document.get("name", ""),
--- a/balsamspindle/cli/ctl_edits.py
+++ b/balsamspindle/cli/ctl_edits.py
@@ -8,7 +8,7 @@
 from expression import Result
 
 from balsamspindle.cli.admin_client import AdminClient
-from balsamspindle.cli.edit_ends import open_store, report_edit
+from balsamspindle.cli.edit_results import open_store, report_edit
 from balsamspindle.cli.exit_status import ExitStatus
 from balsamspindle.cli.inputs import STANDARD_INPUT, read_documents, read_json
 from balsamspindle.cli.program import JSON_OPTION, NODES_OPTION, fail, warn
@@ -27,7 +27,7 @@
 
 __all__ = ["apply", "remove", "set_document"]
 
-# Nodes tell each other; a few that read at once bring a change to all sooner.
+# Nodes pass changes on to each other: a few notified nodes speed up the spread.
 NOTIFIED_NODES_MAX = 3
 
 
@@ -51,7 +51,7 @@
     credentials = Credentials(author, team_key, fleet_key)
     value = read_json(document)
     if value is None:
-        fail("null is no document: use `settings remove`", ExitStatus.USAGE)
+        fail("null is not a document: use `settings remove`", ExitStatus.USAGE)
     _edit(platform, {path: value}, credentials, expect_version, nodes, as_json)
 
 
@@ -65,9 +65,9 @@
     nodes: list[str] = NODES_OPTION,
     as_json: bool = JSON_OPTION,
 ) -> None:
-    """Write all documents of a file in one change; null removes one.
+    """Write all documents of a file in one change; null removes a document.
 
-    Documents that the file does not name stay as they are.
+    Documents that the file does not name stay unchanged.
 
     Example: balsamspindle-ctl settings apply examples/association/settings.json
     """
@@ -90,7 +90,7 @@
 
     Example: balsamspindle-ctl settings remove crew/routes/old
     """
-    _check_is_there(platform, path)
+    _check_exists(platform, path)
     credentials = Credentials(author, team_key, fleet_key)
     _edit(platform, {path: None}, credentials, expect_version, nodes, as_json)
 
@@ -103,19 +103,19 @@
     nodes: list[str] | None,
     as_json: bool,
 ) -> None:
-    """Make one change of one team's documents and say what became of it."""
+    """Change documents of one team and report the result."""
     teams = sorted({path.partition("/")[0] for path in documents})
     if len(teams) != 1:
         named = f", not {len(teams)} ({', '.join(teams)})" if teams else ""
-        message = f"a change holds documents of one team{named}"
+        message = f"a change must hold documents of exactly one team{named}"
         fail(message, ExitStatus.USAGE)
     edit = Edit(teams[0], documents, new_operation_id(), expect_version)
     accepted = report_edit(open_store(platform).apply(edit, credentials), as_json)
-    _tell_nodes(accepted, nodes or [])
-    _tell_notes(documents)
+    _notify_nodes(accepted, nodes or [])
+    _warn_of_notes(documents)
 
 
-def _check_is_there(platform: str, path: str) -> None:
+def _check_exists(platform: str, path: str) -> None:
     match open_store(platform).subtree(path.partition("/")[0]):
         case Result(tag="ok", ok=(subtree, _)):
             if path in subtree.documents:
@@ -127,14 +127,17 @@
             fail(f"not accepted: {error.message}", ExitStatus.UNAVAILABLE)
 
 
-def _tell_nodes(accepted: Accepted, nodes: list[str]) -> None:
-    """Let some nodes read at once; one that can't be told reads a bit later."""
+def _notify_nodes(accepted: Accepted, nodes: list[str]) -> None:
+    """Have a few nodes read the change at once; the others receive it later.
+
+    A failed notification is ignored: it delays the change at most.
+    """
     body = msgspec.json.encode(accepted)
     for address in nodes[:NOTIFIED_NODES_MAX]:
         AdminClient(address).post("/settings/accepted", body)
 
 
-def _tell_notes(documents: dict[str, Any]) -> None:
+def _warn_of_notes(documents: dict[str, Any]) -> None:
     kept = {path: value for path, value in documents.items() if value is not None}
     for warning in document_warnings(encode_documents(kept)):
         warn(f"{warning.path}: {warning.message}")
--- a/balsamspindle/cli/ctl_fleet.py
+++ b/balsamspindle/cli/ctl_fleet.py
@@ -1,4 +1,4 @@
-"""``balsamspindle-ctl`` commands that ask nodes: drain, explain."""
+"""``balsamspindle-ctl`` commands that call nodes: drain, undrain, explain."""
 
 import difflib
 import re
@@ -11,17 +11,17 @@
 import typer
 from expression import Result
 
-from balsamspindle.cli.admin_client import AdminClient, NodeRefused, NodeUnreachable
-from balsamspindle.cli.asked_nodes import (
-    NO_NODE,
-    AskedNode,
-    ask_nodes,
-    newest_records,
-)
+from balsamspindle.cli.admin_client import AdminClient, NodeRefusal, NodeUnreachable
 from balsamspindle.cli.event_sources import collect_events
 from balsamspindle.cli.exit_status import ExitStatus
 from balsamspindle.cli.explanations import format_request, format_service
 from balsamspindle.cli.program import JSON_OPTION, NODES_OPTION, fail, warn
+from balsamspindle.cli.queried_nodes import (
+    NO_NODE_MESSAGE,
+    QueriedNode,
+    newest_records,
+    query_nodes,
+)
 from balsamspindle.services.explanation import ServiceExplanation
 from balsamspindle.timeline.merge import Selection, select
 from balsamspindle.timeline.story import tell_request
@@ -35,7 +35,7 @@
     backend_server: str = typer.Argument(..., help="Id of the backend server."),
     nodes: list[str] = NODES_OPTION,
 ) -> None:
-    """Send a backend server no new work; requests in flight end.
+    """Send no new requests to a backend server; those in flight finish.
 
     Example: balsamspindle-ctl drain contract-1 --node 127.0.0.1:8083
     """
@@ -47,7 +47,7 @@
     backend_server: str = typer.Argument(..., help="Id of the backend server."),
     nodes: list[str] = NODES_OPTION,
 ) -> None:
-    """Send a drained backend server work again.
+    """Send requests to a drained backend server again.
 
     Example: balsamspindle-ctl undrain contract-1 --node 127.0.0.1:8083
     """
@@ -61,7 +61,7 @@
     logs: list[Path] = typer.Option(None, help="Log file of a node; may be repeated."),
     as_json: bool = JSON_OPTION,
 ) -> None:
-    """Tell who is left out of a service and why, or what became of a request.
+    """Explain why backend servers of a service are left out, or a request's outcome.
 
     Example: balsamspindle-ctl explain crew/contracts --node 127.0.0.1:8083
 
@@ -75,7 +75,7 @@
 
 def _explain_service(service: str, nodes: list[str] | None, as_json: bool) -> None:
     if not nodes:
-        fail(NO_NODE, ExitStatus.USAGE)
+        fail(NO_NODE_MESSAGE, ExitStatus.USAGE)
     views = list(_read_explanations(service, nodes))
     if not views:
         fail("no node answered", ExitStatus.UNAVAILABLE)
@@ -89,7 +89,7 @@
 
 
 def _read_explanations(service: str, nodes: list[str]) -> Iterator[ServiceExplanation]:
-    """Yield each node's view; one that does not answer is told and passed over."""
+    """Yield each node's explanation; warn of nodes without an answer."""
     path = f"/services/{service}/explain"
     for address in nodes:
         match AdminClient(address).read(path, ServiceExplanation):
@@ -107,7 +107,7 @@
     request_id: str, nodes: list[str], logs: list[Path], as_json: bool
 ) -> None:
     if not nodes and not logs:
-        fail(f"{NO_NODE}; or --logs FILE", ExitStatus.USAGE)
+        fail(f"{NO_NODE_MESSAGE}; or --logs FILE", ExitStatus.USAGE)
     collected = collect_events(logs, nodes)
     for warning in collected.warnings:
         warn(warning)
@@ -117,7 +117,7 @@
     if not events:
         message = (
             f"no event of request {request_id!r}: name the log of the node that "
-            "it came in at"
+            "received it"
         )
         fail(message, ExitStatus.NOT_FOUND)
     story = tell_request(request_id, events)
@@ -128,41 +128,44 @@
 
 def _post(backend_server: str, nodes: list[str] | None, action: str) -> None:
     """Ask the node beside a backend server to change its state."""
-    client = _node_beside(backend_server, ask_nodes(nodes))
+    client = _node_beside(backend_server, query_nodes(nodes))
     match client.post(f"/backend-servers/{quote(backend_server)}/{action}"):
         case Result(tag="error", error=error):
             _fail_at_node(error)
 
 
-def _node_beside(backend_server: str, asked: list[AskedNode]) -> AdminClient:
-    """Return the node beside a backend server, asked or told by another."""
-    for node in asked:
+def _node_beside(backend_server: str, queried: list[QueriedNode]) -> AdminClient:
+    """Return a client for the node beside a backend server.
+
+    Looks first among the queried nodes, then in the records that they hold.
+    """
+    for node in queried:
         own = [server.backend_server_id for server in node.status.backend_servers]
         if backend_server in own:
             return node.client
-    places = {
+    records = {
         server.backend_server_id: record
-        for record in newest_records(asked)
+        for record in newest_records(queried)
         for server in record.backend_servers
     }
-    record = places.get(backend_server)
+    record = records.get(backend_server)
     if record is None:
-        close = difflib.get_close_matches(backend_server, places, 1)
+        close = difflib.get_close_matches(backend_server, records, 1)
         hint = f"; did you mean {close[0]!r}?" if close else ""
-        message = f"no backend server {backend_server!r} is known{hint}"
+        message = f"unknown backend server {backend_server!r}{hint}"
         fail(message, ExitStatus.NOT_FOUND)
     if not record.admin_address:
         message = (
-            f"{backend_server} stands beside {record.node_id}: give that node's "
+            f"{backend_server} runs beside {record.node_id}: give that node's "
             "admin address with --node"
         )
         fail(message, ExitStatus.USAGE)
     return AdminClient(record.admin_address)
 
 
-def _fail_at_node(error: NodeUnreachable | NodeRefused) -> NoReturn:
+def _fail_at_node(error: NodeUnreachable | NodeRefusal) -> NoReturn:
     match error:
         case NodeUnreachable(message):
             fail(message, ExitStatus.UNAVAILABLE)
-        case NodeRefused(message=message):
+        case NodeRefusal(message=message):
             fail(message, ExitStatus.FAILED)
--- a/balsamspindle/cli/ctl_keys.py
+++ b/balsamspindle/cli/ctl_keys.py
@@ -1,9 +1,9 @@
-"""``balsamspindle-ctl settings`` commands for the keys of teams and fleet."""
+"""``balsamspindle-ctl settings`` commands that set keys of teams and the fleet."""
 
 import typer
 from expression import Result
 
-from balsamspindle.cli.edit_ends import fail_edit, open_store, report_edit
+from balsamspindle.cli.edit_results import fail_edit, open_store, report_edit
 from balsamspindle.cli.program import JSON_OPTION
 from balsamspindle.cli.settings_options import (
     AUTHOR_OPTION,
@@ -19,7 +19,7 @@
 def team_key(
     team: str = typer.Argument(..., help="Team whose key is set."),
     new_key: str = typer.Option(
-        ..., envvar="BALSAMSPINDLE_NEW_KEY", help="The key from now on."
+        ..., envvar="BALSAMSPINDLE_NEW_KEY", help="The new key."
     ),
     platform: str = PLATFORM_OPTION,
     author: str = AUTHOR_OPTION,
@@ -27,9 +27,9 @@
     fleet_key: str = FLEET_KEY_OPTION,
     as_json: bool = JSON_OPTION,
 ) -> None:
-    """Give a team a key, or replace its key.
+    """Set or replace the key of a team.
 
-    Needs the fleet's key; in a fleet without one, the team's present key.
+    Requires the fleet key; in a fleet without one, the team's current key.
 
     Example: BALSAMSPINDLE_NEW_KEY=... balsamspindle-ctl settings team-key crew
     """
@@ -39,16 +39,16 @@
 
 def fleet_key(
     new_key: str = typer.Option(
-        ..., envvar="BALSAMSPINDLE_NEW_KEY", help="The key from now on."
+        ..., envvar="BALSAMSPINDLE_NEW_KEY", help="The new key."
     ),
     platform: str = PLATFORM_OPTION,
 ) -> None:
-    """Give the fleet its key, once; from then on it alone creates teams.
+    """Set the fleet key, once; from then on, only this key can create teams.
 
     Example: BALSAMSPINDLE_NEW_KEY=... balsamspindle-ctl settings fleet-key
     """
     match open_store(platform).set_fleet_key(new_key):
         case Result(tag="ok"):
-            typer.echo("the fleet has its key")
+            typer.echo("the fleet key is set")
         case Result(error=error):
             fail_edit(error, False)
--- a/balsamspindle/cli/ctl_recovery.py
+++ b/balsamspindle/cli/ctl_recovery.py
@@ -1,10 +1,10 @@
-"""``balsamspindle-ctl settings`` commands after a fault of the platform."""
+"""``balsamspindle-ctl settings`` commands for use after a platform failure."""
 
 import time
 
 import typer
 
-from balsamspindle.cli.edit_ends import open_store, report_edit
+from balsamspindle.cli.edit_results import open_store, report_edit
 from balsamspindle.cli.program import JSON_OPTION
 from balsamspindle.cli.settings_options import (
     AUTHOR_OPTION,
@@ -23,7 +23,7 @@
     platform: str = PLATFORM_OPTION,
     as_json: bool = JSON_OPTION,
 ) -> None:
-    """Decide a change whose reply was lost: accepted, or never to be.
+    """Settle a change whose reply was lost: report it as accepted, or withdraw it.
 
     Example: balsamspindle-ctl settings settle 5f0c7a
     """
@@ -39,14 +39,14 @@
     fleet_key: str = FLEET_KEY_OPTION,
     as_json: bool = JSON_OPTION,
 ) -> None:
-    """Put what the platform holds in force, after it lost accepted changes.
+    """Make all nodes reload the settings of a platform that lost accepted changes.
 
-    Only for a platform that was restored from a backup: the changes that the
-    backup lacks leave force.
+    Only for a platform that was restored from a backup: changes missing from
+    the backup are undone.
 
     Example: balsamspindle-ctl settings restart --above 4711
     """
     credentials = Credentials(author, fleet_key=fleet_key)
     tables = HttpTableService(platform)
-    ended = restart_history(tables, above, credentials, time.time())
-    report_edit(ended, as_json)
+    result = restart_history(tables, above, credentials, time.time())
+    report_edit(result, as_json)
--- a/balsamspindle/cli/ctl_settings.py
+++ b/balsamspindle/cli/ctl_settings.py
@@ -10,7 +10,7 @@
 from expression import Result
 
 from balsamspindle.cli import ctl_edits, ctl_keys, ctl_recovery
-from balsamspindle.cli.edit_ends import fail_invalid
+from balsamspindle.cli.edit_results import fail_invalid
 from balsamspindle.cli.exit_status import ExitStatus
 from balsamspindle.cli.inputs import read_documents
 from balsamspindle.cli.program import JSON_OPTION, fail, make_app, warn
@@ -39,21 +39,24 @@
 
 @app.command("get")
 def get(
-    path: str = typer.Argument("", help="A document, or the start of paths."),
+    path: str = typer.Argument(
+        "", help="Path of a document, or a prefix such as TEAM or TEAM/KIND."
+    ),
     show_version: bool = typer.Option(
-        False, help="Tell the version of the team's documents on standard error."
+        False, help="Print the version of the team's documents on standard error."
     ),
     platform: str = PLATFORM_OPTION,
 ) -> None:
-    """Write one document, or all documents below a path, as JSON.
+    """Print one document, or all documents below a path, as JSON.
 
     Example: balsamspindle-ctl settings get crew/services/contracts
 
     Example: balsamspindle-ctl settings get crew > crew.json
     """
     if show_version:
-        # Before the documents: a change in between is met by a refusal.
-        _tell_version(path.partition("/")[0], platform)
+        # Reads the version before the documents: after a change in between, an edit
+        # that expects this version is refused.
+        _print_version(path.partition("/")[0], platform)
     stored = _load(platform)
     if path in stored.documents:
         typer.echo(_pretty(msgspec.json.decode(stored.documents[path])))
@@ -73,12 +76,12 @@
 def validate(
     documents: str = DOCUMENTS_ARGUMENT,
     with_stored: bool = typer.Option(
-        False, help="Check them together with the settings that are stored."
+        False, help="Check them together with the stored settings."
     ),
     platform: str = PLATFORM_OPTION,
     as_json: bool = JSON_OPTION,
 ) -> None:
-    """List all faults of a file of documents; change nothing.
+    """Check a file of documents and list all faults; changes nothing.
 
     Example: balsamspindle-ctl settings validate examples/association/settings.json
     """
@@ -87,7 +90,7 @@
     faults = check_documents(together)
     if faults:
         fail_invalid(faults, as_json)
-    typer.echo("[]" if as_json else f"{len(encoded)} documents, no fault")
+    typer.echo("[]" if as_json else f"{len(encoded)} documents, no faults")
     for warning in document_warnings(encoded):
         warn(f"{warning.path}: {warning.message}")
 
@@ -98,9 +101,9 @@
     platform: str = PLATFORM_OPTION,
     as_json: bool = JSON_OPTION,
 ) -> None:
-    """Show how stored documents differ from a file's.
+    """Show how the stored documents differ from those in a file.
 
-    Documents of teams that the file does not name are left out.
+    Teams that the file does not name are ignored.
 
     Example: balsamspindle-ctl settings diff crew.json
     """
@@ -117,12 +120,12 @@
 @app.command("history")
 def history(
     team: str = typer.Argument("", help="Only this team's changes."),
-    limit: int = typer.Option(HISTORY_LIMIT, min=1, help="Changes shown."),
-    show_diffs: bool = typer.Option(False, "--diff", help="Show what each changed."),
+    limit: int = typer.Option(HISTORY_LIMIT, min=1, help="Number of changes to show."),
+    show_diffs: bool = typer.Option(False, "--diff", help="Show the changed lines."),
     platform: str = PLATFORM_OPTION,
     as_json: bool = JSON_OPTION,
 ) -> None:
-    """Show who changed what, the newest first.
+    """Show who changed which documents, newest first.
 
     Example: balsamspindle-ctl settings history crew --limit 5 --diff
     """
@@ -134,7 +137,7 @@
         case Result(tag="ok", ok=changes):
             _show_changes(changes, show_diffs, as_json)
         case Result(error=error):
-            _fail_unread(platform, error.message)
+            _fail_unavailable(platform, error.message)
 
 
 for name, command in {
@@ -149,12 +152,12 @@
     app.command(name)(command)
 
 
-def _tell_version(team: str, platform: str) -> None:
+def _print_version(team: str, platform: str) -> None:
     match SettingsStore(HttpTableService(platform)).subtree(team):
         case Result(tag="ok", ok=(_, version)):
             typer.echo(f"version {version} of {team!r}", err=True)
         case Result(error=error):
-            _fail_unread(platform, error.message)
+            _fail_unavailable(platform, error.message)
 
 
 def _load(platform: str) -> StoredSettings:
@@ -162,11 +165,11 @@
         case Result(tag="ok", ok=stored):
             return stored
         case Result(error=error):
-            _fail_unread(platform, error.message)
+            _fail_unavailable(platform, error.message)
 
 
-def _fail_unread(platform: str, cause: str) -> NoReturn:
-    message = f"the platform at {platform} gave no settings: {cause}"
+def _fail_unavailable(platform: str, cause: str) -> NoReturn:
+    message = f"cannot read the settings from the platform at {platform}: {cause}"
     fail(message, ExitStatus.UNAVAILABLE)
 
 
@@ -188,14 +191,14 @@
         change.revision,
         time.strftime("%Y-%m-%d %H:%M:%S"),
         change.author,
-        _changed_words(change),
+        _change_summary(change),
         change.operation_id,
     )
 
 
-def _changed_words(change: Change) -> str:
+def _change_summary(change: Change) -> str:
     if change.restart:
-        return "all settings of the platform, anew"
+        return "all settings, reloaded from the platform"
     return ", ".join(change.paths) or f"key of {change.team}"
 
 
--- a/balsamspindle/cli/ctl_status.py
+++ b/balsamspindle/cli/ctl_status.py
@@ -1,4 +1,4 @@
-"""``balsamspindle-ctl status``: nodes, services and settings at one glance."""
+"""``balsamspindle-ctl status``: an overview of nodes, services and settings."""
 
 from collections import defaultdict
 
@@ -6,8 +6,8 @@
 import typer
 
 from balsamspindle.backend_servers.servers import BackendServerState
-from balsamspindle.cli.asked_nodes import AskedNode, ask_nodes, newest_records
 from balsamspindle.cli.program import JSON_OPTION, NODES_OPTION, warn
+from balsamspindle.cli.queried_nodes import QueriedNode, newest_records, query_nodes
 from balsamspindle.cli.tables import format_table
 from balsamspindle.node.status import SettingsStatus
 from balsamspindle.wire import NodeRecord
@@ -27,19 +27,19 @@
 
 
 def status(nodes: list[str] = NODES_OPTION, as_json: bool = JSON_OPTION) -> None:
-    """Show all nodes and services, as the nodes asked see them.
+    """Show all nodes, services and settings, as the queried nodes see them.
 
     Example: balsamspindle-ctl status --node 127.0.0.1:8083
     """
-    asked = ask_nodes(nodes)
+    queried = query_nodes(nodes)
     if as_json:
-        typer.echo(msgspec.json.encode([node.status for node in asked]).decode())
+        typer.echo(msgspec.json.encode([node.status for node in queried]).decode())
         return
-    records = newest_records(asked)
-    tables = (_nodes_table(records), _services_table(records), _settings_table(asked))
+    records = newest_records(queried)
+    tables = (_nodes_table(records), _services_table(records), _settings_table(queried))
     typer.echo("\n\n".join(tables))
-    for node in asked:
-        _warn_of_documents(node)
+    for node in queried:
+        _warn_of_unusable(node)
 
 
 def _nodes_table(records: list[NodeRecord]) -> str:
@@ -75,11 +75,11 @@
     return format_table(SERVICES_HEADER, rows)
 
 
-def _settings_table(asked: list[AskedNode]) -> str:
-    return format_table(SETTINGS_HEADER, list(map(_settings_row, asked)))
+def _settings_table(queried: list[QueriedNode]) -> str:
+    return format_table(SETTINGS_HEADER, list(map(_settings_row, queried)))
 
 
-def _settings_row(node: AskedNode) -> tuple[object, ...]:
+def _settings_row(node: QueriedNode) -> tuple[object, ...]:
     status = node.status
     settings = status.settings or SettingsStatus(
         status.settings_revision, "", {}, None, -1
@@ -93,8 +93,8 @@
     )
 
 
-def _warn_of_documents(node: AskedNode) -> None:
-    """Tell which documents a node can't read: newer than its release."""
+def _warn_of_unusable(node: QueriedNode) -> None:
+    """Warn of documents that the node can't read: newer than its release."""
     settings = node.status.settings
     for path, cause in (settings.unusable if settings else {}).items():
         warn(f"{node.status.node_id} can't use {path}: {cause}")
--- a/balsamspindle/cli/edit_ends.py
+++ b/balsamspindle/cli/edit_results.py
@@ -1,4 +1,4 @@
-"""How a change of the settings ended, in words and exit statuses."""
+"""Reports the result of a settings change as a message and an exit status."""
 
 from typing import NoReturn
 
@@ -24,7 +24,7 @@
 
 __all__ = ["fail_edit", "fail_invalid", "open_store", "report_edit"]
 
-_STATUSES = {
+_EXIT_STATUSES = {
     NotOwner: ExitStatus.NOT_OWNER,
     SettingsConflict: ExitStatus.CONFLICT,
     Withdrawn: ExitStatus.FAILED,
@@ -32,23 +32,23 @@
 
 
 def open_store(platform: str) -> SettingsStore:
-    """Return the settings at a platform."""
+    """Return the settings store of the platform at an address."""
     return SettingsStore(HttpTableService(platform))
 
 
 def report_edit(result: Result, as_json: bool) -> Accepted:
-    """Say what became of a change, and end the program if it did not hold."""
+    """Print the result of a change; exit unless it was accepted."""
     match result:
         case Result(tag="ok", ok=accepted):
-            words = f"accepted at revision {accepted.revision}"
-            typer.echo(msgspec.json.encode(accepted).decode() if as_json else words)
+            message = f"accepted at revision {accepted.revision}"
+            typer.echo(msgspec.json.encode(accepted).decode() if as_json else message)
             return accepted
         case Result(error=error):
             fail_edit(error, as_json)
 
 
 def fail_edit(error: EditError, as_json: bool) -> NoReturn:
-    """End the program with what became of a change that did not hold."""
+    """Print why a change was not accepted, or is not known to be, and exit."""
     match error:
         case InvalidSettings(faults):
             fail_invalid(faults, as_json)
@@ -58,17 +58,17 @@
                 if operation_id
                 else "balsamspindle-ctl settings fleet-key"
             )
-            message = f"not known ({message}): decide it with `{command}`"
+            message = f"result not known ({message}): settle it with `{command}`"
             fail(message, ExitStatus.NOT_KNOWN)
         case SettingsUnavailable(message):
-            message = f"not accepted: {message}; repeat it when the platform answers"
+            message = f"not accepted: {message}; try again when the platform answers"
             fail(message, ExitStatus.UNAVAILABLE)
         case _:
-            fail(f"not accepted: {error.message}", _STATUSES[type(error)])
+            fail(f"not accepted: {error.message}", _EXIT_STATUSES[type(error)])
 
 
 def fail_invalid(faults: list[Fault], as_json: bool) -> NoReturn:
-    """List all faults and end the program."""
+    """Print all faults and exit."""
     if as_json:
         typer.echo(msgspec.json.encode(faults).decode())
     lines = [str(fault) for fault in faults]
--- a/balsamspindle/cli/event_sources.py
+++ b/balsamspindle/cli/event_sources.py
@@ -14,14 +14,15 @@
 
 
 class CollectedEvents(NamedTuple):
-    """The time line of all sources together.
+    """The events of all sources, merged into one time line.
 
     Attributes
     ----------
     warnings : list of str
-        What is not in it: lines that are no events, sources without answer.
+        Lines that are not events, events no longer kept, and sources that could
+        not be read.
     sources_read : int
-        Sources that gave events or were empty.
+        Sources that could be read; they may be empty.
     """
 
     events: list[TimelineEvent]
@@ -85,4 +86,4 @@
 def _garbage_warnings(source: str, garbage_lines: int) -> list[str]:
     if not garbage_lines:
         return []
-    return [f"{source}: {garbage_lines} lines are no events and are left out"]
+    return [f"{source}: {garbage_lines} lines are not events and were skipped"]
--- a/balsamspindle/cli/exit_status.py
+++ b/balsamspindle/cli/exit_status.py
@@ -1,4 +1,4 @@
-"""How every binary ends."""
+"""Exit statuses of the programs."""
 
 from enum import IntEnum
 
@@ -6,21 +6,22 @@
 
 
 class ExitStatus(IntEnum):
-    """Exit statuses, the same for all binaries.
+    """Exit statuses, the same for all programs.
 
     Attributes
     ----------
     DONE
-        All that was asked is done.
+        Everything that was requested is done.
     FAILED
-        It could not be done and nothing was changed.
+        The request could not be carried out; nothing was changed.
     USAGE
-        The command line, a file or its JSON is wrong; nothing was asked of
+        The command line, a file or its JSON is wrong; nothing was sent to
         the fleet.
     UNAVAILABLE
-        The platform or the node gave no answer; nothing was changed.
+        The platform or the node did not answer; nothing was changed.
     CONFLICT
-        Somebody else changed the same subtree meanwhile; nothing was changed.
+        Somebody else changed the team's documents meanwhile; this change was not
+        made.
     NOT_KNOWN
         A change may or may not have taken effect; the message names the
         command that settles it.
@@ -29,7 +30,8 @@
     NOT_FOUND
         There is no such document, backend server, service or request.
     NOT_OWNER
-        The key shown does not open the team's documents; nothing was changed.
+        The given key grants no access to the team's documents; nothing was
+        changed.
     """
 
     DONE = 0
--- a/balsamspindle/cli/explanations.py
+++ b/balsamspindle/cli/explanations.py
@@ -1,4 +1,4 @@
-"""Explanations in words for a terminal."""
+"""Formats explanations as text for a terminal."""
 
 from balsamspindle.cli.tables import format_table
 from balsamspindle.services.explanation import ServiceExplanation
@@ -19,7 +19,7 @@
 
 
 def format_service(explanation: ServiceExplanation) -> str:
-    """Return a service as one node sees it."""
+    """Return the view that one node has of a service, as text."""
     rows = [
         (
             row.backend_server_id,
@@ -53,30 +53,32 @@
 
 
 def format_request(story: RequestStory) -> str:
-    """Return a request's story: how it came, each attempt, how it ended."""
-    came = f"request {story.request_id}"
+    """Return text with a request's arrival, its attempts and its outcome."""
+    arrival = f"request {story.request_id}"
     if story.method:
-        came += f": {story.method} {story.path}"
+        arrival += f": {story.method} {story.path}"
     if story.node_id:
-        came += f", came in at {story.node_id}"
+        arrival += f", received at {story.node_id}"
     attempts = [
         f"attempt {number}: {_format_attempt(attempt)}"
         for number, attempt in enumerate(story.attempts, 1)
     ]
-    return "\n".join([came, *attempts, _format_end(story)])
+    return "\n".join([arrival, *attempts, _format_end(story)])
 
 
 def _format_attempt(attempt: AttemptStory) -> str:
     gate = f" behind {attempt.gate}" if attempt.gate else ""
-    sent = "dispatched" if attempt.dispatched else "not seen to be dispatched"
-    end = attempt.outcome or "its end is not among the events"
+    sent = "dispatched" if attempt.dispatched else "no dispatch among the events"
+    end = attempt.outcome or "no end among the events"
     cause = f" ({attempt.cause})" if attempt.cause else ""
     return f"{attempt.backend_server}{gate}: {sent}, {end}{cause}"
 
 
 def _format_end(story: RequestStory) -> str:
     if story.outcome is None:
-        return "its end is not among the events: it runs, or name more sources"
+        return (
+            "no end among the events: it is still running, or more sources are needed"
+        )
     status = f" with status {story.status}" if story.status else ""
     cause = f" ({story.cause})" if story.cause else ""
     return f"outcome: {story.outcome}{status}{cause}, {story.duration_ms:g} ms"
--- a/balsamspindle/cli/inputs.py
+++ b/balsamspindle/cli/inputs.py
@@ -1,4 +1,4 @@
-"""JSON from a file or from standard input."""
+"""Reads JSON from a file or from standard input."""
 
 import sys
 from pathlib import Path
@@ -15,7 +15,7 @@
 
 
 def read_json(source: str) -> Any:
-    """Return the JSON of a file, of standard input for ``-``."""
+    """Return the decoded JSON of a file, or of standard input for ``-``."""
     try:
         text = (
             sys.stdin.buffer.read()
@@ -32,9 +32,9 @@
 
 
 def read_documents(source: str) -> dict[str, Any]:
-    """Return a map from path to document."""
+    """Return the documents of a JSON file by their paths."""
     documents = read_json(source)
     if not isinstance(documents, dict):
-        message = f"{source}: expected a JSON object of path and document"
+        message = f"{source}: expected a JSON object that maps paths to documents"
         fail(message, ExitStatus.USAGE)
     return documents
--- a/balsamspindle/cli/load.py
+++ b/balsamspindle/cli/load.py
@@ -1,4 +1,4 @@
-"""``balsamspindle-load``: load, faults, and what became of each request."""
+"""``balsamspindle-load``: sends load, injects faults and audits the outcomes."""
 
 import uuid
 from pathlib import Path
@@ -36,30 +36,32 @@
     balsamspindle-load plan.json --json --seed 8 --duration-s 60
 """
 
-app = make_app("Drive the fleet with load and faults, and audit the outcomes.")
+app = make_app("Send load to the fleet, inject faults and audit the outcomes.")
 
 
-@app.command(epilog="Exit status: 0 truthful, 1 a promise was broken, 2 usage.")
+@app.command(
+    epilog="Exit status: 0 all promises kept, 1 a promise was broken, 2 usage."
+)
 def run(
     plan: Path = typer.Argument(..., help="JSON file with the plan."),
     as_json: bool = typer.Option(False, "--json", help="Report as JSON."),
-    seed: int | None = typer.Option(None, help="In place of the plan's."),
+    seed: int | None = typer.Option(None, help="Seed, in place of the plan's."),
     duration_s: float | None = typer.Option(
-        None, min=0.1, max=DURATION_MAX_S, help="In place of the plan's."
+        None, min=0.1, max=DURATION_MAX_S, help="Duration, in place of the plan's."
     ),
     version: bool = VERSION_OPTION,
 ) -> None:
-    """Send a plan's requests, set its faults and report what came of them.
+    """Send the requests of a plan, inject its faults and report the outcomes.
 
-    Reports outcomes and latency by kind, the answered part weighted by kind,
-    how long a sick backend server went on meeting requests (by its own
-    count), false ejections, and broken promises: requests that were told
-    not_run and ran, non-idempotent ones that ran twice, answers that were not
-    whole or not the caller's own.
+    Reports outcomes and latency by kind, the answered fraction weighted by
+    kind, how long a faulty backend server kept getting requests (by its own
+    count), false ejections, and broken promises: requests reported as not_run
+    that ran, non-idempotent requests that ran twice, answers that were
+    incomplete or another caller's.
     """
     match load_plan(plan):
         case Result(tag="ok", ok=loaded):
-            report = run_experiment(_changed(loaded, seed, duration_s), _run_id())
+            report = run_experiment(_override(loaded, seed, duration_s), _run_id())
             _print(report, as_json)
             if not report.truthfulness.holds:
                 raise typer.Exit(ExitStatus.FAILED)
@@ -74,7 +76,7 @@
     return uuid.uuid4().hex[:12]
 
 
-def _changed(plan: LoadPlan, seed: int | None, duration_s: float | None) -> LoadPlan:
+def _override(plan: LoadPlan, seed: int | None, duration_s: float | None) -> LoadPlan:
     changes = {"seed": seed, "duration_s": duration_s}
     given = {name: value for name, value in changes.items() if value is not None}
     return msgspec.structs.replace(plan, **given)
--- a/balsamspindle/cli/node.py
+++ b/balsamspindle/cli/node.py
@@ -24,7 +24,7 @@
     settings: Path = typer.Option(..., help="JSON file with the node's settings."),
     version: bool = VERSION_OPTION,
 ) -> None:
-    """Run one node until SIGTERM, then leave without cutting a request.
+    """Run one node until SIGTERM, then leave without cutting off requests.
 
     Example: balsamspindle-node --settings
     examples/association/nodes/mvd-puerto-1.json
--- a/balsamspindle/cli/program.py
+++ b/balsamspindle/cli/program.py
@@ -1,4 +1,4 @@
-"""What every binary shares: options, errors, signals."""
+"""Options, error reporting and signal handling that all programs share."""
 
 import signal
 import sys
@@ -35,17 +35,17 @@
     is_eager=True,
     help="Show the version and exit.",
 )
-JSON_OPTION = typer.Option(False, "--json", help="Write JSON, for programs.")
+JSON_OPTION = typer.Option(False, "--json", help="Print JSON, for use by programs.")
 NODES_OPTION = typer.Option(
     None,
     "--node",
     envvar="BALSAMSPINDLE_NODES",
-    help="Admin address of a node, IP:port; may be given again.",
+    help="Admin address of a node, IP:port; may be repeated.",
 )
 
 
 def make_app(help_text: str) -> typer.Typer:
-    """Return an application whose help is written for people."""
+    """Return an application that prints its help as plain text."""
     return typer.Typer(
         help=help_text,
         add_completion=False,
@@ -56,21 +56,21 @@
 
 
 def warn(message: str) -> None:
-    """Tell the operator something that does not end the program."""
+    """Print a warning on standard error."""
     typer.echo(f"warning: {message}", err=True)
 
 
 def fail(message: str, status: ExitStatus = ExitStatus.FAILED) -> NoReturn:
-    """End the program with one line that says what to do."""
+    """Print a message on standard error and end the program."""
     typer.echo(message, err=True)
     sys.exit(status)
 
 
 def split_address(address: str) -> tuple[str, int]:
-    """Return IP and port; end the program when the address has none."""
+    """Return IP and port; end the program if the address is malformed."""
     host, _, port = address.partition(":")
     if not host or not port.isdecimal():
-        fail(f"{address!r} is no address: expected IP:port", ExitStatus.USAGE)
+        fail(f"{address!r} is not an address: expected IP:port", ExitStatus.USAGE)
     return host, int(port)
 
 
--- a/balsamspindle/cli/asked_nodes.py
+++ b/balsamspindle/cli/queried_nodes.py
@@ -1,4 +1,4 @@
-"""What the nodes that an operator names say of the fleet."""
+"""Status of the fleet, as reported by the nodes that an operator names."""
 
 from typing import NamedTuple
 
@@ -10,45 +10,47 @@
 from balsamspindle.node.status import NodeStatus
 from balsamspindle.wire import NodeRecord
 
-__all__ = ["NO_NODE", "AskedNode", "ask_nodes", "newest_records"]
+__all__ = ["NO_NODE_MESSAGE", "QueriedNode", "query_nodes", "newest_records"]
 
-NO_NODE = "name a node: --node IP:PORT of its admin address, or BALSAMSPINDLE_NODES"
+NO_NODE_MESSAGE = (
+    "name a node by its admin address: --node IP:PORT, or BALSAMSPINDLE_NODES"
+)
 
 
-class AskedNode(NamedTuple):
-    """A node and what it says of itself."""
+class QueriedNode(NamedTuple):
+    """A node's client and the status that the node reported."""
 
     client: AdminClient
     status: NodeStatus
 
 
-def ask_nodes(nodes: list[str] | None) -> list[AskedNode]:
-    """Return what each node says; fail when none does."""
+def query_nodes(nodes: list[str] | None) -> list[QueriedNode]:
+    """Return the status of each node that answers; exit if none does."""
     if not nodes:
-        fail(NO_NODE, ExitStatus.USAGE)
-    asked = []
+        fail(NO_NODE_MESSAGE, ExitStatus.USAGE)
+    queried = []
     for address in nodes:
         client = AdminClient(address)
         match client.read("/status", NodeStatus):
             case Result(tag="ok", ok=node_status):
-                asked.append(AskedNode(client, node_status))
+                queried.append(QueriedNode(client, node_status))
             case Result(error=error):
                 warn(error.message)
-    if not asked:
+    if not queried:
         fail("no node answered", ExitStatus.UNAVAILABLE)
-    return asked
+    return queried
 
 
-def newest_records(asked: list[AskedNode]) -> list[NodeRecord]:
-    """Return one record of each node, the newest that any node has."""
+def newest_records(queried: list[QueriedNode]) -> list[NodeRecord]:
+    """Return the newest record of each node that any queried node holds."""
     newest: dict[str, NodeRecord] = {}
-    for node in asked:
+    for node in queried:
         for record in node.status.nodes:
             known = newest.get(record.node_id)
-            if known is None or _age(record) > _age(known):
+            if known is None or _recency(record) > _recency(known):
                 newest[record.node_id] = record
     return [newest[node_id] for node_id in sorted(newest)]
 
 
-def _age(record: NodeRecord) -> tuple[int, int]:
+def _recency(record: NodeRecord) -> tuple[int, int]:
     return record.incarnation, record.version
--- a/balsamspindle/cli/settings_options.py
+++ b/balsamspindle/cli/settings_options.py
@@ -24,7 +24,7 @@
     "unnamed",
     "--author",
     envvar="BALSAMSPINDLE_AUTHOR",
-    help="Your name in the history.",
+    help="Your name, shown in the history.",
 )
 TEAM_KEY_OPTION = typer.Option(
     None,
@@ -37,7 +37,7 @@
     None,
     "--fleet-key",
     envvar="BALSAMSPINDLE_FLEET_KEY",
-    help="Key of the fleet; opens each team's documents.",
+    help="Key of the fleet; gives access to the documents of all teams.",
 )
 EXPECT_OPTION = typer.Option(
     None,
@@ -46,5 +46,6 @@
 )
 PATH_ARGUMENT = typer.Argument(..., help="TEAM/KIND/NAME, such as crew/routes/read.")
 DOCUMENTS_ARGUMENT = typer.Argument(
-    STANDARD_INPUT, help="JSON file, path to document; - reads standard input."
+    STANDARD_INPUT,
+    help="JSON file that maps paths to documents; - reads standard input.",
 )
--- a/balsamspindle/cli/standin_backend.py
+++ b/balsamspindle/cli/standin_backend.py
@@ -1,4 +1,4 @@
-"""``balsamspindle-standin-backend``: a backend server with fault switches."""
+"""``balsamspindle-standin-backend``: a test backend server with faults to switch on."""
 
 import threading
 import time
@@ -15,7 +15,7 @@
 from balsamspindle.standins.backend_server import Announcer, StandinBackendServer
 
 FINISH_TIMEOUT_S = 30.0
-QUIET_S = 0.5
+IDLE_S = 0.5
 POLL_S = 0.02
 
 app = make_app("Run a stand-in backend server (tests and the demo only).")
@@ -27,8 +27,8 @@
     address: str = typer.Option(..., help="IP:port to listen on."),
     service: str = typer.Option(..., help="Service, as TEAM/NAME."),
     node_admin: str = typer.Option(..., help="Admin address of the node beside it."),
-    slots: int = typer.Option(6, help="Requests that it runs at once."),
-    work_ms: float = typer.Option(0.0, help="Time that a request takes."),
+    slots: int = typer.Option(6, help="Requests that run at the same time."),
+    work_ms: float = typer.Option(0.0, help="Run time of a request, in milliseconds."),
     version: bool = VERSION_OPTION,
 ) -> None:
     """Run the stand-in until SIGTERM, then drain and leave.
@@ -57,17 +57,17 @@
 
 
 def _finish_work(server: StandinBackendServer) -> None:
-    """Wait until nothing was running for a while.
+    """Wait until no request has run for `IDLE_S`, up to `FINISH_TIMEOUT_S`.
 
-    An attempt that the gate admitted just before the drain may still be on
-    its way here.
+    A request that the gate admitted just before the drain may not have
+    arrived yet.
     """
-    give_up_s = time.monotonic() + FINISH_TIMEOUT_S
-    quiet_since_s = time.monotonic()
-    while quiet_since_s + QUIET_S > time.monotonic() < give_up_s:
+    deadline_s = time.monotonic() + FINISH_TIMEOUT_S
+    idle_since_s = time.monotonic()
+    while idle_since_s + IDLE_S > time.monotonic() < deadline_s:
         time.sleep(POLL_S)
         if server.running:
-            quiet_since_s = time.monotonic()
+            idle_since_s = time.monotonic()
 
 
 def main() -> None:
--- a/balsamspindle/cli/standin_platform.py
+++ b/balsamspindle/cli/standin_platform.py
@@ -1,4 +1,4 @@
-"""``balsamspindle-standin-platform``: tables and objects in memory."""
+"""``balsamspindle-standin-platform``: an in-memory platform for tests."""
 
 import threading
 
@@ -18,7 +18,7 @@
 
 class _QuietHandler(WSGIRequestHandler):
     def log(self, *_args):
-        """Write nothing for each call."""
+        """Discard the log lines of requests."""
 
 
 @app.command()
--- a/balsamspindle/cli/tables.py
+++ b/balsamspindle/cli/tables.py
@@ -1,4 +1,4 @@
-"""Output for people: tables."""
+"""Formats tables as text."""
 
 from collections.abc import Sequence
 
--- a/balsamspindle/cli/timeline.py
+++ b/balsamspindle/cli/timeline.py
@@ -1,4 +1,4 @@
-"""``balsamspindle-timeline``: one time line of events over all processes."""
+"""``balsamspindle-timeline``: merges the events of all processes into one time line."""
 
 from pathlib import Path
 
@@ -34,21 +34,21 @@
     request: str = typer.Option(None, help="Only events of this request id."),
     service: str = typer.Option(None, help="Only events of this service, TEAM/NAME."),
     with_requests: bool = typer.Option(
-        False, help="With --service: show the events of its requests, too."
+        False, help="With --service: also show the events of its requests."
     ),
     event: str = typer.Option(None, help="Only events of this name."),
     losses: bool = typer.Option(
-        False, help="Count the requests that were not served, by their cause."
+        False, help="Count the requests that were not served, by cause."
     ),
     runs: bool = typer.Option(
         False,
-        help="Count how runs ended, by what their gates believed of the backend "
-        "server.",
+        help="Count how runs ended, by the health that their gates assumed of the "
+        "backend server.",
     ),
     as_json: bool = JSON_OPTION,
     version: bool = VERSION_OPTION,
 ) -> None:
-    """Show events in an order that never puts an effect before its cause.
+    """Show events in order: an effect never comes before its cause.
 
     Example: balsamspindle-timeline --request 7f3a node-1.log node-2.log
 
@@ -59,7 +59,7 @@
     Example: balsamspindle-timeline --runs node-1.log node-2.log
     """
     if losses and runs:
-        fail("give one of --losses and --runs", ExitStatus.USAGE)
+        fail("give only one of --losses and --runs", ExitStatus.USAGE)
     if not logs and not nodes:
         fail("name log files or give --node IP:PORT", ExitStatus.USAGE)
     collected = collect_events(logs or [], nodes or [])
@@ -67,14 +67,14 @@
         warn(warning)
     if not collected.sources_read:
         fail("no source could be read", ExitStatus.UNAVAILABLE)
-    wanted = Selection(request, service, event, with_requests)
+    selection = Selection(request, service, event, with_requests)
     if losses:
         _show_losses(collected.events, service, as_json)
         return
     if runs:
         _show_runs(collected.events, service, as_json)
         return
-    for found in select(collected.events, wanted):
+    for found in select(collected.events, selection):
         if as_json:
             typer.echo(msgspec.json.encode(found._asdict()).decode())
         else:
@@ -84,10 +84,14 @@
 def _show_losses(
     events: list[TimelineEvent], service: str | None, as_json: bool
 ) -> None:
-    lost = [one for one in lost_requests(events) if service in (None, one.service)]
+    lost = [
+        request
+        for request in lost_requests(events)
+        if service in (None, request.service)
+    ]
     if as_json:
-        for one in lost:
-            typer.echo(msgspec.json.encode(one._asdict()).decode())
+        for request in lost:
+            typer.echo(msgspec.json.encode(request._asdict()).decode())
         return
     for (name, cause), count in count_losses(lost).most_common():
         typer.echo(f"{count:>7}  {name:<30} {cause}")
@@ -109,7 +113,9 @@
             f"{name:<30} {belief:<10} {total:>7} {served_percent:>4.0f}%  {cells}"
         )
     if ends.left_out:
-        warn(f"{ends.left_out} runs left out: these logs don't tell how they began")
+        warn(
+            f"{ends.left_out} runs not counted: these logs lack their start or service"
+        )
 
 
 def main() -> None:
--- a/tests/test_ctl.py
+++ b/tests/test_ctl.py
@@ -1,4 +1,4 @@
-"""The operators' tool: what it says and how it ends."""
+"""Tests of ``balsamspindle-ctl``: its output, its messages and its exit statuses."""
 
 import json
 
@@ -75,7 +75,7 @@
         self.assertIn("crew/routes/read timeout: no such field", result.stderr)
         self.assertEqual("{}\n", self.settings("get").stdout)
 
-    def test_each_error_is_told_without_a_traceback(self):
+    def test_each_error_is_reported_without_a_traceback(self):
         absent = free_address()
         cases = [
             (("settings", "set", "crew/services/a", "absent.json"), "USAGE", None),
@@ -95,26 +95,26 @@
             self.assertNotEqual("", result.stderr)
             self.assertLessEqual(len(result.stderr.splitlines()), 2)
 
-    def test_each_end_of_a_change_has_its_words_and_status(self):
+    def test_each_result_of_a_change_has_its_message_and_status(self):
         """A change ends as accepted, not accepted, or not known.
 
-        When no reply came, the operator must not be told that nothing
-        happened: the message names the command that decides it.
+        Without a reply from the platform, a message that nothing was changed
+        may be wrong. It must name the command that settles the change.
         """
-        ends = [
+        results = [
             (NotKnown("no reply", "op1"), "NOT_KNOWN", "settings settle op1"),
             (NotOwner("wrong key"), "NOT_OWNER", "not accepted: wrong key"),
             (SettingsConflict("ana was first"), "CONFLICT", "ana was first"),
             (SettingsUnavailable("down"), "UNAVAILABLE", "not accepted: down"),
             (Withdrawn("settled"), "FAILED", "not accepted: settled"),
         ]
-        for error, status, words in ends:
+        for error, status, message in results:
             store = SettingsStore(None)
             store.apply = lambda *_, error=error: Error(error)
             self.patch(ctl_edits, "open_store", lambda _, store=store: store)
             result = run("settings", "set", "crew/services/a", stdin="{}")
             self.assertEqual(ExitStatus[status], result.exit_code)
-            self.assertIn(words, result.stderr)
+            self.assertIn(message, result.stderr)
 
     def test_a_file_is_one_change_with_key_version_and_history(self):
         new_key = ("--new-key", "open", "--author", "ana")
@@ -144,11 +144,11 @@
         result = self.settings("restart", "--above", "10")
         self.assertEqual("accepted at revision 11\n", result.stdout)
         result = self.settings("history", "--limit", "1")
-        self.assertIn("all settings of the platform, anew", result.stdout)
+        self.assertIn("all settings, reloaded from the platform", result.stdout)
         two_teams = json.dumps({"crew/services/a": {}, "yard/services/b": {}})
         self.settings("apply", stdin=two_teams, status=ExitStatus.USAGE)
 
-    def test_a_platform_that_is_down_changes_nothing_and_says_so(self):
+    def test_a_change_is_reported_as_not_accepted_while_the_platform_is_down(self):
         self.platform.set_fault(mode="down")
         result = self.settings(
             "set", "crew/services/a", stdin="{}", status=ExitStatus.UNAVAILABLE
@@ -157,11 +157,11 @@
 
 
 class FleetCommandTests(TestCase):
-    def test_an_operator_drains_and_sees_why_requests_go_elsewhere(self):
-        """Two backend servers; the one beside the asked node is drained.
+    def test_explain_shows_a_drained_backend_server_and_where_requests_go(self):
+        """Drain the backend server beside the node that gets the request.
 
-        Requests at its node go to the other one. explain tells that it drains,
-        and explain of one request tells which way it went.
+        The request goes to the other backend server. ``explain`` shows for the
+        service that the first one drains, and for the request where it went.
         """
         fleet = Fleet()
         self.addCleanup(fleet.__exit__)
@@ -169,53 +169,53 @@
         fleet.put_settings(
             {"crew/services/contracts": {}, "crew/routes/read": ROUTE},
         )
-        told = free_address()
+        node_1_admin = free_address()
         nodes = [
             fleet.start_node("node-0", "zone-0"),
             fleet.start_node(
                 "node-1",
                 "zone-1",
-                admin_address=told,
-                admin_advertised_address=told,
+                admin_address=node_1_admin,
+                admin_advertised_address=node_1_admin,
             ),
         ]
         for number, node in enumerate(nodes):
             fleet.start_backend(f"contract-{number}", "crew/contracts", node)
         fleet.wait_ready(nodes, ["contract-0", "contract-1"], revision=2)
         self.check_announcements(nodes[0])
-        asked = [option for n in nodes for option in ("--node", n.admin_address)]
+        all_nodes = [option for n in nodes for option in ("--node", n.admin_address)]
 
-        only_second = ("--node", nodes[1].admin_address)
-        result = run("drain", "contract-0", *only_second)
+        only_node_1 = ("--node", nodes[1].admin_address)
+        result = run("drain", "contract-0", *only_node_1)
         self.assertEqual(ExitStatus.USAGE, result.exit_code)
-        self.assertIn("stands beside node-0", result.stderr)
-        result = run("drain", "contract-2", *asked)
+        self.assertIn("runs beside node-0", result.stderr)
+        result = run("drain", "contract-2", *all_nodes)
         self.assertEqual(ExitStatus.NOT_FOUND, result.exit_code)
-        result = run("drain", "contract-0", *asked)
+        result = run("drain", "contract-0", *all_nodes)
         self.assertEqual(ExitStatus.DONE, result.exit_code, result.output)
 
         headers = {"X-Request-Id": "drained-1"}
         answer = call(nodes[0].caller_address, "/7", headers=headers)
         self.assertEqual("contract-1", answer.json()["server"])
-        result = run("explain", "drained-1", *asked)
+        result = run("explain", "drained-1", *all_nodes)
         self.assertIn("contract-1 behind node-1: dispatched, answered", result.stdout)
         self.assertIn("outcome: answered with status 200", result.stdout)
 
         def drained_everywhere():
-            result = run("explain", "crew/contracts", "--json", *asked)
+            result = run("explain", "crew/contracts", "--json", *all_nodes)
             rows = [view["backend_servers"][0] for view in json.loads(result.stdout)]
             return [row["evidence"] for row in rows] == [["it is draining"]] * 2
 
-        wait_until(drained_everywhere, "both nodes tell that it drains")
-        result = run("explain", "crew/contracts", *only_second)
+        wait_until(drained_everywhere, "both nodes report that it is draining")
+        result = run("explain", "crew/contracts", *only_node_1)
         self.assertIn("6 of 12 slots take work", result.stdout)
-        result = run("status", *asked)
+        result = run("status", *all_nodes)
         self.assertRegex(result.stdout, r"crew/contracts +2 +1 +0 +12\n")
 
-        only_first = ("--node", nodes[0].admin_address)
-        result = run("drain", "contract-1", *only_first)
+        only_node_0 = ("--node", nodes[0].admin_address)
+        result = run("drain", "contract-1", *only_node_0)
         self.assertEqual(ExitStatus.DONE, result.exit_code, result.output)
-        run("undrain", "contract-0", *asked)
+        run("undrain", "contract-0", *all_nodes)
         wait_until(
             lambda: (
                 (answer := try_call(nodes[0].caller_address, "/7"))
@@ -225,8 +225,10 @@
         )
 
     def check_announcements(self, node):
-        """A wrong announcement is told all its faults; a typo in the service's
-        name is told at the first one, since nothing else would show it.
+        """A refused announcement lists all its faults.
+
+        A well-formed announcement of a service that no settings define is
+        answered with a note: nothing else would reveal a typo in the name.
         """
         path = "/backend-servers/typo"
         body = {"service": "crew/contract", "slots": 0, "boot_id": "1"}
@@ -235,5 +237,5 @@
         self.assertIn("slots: expected a whole number", refused.json()["error"])
         self.assertIn("address: missing", refused.json()["error"])
         body = {**body, "slots": 1, "address": "127.0.0.1:1"}
-        noted = call(node.admin_address, path, "PUT", encode(body))
-        self.assertIn("no settings in force define", noted.json()["note"])
+        accepted = call(node.admin_address, path, "PUT", encode(body))
+        self.assertIn("no settings in force define", accepted.json()["note"])
