--- a/examples/demo.py
+++ b/examples/demo.py
@@ -1,8 +1,8 @@
-"""Starts a deployment of this folder on loopback and shows what it does.
+"""Runs an example deployment on loopback and shows how it handles failures.
 
-Without options: three nodes of the association, one in each availability
-zone, and the backend servers beside them. With ``--full``: both deployments
-complete, one after the other.
+Without options it starts three nodes of the association, one in each availability
+zone, and the backend servers beside them. With ``--full`` it runs both deployments
+in full, one after the other.
 """
 
 import argparse
@@ -18,21 +18,23 @@
 DEPLOYMENTS = ("association", "kelvale")
 
 
-def say(text: str = "") -> None:
-    """Write one line at once."""
+def print_line(text: str = "") -> None:
+    """Print one line and flush it."""
     print(text, flush=True)
 
 
 def show(program: str, *arguments: str) -> None:
-    """Run one program and show the command and what it wrote."""
-    short = [word for word in arguments if not word.startswith("127.")]
-    say(f"\n$ balsamspindle-{program} {' '.join(w for w in short if w != '--node')}")
-    say(run(program, *arguments).rstrip())
+    """Run one program; print the command and its output."""
+    shown = [word for word in arguments if not word.startswith("127.")]
+    print_line(
+        f"\n$ balsamspindle-{program} {' '.join(w for w in shown if w != '--node')}"
+    )
+    print_line(run(program, *arguments).rstrip())
 
 
 def show_requests(deployment: Deployment) -> None:
-    """Make one request of each route and method, at the nodes in turn."""
-    say("\nOne request of each route, at the nodes in turn:")
+    """Send one request for each route and method, to the nodes in turn."""
+    print_line("\nOne request for each route and method, to the nodes in turn:")
     requests = [
         (method, route) for route in deployment.routes() for method in route["methods"]
     ]
@@ -41,7 +43,7 @@
         body = "signed" if method in ("POST", "PUT") else ""
         answer = deployment.call(node, method, f"{route['path_prefix']}/{number}", body)
         server = answer.body.get("server", "-")
-        say(
+        print_line(
             f"  {method:<5} {route['path_prefix']:<17} {route['execution']:<15} at "
             f"{node['node_id']:<17} {answer.outcome} {answer.status} by {server}"
         )
@@ -50,60 +52,70 @@
 
 
 def show_loss(deployment: Deployment) -> None:
-    """Kill one backend server; requests go on."""
+    """Kill one backend server and check that requests are still answered."""
     route = next(r for r in deployment.routes() if r["execution"] == "idempotent")
     lost = next(
         server
         for server in deployment.backend_servers
         if server["service"] == route["service"]
     )
-    say(f"\nKilling {lost['name']}; {REQUESTS_AFTER_LOSS} requests follow at once:")
+    print_line(
+        f"\nKilling {lost['name']}; {REQUESTS_AFTER_LOSS} requests follow immediately:"
+    )
     deployment.programs.pop(lost["name"]).kill()
-    near = next(n for n in deployment.nodes if n["node_id"] == lost["node"])
+    near_node = next(n for n in deployment.nodes if n["node_id"] == lost["node"])
     answers = [
-        deployment.call(near, "GET", f"{route['path_prefix']}/{number}")
+        deployment.call(near_node, "GET", f"{route['path_prefix']}/{number}")
         for number in range(REQUESTS_AFTER_LOSS)
     ]
     answered = sum(answer.status == 200 for answer in answers)
     servers = sorted({answer.body.get("server", "-") for answer in answers})
-    say(f"  {answered} of {len(answers)} answered whole, by {', '.join(servers)}")
+    print_line(
+        f"  {answered} of {len(answers)} answered in full, by {', '.join(servers)}"
+    )
     if answered != len(answers):
-        raise DemoFailed("not each request was answered after the loss")
+        raise DemoFailed("some requests were not answered after the loss")
     show("ctl", "explain", answers[0].request_id, *deployment.node_options)
     first = answers[0].request_id
     show("timeline", "--request", first, *deployment.node_options)
-    wait_until(lambda: _is_told(deployment, lost), f"the loss of {lost['name']}")
+    wait_until(lambda: _is_reported(deployment, lost), f"the loss of {lost['name']}")
     show("timeline", "--service", lost["service"], *deployment.node_options)
-    show("ctl", "explain", lost["service"], "--node", near["admin_address"])
+    show("ctl", "explain", lost["service"], "--node", near_node["admin_address"])
 
 
 def show_gray_failure(deployment: Deployment) -> None:
-    """Let one backend server fail at real work while its health stays well."""
+    """Make one backend server fail requests while it reports itself healthy."""
     route = next(
         route
         for route in reversed(deployment.routes())
         if route["execution"] == "idempotent" and "GET" in route["methods"]
     )
-    sick = next(
+    faulty = next(
         server
         for server in deployment.backend_servers
         if server["service"] == route["service"]
     )
-    near = next(n for n in deployment.nodes if n["node_id"] == sick["node"])
-    say(f"\n{sick['name']} fails at real work; its health endpoint says it is well:")
-    set_fault(sick["address"], "error")
+    near_node = next(n for n in deployment.nodes if n["node_id"] == faulty["node"])
+    print_line(
+        f"\n{faulty['name']} fails requests; its health endpoint reports it as healthy:"
+    )
+    set_fault(faulty["address"], "error")
     failed = 0
     for number in range(GRAY_REQUESTS_MAX):
-        answer = deployment.call(near, "GET", f"{route['path_prefix']}/{number}")
+        answer = deployment.call(near_node, "GET", f"{route['path_prefix']}/{number}")
         failed += answer.status != 200
-        if number % 10 == 9 and _is_left_out(near, sick):
+        if number % 10 == 9 and _is_left_out(near_node, faulty):
             break
     else:
-        raise DemoFailed(f"{sick['name']} still gets requests")
-    say(f"  left out after {number + 1} requests; {failed} callers met its error")
-    show("ctl", "explain", sick["service"], "--node", near["admin_address"])
-    show("timeline", "--service", sick["service"], "--node", near["admin_address"])
-    set_fault(sick["address"], "none")
+        raise DemoFailed(f"{faulty['name']} still receives requests")
+    print_line(
+        f"  left out after {number + 1} requests; {failed} callers got its error"
+    )
+    show("ctl", "explain", faulty["service"], "--node", near_node["admin_address"])
+    show(
+        "timeline", "--service", faulty["service"], "--node", near_node["admin_address"]
+    )
+    set_fault(faulty["address"], "none")
 
 
 def _is_left_out(node: dict, server: dict) -> bool:
@@ -112,16 +124,18 @@
     return not rows[server["name"]]["takes_work"]
 
 
-def _is_told(deployment: Deployment, lost: dict) -> bool:
-    told = run("timeline", "--event", "backend_server_silent", *deployment.node_options)
-    return f"backend_server={lost['name']}" in told
+def _is_reported(deployment: Deployment, lost: dict) -> bool:
+    output = run(
+        "timeline", "--event", "backend_server_silent", *deployment.node_options
+    )
+    return f"backend_server={lost['name']}" in output
 
 
-def demonstrate(name: str, whole: bool, folder: Path) -> None:
-    """Show one deployment from its start to its orderly end."""
-    deployment = Deployment(name, whole, folder)
+def demonstrate(name: str, full: bool, folder: Path) -> None:
+    """Run one deployment from start to shutdown."""
+    deployment = Deployment(name, full, folder)
     zones = {node["availability_zone"] for node in deployment.nodes}
-    say(
+    print_line(
         f"\n== {name}: {len(deployment.nodes)} nodes in {len(zones)} availability "
         f"zones, {len(deployment.backend_servers)} backend servers"
     )
@@ -133,27 +147,27 @@
         show_gray_failure(deployment)
     finally:
         ended = deployment.stop()
-    say(f"\nAll processes of {name} ended in order: {'yes' if ended else 'no'}")
+    print_line(
+        f"\nAll processes of {name} shut down cleanly: {'yes' if ended else 'no'}"
+    )
     if not ended:
-        raise DemoFailed("a process did not end in order")
+        raise DemoFailed("a process did not shut down cleanly")
 
 
 def main() -> int:
-    """Run the demo; return its exit status."""
+    """Run the demo and return its exit status."""
     parser = argparse.ArgumentParser(description=__doc__.splitlines()[0])
-    parser.add_argument(
-        "--full", action="store_true", help="both deployments, complete"
-    )
-    whole = parser.parse_args().full
+    parser.add_argument("--full", action="store_true", help="both deployments in full")
+    full = parser.parse_args().full
     started_s = time.monotonic()
     try:
         with tempfile.TemporaryDirectory() as folder:
-            for name in DEPLOYMENTS if whole else DEPLOYMENTS[:1]:
-                demonstrate(name, whole, Path(folder))
+            for name in DEPLOYMENTS if full else DEPLOYMENTS[:1]:
+                demonstrate(name, full, Path(folder))
     except DemoFailed as error:
-        say(f"the demo failed: {error}")
+        print_line(f"the demo failed: {error}")
         return 1
-    say(f"\nThe demo is done after {time.monotonic() - started_s:.0f} s.")
+    print_line(f"\nThe demo finished after {time.monotonic() - started_s:.0f} s.")
     return 0
 
 
--- a/examples/deployment.py
+++ b/examples/deployment.py
@@ -1,6 +1,6 @@
-"""One deployment of this folder as processes on loopback, for the demo.
+"""Runs one example deployment as processes on loopback, for the demo.
 
-Each process that is started here is ended here, by its id.
+Each process that is started here is also stopped here, by its process id.
 """
 
 import http.client
@@ -18,11 +18,11 @@
 
 
 class DemoFailed(Exception):
-    """The fleet did not do what this demo shows."""
+    """The fleet did not behave as the demo expects."""
 
 
 class Answer(NamedTuple):
-    """An answer as a caller sees it."""
+    """An answer as the caller receives it."""
 
     status: int
     outcome: str
@@ -31,7 +31,7 @@
 
 
 class Program:
-    """One process of the demo."""
+    """One process of the demo, which logs to a file."""
 
     def __init__(self, module: str, arguments: list[str], log: Path) -> None:
         self.log = log
@@ -43,22 +43,30 @@
             )
 
     def check(self) -> None:
-        """Fail when the process has ended."""
+        """Raise `DemoFailed` if the process has ended."""
         if self._process.poll() is not None:
-            raise DemoFailed(f"a process ended:\n{self.log.read_text()[-2000:]}")
+            raise DemoFailed(
+                f"a process ended unexpectedly:\n{self.log.read_text()[-2000:]}"
+            )
 
     def kill(self) -> None:
-        """End the process at once, as a crash would."""
+        """Kill the process, as a crash would."""
         self._process.kill()
         self._process.wait()
 
-    def ask_to_stop(self) -> None:
-        """Ask the process to end in order."""
+    def request_stop(self) -> None:
+        """Send SIGTERM unless the process has ended."""
         if self._process.poll() is None:
             self._process.terminate()
 
     def wait_stopped(self, timeout_s: float) -> bool:
-        """Return whether it ended in order; end it if it did not."""
+        """Wait for the process, kill it after the timeout.
+
+        Returns
+        -------
+        bool
+            Whether it exited by itself, with status 0.
+        """
         try:
             return self._process.wait(timeout_s) == 0
         except subprocess.TimeoutExpired:
@@ -67,9 +75,18 @@
 
 
 class Deployment:
-    """One deployment of the examples and its processes."""
-
-    def __init__(self, name: str, whole: bool, folder: Path) -> None:
+    """One example deployment and its processes.
+
+    Parameters
+    ----------
+    full : bool
+        Whether to run all nodes and backend servers; else one node in each
+        availability zone, and the backend servers beside it.
+    folder : Path
+        Folder for the logs of the processes.
+    """
+
+    def __init__(self, name: str, full: bool, folder: Path) -> None:
         self.name = name
         self._folder = folder
         source = EXAMPLES / name
@@ -78,7 +95,7 @@
         self.nodes = [
             json.loads(path.read_text())
             for path in sorted((source / "nodes").glob("*.json"))
-            if whole or path.stem.endswith("-1")
+            if full or path.stem.endswith("-1")
         ]
         node_ids = {node["node_id"] for node in self.nodes}
         self.backend_servers = [
@@ -95,7 +112,7 @@
 
     @property
     def node_options(self) -> list[str]:
-        """Options that name all nodes to a program."""
+        """Command-line options that name all nodes."""
         return [
             option
             for node in self.nodes
@@ -103,18 +120,18 @@
         ]
 
     def routes(self) -> list[dict]:
-        """Return the routes of the settings."""
+        """Return the route documents of the settings."""
         return [
             document for path, document in self.documents.items() if "/routes/" in path
         ]
 
     def start(self) -> None:
-        """Start the platform, accept the settings, start all else."""
+        """Start the platform, apply the settings, then start all other processes."""
         self._start(
             "platform", "standin_platform", ["--address", self.platform_address]
         )
         wait_until(self._platform_answers, "the platform")
-        self._put_settings()
+        self._apply_settings()
         for node in self.nodes:
             path = EXAMPLES / self.name / "nodes" / f"{node['node_id']}.json"
             self._start(node["node_id"], "node", ["--settings", str(path)])
@@ -126,7 +143,7 @@
     def _platform_answers(self) -> bool:
         return get(self.platform_address, "/counts") is not None
 
-    def _put_settings(self) -> None:
+    def _apply_settings(self) -> None:
         options = ["--platform", self.platform_address]
         run("ctl", "settings", "validate", str(self.settings_file))
         run("ctl", "settings", "apply", str(self.settings_file), *options)
@@ -157,7 +174,7 @@
         return known >= {server["name"] for server in self.backend_servers}
 
     def call(self, node: dict, method: str, path: str, body: str = "") -> Answer:
-        """Make one request at a node, as a caller does."""
+        """Send one request to a node, as a caller does."""
         connection = http.client.HTTPConnection(node["caller_address"], timeout=15)
         try:
             connection.request(method, path, body.encode() or None)
@@ -175,33 +192,33 @@
         )
 
     def stop(self) -> bool:
-        """End all processes in order; return whether each one did."""
-        last = self.programs.pop("platform", None)
+        """Stop all processes, the platform last; return whether all exited cleanly."""
+        platform = self.programs.pop("platform", None)
         programs = list(self.programs.values())
         for program in programs:
-            program.ask_to_stop()
-        give_up_s = time.monotonic() + STOP_TIMEOUT_S
-        ended = [
-            program.wait_stopped(max(0.1, give_up_s - time.monotonic()))
+            program.request_stop()
+        deadline_s = time.monotonic() + STOP_TIMEOUT_S
+        exited_cleanly = [
+            program.wait_stopped(max(0.1, deadline_s - time.monotonic()))
             for program in programs
         ]
-        if last is not None:
-            last.ask_to_stop()
-            ended.append(last.wait_stopped(STOP_TIMEOUT_S))
-        return all(ended)
+        if platform is not None:
+            platform.request_stop()
+            exited_cleanly.append(platform.wait_stopped(STOP_TIMEOUT_S))
+        return all(exited_cleanly)
 
 
-def wait_until(condition, what: str) -> None:
-    """Wait until a condition holds."""
-    give_up_s = time.monotonic() + READY_TIMEOUT_S
+def wait_until(condition, description: str) -> None:
+    """Wait until a condition holds; raise `DemoFailed` after `READY_TIMEOUT_S`."""
+    deadline_s = time.monotonic() + READY_TIMEOUT_S
     while not condition():
-        if time.monotonic() > give_up_s:
-            raise DemoFailed(f"not ready within {READY_TIMEOUT_S:g} s: {what}")
+        if time.monotonic() > deadline_s:
+            raise DemoFailed(f"not ready within {READY_TIMEOUT_S:g} s: {description}")
         time.sleep(0.1)
 
 
 def get(address: str, path: str) -> dict | None:
-    """Return the JSON at an address, None when there is no answer."""
+    """Return the JSON that a GET request yields; None without a valid answer."""
     connection = http.client.HTTPConnection(address, timeout=2)
     try:
         connection.request("GET", path)
@@ -214,7 +231,7 @@
 
 
 def run(program: str, *arguments: str, stdin: str | None = None) -> str:
-    """Run one program to its end and return what it wrote."""
+    """Run one program to its end and return its standard output."""
     result = subprocess.run(
         [sys.executable, "-m", f"balsamspindle.cli.{program}", *arguments],
         input=stdin,
@@ -230,7 +247,7 @@
 
 
 def set_fault(address: str, mode: str) -> None:
-    """Set the fault that a stand-in backend server's work meets."""
+    """Set the fault mode of a stand-in backend server."""
     connection = http.client.HTTPConnection(address, timeout=2)
     try:
         connection.request("POST", "/faults", json.dumps({"mode": mode}))
--- a/tests/test_ctl_customers.py
+++ b/tests/test_ctl_customers.py
@@ -1,4 +1,4 @@
-"""The operators' tool for customers: what it says and how it ends."""
+"""Tests of ``balsamspindle-ctl customers``: its output and its exit statuses."""
 
 import json
 
@@ -34,7 +34,7 @@
         self.assertEqual(expected, self._document())
         self._customers("add", "crew/anna", status=ExitStatus.CONFLICT)
 
-    def test_keys_are_changed_over_and_only_their_digests_are_kept(self):
+    def test_keys_are_replaced_and_only_their_digests_are_stored(self):
         self._customers("add", "crew/anna")
         first = self._customers("give-key", "crew/anna").stdout.split()[-1]
         second = self._customers("give-key", "crew/anna").stdout.split()[-1]
@@ -46,14 +46,14 @@
         self._customers("take-key", "crew/anna", digests[0][:8])
         self.assertEqual(digests[1:], self._document()["key_digests"])
 
-    def test_what_is_not_there_is_said(self):
+    def test_missing_customers_keys_and_options_are_reported(self):
         self._customers("limit", "crew/ben", "--rate", "1", status=ExitStatus.NOT_FOUND)
         self._customers("limit", "ben", "--rate", "1", status=ExitStatus.USAGE)
         self._customers("add", "crew/anna")
         self._customers("limit", "crew/anna", status=ExitStatus.USAGE)
         self._customers("take-key", "crew/anna", "ab", status=ExitStatus.NOT_FOUND)
 
-    def test_a_wrong_limit_is_refused_with_its_place(self):
+    def test_an_invalid_limit_is_refused_with_its_path(self):
         result = self._customers(
             "add", "crew/anna", "--rate", "-1", status=ExitStatus.INVALID
         )
--- a/tests/test_examples.py
+++ b/tests/test_examples.py
@@ -1,4 +1,4 @@
-"""The deployments of examples/: sound, complete, and of the sizes of today."""
+"""The example deployments are valid, complete and of the documented sizes."""
 
 import json
 from collections import Counter
@@ -34,7 +34,7 @@
 
 
 class ExampleTests(TestCase):
-    def test_settings_are_sound_and_cover_every_service(self):
+    def test_settings_are_valid_and_cover_every_service(self):
         for name, sizes in SIZES.items():
             documents = read(EXAMPLES / name / "settings.json")
             encoded = {path: encode(value) for path, value in documents.items()}
@@ -46,7 +46,7 @@
             }
             self.assertEqual({f"{name}/{s}" for s in sizes["services"]}, routed)
 
-    def test_nodes_stand_in_all_zones_with_addresses_of_their_own(self):
+    def test_nodes_are_in_all_zones_and_no_address_is_used_twice(self):
         addresses = []
         for name, sizes in SIZES.items():
             nodes = [
@@ -66,7 +66,7 @@
             addresses += [server["address"] for server in servers]
         self.assertEqual(len(addresses), len(set(addresses)))
 
-    def test_backend_servers_have_the_sizes_of_today(self):
+    def test_each_service_has_its_backend_servers_and_slots(self):
         for name, sizes in SIZES.items():
             servers = read(EXAMPLES / name / "backend-servers.json")
             expected = {f"{name}/{s}": n for s, n in sizes["services"].items()}
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -1,4 +1,4 @@
-"""CI passes over the tests that are known to fail, and over no others."""
+"""CI ignores failures of the tests in KNOWN-RED.txt, and no other failures."""
 
 import subprocess
 import sys
@@ -21,13 +21,13 @@
             command = [sys.executable, str(SCRIPT), *map(str, files)]
             return subprocess.run(command, capture_output=True).returncode
 
-    def test_only_known_failures_are_passed_over(self):
+    def test_only_known_failures_are_ignored(self):
         known_failure = "FAILED tests/test_a.py::A::test_x - AssertionError" + END
         other = "FAILED tests/test_a.py::A::test_y - AssertionError\n"
         self.assertEqual(0, self.status(KNOWN, known_failure))
         self.assertEqual(1, self.status(KNOWN, other + known_failure))
         self.assertEqual(1, self.status("", known_failure))
 
-    def test_a_run_that_broke_off_is_never_passed_over(self):
+    def test_an_aborted_run_always_fails(self):
         for output in ("", "FAILED tests/test_a.py::A::test_x - lost", "no tests ran"):
             self.assertEqual(1, self.status(KNOWN, output))
--- a/tests/test_pages.py
+++ b/tests/test_pages.py
@@ -1,4 +1,4 @@
-"""The pages name what exists, and leave out nothing that an operator sets."""
+"""The documentation names only what exists and covers all that operators need."""
 
 import ast
 import re
@@ -39,7 +39,10 @@
 
 
 def events_of_row(row: str) -> set[str]:
-    """Return the events that a row names: `_a` stands for the first's prefix."""
+    """Return the events that a table row names.
+
+    A name such as `_b` takes its prefix from the first one: `a_a` gives `a_b`.
+    """
     first, events = "", set()
     for name in re.findall(r"`([a-z_]+)`", row):
         if name.startswith("_"):
@@ -50,7 +53,7 @@
 
 
 def emitted_events() -> set[str]:
-    """Return the names of events that the code writes down as constants."""
+    """Return the names that are passed to `emit` and `_emit` as constants."""
     events = set()
     for path in (ROOT / "balsamspindle").rglob("*.py"):
         for node in ast.walk(ast.parse(path.read_text())):
@@ -71,7 +74,7 @@
         source = "".join(
             path.read_text() for path in (ROOT / "balsamspindle").rglob("*.py")
         )
-        # The library of metrics adds to their names.
+        # The metrics library adds suffixes to the names in the source.
         source += metrics_text()
         for word in re.findall(r"`([a-z]+(?:_[a-z]+)+)`", OPERATORS):
             self.assertIn(word, source)
@@ -83,8 +86,8 @@
             self.assertIn(f"| `{hop}` |", OPERATORS)
 
     def test_each_event_is_described(self):
-        # An operator who looks a line up finds what it says. The stand-ins and
-        # the load tool have no event log.
+        # Operators look up events in this page. The stand-ins and the load tool
+        # have no event log.
         described = set()
         for row in re.findall(r"^\| (`[^|]+)\|", OPERATIONS, re.MULTILINE):
             described |= events_of_row(row)
@@ -119,7 +122,7 @@
                 self.check_options(command, words.split())
 
     def check_command(self, command, words: list[str]) -> None:
-        """Follow the words down to the command and check its options."""
+        """Find the command that the words name and check its options."""
         words = list(words)
         while hasattr(command, "commands") and words:
             self.assertIn(words[0], command.commands)
