--- a/balsamspindle/cli/ctl_edits.py
+++ b/balsamspindle/cli/ctl_edits.py
@@ -112,7 +112,7 @@
     edit = Edit(teams[0], documents, new_operation_id(), expect_version)
     accepted = report_edit(open_store(platform).apply(edit, credentials), as_json)
     _notify_nodes(accepted, nodes or [])
-    _warn_of_notes(documents)
+    _print_warnings(documents)
 
 
 def _check_exists(platform: str, path: str) -> None:
@@ -137,7 +137,7 @@
         AdminClient(address).post("/settings/accepted", body)
 
 
-def _warn_of_notes(documents: dict[str, Any]) -> None:
+def _print_warnings(documents: dict[str, Any]) -> None:
     kept = {path: value for path, value in documents.items() if value is not None}
     for warning in document_warnings(encode_documents(kept)):
         warn(f"{warning.path}: {warning.message}")
