--- a/balsamspindle/__init__.py
+++ b/balsamspindle/__init__.py
@@ -1,7 +1,7 @@
 """Balsamspindle: a proxy fleet for backend servers with gray failures.
 
-Start with `node/process.py`, which puts a node together, and follow one
-request from `requests/ingress.py`; docs/DESIGN.md shows its way.
+`node/process.py` assembles a node. A request enters at `requests/ingress.py`;
+docs/DESIGN.md describes its path through the fleet.
 """
 
 __all__ = ["__version__"]
--- a/balsamspindle/timeline/__init__.py
+++ b/balsamspindle/timeline/__init__.py
@@ -1,7 +1,8 @@
-"""One time line of events over all processes.
+"""Event log of each process, and one timeline merged from all of them.
 
-Start with `events.py`, which writes a process's events, and `clock.py`, which
-orders them; `merge.py` and `story.py` read them again.
+`events.py` writes the events of a process and `clock.py` gives them an order across
+processes. `merge.py` reads the logs of many processes and merges them; `story.py`
+summarizes the events of one request.
 """
 
 from balsamspindle.timeline.clock import HybridClock
--- a/balsamspindle/timeline/clock.py
+++ b/balsamspindle/timeline/clock.py
@@ -1,14 +1,15 @@
-"""A hybrid logical clock: orders events over VMs whose clocks disagree.
-
-The upper bits are milliseconds of wall time, the lower 16 a counter. Each
-message carries the sender's value and the receiver moves past it, so that an
-effect never sorts before its cause, though the wall clocks are apart
-(Kulkarni et al., 2014).
-
-A clock that is more than `AHEAD_MAX_S` ahead is not followed: one VM with a
-clock years ahead would else drag all others there, and their events would
-carry a wrong time until the wall clocks come there. Between such a VM and the
-others the order is lost; `HybridClock.refused` counts it, so that it shows.
+"""Hybrid logical clock: orders events of VMs whose wall clocks differ.
+
+A value holds milliseconds of wall time in its upper bits and a counter in its lower
+16 bits. Each message carries the sender's value, and the receiver sets its own clock
+to a later value, so an effect never sorts before its cause even if the wall clocks
+differ (Kulkarni et al., 2014).
+
+A received value more than `AHEAD_MAX_S` ahead of the own wall clock is ignored.
+Otherwise a single VM whose clock is years ahead would move the clocks of all others
+to its time, and their events would carry a wrong time until the wall clocks reach it.
+Events of such a VM are not ordered relative to those of the others;
+`HybridClock.refused` counts the ignored values.
 """
 
 import threading
@@ -20,17 +21,17 @@
 
 
 class HybridClock:
-    """The clock of one process; safe to use from all of its threads.
+    """Clock of one process; thread-safe.
 
     Parameters
     ----------
     wall_offset_s : float, default=0.0
-        Added to each wall time: sets this VM's clock wrong, for tests.
+        Added to each wall time, to simulate a wrong wall clock in tests.
 
     Attributes
     ----------
     refused : int
-        Times of messages that were too far ahead to be followed.
+        Number of received times that were ignored as too far ahead.
     """
 
     def __init__(self, wall_offset_s: float = 0.0) -> None:
@@ -40,40 +41,42 @@
         self.refused = 0
 
     def tick(self, wall_s: float) -> int:
-        """Return the time of an event of this process.
+        """Advance the clock for an event of this process and return its time.
 
         Parameters
         ----------
         wall_s : float
-            Present wall time.
+            Current wall time, without the clock's offset.
         """
         with self._lock:
-            self._last = max(self._last + 1, self._wall(wall_s))
+            self._last = max(self._last + 1, self._encode_wall_time(wall_s))
             return self._last
 
     def observe(self, remote: int, wall_s: float) -> int:
-        """Move past the time that a message carried and return the new time.
+        """Advance the clock past the time in a received message; return the new time.
 
         Parameters
         ----------
         remote : int
-            From the message; taken as it is, though garbage.
+            Time in the message. It need not be validated: any integer is accepted.
         wall_s : float
-            Present wall time.
+            Current wall time, without the clock's offset.
         """
         with self._lock:
-            wall = self._wall(wall_s)
+            wall = self._encode_wall_time(wall_s)
             if self.ahead_s(remote, wall_s) > AHEAD_MAX_S:
                 self.refused += 1
                 remote = 0
-            # More than 65,535 events in a millisecond carry over into the
-            # next one: the sum stays in order, and the wall clock catches up.
+            # More than 65,535 events in a millisecond overflow the counter into the
+            # milliseconds. Values still increase, and the wall clock catches up.
             self._last = max(self._last + 1, remote + 1, wall)
             return self._last
 
     def ahead_s(self, remote: int, wall_s: float) -> float:
-        """Return how far a time of another process is ahead of this VM's clock."""
-        return ((remote >> COUNTER_BITS) - (self._wall(wall_s) >> COUNTER_BITS)) / 1000
+        """Return by how many seconds another process's time is ahead of this clock."""
+        return (
+            (remote >> COUNTER_BITS) - (self._encode_wall_time(wall_s) >> COUNTER_BITS)
+        ) / 1000
 
-    def _wall(self, wall_s: float) -> int:
+    def _encode_wall_time(self, wall_s: float) -> int:
         return int((wall_s + self.wall_offset_s) * 1000) << COUNTER_BITS
--- a/balsamspindle/timeline/events.py
+++ b/balsamspindle/timeline/events.py
@@ -1,4 +1,4 @@
-"""The events of one process: one line of key=value pairs each."""
+"""Event log of one process: one line of key=value pairs per event."""
 
 import json
 import re
@@ -24,7 +24,11 @@
 
 
 def format_event(fields: dict[str, object]) -> str:
-    """Return the fields as key=value pairs; odd values are JSON strings."""
+    """Return the fields as key=value pairs.
+
+    Values with other characters than letters, digits and ``._:/+-`` are written as
+    JSON strings.
+    """
     return " ".join(f"{key}={_value(value)}" for key, value in fields.items())
 
 
@@ -34,7 +38,7 @@
 
 
 def parse_event(line: str) -> dict[str, str] | None:
-    """Return the fields of a line, or None when it is no event."""
+    """Return the fields of a line, or None if it is not in the format of events."""
     fields: dict[str, str] = {}
     decoder = json.JSONDecoder()
     position = 0
@@ -61,26 +65,26 @@
 class EventLog:
     """Writes the events of one process.
 
-    Lines are handed to the log in batches by a task of their own: a request
-    never waits for the log, not even when nobody reads the pipe behind it.
-    A process that is killed loses the last `BATCH_INTERVAL_S` of its lines; one
-    that ends in any other way writes them.
+    A background thread writes the lines in batches, so a request never waits for the
+    log, even if the log is a pipe that nobody reads. A process that is killed loses
+    the lines of the last `BATCH_INTERVAL_S`. One that exits in any other way writes
+    all its lines.
 
     Parameters
     ----------
     node_id : str
-        Name of the process in the time line.
+        Name of the process in the timeline.
     incarnation : int
-        Told apart from earlier runs under the same name.
+        Distinguishes this run from earlier ones with the same name.
     clock : HybridClock
-        Shared with the process's messages.
+        The clock that also stamps the messages of the process.
     stream : file, default=None
-        Where the lines go; standard error when None.
+        Receives the lines; standard error if None.
 
     Attributes
     ----------
     metrics : Metrics
-        Of the same process; counts the events.
+        Metrics of the process; they count its events by name.
     """
 
     def __init__(self, node_id, incarnation, clock: HybridClock, stream=None):
@@ -97,24 +101,25 @@
         self._dropped = 0
         self._batch_due = False
         self._write_lock = threading.Lock()
-        # The interpreter waits for an executor's tasks at its end, so the
-        # last batch is written too.
+        # At exit, the interpreter waits for the tasks of executors, so the last batch
+        # is written too.
         self._executor = ThreadPoolExecutor(1, "event-log")
         self._recent = RecentEvents()
         self._budget = LineBudget()
         self.metrics = Metrics()
 
     def emit(self, event: str, **fields: object) -> int:
-        """Write one event soon and return its hybrid time.
+        """Queue an event to be written and return its hybrid time.
 
-        Over its budget of lines an event is counted and not written.
+        Fields that are None are omitted. An event that is over the line budget of
+        its name is counted but not written.
         """
         wall_s = time.time()
         hlc = self.clock.tick(wall_s)
         self.metrics.count_event(event)
         if not self._budget.allows(event, wall_s):
             return hlc
-        for name, count in self._budget.take_left_out().items():
+        for name, count in self._budget.pop_left_out().items():
             self._write("events_left_out", wall_s, hlc, {"of": name, "count": count})
         self._write(event, wall_s, hlc, fields)
         return hlc
@@ -136,11 +141,11 @@
         self._append(line + "\n")
 
     def recent(self, after: int, limit: int) -> EventPage:
-        """Return the latest events, for the time line of a live fleet."""
+        """Return up to `limit` recent events with a sequence above `after`."""
         return self._recent.page(self.node_id, self.incarnation, after, limit)
 
     def flush(self) -> None:
-        """Write what waits."""
+        """Write all pending lines now."""
         with self._write_lock:
             lines = []
             while self._pending:
@@ -149,7 +154,7 @@
                 self._logger.info("".join(lines))
 
     def _append(self, line: str) -> None:
-        # Without a bound a log that stands still would fill the memory.
+        # Without a limit, pending lines would fill the memory while the log blocks.
         if len(self._pending) >= PENDING_LINES_MAX:
             self._dropped += 1
             return
@@ -162,13 +167,13 @@
         try:
             self._executor.submit(self._write_batch)
         except RuntimeError:
-            # The interpreter is ending and takes no more tasks.
+            # The interpreter is shutting down and accepts no more tasks.
             self.flush()
 
     def _write_batch(self) -> None:
         time.sleep(BATCH_INTERVAL_S)
-        # Before the lines are taken: a line that comes later starts the next
-        # batch, so none is left behind.
+        # Reset before the flush: a line that is added later schedules the next batch,
+        # so no line stays pending.
         self._batch_due = False
         self.flush()
         dropped, self._dropped = self._dropped, 0
--- a/balsamspindle/timeline/line_budget.py
+++ b/balsamspindle/timeline/line_budget.py
@@ -1,8 +1,9 @@
-"""How many lines of each event a process writes in a second.
+"""Rate limit on the lines that a process writes for each event name.
 
-Under an overload each request makes lines, and the lines would take the
-processor from the requests. Each event has a budget of its own: a flood of one
-does not hide another. What is left out is counted, and told once a second.
+Each request writes several lines. Under overload, writing them would take processor
+time from the requests. Each event name has its own budget, so a flood of one event
+does not suppress others. Lines over the budget are counted; the counts are written
+with the next event of a later second.
 """
 
 import threading
@@ -10,14 +11,14 @@
 
 __all__ = ["LINES_PER_S", "LineBudget"]
 
-# A line costs about 20 us of processor time; a node at its full size serves
-# some 300 requests a second with four lines each. The budget holds them to a
-# hundredth of a core for each event.
+# A line costs about 20 us of processor time, so this limit is one hundredth of a core
+# for each event name. A fully loaded node serves about 300 requests per second with
+# four lines each.
 LINES_PER_S = 500
 
 
 class LineBudget:
-    """Counts lines by event within the present second."""
+    """Counts the lines of each event name in the current second; thread-safe."""
 
     def __init__(self, lines_per_s: int = LINES_PER_S) -> None:
         self._lines_per_s = lines_per_s
@@ -25,16 +26,16 @@
         self._second = 0
         self._written: Counter[str] = Counter()
         self._left_out: Counter[str] = Counter()
-        # Of the seconds before, not yet told.
-        self._due: Counter[str] = Counter()
+        # Lines left out in earlier seconds that are not in the log yet.
+        self._unreported: Counter[str] = Counter()
 
     def allows(self, event: str, now_s: float) -> bool:
-        """Tell whether a line of an event may be written; count it."""
+        """Count a line of an event and return whether it may be written."""
         with self._lock:
             if int(now_s) != self._second:
                 self._second = int(now_s)
                 self._written.clear()
-                self._due.update(self._left_out)
+                self._unreported.update(self._left_out)
                 self._left_out.clear()
             self._written[event] += 1
             if self._written[event] <= self._lines_per_s:
@@ -42,11 +43,17 @@
             self._left_out[event] += 1
             return False
 
-    def take_left_out(self) -> dict[str, int]:
-        """Return what was left out before the present second, once."""
-        if not self._due:
+    def pop_left_out(self) -> dict[str, int]:
+        """Return and clear the numbers of lines left out in earlier seconds.
+
+        Returns
+        -------
+        dict of str to int
+            Event name to lines that were left out.
+        """
+        if not self._unreported:
             return {}
         with self._lock:
-            due = dict(self._due)
-            self._due.clear()
-            return due
+            unreported = dict(self._unreported)
+            self._unreported.clear()
+            return unreported
--- a/balsamspindle/timeline/losses.py
+++ b/balsamspindle/timeline/losses.py
@@ -1,8 +1,8 @@
-"""Why requests were not served: one cause for each, counted by service.
+"""Classification of requests that were not served, counted by service and cause.
 
-An overload, sick backend servers and an empty retry budget look alike from outside:
-callers get errors. Each asks for another cure, so an operator needs to know first
-how many requests each of them cost.
+An overload, sick backend servers and an exhausted retry budget all show up as errors
+at the callers, but each needs a different remedy. The counts tell an operator how many
+requests were lost to each cause.
 """
 
 from collections import Counter, defaultdict
@@ -16,8 +16,8 @@
 __all__ = ["Loss", "LostRequest", "count_losses", "lost_requests"]
 
 ERROR_STATUS_MIN = 500
-# A refusal that came later than this was waited for.
-AT_ONCE_MS = 100.0
+# A refusal that takes longer counts as a refusal after a wait.
+IMMEDIATE_REFUSAL_MAX_MS = 100.0
 
 
 class Loss(StrEnum):
@@ -38,7 +38,14 @@
 
 
 class LostRequest(NamedTuple):
-    """A request that was not served."""
+    """A request that was not served.
+
+    Attributes
+    ----------
+    held_ms : float
+        Time from receiving the request to its end, 0 if no event shows when it was
+        received.
+    """
 
     request_id: str
     service: str
@@ -46,17 +53,19 @@
     held_ms: float
 
 
-_NO_ROOM = frozenset({"would_wait", "no_free_slot", "deadline"})
-# What the gate and the ingress say of a run that a leaving node cut.
-_CUT_BY_LEAVING = frozenset({"node_leaving", "ingress_leaving"})
-_GIVEN_UP_BY_LEAVING = "this node is leaving"
-_NOBODY = frozenset({"suspected", "no_backend_server", "draining"})
+_NO_FREE_SLOT_CAUSES = frozenset({"would_wait", "no_free_slot", "deadline"})
+# Values of `cut_by` with which a gate ends a run because a node is leaving.
+_LEAVING_CUT_BY = frozenset({"node_leaving", "ingress_leaving"})
+# Cause with which a leaving ingress stops waiting for a reply.
+_LEAVING_CAUSE = "this node is leaving"
+_NO_HEALTHY_SERVER_CAUSES = frozenset({"suspected", "no_backend_server", "draining"})
 
 
 def lost_requests(events: Iterable[TimelineEvent]) -> list[LostRequest]:
     """Return the requests that were not served, from the events of all nodes.
 
-    Requests that never got a route are no service's and are left out.
+    Requests without a route belong to no service and are left out. So are requests
+    whose end is not among the events.
     """
     by_request: dict[str, list[TimelineEvent]] = defaultdict(list)
     for event in events:
@@ -64,19 +73,21 @@
         if request_id is not None:
             by_request[request_id].append(event)
     lost = []
-    for request_id, own in by_request.items():
-        ended = next((one for one in own if one.event == "request_ended"), None)
+    for request_id, request_events in by_request.items():
+        ended = next(
+            (found for found in request_events if found.event == "request_ended"), None
+        )
         if ended is None or "service" not in ended.details or _is_served(ended):
             continue
-        held_ms = _held_ms(own, ended)
-        cause = _cause(own, ended, held_ms)
+        held_ms = _held_ms(request_events, ended)
+        cause = _cause(request_events, ended, held_ms)
         lost.append(LostRequest(request_id, ended.details["service"], cause, held_ms))
     return lost
 
 
 def count_losses(lost: Iterable[LostRequest]) -> Counter[tuple[str, Loss]]:
-    """Return how many requests of each service each cause took."""
-    return Counter((one.service, one.cause) for one in lost)
+    """Return the number of lost requests by service and cause."""
+    return Counter((request.service, request.cause) for request in lost)
 
 
 def _is_served(ended: TimelineEvent) -> bool:
@@ -89,48 +100,50 @@
     return int(status) if status.isdigit() else 0
 
 
-def _held_ms(own: list[TimelineEvent], ended: TimelineEvent) -> float:
-    came = next((one for one in own if one.event == "request_received"), ended)
-    return float((ended.hlc >> COUNTER_BITS) - (came.hlc >> COUNTER_BITS))
+def _held_ms(events: list[TimelineEvent], ended: TimelineEvent) -> float:
+    received = next(
+        (found for found in events if found.event == "request_received"), ended
+    )
+    return float((ended.hlc >> COUNTER_BITS) - (received.hlc >> COUNTER_BITS))
 
 
-def _cause(own: list[TimelineEvent], ended: TimelineEvent, held_ms: float) -> Loss:
-    if any(one.details.get("cause") == "the caller left" for one in own):
+def _cause(events: list[TimelineEvent], ended: TimelineEvent, held_ms: float) -> Loss:
+    if any(event.details.get("cause") == "the caller left" for event in events):
         return Loss.CALLER_LEFT
     match ended.details.get("outcome"):
         case "answered":
-            return _error_cause(own)
+            return _error_cause(events)
         case "unknown":
-            return _unknown_cause(own)
+            return _unknown_cause(events)
         case "not_run":
             return _refusal_cause(ended.details.get("cause"), held_ms)
     return Loss.OTHER
 
 
-def _unknown_cause(own: list[TimelineEvent]) -> Loss:
+def _unknown_cause(events: list[TimelineEvent]) -> Loss:
     is_cut = any(
-        one.details.get("cut_by") in _CUT_BY_LEAVING
-        or one.details.get("cause") == _GIVEN_UP_BY_LEAVING
-        for one in own
+        event.details.get("cut_by") in _LEAVING_CUT_BY
+        or event.details.get("cause") == _LEAVING_CAUSE
+        for event in events
     )
     return Loss.CUT_BY_LEAVING if is_cut else Loss.NO_ANSWER
 
 
-def _refusal_cause(reason: str | None, held_ms: float) -> Loss:
-    if reason in _NO_ROOM:
-        is_at_once = held_ms <= AT_ONCE_MS
-        return Loss.REFUSED_AT_ONCE if is_at_once else Loss.WAITED_AND_REFUSED
-    if reason in _NOBODY:
+def _refusal_cause(cause: str | None, held_ms: float) -> Loss:
+    if cause in _NO_FREE_SLOT_CAUSES:
+        is_immediate = held_ms <= IMMEDIATE_REFUSAL_MAX_MS
+        return Loss.REFUSED_AT_ONCE if is_immediate else Loss.WAITED_AND_REFUSED
+    if cause in _NO_HEALTHY_SERVER_CAUSES:
         return Loss.NOBODY_HEALTHY
-    return Loss.NOT_REACHED if reason == "unreachable" else Loss.OTHER
+    return Loss.NOT_REACHED if cause == "unreachable" else Loss.OTHER
 
 
-def _error_cause(own: list[TimelineEvent]) -> Loss:
-    """Return why an error of a backend server reached the caller."""
-    sent = [one for one in own if one.event == "attempt_sent"]
+def _error_cause(events: list[TimelineEvent]) -> Loss:
+    """Return why a backend server's error was passed on to the caller."""
+    sent = [found for found in events if found.event == "attempt_sent"]
     if sent and sent[-1].details.get("is_last_resort") == "True":
         return Loss.ERROR_AT_SUSPECT
-    if any(one.event == "retry_denied" for one in own):
+    if any(found.event == "retry_denied" for found in events):
         return Loss.ERROR_REPEAT_DENIED
-    runs = sum(one.event == "attempt_dispatched" for one in own)
+    runs = sum(found.event == "attempt_dispatched" for found in events)
     return Loss.ERROR_REPEATED if runs > 1 else Loss.ERROR_FIRST
--- a/balsamspindle/timeline/merge.py
+++ b/balsamspindle/timeline/merge.py
@@ -1,7 +1,7 @@
-"""Events of many processes, merged into one time line.
+"""Reading, merging and filtering the events of many processes.
 
-The order is that of the hybrid logical clock: an effect never comes before
-its cause, even when the wall clocks of two VMs are seconds apart.
+Events are ordered by the hybrid logical clock, so an effect never comes before its
+cause, even if the wall clocks of two VMs differ by seconds.
 """
 
 from collections.abc import Iterable
@@ -30,9 +30,9 @@
     hlc : int
         Hybrid logical time.
     wall_s : float
-        Wall time as the process's own VM had it.
+        Wall time on the VM of the process.
     details : dict of str to str
-        All other fields of the line.
+        All other fields of the event's line.
     """
 
     hlc: int
@@ -44,20 +44,20 @@
 
 
 class ParsedLines(NamedTuple):
-    """The events among some lines, and how many lines are none."""
+    """The events in some lines, and the number of lines that are not events."""
 
     events: list[TimelineEvent]
     garbage_lines: int
 
 
 class Selection(NamedTuple):
-    """Which events are wanted; None takes any.
+    """Criteria for events; None matches any value.
 
     Attributes
     ----------
     with_requests : bool
-        Whether a service's story holds its requests, too: the few lines that
-        tell why a backend server was left out would drown in them.
+        Whether a service's events include those of its requests. These are so many
+        that they hide the few lines that say why a backend server was ejected.
     """
 
     request: str | None = None
@@ -67,10 +67,10 @@
 
 
 def parse_lines(lines: Iterable[str]) -> ParsedLines:
-    """Read the lines of one process.
+    """Parse the log lines of one process.
 
-    A line without its end was cut when the process died; what it says may be
-    cut as well, so it counts as garbage.
+    A line without a line break was cut off when the process died. Its last field may
+    be incomplete, so the line counts as garbage.
     """
     events = []
     garbage_lines = 0
@@ -101,17 +101,17 @@
 
 
 def merge(events: Iterable[TimelineEvent]) -> list[TimelineEvent]:
-    """Return the events in order, each once.
+    """Return the events in order, without duplicates.
 
-    A process gives no hybrid time twice, so an event that was read both from
-    a log file and from the live process is found by its time.
+    An event that was read both from a log file and from the running process is
+    recognized by its hybrid time, as no process uses the same time twice.
     """
     unique = {(event.hlc, event.node, event.incarnation): event for event in events}
     return [unique[key] for key in sorted(unique)]
 
 
 def select(events: list[TimelineEvent], wanted: Selection) -> list[TimelineEvent]:
-    """Return the events that are wanted, in the order given."""
+    """Return the events that match, in the given order."""
     servers = _backend_servers(events, wanted.service)
     return [
         event
@@ -127,7 +127,7 @@
 
 
 def _backend_servers(events: list[TimelineEvent], service: str | None) -> set[str]:
-    """Return the backend servers that were announced for a service."""
+    """Return the backend servers that the events name together with a service."""
     return {
         event.details["backend_server"]
         for event in events
@@ -148,7 +148,7 @@
 
 
 def format_for_people(event: TimelineEvent) -> str:
-    """Return one line with the time in UTC, the node, and what happened."""
+    """Return an event as one line: time in UTC, node, event name and fields."""
     hybrid_s = (event.hlc >> COUNTER_BITS) / 1000
     time = datetime.fromtimestamp(hybrid_s, UTC).strftime("%H:%M:%S.%f")[:-3]
     line = f"{time}  {event.node:<16} {event.event:<26} {format_event(event.details)}"
--- a/balsamspindle/timeline/recent.py
+++ b/balsamspindle/timeline/recent.py
@@ -1,4 +1,4 @@
-"""The latest events of one process, for whoever asks it."""
+"""In-memory buffer of a process's latest events, read over its admin address."""
 
 import heapq
 import threading
@@ -9,24 +9,24 @@
 
 __all__ = ["EventPage", "RecentEvents"]
 
-# About 250 bytes each: 5 MB when both are full.
+# Numbers of events kept. With about 250 bytes per event, both buffers take 5 MB.
 CONTROL_EVENTS_MAX = 4_096
 REQUEST_EVENTS_MAX = 16_384
 
 
 class EventPage(msgspec.Struct, frozen=True):
-    """Some events of one process.
+    """A page of one process's events.
 
     Attributes
     ----------
     lines : list of str
         Oldest first.
     last_sequence : int
-        Ask for events after it next time.
+        The value of `after` for the request of the next page.
     lost : int
-        Events in between that the process no longer keeps.
+        Events in the range of this page that the process no longer keeps.
     more : bool
-        Whether the next page has events already.
+        Whether there are already events for the next page.
     """
 
     node_id: str
@@ -37,17 +37,17 @@
     more: bool
 
 
-class _Kept(NamedTuple):
+class _BufferedEvent(NamedTuple):
     sequence: int
     line: str
 
 
 class RecentEvents:
-    """A bounded ring of events; safe to use from all threads.
+    """Two ring buffers of event lines; thread-safe.
 
-    Events of requests have a ring of their own: at some hundred requests a
-    second they would otherwise push out, within seconds, the one line that
-    says why a backend server was left out.
+    Events of requests have a buffer of their own. In a common one, a few hundred
+    requests per second would within seconds evict the line that says why a backend
+    server was ejected.
     """
 
     def __init__(
@@ -57,33 +57,33 @@
     ) -> None:
         self._lock = threading.Lock()
         self._sequence = 0
-        self._control: deque[_Kept] = deque(maxlen=control_max)
-        self._requests: deque[_Kept] = deque(maxlen=request_max)
+        self._control: deque[_BufferedEvent] = deque(maxlen=control_max)
+        self._requests: deque[_BufferedEvent] = deque(maxlen=request_max)
 
-    def add(self, line: str, of_request: bool) -> None:
-        """Keep a line; the oldest of its kind goes when the ring is full."""
-        ring = self._requests if of_request else self._control
+    def add(self, line: str, is_request_event: bool) -> None:
+        """Append a line; evicts the oldest line of its kind if the buffer is full."""
+        buffer = self._requests if is_request_event else self._control
         with self._lock:
             self._sequence += 1
-            ring.append(_Kept(self._sequence, line))
+            buffer.append(_BufferedEvent(self._sequence, line))
 
     def page(self, node_id: str, incarnation: int, after: int, limit: int) -> EventPage:
         """Return up to `limit` events with a sequence above `after`."""
         with self._lock:
             last = self._sequence
-            rings = [
-                [kept for kept in ring if kept.sequence > after]
-                for ring in (self._control, self._requests)
+            newer = [
+                [buffered for buffered in buffer if buffered.sequence > after]
+                for buffer in (self._control, self._requests)
             ]
-        found = list(heapq.merge(*rings))
-        shown = found[:limit]
+        found = list(heapq.merge(*newer))
+        page_events = found[:limit]
         more = len(found) > limit
-        end = shown[-1].sequence if more else last
+        page_end = page_events[-1].sequence if more else last
         return EventPage(
             node_id,
             incarnation,
-            [kept.line for kept in shown],
-            end,
-            max(0, end - after - len(shown)),
+            [buffered.line for buffered in page_events],
+            page_end,
+            max(0, page_end - after - len(page_events)),
             more,
         )
--- a/balsamspindle/timeline/run_ends.py
+++ b/balsamspindle/timeline/run_ends.py
@@ -1,8 +1,8 @@
-"""How runs ended, by what their gate believed of the backend server.
+"""Counts of how runs ended, by the health that the gate assumed at their start.
 
-A fleet that serves badly may have met sick backend servers that nobody knew of, or
-sent work to those that it suspected: as a trial, or because nobody else was left. The
-first asks for faster detection, the second for other placing.
+Failed requests may come from sick backend servers that no gate had detected, or from
+suspected ones that were used for a trial or because no healthy one was left. The first
+calls for faster detection, the second for a different selection of backend servers.
 """
 
 from collections import Counter, defaultdict
@@ -12,21 +12,22 @@
 
 from balsamspindle.timeline.merge import TimelineEvent
 
-__all__ = ["Belief", "RunEnd", "RunEnds", "count_run_ends"]
+__all__ = ["AssumedHealth", "RunEnd", "RunEnds", "count_run_ends"]
 
 ERROR_STATUS_MIN = 500
-# An error within this time is the backend server's own; one that came later followed
-# from work, most often from a failed call.
+# An error within this time is attributed to the backend server itself. A later one
+# occurred during the work, most often because a call to another service failed.
 FAST_ERROR_MS = 20.0
 
 
-class Belief(StrEnum):
-    """What a gate believed of a backend server when a run began there."""
+class AssumedHealth(StrEnum):
+    """Health of a backend server as assumed by its gate when a run started there."""
 
     WELL = "well"
     SUSPECTED = "suspected"
     ON_TRIAL = "on_trial"
-    # The log does not tell: it is cut, or another version's.
+    # The start of the run is not among the events, because the log is incomplete or
+    # was written by another version.
     NOT_SEEN = "not_seen"
 
 
@@ -40,39 +41,39 @@
 
 
 class RunEnds(NamedTuple):
-    """The runs in some events.
+    """Counts of the runs in some events.
 
     Attributes
     ----------
     counts : dict
-        Service and belief to how often runs ended in each way.
+        Number of runs with each end, by service and assumed health.
     left_out : int
-        Runs whose beginning or service is in no event.
+        Number of runs whose start or service is not among the events.
     """
 
-    counts: dict[tuple[str, Belief], Counter[RunEnd]]
+    counts: dict[tuple[str, AssumedHealth], Counter[RunEnd]]
     left_out: int
 
 
-_BELIEFS = {
-    "backend_server_suspected": Belief.SUSPECTED,
-    "backend_server_on_trial": Belief.ON_TRIAL,
-    "backend_server_readmitted": Belief.WELL,
+_HEALTH_BY_EVENT = {
+    "backend_server_suspected": AssumedHealth.SUSPECTED,
+    "backend_server_on_trial": AssumedHealth.ON_TRIAL,
+    "backend_server_readmitted": AssumedHealth.WELL,
 }
 
 
 def count_run_ends(events: Iterable[TimelineEvent]) -> RunEnds:
-    """Count runs by their service, their gate's belief and their end.
+    """Count runs by service, by the health that their gate assumed, and by end.
 
     Parameters
     ----------
     events : iterable of TimelineEvent
-        Of all nodes, in their order.
+        Events of all nodes, in the order of their hybrid time.
     """
-    beliefs: dict[str, Belief] = {}
-    began: dict[tuple[str, str], Belief] = {}
+    health: dict[str, AssumedHealth] = {}
+    health_at_start: dict[tuple[str, str], AssumedHealth] = {}
     services: dict[str, str] = {}
-    ended: list[tuple[str, Belief, RunEnd]] = []
+    ended: list[tuple[str, AssumedHealth, RunEnd]] = []
     for event in events:
         details = event.details
         server, request = details.get("backend_server", ""), details.get("request", "")
@@ -80,33 +81,37 @@
             case "request_ended" if "service" in details:
                 services[request] = details["service"]
             case "attempt_dispatched":
-                began[request, server] = beliefs.get(server, Belief.WELL)
+                health_at_start[request, server] = health.get(
+                    server, AssumedHealth.WELL
+                )
             case "attempt_ended":
-                belief = began.pop((request, server), Belief.NOT_SEEN)
-                ended.append((request, belief, _end(details)))
-            case name if name in _BELIEFS:
-                beliefs[server] = _BELIEFS[name]
-    counts: dict[tuple[str, Belief], Counter[RunEnd]] = defaultdict(Counter)
+                assumed_health = health_at_start.pop(
+                    (request, server), AssumedHealth.NOT_SEEN
+                )
+                ended.append((request, assumed_health, _classify_end(details)))
+            case name if name in _HEALTH_BY_EVENT:
+                health[server] = _HEALTH_BY_EVENT[name]
+    counts: dict[tuple[str, AssumedHealth], Counter[RunEnd]] = defaultdict(Counter)
     left_out = 0
-    for request, belief, end in ended:
-        if belief is Belief.NOT_SEEN or request not in services:
+    for request, assumed_health, end in ended:
+        if assumed_health is AssumedHealth.NOT_SEEN or request not in services:
             left_out += 1
         else:
-            counts[services[request], belief][end] += 1
+            counts[services[request], assumed_health][end] += 1
     return RunEnds(dict(counts), left_out)
 
 
-def _end(details: dict[str, str]) -> RunEnd:
+def _classify_end(details: dict[str, str]) -> RunEnd:
     status = details.get("status", "")
     if not status.isdigit():
         return RunEnd.NO_ANSWER
     if int(status) < ERROR_STATUS_MIN:
         return RunEnd.SERVED
-    is_fast = _number(details.get("ran_ms")) < FAST_ERROR_MS
+    is_fast = _to_float(details.get("ran_ms")) < FAST_ERROR_MS
     return RunEnd.FAST_ERROR if is_fast else RunEnd.SLOW_ERROR
 
 
-def _number(text: str | None) -> float:
+def _to_float(text: str | None) -> float:
     try:
         return float(text or 0.0)
     except ValueError:
--- a/balsamspindle/timeline/story.py
+++ b/balsamspindle/timeline/story.py
@@ -1,4 +1,4 @@
-"""One request's story, told from its events."""
+"""Summary of one request, built from its events."""
 
 from collections.abc import Sequence
 
@@ -16,12 +16,11 @@
     Attributes
     ----------
     gate : str
-        Node whose gate stands before the backend server.
+        Node whose gate forwards requests to the backend server.
     dispatched : bool
-        Whether the gate sent it to the backend server, as far as the events
-        tell.
+        Whether an event shows that the gate sent the attempt to the backend server.
     outcome : str or None
-        None when no event tells the end.
+        None if the end of the attempt is not among the events.
     """
 
     backend_server: str
@@ -32,14 +31,15 @@
 
 
 class RequestStory(msgspec.Struct):
-    """What became of one request.
+    """A request, its attempts and its outcome.
 
     Attributes
     ----------
     node_id : str or None
-        Node at which it came in; None when that event is not among those read.
+        Ingress node; None if neither the receipt nor the end of the request is among
+        the events.
     duration_ms : float or None
-        From its first to its last event.
+        Time from the first to the last event; None without events.
     """
 
     request_id: str
@@ -54,33 +54,39 @@
 
 
 def tell_request(request_id: str, events: Sequence[TimelineEvent]) -> RequestStory:
-    """Return the story of a request from its own events, in order."""
+    """Return the summary of a request.
+
+    Parameters
+    ----------
+    events : sequence of TimelineEvent
+        Events of this request only, in the order of their hybrid time.
+    """
     story = RequestStory(request_id)
     for event in events:
-        tell = _TELL.get(event.event)
-        if tell is not None:
-            tell(story, event)
+        record = _RECORDERS.get(event.event)
+        if record is not None:
+            record(story, event)
     if events:
-        span = (events[-1].hlc >> COUNTER_BITS) - (events[0].hlc >> COUNTER_BITS)
-        story.duration_ms = float(span)
+        span_ms = (events[-1].hlc >> COUNTER_BITS) - (events[0].hlc >> COUNTER_BITS)
+        story.duration_ms = float(span_ms)
     return story
 
 
-def _received(story: RequestStory, event: TimelineEvent) -> None:
+def _record_received(story: RequestStory, event: TimelineEvent) -> None:
     story.node_id = event.node
     story.method = event.details.get("method")
     story.path = event.details.get("path")
 
 
-def _sent(story: RequestStory, event: TimelineEvent) -> None:
+def _record_attempt_sent(story: RequestStory, event: TimelineEvent) -> None:
     details = event.details
     story.attempts.append(
         AttemptStory(details.get("backend_server", "?"), details.get("gate"))
     )
 
 
-def _attempt(story: RequestStory, event: TimelineEvent) -> AttemptStory:
-    """Return the latest attempt at the event's backend server."""
+def _find_or_add_attempt(story: RequestStory, event: TimelineEvent) -> AttemptStory:
+    """Return the latest attempt at the event's backend server; add one if missing."""
     server = event.details.get("backend_server", "?")
     for attempt in reversed(story.attempts):
         if attempt.backend_server == server:
@@ -89,34 +95,34 @@
     return story.attempts[-1]
 
 
-def _dispatched(story: RequestStory, event: TimelineEvent) -> None:
-    _attempt(story, event).dispatched = True
+def _record_dispatched(story: RequestStory, event: TimelineEvent) -> None:
+    _find_or_add_attempt(story, event).dispatched = True
 
 
-def _refused(story: RequestStory, event: TimelineEvent) -> None:
-    attempt = _attempt(story, event)
+def _record_refused(story: RequestStory, event: TimelineEvent) -> None:
+    attempt = _find_or_add_attempt(story, event)
     attempt.outcome = "not_run"
     attempt.cause = event.details.get("cause")
 
 
-def _attempt_ended(story: RequestStory, event: TimelineEvent) -> None:
-    attempt = _attempt(story, event)
+def _record_attempt_ended(story: RequestStory, event: TimelineEvent) -> None:
+    attempt = _find_or_add_attempt(story, event)
     attempt.outcome = event.details.get("outcome")
     attempt.cause = event.details.get("cause")
 
 
-def _ended(story: RequestStory, event: TimelineEvent) -> None:
+def _record_request_ended(story: RequestStory, event: TimelineEvent) -> None:
     story.node_id = event.node
     story.outcome = event.details.get("outcome")
     story.status = event.details.get("status")
     story.cause = event.details.get("cause")
 
 
-_TELL = {
-    "request_received": _received,
-    "attempt_sent": _sent,
-    "attempt_dispatched": _dispatched,
-    "attempt_refused": _refused,
-    "attempt_ended": _attempt_ended,
-    "request_ended": _ended,
+_RECORDERS = {
+    "request_received": _record_received,
+    "attempt_sent": _record_attempt_sent,
+    "attempt_dispatched": _record_dispatched,
+    "attempt_refused": _record_refused,
+    "attempt_ended": _record_attempt_ended,
+    "request_ended": _record_request_ended,
 }
--- a/balsamspindle/timeline/tasks.py
+++ b/balsamspindle/timeline/tasks.py
@@ -1,4 +1,4 @@
-"""Tasks whose failures are told."""
+"""Executor tasks whose exceptions are written to the event log."""
 
 import traceback
 from collections.abc import Callable
@@ -13,18 +13,18 @@
 def submit_logged(
     executor: Executor, events: EventLog, task: Callable, *args: Any
 ) -> Future:
-    """Submit a task and write an event when it raises.
+    """Submit a task and emit the event `task_failed` if it raises.
 
-    An executor keeps the exception in the future. Where nobody asks the
-    future, a fault would end the task in silence: a connection that closes
-    for no reason that the log tells.
+    An executor only stores the exception in the future. If no code reads the future,
+    the failure would go unnoticed: a caller's connection would close without an entry
+    in the log that says why.
     """
     future = executor.submit(task, *args)
-    future.add_done_callback(lambda done: _tell_failure(done, events))
+    future.add_done_callback(lambda done: _emit_failure(done, events))
     return future
 
 
-def _tell_failure(future: Future, events: EventLog) -> None:
+def _emit_failure(future: Future, events: EventLog) -> None:
     if future.cancelled():
         return
     error = future.exception()
--- a/tests/test_clock.py
+++ b/tests/test_clock.py
@@ -1,4 +1,4 @@
-"""The hybrid logical clock under wrong wall clocks."""
+"""Tests of the hybrid logical clock with wrong wall clocks."""
 
 from hypothesis import given
 from hypothesis import strategies as st
@@ -25,10 +25,10 @@
             sent = clocks[source].tick(wall_s)
             self.assertLess(sent, clocks[target].observe(sent, wall_s))
 
-    def test_a_clock_years_ahead_drags_nobody(self):
-        # One VM's clock is set to 2038. Its messages reach all others. If
-        # they followed, all events of the fleet would carry that time for
-        # years, also after the VM is gone.
+    def test_a_clock_years_ahead_is_not_followed(self):
+        # One VM's clock is ten years ahead, and its messages reach all other VMs. If
+        # these followed it, all events of the fleet would carry a wrong time for
+        # years, even after that VM is gone.
         clock, wrong = HybridClock(), HybridClock(10 * 365 * 86_400)
         clock.tick(WALL_S)
         after = clock.observe(wrong.tick(WALL_S), WALL_S)
@@ -38,20 +38,20 @@
         clock.observe(-5, WALL_S)
         self.assertEqual(2, clock.refused)
 
-    def test_a_clock_a_little_ahead_is_followed_and_the_drag_is_bounded(self):
+    def test_a_clock_within_the_limit_is_followed(self):
         clock, ahead = HybridClock(), HybridClock(AHEAD_MAX_S - 1)
         sent = ahead.tick(WALL_S)
         self.assertLess(sent, clock.observe(sent, WALL_S))
         self.assertEqual(0, clock.refused)
 
-    def test_a_full_counter_and_a_clock_that_steps_back_stay_in_order(self):
+    def test_times_increase_if_the_counter_overflows_or_the_clock_steps_back(self):
         clock = HybridClock()
         last = clock.tick(WALL_S)
         for count in range(2 ** (COUNTER_BITS + 1)):
             value = clock.tick(WALL_S - count % 7)
             self.assertGreater(value, last)
             last = value
-        # The carry is two milliseconds: the wall clock is soon past it.
+        # The overflow adds two milliseconds, which the wall clock soon exceeds.
         self.assertGreater(clock.tick(WALL_S + 0.1), last)
         self.assertEqual(
             int((WALL_S + 0.1) * 1000), clock.tick(WALL_S + 0.1) >> COUNTER_BITS
--- a/tests/test_event_log.py
+++ b/tests/test_event_log.py
@@ -1,4 +1,4 @@
-"""The event log writes every line in order and never holds up a request."""
+"""Tests of the event log: format, order and limits of its lines."""
 
 import io
 import threading
@@ -10,7 +10,7 @@
 
 
 class BlockedPipe:
-    """A stream that nobody reads until `opened` is set."""
+    """A stream whose writes block until `opened` is set."""
 
     def __init__(self) -> None:
         self.opened = threading.Event()
@@ -25,10 +25,10 @@
 
 
 class EventLogTests(TestCase):
-    def test_a_pipe_that_nobody_reads_does_not_hold_up_requests(self):
-        # The reader of a node's log stands still. Each request writes events;
-        # if writing waited for the pipe, every caller of this node would wait
-        # for its answer although all backend servers are well.
+    def test_a_blocked_log_pipe_does_not_block_requests(self):
+        # The reader of a node's log has stopped. Each request writes events. If
+        # writing blocked on the pipe, all callers of this node would wait for their
+        # answers although all backend servers are healthy.
         pipe = BlockedPipe()
         self.addCleanup(pipe.opened.set)
         log = EventLog("node-1", 7, HybridClock(), pipe)
@@ -50,20 +50,20 @@
         ]
         self.assertEqual(["0", "1", "2"], numbers[:3])
 
-    def test_a_flood_of_one_event_is_cut_told_and_hides_no_other(self):
-        # Under an overload every request writes lines; unbounded they take the
-        # processor from the requests. What is left out is said, so that nobody
-        # takes a silent log for a quiet node.
+    def test_a_flood_of_one_event_is_limited_and_counted_and_suppresses_no_other(self):
+        # Each request writes lines. Under overload, writing all of them would take
+        # processor time from the requests. Left-out lines are counted, so that their
+        # absence isn't mistaken for an idle node.
         budget = LineBudget(3)
         written = [budget.allows("sent", 10.0 + n / 100) for n in range(8)]
         self.assertEqual([True] * 3 + [False] * 5, written)
         self.assertTrue(budget.allows("suspected", 10.5))
-        self.assertEqual({}, budget.take_left_out())
+        self.assertEqual({}, budget.pop_left_out())
         self.assertTrue(budget.allows("sent", 11.0))
-        self.assertEqual({"sent": 5}, budget.take_left_out())
-        self.assertEqual({}, budget.take_left_out())
+        self.assertEqual({"sent": 5}, budget.pop_left_out())
+        self.assertEqual({}, budget.pop_left_out())
 
-    def test_what_was_left_out_stands_in_the_log(self):
+    def test_the_number_of_left_out_lines_is_logged(self):
         stream = io.StringIO()
         log = EventLog("node-1", 7, HybridClock(), stream)
         log._budget = LineBudget(2)
@@ -73,10 +73,12 @@
         log.emit("end")
         log.flush()
         lines = [parse_event(line) for line in stream.getvalue().splitlines()]
-        told = [line for line in lines if line["event"] == "events_left_out"]
-        self.assertEqual([("tick", "4")], [(one["of"], one["count"]) for one in told])
+        left_out = [line for line in lines if line["event"] == "events_left_out"]
+        self.assertEqual(
+            [("tick", "4")], [(entry["of"], entry["count"]) for entry in left_out]
+        )
 
-    def test_a_line_reads_back_as_it_was_emitted(self):
+    def test_a_parsed_line_has_the_fields_that_were_emitted(self):
         stream = io.StringIO()
         log = EventLog("node-1", 7, HybridClock(), stream)
         hlc = log.emit("ended", cause='a b="c"\n', empty="", path="/x", gone=None)
--- a/tests/test_losses.py
+++ b/tests/test_losses.py
@@ -1,4 +1,4 @@
-"""Why requests were not served, told from the events of all nodes."""
+"""Tests of the classification of requests that were not served."""
 
 from testtools import TestCase
 
@@ -28,7 +28,7 @@
     def test_a_served_request_is_no_loss(self):
         self.assertEqual([], lost_requests([ended(5, "answered", status="200")]))
 
-    def test_a_refusal_that_was_waited_for_differs_from_one_at_once(self):
+    def test_a_refusal_after_a_wait_differs_from_an_immediate_one(self):
         self.assertIs(
             Loss.REFUSED_AT_ONCE, self.cause(ended(3, "not_run", cause="would_wait"))
         )
@@ -40,38 +40,39 @@
             Loss.NOBODY_HEALTHY, self.cause(ended(3, "not_run", cause="suspected"))
         )
 
-    def test_an_error_is_told_by_what_was_tried_against_it(self):
+    def test_an_error_is_classified_by_the_retries_before_it(self):
         error = ended(9, "answered", status="500")
         run = event(1, "attempt_dispatched")
-        resort = event(1, "attempt_sent", is_last_resort="True")
+        last_resort = event(1, "attempt_sent", is_last_resort="True")
         self.assertIs(Loss.ERROR_FIRST, self.cause(run, error))
         self.assertIs(Loss.ERROR_REPEATED, self.cause(run, run, error))
         denied = event(8, "retry_denied", after="500")
         self.assertIs(Loss.ERROR_REPEAT_DENIED, self.cause(run, denied, error))
-        self.assertIs(Loss.ERROR_AT_SUSPECT, self.cause(resort, run, error))
+        self.assertIs(Loss.ERROR_AT_SUSPECT, self.cause(last_resort, run, error))
 
     def test_losses_are_counted_by_service_and_cause(self):
         events = [ended(3, "unknown", cause="silence")]
         events += [
-            one._replace(details=one.details | {"request": "s"}) for one in events
+            original._replace(details=original.details | {"request": "s"})
+            for original in events
         ]
         counts = count_losses(lost_requests(events))
         self.assertEqual({(SERVICE, Loss.NO_ANSWER): 2}, dict(counts))
 
-    def test_a_run_that_a_leaving_node_cut_differs_from_other_silence(self):
-        # The caller gets 'unknown' either way. A gate that was told to leave cut
-        # the run, or the ingress gave up its wait for a reply; else the backend
-        # server or a link broke off.
+    def test_a_run_cut_by_a_leaving_node_differs_from_other_missing_answers(self):
+        # The caller gets 'unknown' in all cases. Either the gate of a leaving node cut
+        # the run, or a leaving ingress stopped waiting for the reply, or else the
+        # backend server or a link failed.
         unknown = ended(9, "unknown", cause="cancelled")
         for cut_by in ("node_leaving", "ingress_leaving"):
             cut = event(5, "attempt_ended", outcome="unknown", cut_by=cut_by)
             self.assertIs(Loss.CUT_BY_LEAVING, self.cause(cut, unknown))
-        given_up = event(5, "attempt_unanswered", cause="this node is leaving")
-        self.assertIs(Loss.CUT_BY_LEAVING, self.cause(given_up, unknown))
+        stopped_waiting = event(5, "attempt_unanswered", cause="this node is leaving")
+        self.assertIs(Loss.CUT_BY_LEAVING, self.cause(stopped_waiting, unknown))
         for cut_by in ("server_restarted", "deadline"):
             cut = event(5, "attempt_ended", outcome="unknown", cut_by=cut_by)
             self.assertIs(Loss.NO_ANSWER, self.cause(cut, unknown))
 
-    def test_a_caller_that_left_is_no_fault_of_the_fleet(self):
+    def test_a_request_whose_caller_left_is_counted_separately(self):
         left = event(1, "attempt_unanswered", cause="the caller left")
         self.assertIs(Loss.CALLER_LEFT, self.cause(left, ended(2, "unknown")))
--- a/tests/test_run_ends.py
+++ b/tests/test_run_ends.py
@@ -1,10 +1,10 @@
-"""How runs ended by what their gates believed, told from the events of all nodes."""
+"""Tests of the counts of run ends by the health that the gates assumed."""
 
 from testtools import TestCase
 
 from balsamspindle.timeline.clock import COUNTER_BITS
 from balsamspindle.timeline.merge import TimelineEvent
-from balsamspindle.timeline.run_ends import Belief, RunEnd, count_run_ends
+from balsamspindle.timeline.run_ends import AssumedHealth, RunEnd, count_run_ends
 
 SERVICE = "crew/contracts"
 
@@ -23,7 +23,7 @@
 
 
 class RunEndsTests(TestCase):
-    def test_runs_are_counted_by_what_was_believed_when_they_began(self):
+    def test_runs_are_counted_by_the_assumed_health_at_their_start(self):
         ends = count_run_ends(
             [
                 *run(0, "a", status="200", ran_ms="300"),
@@ -37,17 +37,18 @@
         )
         self.assertEqual(
             {
-                (SERVICE, Belief.WELL): {RunEnd.SERVED: 1, RunEnd.NO_ANSWER: 1},
-                (SERVICE, Belief.SUSPECTED): {RunEnd.FAST_ERROR: 1},
-                (SERVICE, Belief.ON_TRIAL): {RunEnd.SLOW_ERROR: 1},
+                (SERVICE, AssumedHealth.WELL): {RunEnd.SERVED: 1, RunEnd.NO_ANSWER: 1},
+                (SERVICE, AssumedHealth.SUSPECTED): {RunEnd.FAST_ERROR: 1},
+                (SERVICE, AssumedHealth.ON_TRIAL): {RunEnd.SLOW_ERROR: 1},
             },
             {key: dict(count) for key, count in ends.counts.items()},
         )
         self.assertEqual(0, ends.left_out)
 
-    def test_what_a_cut_log_does_not_tell_is_left_out_and_counted(self):
-        # A node died, and its log ends or begins in the middle of a run; another
-        # version's log may lack fields. Nothing is guessed of these runs.
+    def test_runs_without_all_events_in_the_log_are_left_out_and_counted(self):
+        # If a node died, its log starts or ends in the middle of a run, and the log of
+        # another version may lack fields. The counts leave out such runs, as their
+        # service or the assumed health is unknown.
         events = [*run(0, "a", status="200"), *run(5, "b", status="x", ran_ms="?")]
         ends = count_run_ends(events[1:-1])
         self.assertEqual({}, ends.counts)
--- a/tests/test_timeline.py
+++ b/tests/test_timeline.py
@@ -1,4 +1,4 @@
-"""The time line over many processes."""
+"""Tests of the timeline that is merged from the events of many processes."""
 
 import io
 import json
@@ -26,12 +26,12 @@
 
 
 class TimelineTests(TestCase):
-    def test_an_effect_never_sorts_before_its_cause_with_clocks_apart(self):
-        """The gate's clock is 7 s behind the ingress's, then 7 s ahead.
+    def test_an_effect_never_sorts_before_its_cause_if_clocks_differ(self):
+        """The gate's clock is 7 s behind the ingress's clock, then 7 s ahead of it.
 
-        A request goes from ingress to gate and its reply back. Sorted by wall
-        time the gate would run it 7 s before it was sent, and an operator
-        would look for the cause at the wrong node.
+        A request goes from the ingress to the gate, and the reply back. Sorted by wall
+        time, the gate would run it 7 s before it was sent, and an operator would look
+        for the cause of a failure at the wrong node.
         """
         for gate_offset_s in (-SKEW_S, SKEW_S):
             ingress = event_log("ingress", 0.0)
@@ -49,24 +49,30 @@
                 [event.event for event in merge(parsed.events)],
             )
 
-    def test_cut_and_foreign_lines_are_counted_and_left_out(self):
+    def test_incomplete_lines_and_other_text_are_counted_and_left_out(self):
         log = event_log("node", 0.0)
         log.emit("node_started", cause='odd "words"\nand = signs')
-        (sound,) = lines(log)
+        (complete,) = lines(log)
         parsed = parse_lines(
-            [sound, "Traceback (most recent call last):\n", "\n", "a=1\n", sound[:-9]]
+            [
+                complete,
+                "Traceback (most recent call last):\n",
+                "\n",
+                "a=1\n",
+                complete[:-9],
+            ]
         )
         self.assertEqual(3, parsed.garbage_lines)
         (event,) = parsed.events
         self.assertEqual('odd "words"\nand = signs', event.details["cause"])
 
-    def test_an_event_from_log_and_live_node_is_shown_once(self):
+    def test_an_event_that_was_read_twice_is_shown_once(self):
         log = event_log("node", 0.0)
         log.emit("node_started")
         events = parse_lines(lines(log) * 2).events
         self.assertEqual(1, len(merge(events)))
 
-    def test_a_service_is_told_with_the_backend_servers_announced_for_it(self):
+    def test_a_service_is_shown_with_the_events_of_its_backend_servers(self):
         log = event_log("node", 0.0)
         log.emit("backend_server_announced", backend_server="b1", service="crew/x")
         log.emit("backend_server_announced", backend_server="b2", service="crew/y")
@@ -79,14 +85,14 @@
         wanted = Selection(service="crew/x", with_requests=True)
         self.assertEqual(3, len(select(events, wanted)))
 
-    def test_requests_push_no_other_event_out_of_the_recent_ones(self):
-        """At hundreds of requests a second one ring would forget an ejection
-        within seconds, just when an operator asks why it happened.
+    def test_events_of_requests_do_not_evict_other_recent_events(self):
+        """In a common buffer, hundreds of requests per second would evict the event of
+        an ejection within seconds, while an operator is looking for its reason.
         """
         recent = RecentEvents(control_max=2, request_max=3)
-        recent.add("ejected", of_request=False)
+        recent.add("ejected", is_request_event=False)
         for number in range(10):
-            recent.add(f"request {number}", of_request=True)
+            recent.add(f"request {number}", is_request_event=True)
         page = recent.page("node", 1, after=0, limit=2)
         self.assertEqual(["ejected", "request 7"], page.lines)
         self.assertTrue(page.more)
@@ -94,9 +100,10 @@
         self.assertEqual(["request 8", "request 9"], rest.lines)
         self.assertEqual((7, 0), (page.lost, rest.lost))
 
-    def test_a_failed_task_of_an_executor_is_an_event(self):
-        """Nobody asks a connection's future: its fault would be lost, and the
-        caller's connection would close for no reason that the log tells.
+    def test_a_failed_task_of_an_executor_emits_an_event(self):
+        """No code reads the future of a connection's task. Without an event, its
+        exception would be lost, and the caller's connection would close without an
+        entry in the log that says why.
         """
         log = event_log("node", 0.0)
         with ThreadPoolExecutor(1) as executor:
@@ -107,11 +114,11 @@
 
 
 class TimelineOfProcessesTests(TestCase):
-    def test_real_processes_with_clocks_apart_tell_one_request_in_order(self):
-        """The ingress's clock is 7 s ahead of the gate's.
+    def test_events_of_a_request_are_in_order_if_clocks_of_processes_differ(self):
+        """The ingress's clock is 7 s ahead of the gate's clock.
 
-        The caller's request enters at one node and runs behind the other. By
-        wall time its attempt would end before the request came in.
+        The caller's request is received at one node and runs at a backend server of
+        the other. By wall time, its attempt would end before the request was received.
         """
         fleet = self.start_fleet()
         ingress = fleet.start_node("ingress", "zone-a", wall_clock_offset_s=SKEW_S)
@@ -122,13 +129,18 @@
         answer = call(ingress.caller_address, "/contracts/7", headers=headers)
         self.assertEqual("answered", answer.outcome)
         nodes = ["--node", ingress.admin_address, "--node", gate.admin_address]
-        live = self.story(nodes)
-        self.assertEqual("request_received", live[0]["event"])
-        self.assertEqual("request_ended", live[-1]["event"])
-        self.assertEqual({"ingress", "gate"}, {event["node"] for event in live})
-        self.assertNotEqual(live, sorted(live, key=lambda event: event["wall_s"]))
+        live_events = self.request_events(nodes)
+        self.assertEqual("request_received", live_events[0]["event"])
+        self.assertEqual("request_ended", live_events[-1]["event"])
+        self.assertEqual({"ingress", "gate"}, {event["node"] for event in live_events})
+        self.assertNotEqual(
+            live_events, sorted(live_events, key=lambda event: event["wall_s"])
+        )
         logs = [str(program.log_path) for program in (ingress, gate)]
-        wait_until(lambda: self.story(logs) == live, "the logs tell the same")
+        wait_until(
+            lambda: self.request_events(logs) == live_events,
+            "the logs show the same events",
+        )
         for program in (ingress, gate):
             self.assertEqual(0, program.stop())
             with program.log_path.open() as log:
@@ -149,7 +161,7 @@
         )
         return fleet
 
-    def story(self, sources: list[str]) -> list[dict]:
+    def request_events(self, sources: list[str]) -> list[dict]:
         arguments = ["--json", "--request", "story-1", *sources]
         result = CliRunner().invoke(app, arguments)
         self.assertEqual(0, result.exit_code, result.output)
