--- a/balsamspindle/load/__init__.py
+++ b/balsamspindle/load/__init__.py
@@ -1,7 +1,7 @@
-"""Load and experiments: arrivals, faults, and what became of each request.
+"""Load experiments: send requests, inject faults and audit the outcomes.
 
-Start with `plan.py`, what a run is told, then `experiment.py`, the run;
-`audit.py` holds what callers were told against what ran.
+`plan.py` defines the input of an experiment and `experiment.py` runs it. `audit.py`
+compares the outcomes that callers got with the runs that the backend servers counted.
 """
 
 from balsamspindle.load.audit import CallResult
--- a/balsamspindle/load/audit.py
+++ b/balsamspindle/load/audit.py
@@ -1,4 +1,4 @@
-"""Holds what callers were told against what the backend servers ran."""
+"""Comparison of the outcomes at the callers with the runs at the backend servers."""
 
 from collections import Counter
 from collections.abc import Callable, Mapping, Sequence
@@ -11,15 +11,16 @@
 from balsamspindle.load.schedule import ScheduledCall
 from balsamspindle.protocol.outcomes import Execution, Outcome
 
-__all__ = ["CallResult", "Detection", "Truthfulness", "audit", "detections"]
+__all__ = ["CallResult", "Detection", "Truthfulness", "audit", "measure_detections"]
 
-_NEVER_RUN = frozenset({Outcome.NOT_RUN.value, NOT_CONNECTED})
+_NOT_RUN_OUTCOMES = frozenset({Outcome.NOT_RUN.value, NOT_CONNECTED})
 
-Runs = Mapping[str, Mapping[str, int]]
+# Number of runs by backend server and run key.
+RunCounts = Mapping[str, Mapping[str, int]]
 
 
 class CallResult(NamedTuple):
-    """A request and its end; `sent_s` is after the start of the run."""
+    """A request and its end; `sent_s` is relative to the start of the experiment."""
 
     call: ScheduledCall
     sent_s: float
@@ -27,7 +28,18 @@
 
 
 class Truthfulness(msgspec.Struct, frozen=True):
-    """Broken promises, by run key; all empty in a truthful run."""
+    """Violated guarantees of the fleet, by run key; all empty if none was violated.
+
+    Attributes
+    ----------
+    not_run_but_ran : list of str
+        Requests that ran although their callers got `not_run` or no connection.
+    non_idempotent_ran_twice : list of str
+        Non-idempotent requests that ran more than once over all backend servers.
+    wrong_answers : list of str
+        Answers with status 200 that were incomplete or belonged to another request,
+        each as ``run_key: fault``.
+    """
 
     not_run_but_ran: list[str]
     non_idempotent_ran_twice: list[str]
@@ -35,27 +47,33 @@
 
     @property
     def holds(self) -> bool:
-        """Tell whether no promise was broken."""
+        """Return whether no guarantee was violated."""
         return not (
             self.not_run_but_ran or self.non_idempotent_ran_twice or self.wrong_answers
         )
 
 
 class Detection(msgspec.Struct, frozen=True):
-    """How long a sick backend server went on meeting requests.
+    """How long a faulty backend server kept receiving requests.
+
+    The server counts as detected once it has received no request for the quiet period
+    of the plan.
 
     Attributes
     ----------
+    start_s : float
+        Start of the fault.
     detection_s : float or None
-        From the fault to the last request that met it before it was left in
-        quiet; None when it never was, or when no request met it.
+        Time from the start of the fault to the last request before the first quiet
+        period; None if there was no quiet period or no request.
     met : int
-        Requests that met it up to then.
+        Requests that the server received up to then, during the fault.
     met_later : int
-        Requests that met it after that: trials, or a relapse.
+        Requests that it received later during the fault: trials, or requests after a
+        premature readmission.
     held_out_s : float or None
-        From the fault to the first sample of a node's status that held it
-        for sick.
+        Time from the start of the fault to the first node status that showed the
+        server as ejected; None if no status did.
     """
 
     backend_server: str
@@ -66,8 +84,8 @@
     held_out_s: float | None = None
 
 
-def audit(results: Sequence[CallResult], runs: Runs) -> Truthfulness:
-    """Return the promises that were broken."""
+def audit(results: Sequence[CallResult], runs: RunCounts) -> Truthfulness:
+    """Return the guarantees that the fleet violated."""
     total: Counter[str] = Counter()
     for counts in runs.values():
         total.update(counts)
@@ -75,7 +93,7 @@
         not_run_but_ran=[
             result.call.run_key
             for result in results
-            if result.end.outcome in _NEVER_RUN and total[result.call.run_key]
+            if result.end.outcome in _NOT_RUN_OUTCOMES and total[result.call.run_key]
         ],
         non_idempotent_ran_twice=[
             result.call.run_key
@@ -91,54 +109,58 @@
     )
 
 
-def detections(
+def measure_detections(
     results: Sequence[CallResult],
-    runs: Runs,
+    runs: RunCounts,
     faults: Sequence[FaultPeriod],
     quiet_s: float,
     held_out: Callable[[str, float, float], float | None],
 ) -> list[Detection]:
     """Return the detection of each fault of a backend server.
 
+    Detection is measured by the requests that the faulty backend server itself
+    counted, at the times at which the caller sent them.
+
     Parameters
     ----------
+    quiet_s : float
+        A server that receives no request for this long counts as detected.
     held_out : callable
-        Takes a backend server, a start and an end; returns when it was first
-        seen held out in between.
-
-    The times are those at which the caller sent the requests that the sick
-    backend server counted: its own count can't be argued with.
+        Takes a backend server, a start and an end. Returns the first time in between
+        at which a node's status showed the server as ejected, or None.
     """
     sent_s = {result.call.run_key: result.sent_s for result in results}
     return [
-        _detection(fault, runs[fault.target], sent_s, quiet_s, held_out)
+        _measure_detection(fault, runs[fault.target], sent_s, quiet_s, held_out)
         for fault in faults
         if fault.target in runs
     ]
 
 
-def _detection(fault, counts, sent_s, quiet_s, held_out) -> Detection:
-    met_s = sorted(
+def _measure_detection(fault, counts, sent_s, quiet_s, held_out) -> Detection:
+    received_s = sorted(
         sent_s[key]
         for key in counts
         if key in sent_s and fault.start_s <= sent_s[key] < fault.end_s
     )
-    before_quiet = _before_quiet(met_s, quiet_s)
-    last_s = before_quiet[-1] if before_quiet else None
+    until_quiet_s = _times_until_quiet(received_s, quiet_s)
+    last_s = until_quiet_s[-1] if until_quiet_s else None
     held_out_s = held_out(fault.target, fault.start_s, fault.end_s)
-    was_left = last_s is not None and fault.end_s - last_s >= quiet_s
+    is_detected = last_s is not None and fault.end_s - last_s >= quiet_s
     return Detection(
         fault.target,
         fault.start_s,
-        last_s - fault.start_s if was_left else None,
-        len(before_quiet),
-        len(met_s) - len(before_quiet),
+        last_s - fault.start_s if is_detected else None,
+        len(until_quiet_s),
+        len(received_s) - len(until_quiet_s),
         held_out_s and held_out_s - fault.start_s,
     )
 
 
-def _before_quiet(met_s: list[float], quiet_s: float) -> list[float]:
-    for position, (earlier, later) in enumerate(zip(met_s, met_s[1:], strict=False)):
+def _times_until_quiet(received_s: list[float], quiet_s: float) -> list[float]:
+    for position, (earlier, later) in enumerate(
+        zip(received_s, received_s[1:], strict=False)
+    ):
         if later - earlier >= quiet_s:
-            return met_s[: position + 1]
-    return met_s
+            return received_s[: position + 1]
+    return received_s
--- a/balsamspindle/load/caller.py
+++ b/balsamspindle/load/caller.py
@@ -1,4 +1,4 @@
-"""One caller: sends a request, and checks that the answer is its own."""
+"""HTTP caller that sends requests and verifies their answers."""
 
 import io
 import json
@@ -22,21 +22,24 @@
     "call_body",
 ]
 
-# What a caller sees when the fleet says nothing.
+# Outcomes of requests without an answer that names its outcome.
 NO_ANSWER = "no_answer"
 NOT_CONNECTED = "not_connected"
 CONNECT_TIMEOUT_MS = 1000
 
 
 class CallEnd(NamedTuple):
-    """What the caller holds at the end.
+    """End of a request as seen by the caller.
 
     Attributes
     ----------
     outcome : str
-        As the fleet says, or `NO_ANSWER`, or `NOT_CONNECTED`.
+        Outcome in the header of the answer, else `NO_ANSWER` or `NOT_CONNECTED`.
+    status : int
+        HTTP status; 0 without an answer.
     fault : str or None
-        What is wrong with an answer that should be whole and the caller's own.
+        What is wrong with an answer of status 200; None if it is complete and belongs
+        to the request.
     """
 
     outcome: str
@@ -46,34 +49,40 @@
 
 
 def call_body(call: ScheduledCall) -> bytes:
-    """Return the body of a request: its nonce, repeated to the full length."""
+    """Return the body of a request: its run key, repeated to the planned length."""
     length = call.arrival.body_bytes
     nonce = call.run_key.encode()
     return (nonce * (length // len(nonce) + 1))[:length]
 
 
 class Caller:
-    """Makes calls; each thread has handles of its own."""
+    """Sends requests; thread-safe, as each thread has its own curl handles.
+
+    Parameters
+    ----------
+    nodes : dict of str to str
+        Node to its caller address.
+    """
 
     def __init__(self, nodes: dict[str, str]) -> None:
         self._nodes = nodes
         self._handles = threading.local()
 
     def call(self, call: ScheduledCall) -> CallEnd:
-        """Send one request and wait for its end."""
+        """Send a request and wait for its answer, at most for its timeout."""
         handle = self._handle(call.arrival.execution)
         body, headers = io.BytesIO(), []
         target = f"{call.arrival.target}?nonce={call.run_key}"
-        self._set(handle, call, target)
+        self._configure(handle, call, target)
         handle.setopt(pycurl.WRITEDATA, body)
         handle.setopt(pycurl.HEADERFUNCTION, headers.append)
         started_s = time.monotonic()
         try:
             handle.perform()
         except pycurl.error as error:
-            # Only a refused connection proves that nothing was sent. A time
-            # out does not: libcurl gives no connect time for a reused
-            # connection, and the request may well have been on it.
+            # Only a refused connection proves that nothing was sent. A timeout does
+            # not, even if libcurl reports no connect time: it reports none for a
+            # reused connection either, on which the request may have been sent.
             refused = error.args[0] == pycurl.E_COULDNT_CONNECT
             outcome = NOT_CONNECTED if refused else NO_ANSWER
             return CallEnd(outcome, 0, time.monotonic() - started_s)
@@ -94,15 +103,15 @@
             handle.setopt(pycurl.PROXY, "")
             handle.setopt(pycurl.CONNECTTIMEOUT_MS, CONNECT_TIMEOUT_MS)
             if execution is Execution.NON_IDEMPOTENT:
-                # libcurl sends a request again by itself when a reused
-                # connection turns out dead: the fleet would get it twice and
-                # the audit would blame the fleet for the caller's fault.
+                # libcurl automatically resends a request if a reused connection
+                # turns out to be closed. The fleet would receive it twice, and the
+                # audit would report the second run as a fault of the fleet.
                 handle.setopt(pycurl.FRESH_CONNECT, 1)
                 handle.setopt(pycurl.FORBID_REUSE, 1)
             setattr(self._handles, execution.value, handle)
         return handle
 
-    def _set(self, handle: pycurl.Curl, call: ScheduledCall, target: str) -> None:
+    def _configure(self, handle: pycurl.Curl, call: ScheduledCall, target: str) -> None:
         arrival = call.arrival
         body = call_body(call)
         headers = [f"X-Run-Key: {call.run_key}", "Expect:", "Content-Type: text/plain"]
@@ -121,16 +130,22 @@
 
 
 def _outcome(headers: list[bytes]) -> str:
-    wanted = DEFAULT_HEADER_NAMES.outcome.lower().encode()
+    header_name = DEFAULT_HEADER_NAMES.outcome.lower().encode()
     for line in headers:
         name, _, value = line.partition(b":")
-        if name.lower() == wanted:
+        if name.lower() == header_name:
             return field_value(value.rstrip(b"\r\n"))
     return NO_ANSWER
 
 
 def answer_fault(call: ScheduledCall, target: str, body: bytes) -> str | None:
-    """Say what is wrong with an answer of a stand-in, None when it is right."""
+    """Return what is wrong with the answer of a stand-in, or None.
+
+    Parameters
+    ----------
+    target : str
+        Path and query of the request.
+    """
     try:
         answer = json.loads(body)
     except ValueError:
--- a/balsamspindle/load/ejections.py
+++ b/balsamspindle/load/ejections.py
@@ -1,4 +1,4 @@
-"""Which backend servers the nodes hold for sick, sampled from their status."""
+"""Sampling of the backend servers that nodes have ejected, from their status."""
 
 import threading
 from collections.abc import Callable, Mapping, Sequence
@@ -6,18 +6,25 @@
 
 import msgspec
 
-from balsamspindle.load.http_json import ask
+from balsamspindle.load.http_json import request_json
 from balsamspindle.load.plan import FaultPeriod
 from balsamspindle.wire import BackendServerRecord
 
-__all__ = ["Ejections", "EjectionSampler", "FalseEjection", "judge_ejections"]
+__all__ = ["Ejections", "EjectionSampler", "FalseEjection", "classify_ejections"]
 
 SAMPLE_INTERVAL_S = 0.5
-SUSPICION_EJECTS = 1.0
+# A backend server with at least this suspicion counts as ejected.
+EJECTED_SUSPICION_MIN = 1.0
 
 
 class FalseEjection(msgspec.Struct, frozen=True):
-    """A backend server without a fault that was held for sick."""
+    """A backend server that was ejected while it had no fault.
+
+    Attributes
+    ----------
+    from_s, to_s : float
+        First and last sample that showed it as ejected without a fault.
+    """
 
     backend_server: str
     from_s: float
@@ -25,15 +32,15 @@
 
 
 class Ejections(msgspec.Struct, frozen=True):
-    """Ejections seen in a run.
+    """Ejections in an experiment.
 
     Attributes
     ----------
     ejected_with_fault : list of str
-        Backend servers that were held for sick while they had a fault.
+        Backend servers that were ejected while they had a fault.
     false : list of FalseEjection
     samples : int
-        Answers of nodes; with none, nothing is known.
+        Status answers of nodes. If 0, empty lists don't mean that nothing was ejected.
     """
 
     ejected_with_fault: list[str]
@@ -41,25 +48,27 @@
     samples: int
 
 
-class _Seen(NamedTuple):
+class _EjectedSample(NamedTuple):
     at_s: float
     backend_server: str
 
 
 class EjectionSampler:
-    """Asks each node for its own backend servers, again and again.
+    """Polls each node's status for ejected ones among its own backend servers.
 
     Parameters
     ----------
+    admins : mapping of str to str
+        Node to its admin address.
     clock : callable
-        Returns seconds since the start of the run.
+        Returns the seconds since the start of the experiment.
     """
 
     def __init__(self, admins: Mapping[str, str], clock: Callable[[], float]) -> None:
         self._admins = admins
         self._clock = clock
         self._stopped = threading.Event()
-        self._seen: list[_Seen] = []
+        self._ejected: list[_EjectedSample] = []
         self._samples = 0
 
     def run(self) -> None:
@@ -70,49 +79,61 @@
             self._stopped.wait(SAMPLE_INTERVAL_S)
 
     def stop(self) -> None:
-        """End `run` soon."""
+        """Make `run` return after its current sample; callable from any thread."""
         self._stopped.set()
 
-    def first_seen(self, server: str, start_s: float, end_s: float) -> float | None:
-        """Return when a backend server was first held for sick in a time."""
-        for seen in self._seen:
-            if seen.backend_server == server and start_s <= seen.at_s <= end_s:
-                return seen.at_s
+    def first_ejected_s(
+        self, server: str, start_s: float, end_s: float
+    ) -> float | None:
+        """Return the time of the first sample in a period that shows an ejection.
+
+        Returns
+        -------
+        float or None
+            None if no sample from `start_s` to `end_s` shows the server as ejected.
+        """
+        for ejected in self._ejected:
+            if ejected.backend_server == server and start_s <= ejected.at_s <= end_s:
+                return ejected.at_s
         return None
 
-    def judge(self, faults: Sequence[FaultPeriod], grace_s: float) -> Ejections:
-        """Return what was seen, held against the faults that there were."""
-        return judge_ejections(self._seen, self._samples, faults, grace_s)
+    def classify(self, faults: Sequence[FaultPeriod], grace_s: float) -> Ejections:
+        """Classify the sampled ejections; see `classify_ejections`."""
+        return classify_ejections(self._ejected, self._samples, faults, grace_s)
 
     def _sample(self, address: str) -> None:
-        status = ask(address, "/status")
+        status = request_json(address, "/status")
         if status is None:
             return
         self._samples += 1
         for value in status["backend_servers"]:
             record = msgspec.convert(value, BackendServerRecord)
-            if record.suspicion >= SUSPICION_EJECTS:
-                self._seen.append(_Seen(self._clock(), record.backend_server_id))
+            if record.suspicion >= EJECTED_SUSPICION_MIN:
+                self._ejected.append(
+                    _EjectedSample(self._clock(), record.backend_server_id)
+                )
 
 
-def judge_ejections(
-    seen: Sequence[tuple[float, str]],
+def classify_ejections(
+    ejected: Sequence[tuple[float, str]],
     samples: int,
     faults: Sequence[FaultPeriod],
     grace_s: float,
 ) -> Ejections:
-    """Tell right ejections from false ones.
+    """Separate ejections of faulty backend servers from false ones.
 
     Parameters
     ----------
-    seen : sequence of (float, str)
-        Time and backend server of each sample that held it for sick.
+    ejected : sequence of (float, str)
+        Time and backend server of each sample that showed an ejected server.
+    samples : int
+        Number of status answers, passed on to the result.
     grace_s : float
-        After its fault a backend server may be held out for so long.
+        An ejection up to this long after the end of a fault isn't false.
     """
     with_fault: set[str] = set()
     false_s: dict[str, list[float]] = {}
-    for at_s, server in seen:
+    for at_s, server in ejected:
         if any(
             fault.target == server and fault.start_s <= at_s <= fault.end_s + grace_s
             for fault in faults
--- a/balsamspindle/load/experiment.py
+++ b/balsamspindle/load/experiment.py
@@ -1,14 +1,14 @@
-"""One bounded run: sends what is due, sets faults, then asks who ran what."""
+"""Experiment: sends requests, injects faults and collects the run counts."""
 
 import threading
 import time
 from collections.abc import Sequence
 from concurrent.futures import ThreadPoolExecutor
 
-from balsamspindle.load.audit import CallResult, audit, detections
+from balsamspindle.load.audit import CallResult, audit, measure_detections
 from balsamspindle.load.caller import Caller
 from balsamspindle.load.ejections import EjectionSampler
-from balsamspindle.load.http_json import ask
+from balsamspindle.load.http_json import request_json
 from balsamspindle.load.plan import LoadPlan
 from balsamspindle.load.report import Report, kind_reports
 from balsamspindle.load.schedule import (
@@ -20,23 +20,26 @@
 
 __all__ = ["run_experiment"]
 
-# After its fault a backend server may be held out for so long before an
+# Time after the end of a fault in which a backend server may still be held out; a later
 # ejection counts as false.
 READMISSION_GRACE_S = 30.0
 
 
 def run_experiment(plan: LoadPlan, run_id: str) -> Report:
-    """Run a plan to its end and report.
+    """Run a plan to its end and return the report.
 
     Parameters
     ----------
     run_id : str
-        Starts each run key; must differ between runs against the same
-        backend servers, whose counts go on.
+        Prefix of each run key. It must differ between experiments with the same
+        backend servers, because these keep their counts.
     """
     experiment = _Experiment(plan, run_id)
     results = experiment.run()
-    runs = {name: _counts(address) for name, address in plan.backend_servers.items()}
+    runs = {
+        name: _fetch_run_counts(address)
+        for name, address in plan.backend_servers.items()
+    }
     known = {name: counts for name, counts in runs.items() if counts is not None}
     kinds, answered_weighted = kind_reports(plan.arrivals, results)
     return Report(
@@ -44,10 +47,14 @@
         seed=plan.seed,
         kinds=kinds,
         answered_weighted=answered_weighted,
-        detections=detections(
-            results, known, plan.faults, plan.quiet_s, experiment.sampler.first_seen
+        detections=measure_detections(
+            results,
+            known,
+            plan.faults,
+            plan.quiet_s,
+            experiment.sampler.first_ejected_s,
         ),
-        ejections=experiment.sampler.judge(plan.faults, READMISSION_GRACE_S),
+        ejections=experiment.sampler.classify(plan.faults, READMISSION_GRACE_S),
         truthfulness=audit(results, known),
         late_max_ms=1000 * max((r.sent_s - r.call.at_s for r in results), default=0.0),
         counts_missing=sorted(set(runs) - set(known)),
@@ -55,8 +62,8 @@
     )
 
 
-def _counts(address: str) -> dict[str, int] | None:
-    report = ask(address, "/runs")
+def _fetch_run_counts(address: str) -> dict[str, int] | None:
+    report = request_json(address, "/runs")
     return None if report is None else report["runs"]
 
 
@@ -72,19 +79,20 @@
         self.faults_not_set: list[str] = []
 
     def run(self) -> list[CallResult]:
-        """Send all requests and return their ends."""
+        """Send all requests and return their results."""
         self._start_s = time.monotonic()
         with ThreadPoolExecutor(2, "experiment") as tasks:
             sampling = tasks.submit(self.sampler.run)
-            switching = tasks.submit(self._switch_faults, self._changes)
+            setting_faults = tasks.submit(self._set_faults, self._changes)
             try:
                 results = self._send(self._calls)
             finally:
                 self._stopped.set()
                 self.sampler.stop()
-            # A fault in a task must not pass for a run without findings.
+            # Raise the exception of a failed task. Otherwise, an experiment without
+            # samples or faults would look like one without findings.
             sampling.result()
-            switching.result()
+            setting_faults.result()
         return results
 
     def _now_s(self) -> float:
@@ -102,12 +110,12 @@
         sent_s = self._now_s()
         return CallResult(call, sent_s, self._caller.call(call))
 
-    def _switch_faults(self, changes: Sequence[FaultChange]) -> None:
-        """Set each fault at its time; end those that a short run leaves."""
+    def _set_faults(self, changes: Sequence[FaultChange]) -> None:
+        """Set each fault at its time; when stopped, only end the faults."""
         for change in changes:
             self._stopped.wait(max(0.0, change.at_s - self._now_s()))
             if self._stopped.is_set() and change.switch["mode"] != "none":
                 continue
             address = self._plan.fault_address(change.target)
-            if ask(address, "/faults", change.switch) is None:
+            if request_json(address, "/faults", change.switch) is None:
                 self.faults_not_set.append(f"{change.target}@{change.at_s:g}")
--- a/balsamspindle/load/http_json.py
+++ b/balsamspindle/load/http_json.py
@@ -1,4 +1,4 @@
-"""Small JSON calls to switches, counts and status."""
+"""JSON requests to the stand-ins and to the admin addresses of nodes."""
 
 import io
 from typing import Any
@@ -6,19 +6,19 @@
 import msgspec
 import pycurl
 
-__all__ = ["ask"]
+__all__ = ["request_json"]
 
 CONNECT_TIMEOUT_MS = 500
 CALL_TIMEOUT_MS = 3000
 
 
-def ask(address: str, path: str, body: Any = None) -> Any | None:
-    """Return the JSON of a GET, or of a POST when there is a body.
+def request_json(address: str, path: str, body: Any = None) -> Any | None:
+    """Send a GET, or a POST if there is a body, and return the decoded answer.
 
     Returns
     -------
     object or None
-        None when there was no good answer.
+        None if there was no answer with status 200 and valid JSON.
     """
     handle = pycurl.Curl()
     answer = io.BytesIO()
--- a/balsamspindle/load/plan.py
+++ b/balsamspindle/load/plan.py
@@ -1,4 +1,4 @@
-"""What a load run does: a JSON file with arrivals, addresses and faults."""
+"""Plan of a load experiment: a JSON file with arrivals, addresses and faults."""
 
 from pathlib import Path
 from typing import Annotated, Any
@@ -27,26 +27,26 @@
 
 
 class PlanError(msgspec.Struct, frozen=True):
-    """A plan that can't be run; `message` says where and why."""
+    """Reason why a plan can't be read or is invalid; `message` names the place."""
 
     message: str
 
 
 class Arrival(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Requests of one kind, arriving at random (Poisson).
+    """Requests of one kind, with random (Poisson) arrival times.
 
     Attributes
     ----------
     kind : str
-        Name in the report.
+        Name of the kind in the report.
     target : str
-        Path of the route; the run adds a query with the request's nonce.
+        Path; the caller appends a query with the run key as a nonce.
     rate_per_s : float
-        Over all nodes.
+        Mean rate over all nodes.
     weight : float
-        Worth of one answered request.
+        Weight of each request in the report's `answered_weighted`.
     body_bytes : int
-        Length of the body; 0 sends none.
+        Length of the request body; with 0, no body is sent.
     """
 
     kind: str
@@ -61,16 +61,16 @@
 
 
 class FaultPeriod(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """A fault switch of a stand-in, set for a time by ``POST /faults``.
+    """A fault of a stand-in, set for a period with ``POST /faults``.
 
     Attributes
     ----------
     target : str
         Name of a backend server, or ``platform``.
     switch : dict
-        Body of the call, such as ``{"mode": "hang", "delay_s": 30}``.
+        Body of the request, such as ``{"mode": "hang", "delay_s": 30}``.
     flap_period_s : float, optional
-        The fault comes and goes with this period, half of it each.
+        The fault is alternately on and off for half of this period each.
     """
 
     target: str
@@ -81,18 +81,22 @@
 
 
 class LoadPlan(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """One bounded run.
+    """Plan of one experiment.
 
     Attributes
     ----------
     nodes : dict of str to str
-        Node to its caller address; each request goes to one at random.
+        Node to its caller address; each request goes to a random node.
     node_admins : dict of str to str
-        Node to its admin address, asked for ejections.
+        Node to its admin address, which is polled for ejections.
     backend_servers : dict of str to str
-        Stand-in to its address, asked for its counts.
+        Stand-in to its address, from which its run counts are read.
+    requests_max : int
+        The experiment ends after this many requests, if before `duration_s`.
+    workers : int
+        Number of requests that can be in progress at the same time.
     quiet_s : float
-        A sick backend server that met no request for this long counts as
+        A faulty backend server that received no request for this long counts as
         detected.
     """
 
@@ -109,14 +113,14 @@
     quiet_s: Positive = 2.0
 
     def fault_address(self, target: str) -> str | None:
-        """Return where a fault's switch is, None for an unknown target."""
+        """Return the address to set a target's faults at; None if it is unknown."""
         if target == "platform":
             return self.platform
         return self.backend_servers.get(target)
 
 
 def load_plan(path: Path) -> Result[LoadPlan, PlanError]:
-    """Read and check a plan."""
+    """Read and validate a plan."""
     try:
         plan = msgspec.json.decode(path.read_bytes(), type=LoadPlan)
     except OSError as error:
--- a/balsamspindle/load/report.py
+++ b/balsamspindle/load/report.py
@@ -1,4 +1,4 @@
-"""What a load run found, as data and as lines for people."""
+"""Report of a load experiment, as data and as lines of text."""
 
 from collections import Counter
 from collections.abc import Sequence
@@ -19,16 +19,16 @@
 
 
 class KindReport(msgspec.Struct, frozen=True):
-    """One kind of request.
+    """Results of one kind of request.
 
     Attributes
     ----------
     outcomes : dict of str to int
-        What callers were told, and `no_answer` or `not_connected`.
+        Number of requests by outcome, including `no_answer` and `not_connected`.
     answered_200 : int
-        Whole answers with status 200.
+        Correct answers with status 200.
     latency_ms : dict of str to float
-        Percentiles of answered requests.
+        Percentiles of the latency of answered requests, such as ``p99``.
     """
 
     kind: str
@@ -40,18 +40,22 @@
 
 
 class Report(msgspec.Struct, frozen=True):
-    """A whole run.
+    """Results of an experiment.
 
     Attributes
     ----------
     answered_weighted : float
-        Weight of good answers as a part of the weight of all requests.
+        Weight of the correct answers with status 200, as a fraction of the weight of
+        all requests.
     late_max_ms : float
-        Longest time that a request was sent behind its schedule: above some
-        tens of milliseconds the load program or the machine was overloaded.
+        Longest delay of a request behind its schedule. Above some tens of
+        milliseconds, the load program or its machine was overloaded.
     counts_missing : list of str
-        Backend servers that did not tell their counts: what they ran is not
-        in the audit.
+        Backend servers whose run counts could not be read; their runs are not part of
+        the audit.
+    faults_not_set : list of str
+        Changes of faults that a stand-in did not acknowledge, each as
+        ``target@seconds``.
     """
 
     run_id: str
@@ -69,14 +73,14 @@
 def kind_reports(
     arrivals: Sequence[Arrival], results: Sequence[CallResult]
 ) -> tuple[list[KindReport], float]:
-    """Return each kind's report and the weighted part of good answers."""
+    """Return the report of each kind, and the weighted fraction of correct answers."""
     kinds = [
         _kind_report(arrival, [r for r in results if r.call.arrival is arrival])
         for arrival in arrivals
     ]
-    whole = sum(kind.weight * kind.sent for kind in kinds)
-    good = sum(kind.weight * kind.answered_200 for kind in kinds)
-    return kinds, good / whole if whole else 0.0
+    total_weight = sum(kind.weight * kind.sent for kind in kinds)
+    answered_weight = sum(kind.weight * kind.answered_200 for kind in kinds)
+    return kinds, answered_weight / total_weight if total_weight else 0.0
 
 
 def _kind_report(arrival: Arrival, results: list[CallResult]) -> KindReport:
@@ -99,7 +103,7 @@
 
 
 def report_lines(report: Report) -> list[str]:
-    """Return a report as lines of key=value pairs."""
+    """Return a report as lines of key=value pairs for the terminal."""
     lines = [
         {"kind": kind.kind, "sent": kind.sent, "answered_200": kind.answered_200}
         | kind.outcomes
--- a/balsamspindle/load/schedule.py
+++ b/balsamspindle/load/schedule.py
@@ -1,4 +1,4 @@
-"""When requests arrive and faults change; the same for the same seed."""
+"""Schedule of requests and fault changes, reproducible by the seed of the plan."""
 
 import heapq
 import random
@@ -14,14 +14,14 @@
 
 
 class ScheduledCall(NamedTuple):
-    """One request to come.
+    """A request with its time and node.
 
     Attributes
     ----------
     at_s : float
-        After the start of the run.
+        Arrival time, relative to the start of the experiment.
     run_key : str
-        Unique; also the nonce that the answer has to carry.
+        Unique key; also the nonce that the answer has to contain.
     """
 
     at_s: float
@@ -31,7 +31,7 @@
 
 
 class FaultChange(NamedTuple):
-    """One call of a fault switch."""
+    """A request that sets or ends a fault of a stand-in."""
 
     at_s: float
     target: str
@@ -39,39 +39,46 @@
 
 
 def schedule_calls(plan: LoadPlan, run_id: str) -> list[ScheduledCall]:
-    """Return all requests of a run in the order of their arrival."""
+    """Return all requests of an experiment by arrival time."""
     rng = random.Random(plan.seed)
     nodes = sorted(plan.nodes)
     streams = [
-        _arrival_times(arrival, number, random.Random(rng.random()), plan.duration_s)
-        for number, arrival in enumerate(plan.arrivals)
+        _arrival_times(
+            arrival, arrival_index, random.Random(rng.random()), plan.duration_s
+        )
+        for arrival_index, arrival in enumerate(plan.arrivals)
     ]
     times = islice(heapq.merge(*streams), plan.requests_max)
     return [
         ScheduledCall(
-            at_s, f"{run_id}-{sequence}", rng.choice(nodes), plan.arrivals[number]
+            at_s,
+            f"{run_id}-{sequence}",
+            rng.choice(nodes),
+            plan.arrivals[arrival_index],
         )
-        for sequence, (at_s, number) in enumerate(times)
+        for sequence, (at_s, arrival_index) in enumerate(times)
     ]
 
 
 def schedule_faults(faults: list[FaultPeriod]) -> list[FaultChange]:
-    """Return all switches in the order of time; each period ends its fault."""
-    changes = [change for fault in faults for change in _changes(fault)]
+    """Return all changes of faults by time; each period ends without its fault."""
+    changes = [change for fault in faults for change in _fault_changes(fault)]
     return sorted(changes, key=lambda change: change.at_s)
 
 
-def _arrival_times(arrival, number, rng, duration_s) -> Iterator[tuple[float, int]]:
+def _arrival_times(
+    arrival, arrival_index, rng, duration_s
+) -> Iterator[tuple[float, int]]:
     at_s = rng.expovariate(arrival.rate_per_s)
     while at_s < duration_s:
-        yield at_s, number
+        yield at_s, arrival_index
         at_s += rng.expovariate(arrival.rate_per_s)
 
 
-def _changes(fault: FaultPeriod) -> Iterator[FaultChange]:
+def _fault_changes(fault: FaultPeriod) -> Iterator[FaultChange]:
     half_s = (fault.flap_period_s or 2 * (fault.end_s - fault.start_s)) / 2
-    at_s, sick = fault.start_s, True
+    at_s, is_faulty = fault.start_s, True
     while at_s < fault.end_s:
-        yield FaultChange(at_s, fault.target, fault.switch if sick else NO_FAULT)
-        at_s, sick = at_s + half_s, not sick
+        yield FaultChange(at_s, fault.target, fault.switch if is_faulty else NO_FAULT)
+        at_s, is_faulty = at_s + half_s, not is_faulty
     yield FaultChange(fault.end_s, fault.target, NO_FAULT)
--- a/tests/test_load.py
+++ b/tests/test_load.py
@@ -1,4 +1,4 @@
-"""The load program tells the truth about the fleet, and about its own run."""
+"""Tests of the load program: audit, schedule, caller and a whole experiment."""
 
 import json
 import subprocess
@@ -7,9 +7,9 @@
 import msgspec
 from testtools import TestCase
 
-from balsamspindle.load.audit import CallResult, audit, detections
+from balsamspindle.load.audit import CallResult, audit, measure_detections
 from balsamspindle.load.caller import CallEnd, Caller, answer_fault, call_body
-from balsamspindle.load.ejections import judge_ejections
+from balsamspindle.load.ejections import classify_ejections
 from balsamspindle.load.plan import Arrival, FaultPeriod, LoadPlan
 from balsamspindle.load.schedule import ScheduledCall, schedule_calls, schedule_faults
 from balsamspindle.protocol.outcomes import Execution
@@ -44,48 +44,48 @@
 
 
 class AuditTests(TestCase):
-    def test_a_request_told_not_run_that_ran_is_found(self):
-        # The caller is told that its request was not run and sends it again
-        # by another way; the backend server had run it after all.
+    def test_a_run_of_a_request_with_outcome_not_run_is_found(self):
+        # The caller gets the outcome not_run and sends its request elsewhere, although
+        # a backend server had run it.
         found = audit([result("a", "not_run"), result("b", "unknown")], {"s": {"a": 1}})
         self.assertEqual(["a"], found.not_run_but_ran)
         self.assertFalse(found.holds)
 
     def test_a_non_idempotent_request_that_ran_at_two_servers_is_found(self):
-        # One contract is signed twice: the first server hung after it had
-        # run the request, and a second one was tried. Only the sum over all
-        # servers shows it.
+        # A contract is signed twice, because the first server hung after it had run
+        # the request and the request was sent to a second one. Only the sum of the
+        # counts of all servers shows it.
         results = [result("a", arrival=SIGN), result("b", arrival=READ)]
         runs = {"s": {"a": 1, "b": 1}, "t": {"a": 1, "b": 1}}
         self.assertEqual(["a"], audit(results, runs).non_idempotent_ran_twice)
 
-    def test_a_strangers_answer_is_found(self):
+    def test_an_answer_to_another_request_is_found(self):
         found = audit([result("a", fault="not its own: run_key")], {})
         self.assertEqual(["a: not its own: run_key"], found.wrong_answers)
 
-    def test_detection_ends_with_the_last_request_before_the_quiet(self):
-        # A hanging server goes on meeting requests for 1.5 s, then none; a
-        # trial meets it much later and must not count as slow detection.
+    def test_detection_ends_with_the_last_request_before_the_quiet_period(self):
+        # A hanging server receives requests for another 1.5 s and then none. A much
+        # later trial must not count as slow detection.
         fault = FaultPeriod("s", {"mode": "hang"}, start_s=10.0, end_s=30.0)
         times = {"a": 9.0, "b": 10.5, "c": 11.5, "trial": 20.0}
         results = [result(key, sent_s=sent_s) for key, sent_s in times.items()]
-        [found] = detections(
+        [found] = measure_detections(
             results, {"s": dict.fromkeys(times, 1)}, [fault], 2.0, lambda *_: 11.9
         )
         self.assertEqual((1.5, 2, 1), (found.detection_s, found.met, found.met_later))
         self.assertAlmostEqual(1.9, found.held_out_s)
 
-    def test_a_server_that_meets_requests_to_the_end_was_not_detected(self):
+    def test_a_server_that_receives_requests_to_the_end_was_not_detected(self):
         fault = FaultPeriod("s", {"mode": "hang"}, start_s=0.0, end_s=4.0)
         results = [result(str(at_s), sent_s=float(at_s)) for at_s in range(4)]
         runs = {"s": {str(at_s): 1 for at_s in range(4)}}
-        [found] = detections(results, runs, [fault], 2.0, lambda *_: 11.9)
+        [found] = measure_detections(results, runs, [fault], 2.0, lambda *_: 11.9)
         self.assertIsNone(found.detection_s)
 
     def test_an_ejection_without_a_fault_is_false(self):
         fault = FaultPeriod("s", {"mode": "hang"}, start_s=10.0, end_s=20.0)
-        seen = [(5.0, "s"), (12.0, "s"), (12.0, "t"), (14.0, "t"), (22.0, "s")]
-        found = judge_ejections(seen, 9, [fault], grace_s=5.0)
+        ejected = [(5.0, "s"), (12.0, "s"), (12.0, "t"), (14.0, "t"), (22.0, "s")]
+        found = classify_ejections(ejected, 9, [fault], grace_s=5.0)
         self.assertEqual(["s"], found.ejected_with_fault)
         false = [(each.backend_server, each.from_s, each.to_s) for each in found.false]
         self.assertEqual([("s", 5.0, 5.0), ("t", 12.0, 14.0)], false)
@@ -102,12 +102,13 @@
         self.assertNotEqual(calls, schedule_calls(other, "x"))
         self.assertEqual(sorted(calls, key=lambda call: call.at_s), calls)
         self.assertEqual(len(calls), len({call.run_key for call in calls}))
-        # Poisson: 900 are due in all, give or take five standard deviations.
+        # The number is Poisson-distributed with a mean of 900; the limit is five
+        # standard deviations.
         self.assertLess(abs(len(calls) - 900), 150)
         bounded = msgspec.structs.replace(plan, requests_max=10)
         self.assertEqual(calls[:10], schedule_calls(bounded, "x"))
 
-    def test_a_flapping_fault_comes_and_goes_and_ends(self):
+    def test_a_flapping_fault_alternates_and_ends(self):
         fault = FaultPeriod("s", {"mode": "hang"}, 1.0, 4.0, flap_period_s=2.0)
         changes = [
             (each.at_s, each.switch["mode"]) for each in schedule_faults([fault])
@@ -127,7 +128,7 @@
         ]
         self.fleet.wait_ready([self.node], ["board-0", "board-1"])
 
-    def test_a_run_under_a_gray_fault_accounts_for_every_request(self):
+    def test_an_experiment_with_a_gray_failure_reports_every_request(self):
         plan = {
             "nodes": {"node-0": self.node.caller_address},
             "node_admins": {"node-0": self.node.admin_address},
@@ -167,14 +168,14 @@
         self.assertGreater(report["detections"][0]["met"], 0)
         self.assertGreater(report["ejections"]["samples"], 0)
 
-    def test_the_caller_takes_its_own_whole_answer_and_no_other(self):
-        # An answer that arrives late on a connection in use again belongs to
-        # somebody else; a cut one is a fragment. Both have status 200.
+    def test_the_caller_accepts_only_its_own_complete_answer(self):
+        # A late answer on a reused connection belongs to another request, and a
+        # truncated one is a fragment. Both have status 200.
         caller = Caller({"node-0": self.node.caller_address})
         call = ScheduledCall(0.0, "own-1", "node-0", SIGN)
         self.assertEqual(("answered", None), caller.call(call)[::3])
-        # The stand-in itself answers as asked, but says no outcome: nothing
-        # that bypasses the fleet may pass for its answer.
+        # The stand-in answers correctly, but without an outcome. An answer that
+        # bypasses the fleet must not count as an answer of the fleet.
         direct = Caller({"node-0": self.servers[0].address})
         self.assertEqual("no_answer", direct.call(call).outcome)
         body = call_server(
@@ -191,12 +192,12 @@
         self.assertIn("run_key", answer_fault(other, target, body))
 
 
-class SilenceTests(TestCase):
-    def test_silence_on_a_reused_connection_is_not_told_as_not_connected(self):
-        # The second request goes out on the connection of the first and is
-        # read, but never answered. libcurl then gives no connect time, as
-        # before a connection; taken for 'nothing was sent' the audit would
-        # blame the fleet for a request that ran.
+class NoAnswerTests(TestCase):
+    def test_no_answer_on_a_reused_connection_is_not_reported_as_not_connected(self):
+        # The second request is sent on the connection of the first one and read, but
+        # never answered. libcurl then reports no connect time, as if there had been no
+        # connection. If the caller concluded that nothing was sent, the audit would
+        # report the request's run as a fault of the fleet.
         server = RawServer(
             lambda number: (answer_with_length(b"{}") if number == 1 else None, True)
         )
