--- a/balsamspindle/cli/ctl_fleet.py
+++ b/balsamspindle/cli/ctl_fleet.py
@@ -23,8 +23,8 @@
     query_nodes,
 )
 from balsamspindle.services.explanation import ServiceExplanation
-from balsamspindle.timeline.merge import Selection, select
-from balsamspindle.timeline.story import tell_request
+from balsamspindle.timeline.merge import EventFilter, filter_events
+from balsamspindle.timeline.request_summary import summarize_request
 
 __all__ = ["drain", "explain", "undrain"]
 
@@ -113,16 +113,16 @@
         warn(warning)
     if not collected.sources_read:
         fail("no source could be read", ExitStatus.UNAVAILABLE)
-    events = select(collected.events, Selection(request=request_id))
+    events = filter_events(collected.events, EventFilter(request=request_id))
     if not events:
         message = (
             f"no event of request {request_id!r}: name the log of the node that "
             "received it"
         )
         fail(message, ExitStatus.NOT_FOUND)
-    story = tell_request(request_id, events)
+    summary = summarize_request(request_id, events)
     typer.echo(
-        msgspec.json.encode(story).decode() if as_json else format_request(story)
+        msgspec.json.encode(summary).decode() if as_json else format_request(summary)
     )
 
 
--- a/balsamspindle/cli/explanations.py
+++ b/balsamspindle/cli/explanations.py
@@ -2,7 +2,7 @@
 
 from balsamspindle.cli.tables import format_table
 from balsamspindle.services.explanation import ServiceExplanation
-from balsamspindle.timeline.story import AttemptStory, RequestStory
+from balsamspindle.timeline.request_summary import AttemptSummary, RequestSummary
 
 __all__ = ["format_request", "format_service"]
 
@@ -52,21 +52,21 @@
     )
 
 
-def format_request(story: RequestStory) -> str:
+def format_request(summary: RequestSummary) -> str:
     """Return text with a request's arrival, its attempts and its outcome."""
-    arrival = f"request {story.request_id}"
-    if story.method:
-        arrival += f": {story.method} {story.path}"
-    if story.node_id:
-        arrival += f", received at {story.node_id}"
+    arrival = f"request {summary.request_id}"
+    if summary.method:
+        arrival += f": {summary.method} {summary.path}"
+    if summary.node_id:
+        arrival += f", received at {summary.node_id}"
     attempts = [
         f"attempt {number}: {_format_attempt(attempt)}"
-        for number, attempt in enumerate(story.attempts, 1)
+        for number, attempt in enumerate(summary.attempts, 1)
     ]
-    return "\n".join([arrival, *attempts, _format_end(story)])
+    return "\n".join([arrival, *attempts, _format_end(summary)])
 
 
-def _format_attempt(attempt: AttemptStory) -> str:
+def _format_attempt(attempt: AttemptSummary) -> str:
     gate = f" behind {attempt.gate}" if attempt.gate else ""
     sent = "dispatched" if attempt.dispatched else "no dispatch among the events"
     end = attempt.outcome or "no end among the events"
@@ -74,11 +74,11 @@
     return f"{attempt.backend_server}{gate}: {sent}, {end}{cause}"
 
 
-def _format_end(story: RequestStory) -> str:
-    if story.outcome is None:
+def _format_end(summary: RequestSummary) -> str:
+    if summary.outcome is None:
         return (
             "no end among the events: it is still running, or more sources are needed"
         )
-    status = f" with status {story.status}" if story.status else ""
-    cause = f" ({story.cause})" if story.cause else ""
-    return f"outcome: {story.outcome}{status}{cause}, {story.duration_ms:g} ms"
+    status = f" with status {summary.status}" if summary.status else ""
+    cause = f" ({summary.cause})" if summary.cause else ""
+    return f"outcome: {summary.outcome}{status}{cause}, {summary.duration_ms:g} ms"
--- a/balsamspindle/cli/timeline.py
+++ b/balsamspindle/cli/timeline.py
@@ -17,10 +17,10 @@
 )
 from balsamspindle.timeline.losses import count_losses, lost_requests
 from balsamspindle.timeline.merge import (
-    Selection,
+    EventFilter,
     TimelineEvent,
-    format_for_people,
-    select,
+    filter_events,
+    format_human_readable,
 )
 from balsamspindle.timeline.run_ends import RunEnd, count_run_ends
 
@@ -67,18 +67,18 @@
         warn(warning)
     if not collected.sources_read:
         fail("no source could be read", ExitStatus.UNAVAILABLE)
-    selection = Selection(request, service, event, with_requests)
+    event_filter = EventFilter(request, service, event, with_requests)
     if losses:
         _show_losses(collected.events, service, as_json)
         return
     if runs:
         _show_runs(collected.events, service, as_json)
         return
-    for found in select(collected.events, selection):
+    for found in filter_events(collected.events, event_filter):
         if as_json:
             typer.echo(msgspec.json.encode(found._asdict()).decode())
         else:
-            typer.echo(format_for_people(found))
+            typer.echo(format_human_readable(found))
 
 
 def _show_losses(
@@ -99,18 +99,18 @@
 
 def _show_runs(events: list[TimelineEvent], service: str | None, as_json: bool) -> None:
     ends = count_run_ends(events)
-    for (name, belief), counts in sorted(ends.counts.items()):
+    for (name, health), counts in sorted(ends.counts.items()):
         if service not in (None, name):
             continue
         if as_json:
-            row = {"service": name, "believed": belief} | dict(counts)
+            row = {"service": name, "believed": health} | dict(counts)
             typer.echo(msgspec.json.encode(row).decode())
             continue
         total = counts.total()
         cells = "  ".join(f"{end} {counts[end]}" for end in RunEnd)
         served_percent = 100 * counts[RunEnd.SERVED] / total
         typer.echo(
-            f"{name:<30} {belief:<10} {total:>7} {served_percent:>4.0f}%  {cells}"
+            f"{name:<30} {health:<10} {total:>7} {served_percent:>4.0f}%  {cells}"
         )
     if ends.left_out:
         warn(
--- a/balsamspindle/timeline/__init__.py
+++ b/balsamspindle/timeline/__init__.py
@@ -1,8 +1,8 @@
 """Event log of each process, and one timeline merged from all of them.
 
 `events.py` writes the events of a process and `clock.py` gives them an order across
-processes. `merge.py` reads the logs of many processes and merges them; `story.py`
-summarizes the events of one request.
+processes. `merge.py` reads the logs of many processes and merges them;
+`request_summary.py` summarizes the events of one request.
 """
 
 from balsamspindle.timeline.clock import HybridClock
--- a/balsamspindle/timeline/merge.py
+++ b/balsamspindle/timeline/merge.py
@@ -13,12 +13,12 @@
 
 __all__ = [
     "ParsedLines",
-    "Selection",
+    "EventFilter",
     "TimelineEvent",
-    "format_for_people",
+    "format_human_readable",
     "merge",
     "parse_lines",
-    "select",
+    "filter_events",
 ]
 
 
@@ -50,7 +50,7 @@
     garbage_lines: int
 
 
-class Selection(NamedTuple):
+class EventFilter(NamedTuple):
     """Criteria for events; None matches any value.
 
     Attributes
@@ -110,15 +110,17 @@
     return [unique[key] for key in sorted(unique)]
 
 
-def select(events: list[TimelineEvent], wanted: Selection) -> list[TimelineEvent]:
+def filter_events(
+    events: list[TimelineEvent], event_filter: EventFilter
+) -> list[TimelineEvent]:
     """Return the events that match, in the given order."""
-    servers = _backend_servers(events, wanted.service)
+    servers = _backend_servers(events, event_filter.service)
     return [
         event
         for event in events
-        if _matches(wanted.request, event.details.get("request"))
-        and _matches(wanted.event, event.event)
-        and _is_of_service(event, wanted, servers)
+        if _matches(event_filter.request, event.details.get("request"))
+        and _matches(event_filter.event, event.event)
+        and _is_of_service(event, event_filter, servers)
     ]
 
 
@@ -137,17 +139,19 @@
     }
 
 
-def _is_of_service(event: TimelineEvent, wanted: Selection, servers: set[str]) -> bool:
-    if wanted.service is None:
+def _is_of_service(
+    event: TimelineEvent, event_filter: EventFilter, servers: set[str]
+) -> bool:
+    if event_filter.service is None:
         return True
-    if "request" in event.details and not wanted.with_requests:
+    if "request" in event.details and not event_filter.with_requests:
         return False
-    if event.details.get("service") == wanted.service:
+    if event.details.get("service") == event_filter.service:
         return True
     return event.details.get("backend_server") in servers
 
 
-def format_for_people(event: TimelineEvent) -> str:
+def format_human_readable(event: TimelineEvent) -> str:
     """Return an event as one line: time in UTC, node, event name and fields."""
     hybrid_s = (event.hlc >> COUNTER_BITS) / 1000
     time = datetime.fromtimestamp(hybrid_s, UTC).strftime("%H:%M:%S.%f")[:-3]
--- a/balsamspindle/timeline/story.py
+++ b/balsamspindle/timeline/request_summary.py
@@ -7,10 +7,10 @@
 from balsamspindle.timeline.clock import COUNTER_BITS
 from balsamspindle.timeline.merge import TimelineEvent
 
-__all__ = ["AttemptStory", "RequestStory", "tell_request"]
+__all__ = ["AttemptSummary", "RequestSummary", "summarize_request"]
 
 
-class AttemptStory(msgspec.Struct):
+class AttemptSummary(msgspec.Struct):
     """One attempt at a backend server.
 
     Attributes
@@ -30,7 +30,7 @@
     cause: str | None = None
 
 
-class RequestStory(msgspec.Struct):
+class RequestSummary(msgspec.Struct):
     """A request, its attempts and its outcome.
 
     Attributes
@@ -46,14 +46,16 @@
     node_id: str | None = None
     method: str | None = None
     path: str | None = None
-    attempts: list[AttemptStory] = []
+    attempts: list[AttemptSummary] = []
     outcome: str | None = None
     status: str | None = None
     cause: str | None = None
     duration_ms: float | None = None
 
 
-def tell_request(request_id: str, events: Sequence[TimelineEvent]) -> RequestStory:
+def summarize_request(
+    request_id: str, events: Sequence[TimelineEvent]
+) -> RequestSummary:
     """Return the summary of a request.
 
     Parameters
@@ -61,61 +63,63 @@
     events : sequence of TimelineEvent
         Events of this request only, in the order of their hybrid time.
     """
-    story = RequestStory(request_id)
+    summary = RequestSummary(request_id)
     for event in events:
         record = _RECORDERS.get(event.event)
         if record is not None:
-            record(story, event)
+            record(summary, event)
     if events:
         span_ms = (events[-1].hlc >> COUNTER_BITS) - (events[0].hlc >> COUNTER_BITS)
-        story.duration_ms = float(span_ms)
-    return story
+        summary.duration_ms = float(span_ms)
+    return summary
 
 
-def _record_received(story: RequestStory, event: TimelineEvent) -> None:
-    story.node_id = event.node
-    story.method = event.details.get("method")
-    story.path = event.details.get("path")
+def _record_received(summary: RequestSummary, event: TimelineEvent) -> None:
+    summary.node_id = event.node
+    summary.method = event.details.get("method")
+    summary.path = event.details.get("path")
 
 
-def _record_attempt_sent(story: RequestStory, event: TimelineEvent) -> None:
+def _record_attempt_sent(summary: RequestSummary, event: TimelineEvent) -> None:
     details = event.details
-    story.attempts.append(
-        AttemptStory(details.get("backend_server", "?"), details.get("gate"))
+    summary.attempts.append(
+        AttemptSummary(details.get("backend_server", "?"), details.get("gate"))
     )
 
 
-def _find_or_add_attempt(story: RequestStory, event: TimelineEvent) -> AttemptStory:
+def _find_or_add_attempt(
+    summary: RequestSummary, event: TimelineEvent
+) -> AttemptSummary:
     """Return the latest attempt at the event's backend server; add one if missing."""
     server = event.details.get("backend_server", "?")
-    for attempt in reversed(story.attempts):
+    for attempt in reversed(summary.attempts):
         if attempt.backend_server == server:
             return attempt
-    story.attempts.append(AttemptStory(server, event.node))
-    return story.attempts[-1]
+    summary.attempts.append(AttemptSummary(server, event.node))
+    return summary.attempts[-1]
 
 
-def _record_dispatched(story: RequestStory, event: TimelineEvent) -> None:
-    _find_or_add_attempt(story, event).dispatched = True
+def _record_dispatched(summary: RequestSummary, event: TimelineEvent) -> None:
+    _find_or_add_attempt(summary, event).dispatched = True
 
 
-def _record_refused(story: RequestStory, event: TimelineEvent) -> None:
-    attempt = _find_or_add_attempt(story, event)
+def _record_refused(summary: RequestSummary, event: TimelineEvent) -> None:
+    attempt = _find_or_add_attempt(summary, event)
     attempt.outcome = "not_run"
     attempt.cause = event.details.get("cause")
 
 
-def _record_attempt_ended(story: RequestStory, event: TimelineEvent) -> None:
-    attempt = _find_or_add_attempt(story, event)
+def _record_attempt_ended(summary: RequestSummary, event: TimelineEvent) -> None:
+    attempt = _find_or_add_attempt(summary, event)
     attempt.outcome = event.details.get("outcome")
     attempt.cause = event.details.get("cause")
 
 
-def _record_request_ended(story: RequestStory, event: TimelineEvent) -> None:
-    story.node_id = event.node
-    story.outcome = event.details.get("outcome")
-    story.status = event.details.get("status")
-    story.cause = event.details.get("cause")
+def _record_request_ended(summary: RequestSummary, event: TimelineEvent) -> None:
+    summary.node_id = event.node
+    summary.outcome = event.details.get("outcome")
+    summary.status = event.details.get("status")
+    summary.cause = event.details.get("cause")
 
 
 _RECORDERS = {
--- a/tests/test_timeline.py
+++ b/tests/test_timeline.py
@@ -10,7 +10,7 @@
 
 from balsamspindle.cli.timeline import app
 from balsamspindle.timeline import EventLog, HybridClock, submit_logged
-from balsamspindle.timeline.merge import Selection, merge, parse_lines, select
+from balsamspindle.timeline.merge import EventFilter, filter_events, merge, parse_lines
 from balsamspindle.timeline.recent import RecentEvents
 from tests.utils import Fleet, call, wait_until
 
@@ -80,10 +80,10 @@
         log.emit("backend_server_silent", backend_server="b2")
         log.emit("attempt_sent", backend_server="b1", request="r1")
         events = merge(parse_lines(lines(log)).events)
-        chosen = select(events, Selection(service="crew/x"))
+        chosen = filter_events(events, EventFilter(service="crew/x"))
         self.assertEqual(["b1", "b1"], [e.details["backend_server"] for e in chosen])
-        wanted = Selection(service="crew/x", with_requests=True)
-        self.assertEqual(3, len(select(events, wanted)))
+        event_filter = EventFilter(service="crew/x", with_requests=True)
+        self.assertEqual(3, len(filter_events(events, event_filter)))
 
     def test_events_of_requests_do_not_evict_other_recent_events(self):
         """In a common buffer, hundreds of requests per second would evict the event of
