--- a/balsamspindle/wire/__init__.py
+++ b/balsamspindle/wire/__init__.py
@@ -1,7 +1,8 @@
 """Messages between nodes and their codec.
 
-Start with `link_messages.py`, the path of requests; `member_messages.py` and
-`settings_messages.py` are for control. `codec.py` makes bytes of them.
+Start with `link_messages.py`, the messages that carry requests.
+`member_messages.py` and `settings_messages.py` hold the messages of the control
+plane. `codec.py` encodes and decodes messages.
 """
 
 from balsamspindle.wire.codec import (
--- a/balsamspindle/wire/codec.py
+++ b/balsamspindle/wire/codec.py
@@ -1,4 +1,4 @@
-"""Bytes from messages and back, with a version byte and a size bound."""
+"""Encodes and decodes messages, with a version byte and a size limit."""
 
 import zlib
 from typing import Any
@@ -23,7 +23,7 @@
 ]
 
 WIRE_VERSION = b"\x01"
-# The same version, the rest deflated.
+# The same version; the bytes after it are deflated.
 WIRE_VERSION_DEFLATED = b"\x81"
 DEFLATE_ABOVE_BYTES = 512
 DEFLATE_LEVEL = 1
@@ -36,32 +36,32 @@
 
 
 class WireError(msgspec.Struct, frozen=True):
-    """A message that can't be taken: garbage, too large, another version."""
+    """Why a frame was rejected: malformed, too large, or of another version."""
 
     message: str
 
 
 def checksum(body: bytes) -> int:
-    """Return the xxh3_64 of a body, as both ends of a link compute it."""
+    """Return the xxh3_64 hash of a body, which both ends of a link compute."""
     return xxhash.xxh3_64_intdigest(body)
 
 
 def encode(message: Any) -> bytes:
-    """Return a message as one version byte and MessagePack."""
+    """Encode a message as a version byte followed by MessagePack."""
     return WIRE_VERSION + _encoder.encode(message)
 
 
 def decode_link(frame: bytes) -> LinkMessage | WireError:
-    """Decode a message of the request path.
+    """Decode a message that arrived on a link.
 
-    The error is returned bare: wrapping each message in a Result took a
-    twentieth of a gate's time.
+    The message or error is returned without a Result around it: wrapping each
+    message takes a twentieth of a gate's time.
     """
-    return _read(frame, _link_decoder, LINK_MESSAGE_MAX_BYTES)
+    return _decode_frame(frame, _link_decoder, LINK_MESSAGE_MAX_BYTES)
 
 
 def encode_member(kind: str, sender: Sender, message: Any) -> bytes:
-    """Return the frame of one member message, deflated where that pays."""
+    """Encode a member message in an envelope; a large one is deflated."""
     body = msgspec.Raw(_encoder.encode(message))
     payload = _encoder.encode(Envelope(kind, sender, body))
     if len(payload) <= DEFLATE_ABOVE_BYTES:
@@ -70,39 +70,41 @@
 
 
 def decode_member(frame: bytes) -> Result[Envelope, WireError]:
-    """Decode the envelope of a member message; its body stays as it is."""
+    """Decode the envelope of a member message; its body stays encoded."""
     if frame[:1] == WIRE_VERSION_DEFLATED and len(frame) <= MEMBER_MESSAGE_MAX_BYTES:
         return _inflate(frame[1:]).bind(
-            lambda payload: _decode(
+            lambda payload: _decode_result(
                 WIRE_VERSION + payload, _envelope_decoder, MEMBER_MESSAGE_MAX_BYTES
             )
         )
-    return _decode(frame, _envelope_decoder, MEMBER_MESSAGE_MAX_BYTES)
+    return _decode_result(frame, _envelope_decoder, MEMBER_MESSAGE_MAX_BYTES)
 
 
 def _inflate(deflated: bytes) -> Result[bytes, WireError]:
-    # A few bytes can inflate to gigabytes: without a bound a stranger's
-    # frame would take this process's memory.
+    # A few bytes can inflate to gigabytes. Without a limit, a frame from an
+    # untrusted sender could exhaust the memory of this process.
     inflater = zlib.decompressobj()
     try:
         payload = inflater.decompress(deflated, MEMBER_MESSAGE_MAX_BYTES)
     except zlib.error as error:
-        return Error(WireError(f"deflated frame: {error}"))
+        return Error(WireError(f"can't inflate frame: {error}"))
     if not inflater.eof:
-        return Error(WireError("deflated frame is cut off or too large"))
+        return Error(WireError("deflated frame is truncated or too large"))
     return Ok(payload)
 
 
-def _decode(frame, decoder, max_bytes):
-    message = _read(frame, decoder, max_bytes)
+def _decode_result(frame, decoder, max_bytes):
+    message = _decode_frame(frame, decoder, max_bytes)
     return Error(message) if isinstance(message, WireError) else Ok(message)
 
 
-def _read(frame, decoder, max_bytes):
+def _decode_frame(frame, decoder, max_bytes):
     if len(frame) > max_bytes:
-        return WireError(f"{len(frame)} bytes are over {max_bytes}")
+        return WireError(
+            f"frame of {len(frame)} bytes exceeds the limit of {max_bytes}"
+        )
     if frame[:1] != WIRE_VERSION:
-        return WireError(f"version {frame[:1]!r} is not {WIRE_VERSION!r}")
+        return WireError(f"wire version {frame[:1]!r} is not {WIRE_VERSION!r}")
     try:
         return decoder.decode(memoryview(frame)[1:])
     except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as error:
--- a/balsamspindle/wire/limit_messages.py
+++ b/balsamspindle/wire/limit_messages.py
@@ -1,4 +1,4 @@
-"""Messages by which nodes keep a customer's limit together."""
+"""Messages by which nodes enforce a customer's request limit together."""
 
 from typing import Annotated
 
@@ -6,24 +6,24 @@
 
 __all__ = ["LimitQuestion", "LimitReturn", "LimitTold"]
 
-# A number that this release does not know is refused with its message.
+# A message with a scope that this release does not know is rejected.
 ScopeNumber = Annotated[int, msgspec.Meta(ge=0, le=1)]
 
 
 class LimitQuestion(msgspec.Struct, array_like=True, tag="limit", frozen=True):
-    """Ingress to the node that grants a customer's requests: may this one run?
+    """Ingress to the node that grants a customer's requests: may one more run?
 
     Attributes
     ----------
     number : int
-        Returned with the answer.
+        Identifies the question; the answer repeats it.
     rate_per_s, burst : float
-        The customer's limit in the sender's settings.
+        The customer's limit according to the sender's settings.
     revision : int
-        Of these settings.
+        Revision of these settings.
     scope : int
-        Which part of the limit is asked for (see
-        `balsamspindle.customers.granters.Scope`).
+        A value of `balsamspindle.customers.granters.Scope`: the share of the limit
+        that the request counts against.
     """
 
     number: int
@@ -35,14 +35,18 @@
 
 
 class LimitTold(msgspec.Struct, array_like=True, tag="limited", frozen=True):
-    """The answer to a question.
+    """Granting node to ingress: the answer to a `LimitQuestion`.
 
     Attributes
     ----------
+    number : int
+        The number of the question.
+    is_given : bool
+        Whether the request may run.
     wait_ms : float
-        When coming back helps, where it may not run.
+        If the request may not run: time after which a retry can be granted.
     gate_time_s : float
-        The sender's monotonic clock.
+        Reading of the sender's monotonic clock.
     """
 
     number: int
@@ -52,12 +56,12 @@
 
 
 class LimitReturn(msgspec.Struct, array_like=True, tag="unused", frozen=True):
-    """Ingress to the node that granted a request: it did not run.
+    """Ingress to the node that granted a request: the request did not run.
 
     Attributes
     ----------
     scope : int
-        As in the question.
+        The scope of the question.
     """
 
     customer: str
--- a/balsamspindle/wire/link_messages.py
+++ b/balsamspindle/wire/link_messages.py
@@ -1,9 +1,10 @@
-"""Messages of the request path: from an ingress to a gate and back.
+"""Messages that carry requests from an ingress to a gate, and replies back.
 
-Messages are msgspec structs, encoded as MessagePack arrays that begin with a
-tag: field names would be half of a small message. New fields go to the end,
-with a default; a receiver that does not know them passes over them. Durations
-travel as durations, never as wall times: clocks of two VMs are not compared.
+Messages are msgspec structs, encoded as MessagePack arrays that begin with a tag.
+Field names are not sent: they would take half of a small message. New fields are
+added at the end, with a default; a receiver that does not know a field ignores it.
+Time limits are sent as durations, never as wall-clock times, because the clocks of
+two VMs may differ.
 """
 
 from typing import NamedTuple
@@ -33,15 +34,16 @@
 
 
 class HeldOut(NamedTuple):
-    """That a gate keeps usual work away from a backend server, and why.
+    """Whether a gate holds out a backend server from ordinary work, and why.
 
     Attributes
     ----------
     held_out_ms : float
-        For how long from now on; 0 while it serves.
+        Remaining time of the hold-out; 0 if there is none.
     bad_in_a_row : int
-        Its last requests that failed or were slow, up to the newest good one.
-        After one error in hundreds it is likely to be well.
+        Number of requests since the last good one that failed or were slow. A
+        backend server with a single error after hundreds of good requests is
+        probably healthy.
     """
 
     held_out_ms: float = 0.0
@@ -52,16 +54,16 @@
 
 
 class AttemptId(NamedTuple):
-    """Names one attempt for ever; never reused, not even after a restart.
+    """Identifies one attempt; never reused, not even after a restart.
 
     Attributes
     ----------
     node_id : str
         The node whose ingress made the attempt.
     incarnation : int
-        Of that node.
+        Incarnation of that node.
     sequence : int
-        Rises by one with each attempt of the incarnation.
+        Increases by one with each attempt of the incarnation.
     """
 
     node_id: str
@@ -70,16 +72,17 @@
 
 
 class Claim(NamedTuple):
-    """Who alone may run the request with an Idempotency-Key.
+    """The only gate that may run the request with an Idempotency-Key.
 
     Attributes
     ----------
     node_id, incarnation
-        Of the gate.
+        The gate's node and its incarnation.
     version : int
-        Rises each time that the claim moves.
+        Increases each time the claim moves to another gate.
     gate_time_s : float
-        The gate's monotonic clock when the claim was made, or a little less.
+        Reading of the gate's monotonic clock when the claim was made, or slightly
+        earlier.
     """
 
     node_id: str
@@ -89,16 +92,16 @@
 
 
 class Greet(msgspec.Struct, array_like=True, tag="greet", frozen=True):
-    """Ingress to gate, first on a link: do you hear me?"""
+    """Ingress to gate: the first message on a link, which the gate must answer."""
 
 
 class Greeting(msgspec.Struct, array_like=True, tag="greeting", frozen=True):
-    """Gate to ingress: I do.
+    """Gate to ingress: the answer to the first message on a link.
 
     Attributes
     ----------
     gate_time_s : float
-        The gate's monotonic clock.
+        Reading of the gate's monotonic clock.
     """
 
     node_id: str
@@ -112,12 +115,12 @@
     Attributes
     ----------
     heard : int
-        Backend servers that it heard lately.
+        Number of backend servers with a recent verdict.
     bad : int
-        Those whose latest request failed or was slow.
+        Number of these whose latest request failed or was slow.
     limit_ms : float
-        Median of the 99th percentiles of latency that their gates told; 0
-        when unknown.
+        Median of the 99th percentiles of latency that their gates reported; 0 if
+        unknown.
     """
 
     heard: int = 0
@@ -126,57 +129,60 @@
 
 
 class Dispatch(msgspec.Struct, array_like=True, tag="dispatch", frozen=True):
-    """Ingress to gate: run this request at one of your backend servers.
+    """Ingress to gate: run a request at one of the gate's backend servers.
 
     Attributes
     ----------
     remaining_ms : float
-        Time that the request still has when the message is sent.
+        Time until the request's deadline when the message is sent.
     gate_deadline_s : float or None
-        The same end on the gate's monotonic clock, as far as the sender knows
-        that clock. A duration starts when a message is read, and a message
-        that waited while the gate was stopped would look fresh.
+        The same deadline on the gate's monotonic clock, if the sender knows that
+        clock. The gate counts `remaining_ms` from when it reads the message, so a
+        message that waited while the gate was paused would seem to have more time
+        than it has.
     weight : float
-        The route's weight; the lightest is shed first.
+        The route's weight; requests with the lowest weight are shed first.
     target : str
         Path and query as the caller sent them.
     body_checksum : int
-        xxh3_64 of the body.
+        xxh3_64 hash of the body.
     claim : Claim or None
-        With an idempotency key: the claim that this attempt stands on.
+        For a request with an idempotency key: the claim that permits this attempt.
     peers : PeerEvidence
-        What to compare the backend server with.
+        Summary of the backend servers that this one is compared with.
     hlc : int
         The sender's hybrid logical clock.
     caller_service : str
-        The service beside the node that took the request; may be empty.
+        The service beside the ingress that accepted the request; may be empty.
     is_last_resort : bool
-        All others were tried or refused: to be run at a suspected backend
-        server, too.
+        Whether all other backend servers were tried or refused the request, so that
+        it may run at a suspected one.
     wait_max_ms : float or None
-        How long it may wait for a slot; None until its deadline.
+        Longest time it may wait for a slot; None to wait until its deadline.
     target_left_ms : float or None
-        Time in which an answer still has its full worth, when it is sent.
+        Time left, when the message is sent, to meet the route's latency target;
+        None if the route has none.
     route_id : int
-        The same for all requests of a route, which take about the same time.
+        Identifies the route; its requests take about the same time.
     is_repeat : bool
-        An earlier attempt reached a backend server, or may have.
+        Whether an earlier attempt reached a backend server, or may have.
     repeated_part : float
-        Part of the runs beside the sender that are repeats: how likely this
-        request is the call of one.
+        Fraction of the runs beside the sender that are repeats, which is the
+        probability that this request is a call made by a repeat.
     ingress_left_ms : float or None
-        Time until the sender's node ends; None while it is not leaving.
+        Time until the sender's node ends; None if it is not leaving.
     was_cut : bool
-        An earlier run of it was lost with its gate's node.
+        Whether an earlier run was lost, or will be, because its gate's node ends.
     rank_ms : float
-        By how much it is put back in queues, with all calls that its parent made
-        with it.
+        Delay added to its position in queues; the same for all calls made by one
+        parent request.
     content : int
-        The same for all repeats of a request, whatever their ids; 0 when unknown.
+        Hash that is the same for all repeats of a request, whatever their ids; 0 if
+        unknown.
     customer : str
-        Who asks; empty when it is nobody's request.
+        The customer who made the request; empty if there is none.
     is_last_try : bool
-        Its route allows no other attempt after it.
+        Whether its route allows no further attempt.
     """
 
     attempt_id: AttemptId
@@ -212,12 +218,12 @@
 
 
 class Question(msgspec.Struct, array_like=True, tag="ask", frozen=True):
-    """Ingress to gate: would you take this attempt now? Nothing is kept for it.
+    """Ingress to gate: would the gate admit an attempt now? No slot is reserved.
 
     Attributes
     ----------
     number : int
-        Returned with the answer.
+        Identifies the query; the answer repeats it.
     remaining_ms, weight, wait_max_ms, target_left_ms, route_id, is_last_resort
         As in `Dispatch`.
     was_cut, rank_ms, content, customer, is_last_try
@@ -242,17 +248,20 @@
 
 
 class Told(msgspec.Struct, array_like=True, tag="told", frozen=True):
-    """Gate to ingress: the answer to a question.
+    """Gate to ingress: the answer to an admission query.
 
     Attributes
     ----------
+    number : int
+        The number of the query.
     reason : Reason or None
-        Why the attempt would be refused; None when it would be taken.
+        Why the attempt would be refused; None if it would be admitted.
     wait_ms : float
-        How long it would wait for a slot, when that is the reason.
+        Expected wait for a slot, or for ``crashes_servers`` how long the request
+        stays blocked; 0 with other reasons.
     held_out : HeldOut
     gate_time_s : float
-        The gate's monotonic clock.
+        Reading of the gate's monotonic clock.
     """
 
     number: int
@@ -263,14 +272,14 @@
 
 
 class Cancel(msgspec.Struct, array_like=True, tag="cancel", frozen=True):
-    """Ingress to gate: the attempt is given up; do not start it any more.
+    """Ingress to gate: the attempt is cancelled and must not be started any more.
 
     Attributes
     ----------
     gate_deadline_s : float or None
-        As the attempt's own message has it.
+        As in the attempt's `Dispatch`.
     cause : CancelCause
-        For the gate's log.
+        Why it was cancelled, for the gate's log.
     """
 
     attempt_id: AttemptId
@@ -280,12 +289,12 @@
 
 
 class IngressEnding(msgspec.Struct, array_like=True, tag="leaving", frozen=True):
-    """Ingress to gate: this node is leaving and may not live to see the reply.
+    """Ingress to gate: the ingress is leaving and may end before the reply arrives.
 
     Attributes
     ----------
     left_ms : float
-        Time until it ends, when the message is sent.
+        Time until the ingress ends, when the message is sent.
     """
 
     attempt_id: AttemptId
@@ -293,9 +302,9 @@
 
 
 class GateEnding(msgspec.Struct, array_like=True, tag="ending", frozen=True):
-    """Gate to ingress: this node is leaving and may not live to send the reply.
+    """Gate to ingress: the gate is leaving and may end before it can send the reply.
 
-    The attempt goes on, and its reply comes if it ends in time.
+    The attempt continues; its reply is sent if the attempt ends in time.
     """
 
     attempt_id: AttemptId
@@ -307,22 +316,22 @@
     Attributes
     ----------
     reason : Reason or None
-        None for an answer of the backend server.
+        Why there is no answer; None if the backend server answered.
     status : int
-        The backend server's HTTP status; 0 when it gave none.
+        HTTP status of the backend server's answer; 0 without one.
     body_checksum : int
-        xxh3_64 of the body, taken at the gate.
+        xxh3_64 hash of the body, computed at the gate.
     free_slots : int
         Free slots of the backend server after this attempt.
     retry_after_ms : float
-        When coming back helps; 0 when it does not.
+        Time after which a retry may succeed; 0 if a retry is pointless.
     gate_time_s : float
-        The gate's monotonic clock when the reply was sent.
+        Reading of the gate's monotonic clock when the reply was sent.
     bad : bool or None
-        Whether the backend server failed or was slow, as the gate judges;
-        None when the attempt says nothing of it.
+        The gate's verdict whether the backend server failed or was slow; None if
+        the attempt is no evidence about it.
     limit_ms : float
-        The backend server's 99th percentile of latency; 0 when unknown.
+        The backend server's 99th percentile of latency; 0 if unknown.
     held_out : HeldOut
     """
 
--- a/balsamspindle/wire/member_messages.py
+++ b/balsamspindle/wire/member_messages.py
@@ -1,11 +1,11 @@
 """Messages between members.
 
-Each frame is an `Envelope`: who sends, what kind of message, and the message
-itself still undecoded. A receiver decodes a kind that it has a handler for
-and counts the others, so that a kind can be added without a new version.
+Each frame is an `Envelope`: the sender, the kind of message, and the message itself,
+still encoded. A receiver decodes the kinds that it has handlers for and counts the
+others as dropped, so a kind can be added without a new wire version.
 
-Structs that travel often are MessagePack arrays: unknown trailing fields are
-passed over and missing ones take their default.
+Frequent structs are encoded as MessagePack arrays: a receiver ignores unknown
+trailing fields and uses the defaults of missing ones.
 """
 
 from enum import StrEnum
@@ -40,10 +40,11 @@
     "Want",
 ]
 
-# A number above this can't be outbid by one more: garbage, or an attack.
+# A node must be able to send a number higher than any it receives, for example to
+# refute a verdict. Numbers above this limit are rejected as malformed or hostile.
 Count = Annotated[int, msgspec.Meta(ge=0, le=2**53)]
 NodeId = Annotated[str, msgspec.Meta(min_length=1, max_length=64)]
-# An address that no socket takes would raise in the task that connects to it.
+# The task that connects to an invalid address would raise an exception.
 _OCTET = r"(25[0-5]|2[0-4]\d|1?\d?\d)"
 _PORT = r"(6553[0-5]|655[0-2]\d|65[0-4]\d\d|6[0-4]\d{3}|[1-5]?\d{1,4})"
 PeerAddress = Annotated[
@@ -53,20 +54,20 @@
 
 
 class Sender(msgspec.Struct, array_like=True, frozen=True):
-    """Who sends a member message, on each message.
+    """The sender of a member message, part of each message.
 
     Attributes
     ----------
     address : str
-        Where other nodes reach the sender's member task.
+        Address at which other nodes reach the sender's member task.
     settings_revision : int
-        Revision in force at the sender; -1 without settings.
+        Revision of the settings in force at the sender; -1 without settings.
     hlc : int
         The sender's hybrid logical clock.
     crash_digest : int
-        Of what the sender knows of crashed backend servers; 0 for nothing.
+        Digest of the sender's records of crashed backend servers; 0 without any.
     store_era : int
-        Newest era of the store that the sender heard of.
+        Newest era of the store that the sender knows.
     """
 
     node_id: NodeId
@@ -81,26 +82,26 @@
 class StoreCameBack(
     msgspec.Struct, array_like=True, tag="store_came_back", frozen=True
 ):
-    """Node to node: a new era of the store, which `Sender` tells.
+    """Node to node: a new era of the store began; `Sender` contains the era.
 
     Attributes
     ----------
     wants_claims : bool
-        Callers wait for the claims that the store has lost.
+        Whether callers wait for claims that the store has lost.
     """
 
     wants_claims: bool = False
 
 
 class Envelope(msgspec.Struct, array_like=True, frozen=True):
-    """One member message on the wire.
+    """One member message as it is sent.
 
     Attributes
     ----------
     kind : str
-        Name under which the message's type is registered.
+        Name under which receivers register the type of the message.
     body : msgspec.Raw
-        The message as MessagePack.
+        The message, encoded as MessagePack.
     """
 
     kind: str
@@ -109,18 +110,18 @@
 
 
 class BackendServerRecord(NamedTuple):
-    """What the fleet knows of one backend server, as its gate tells it.
+    """State of one backend server, as its gate reports it to the fleet.
 
     Attributes
     ----------
     boot_id : str
-        Differs after each restart of the backend server.
+        Changes with each restart of the backend server.
     state : str
         A `BackendServerState` value.
     suspicion : float
-        0 is healthy, 1 or more is over the service's detection threshold.
+        0 if healthy; 1 or more is above the service's detection threshold.
     capacity : float
-        Part of the slots usable now, from 0 to 1 (below 1 in a cold start).
+        Fraction of the slots that can be used now; below 1 during a cold start.
     """
 
     backend_server_id: str
@@ -133,18 +134,18 @@
 
 
 class NodeRecord(msgspec.Struct, frozen=True):
-    """What the fleet knows of one node, as that node tells it.
+    """State of one node, as that node reports it to the fleet.
 
     Attributes
     ----------
     incarnation : int
-        Rises with each start of the node's process.
+        Increases with each start of the node's process.
     version : int
-        Rises with each change of the record within an incarnation.
+        Increases with each change of the record within an incarnation.
     state : str
         A `NodeState` value.
     admin_address : str
-        Where operators reach the node; empty when it tells none.
+        Address for operators; empty if the node announces none.
     """
 
     node_id: str
@@ -160,7 +161,7 @@
 
 
 class NodeHeader(msgspec.Struct, array_like=True, frozen=True):
-    """A node's own part of its record, without its backend servers."""
+    """A node's record without its backend servers."""
 
     region: str
     availability_zone: str
@@ -171,12 +172,12 @@
 
 
 class ServerEntry(NamedTuple):
-    """One backend server at the version of its last change.
+    """One backend server and the version of its last change.
 
     Attributes
     ----------
     version : int
-        The node's version when this entry changed.
+        Version of the node's record when this entry last changed.
     """
 
     version: Count
@@ -184,14 +185,14 @@
 
 
 class NodeNews(msgspec.Struct, array_like=True, tag="n", frozen=True):
-    """A part of a node's record: what changed, not all of it.
+    """The changed parts of a node's record.
 
     Attributes
     ----------
     version : int
-        Version of the header; unused without one.
+        Version of the header; unused without a header.
     header : NodeHeader or None
-        None where it did not change.
+        None if it did not change.
     servers : list of ServerEntry
         The backend servers that changed.
     """
@@ -204,22 +205,23 @@
 
 
 class Verdict(StrEnum):
-    """What a claim says of a node."""
+    """What a `VerdictNews` says about a node."""
 
     SUSPECT = "suspect"
     DEAD = "dead"
 
 
 class VerdictNews(msgspec.Struct, array_like=True, tag="c", frozen=True):
-    """What one node says of another: it does not answer, or it is dead.
+    """One node's verdict on another: the other does not answer, or is dead.
 
-    It holds for one incarnation and header version. The node refutes it with
-    a higher one.
+    The verdict applies to one incarnation and header version. The judged node
+    refutes it by announcing a higher version.
 
     Attributes
     ----------
     by : str
-        Who says so. A death needs several who say so independently.
+        Id of the node that reached the verdict. A node counts as dead only after
+        several nodes reached that verdict independently.
     """
 
     node_id: NodeId
@@ -233,12 +235,12 @@
 
 
 class Ping(msgspec.Struct, array_like=True, frozen=True):
-    """Are you there?
+    """Node to node: checks whether the receiver is alive.
 
     Attributes
     ----------
     target : str
-        Node that is asked; empty when only its address is known.
+        Id of the receiver; empty if only its address is known.
     """
 
     sequence: int
@@ -247,12 +249,12 @@
 
 
 class Ack(msgspec.Struct, array_like=True, frozen=True):
-    """The answer to a ping, or to a ping request by the one who was asked.
+    """The answer to a ping or a ping request.
 
     Attributes
     ----------
     reached : bool
-        False from a helper that could not reach the target either.
+        False in the answer to a ping request whose target did not answer.
     """
 
     sequence: int
@@ -261,12 +263,12 @@
 
 
 class SuspectHint(msgspec.Struct, array_like=True, tag="suspect", frozen=True):
-    """Node to nodes of its zone: a gate elsewhere keeps usual work away.
+    """Node to nodes of its zone: a gate in another zone holds out a backend server.
 
     Attributes
     ----------
     held_out : HeldOut
-        For how long from now on, and on what evidence.
+        Remaining time of the hold-out, and its evidence.
     """
 
     backend_server_id: str
@@ -274,7 +276,7 @@
 
 
 class PingRequest(msgspec.Struct, array_like=True, frozen=True):
-    """Ping this node for me: I can't reach it."""
+    """Node to node: ping a third node that the sender can't reach."""
 
     sequence: int
     target: NodeId
@@ -282,21 +284,21 @@
 
 
 class Gossip(msgspec.Struct, array_like=True, frozen=True):
-    """News alone; needs no answer."""
+    """Node to node: news without a ping; not answered."""
 
     news: list[News]
 
 
 class SyncRequest(msgspec.Struct, array_like=True, frozen=True):
-    """Compare what we know.
+    """Node to node: compare the sender's membership state with the receiver's.
 
     Attributes
     ----------
     buckets : bytes
-        Four bytes for each bucket of node ids, in order.
+        Digests of the buckets of node ids, four bytes for each bucket, in order.
     first, step : int
-        Look only at every so manieth bucket from a first one on: a joiner
-        asks several peers at once for different parts.
+        Compare only every `step`-th bucket, beginning with `first`. A joining node
+        requests different parts from several peers at once.
     """
 
     buckets: bytes
@@ -305,14 +307,14 @@
 
 
 class NodeSummary(NamedTuple):
-    """What the sender knows of one node, in few bytes.
+    """Versions of the sender's record of one node, to compare two records.
 
     Attributes
     ----------
     version : int
-        The highest of the header's and the entries' versions.
+        Highest version of the header and all entries.
     fingerprint : int
-        Over the versions of the header and of all entries.
+        Hash of the versions of the header and all entries.
     """
 
     node_id: NodeId
@@ -322,16 +324,16 @@
 
 
 class SyncSummary(msgspec.Struct, array_like=True, frozen=True):
-    """All nodes of some of the buckets that differ.
+    """The answer to a `SyncRequest`: the nodes in buckets that differ.
 
     Attributes
     ----------
     buckets : list of int
-        Buckets that `nodes` lists completely.
+        Numbers of the buckets whose nodes are all in `nodes`.
     differing : int
-        Number of all buckets that differ.
+        Number of buckets that differ, including those not in `buckets`.
     others : bytes
-        The numbers of those that are not listed, a byte each.
+        Numbers of the differing buckets that are not in `buckets`, one byte each.
     """
 
     buckets: list[int]
@@ -341,7 +343,7 @@
 
 
 class Want(NamedTuple):
-    """One node of a pull: entries above a version; 0 for all."""
+    """One node of a `Pull`: send its entries above a version; 0 for all entries."""
 
     node_id: NodeId
     incarnation: Count
@@ -349,12 +351,12 @@
 
 
 class Pull(msgspec.Struct, array_like=True, frozen=True):
-    """Send these nodes' records, as far as one page holds.
+    """Node to node: send the records of these nodes that fit in one page.
 
     Attributes
     ----------
     buckets : list of int
-        Buckets whose nodes are wanted altogether: a joiner knows none.
+        Buckets whose nodes are all requested; a joining node knows none of them.
     """
 
     wants: list[Want]
@@ -362,12 +364,12 @@
 
 
 class Page(msgspec.Struct, array_like=True, frozen=True):
-    """Records that were pulled or that the other side lacks.
+    """Records that the receiver pulled or that its summary showed to be missing.
 
     Attributes
     ----------
     left : int
-        Nodes of the pull that did not fit.
+        Number of pulled nodes whose records did not fit.
     """
 
     news: list[News]
--- a/balsamspindle/wire/replies.py
+++ b/balsamspindle/wire/replies.py
@@ -1,4 +1,4 @@
-"""What a gate's reply says of its attempt."""
+"""Classifies the replies of gates."""
 
 from balsamspindle.protocol.outcomes import Outcome, Reason
 from balsamspindle.wire.link_messages import Reply
@@ -7,5 +7,5 @@
 
 
 def is_refusal(reply: Reply) -> bool:
-    """Tell whether an attempt ended before it reached a backend server."""
+    """Return whether the gate refused the attempt, so that no backend server got it."""
     return reply.outcome is Outcome.NOT_RUN and reply.reason is not Reason.SHED
--- a/balsamspindle/wire/security.py
+++ b/balsamspindle/wire/security.py
@@ -1,8 +1,8 @@
-"""Trust between nodes: CURVE keys on the member and link sockets.
+"""Authentication between nodes: CURVE keys on the member and link sockets.
 
-All nodes of a fleet hold one key pair, from their own settings. A listener
-takes only peers whose public key is allowed; a connection of anybody else
-ends in the handshake, so that none of its messages is read.
+All nodes of a fleet share one key pair, which each reads from its own settings. A
+listener accepts only peers whose public key is allowed. Any other connection fails
+in the handshake, so none of its messages is read.
 """
 
 from typing import Annotated
@@ -15,7 +15,7 @@
 
 ZAP_DOMAIN = b"fleet"
 
-# A key as Z85, as `zmq.curve_keypair()` gives it.
+# A key in Z85 encoding, as `zmq.curve_keypair()` returns it.
 CurveKey = Annotated[str, msgspec.Meta(min_length=40, max_length=40)]
 
 
@@ -25,11 +25,11 @@
     Attributes
     ----------
     public_key, secret_key : str
-        One pair for all nodes, Z85.
+        The pair that all nodes share, in Z85 encoding.
     allowed_public_keys : tuple of str
-        Public keys of further clients that may connect, each with a pair of
-        its own. Nodes with two different fleet pairs can't talk by it: a node
-        expects its own public key of each listener.
+        Public keys of other clients that may connect, each with a key pair of its
+        own. It does not let nodes with different fleet pairs connect to each other,
+        because a node requires each listener to have the node's own public key.
     """
 
     public_key: CurveKey
@@ -37,28 +37,29 @@
     allowed_public_keys: tuple[CurveKey, ...] = ()
 
     def __repr__(self) -> str:
-        """Return the keys without the secret one, for logs and errors."""
+        """Omit the secret key, because logs and error messages show this text."""
         return f"FleetKeys({self.public_key!r})"
 
 
 class _AllowedKeys:
-    """Answers the authenticator which keys may connect."""
+    """Tells the authenticator whether a client's key may connect."""
 
     def __init__(self, keys: FleetKeys) -> None:
         allowed = (keys.public_key, *keys.allowed_public_keys)
         self._allowed = {key.encode() for key in allowed}
 
     def callback(self, domain: str, key: bytes) -> bool:
-        """Tell whether a client's public key is allowed."""
+        """Return whether a client's public key is allowed."""
         return key in self._allowed
 
 
 def start_authenticator(
     context: zmq.Context, keys: FleetKeys | None
 ) -> ThreadAuthenticator | None:
-    """Start what the listeners of a context ask about each peer.
+    """Start the authenticator that checks each peer of a context's listeners.
 
-    Without keys there is nothing to start. Stop it before the context ends.
+    Returns None without keys. Stop the authenticator before the context is
+    terminated.
     """
     if keys is None:
         return None
@@ -69,25 +70,26 @@
 
 
 def protect_listener(socket: zmq.Socket, keys: FleetKeys | None) -> None:
-    """Let only allowed peers connect to a socket; call before `bind`."""
+    """Accept only allowed peers on a socket; call it before `bind`."""
     if keys is None:
         return
-    _set_pair(socket, keys)
+    _set_key_pair(socket, keys)
     socket.setsockopt(zmq.CURVE_SERVER, 1)
     socket.setsockopt(zmq.ZAP_DOMAIN, ZAP_DOMAIN)
-    # Without it the library takes everybody who knows the public key when
-    # no authenticator runs: a fault there must close the socket, not open it.
+    # Without this option, a socket accepts every client that knows the public key
+    # when no authenticator runs. If the authenticator fails, the socket must reject
+    # all clients instead.
     socket.setsockopt(zmq.ZAP_ENFORCE_DOMAIN, 1)
 
 
 def protect_connection(socket: zmq.Socket, keys: FleetKeys | None) -> None:
-    """Prove this node to the peer, and have the peer proven; before `connect`."""
+    """Authenticate this node and its peer to each other; call it before `connect`."""
     if keys is None:
         return
-    _set_pair(socket, keys)
+    _set_key_pair(socket, keys)
     socket.setsockopt(zmq.CURVE_SERVERKEY, keys.public_key.encode())
 
 
-def _set_pair(socket: zmq.Socket, keys: FleetKeys) -> None:
+def _set_key_pair(socket: zmq.Socket, keys: FleetKeys) -> None:
     socket.setsockopt(zmq.CURVE_PUBLICKEY, keys.public_key.encode())
     socket.setsockopt(zmq.CURVE_SECRETKEY, keys.secret_key.encode())
--- a/balsamspindle/wire/settings_messages.py
+++ b/balsamspindle/wire/settings_messages.py
@@ -1,6 +1,7 @@
-"""Messages that bring the fleet's settings from node to node.
+"""Messages that carry the fleet's settings from node to node.
 
-Each names the sender's member address: an answer is a message of its own.
+Each message contains the sender's member address, because an answer is sent as a
+separate message to that address.
 """
 
 import msgspec
@@ -17,21 +18,21 @@
 
 
 class SettingsDelta(msgspec.Struct, frozen=True):
-    """One accepted change, as nodes apply it.
+    """One accepted change of the settings, as nodes apply it.
 
     Attributes
     ----------
     previous_chain, chain : str
-        Digest of the history before and after the change.
+        Digest of the history of changes before and after this one.
     documents : dict of str to bytes or None
-        Whole documents as JSON; None for one that was removed.
+        Complete documents as JSON by path; None for a removed document.
     accepted_ms : int
-        Wall time at the writer.
+        Wall-clock time at which the writer's change was accepted.
     restart : bool
-        Follows on no change: all settings have to be loaded anew.
+        Whether the change does not build on earlier ones, so that all settings must be
+        loaded again.
     previous_revision : int
-        In force before the change, where revisions rise by more than one; -1
-        for the one right below.
+        Revision in force before the change; -1 if it is `revision` minus one.
     """
 
     revision: int
@@ -44,27 +45,27 @@
 
     @property
     def base_revision(self) -> int:
-        """Revision that the change follows on."""
+        """Revision to which the change applies."""
         if self.previous_revision >= 0:
             return self.previous_revision
         return self.revision - 1
 
 
 class SettingsNotice(msgspec.Struct, tag="settings_notice", frozen=True):
-    """Node to node: this revision is in force here; pull what you lack."""
+    """Node to node: a revision is in force at the sender and can be pulled from it."""
 
     address: str
     revision: int
 
 
 class SettingsPull(msgspec.Struct, tag="settings_pull", frozen=True):
-    """Node to node: send what is above this revision; -1 for all.
+    """Node to node: send the changes above a revision; -1 for all settings.
 
     Attributes
     ----------
     older_revisions : tuple of int
-        Were in force before it, newest first; changes may follow on them as
-        well, since this node still knows what they held.
+        Revisions in force before `above_revision`, newest first. The sender still
+        holds their documents, so changes that apply to one of them can be used, too.
     """
 
     address: str
@@ -73,12 +74,13 @@
 
 
 class SettingsDeltas(msgspec.Struct, tag="settings_deltas", frozen=True):
-    """Node to node: the changes asked for, oldest first.
+    """Node to node: the requested changes, oldest first.
 
     Attributes
     ----------
     revision : int
-        In force at the sender; above the last change when there are more.
+        Revision in force at the sender; higher than that of the last change if more
+        changes follow.
     """
 
     address: str
@@ -87,7 +89,7 @@
 
 
 class SettingsPagePull(msgspec.Struct, tag="settings_page_pull", frozen=True):
-    """Node to node: send one page of all settings; revision -1 takes any."""
+    """Node to node: send one page of all settings; revision -1 accepts any revision."""
 
     address: str
     revision: int
@@ -100,7 +102,7 @@
     Attributes
     ----------
     page, page_count : int
-        Number of the page, from 0, and how many there are.
+        Number of the page, counted from 0, and the number of pages.
     body : bytes
         Compressed documents (see `balsamspindle.settings.pages`).
     """
