--- a/balsamspindle/node/__init__.py
+++ b/balsamspindle/node/__init__.py
@@ -1,5 +1,5 @@
-"""The process beside a backend server VM.
+"""The node: the process that runs beside a VM's backend servers.
 
-`process.py` puts a node together, starts its tasks and ends them in order;
-start there. `admin.py` is what backend servers and operators talk to.
+Start with `process.py`, which assembles a node, starts its tasks and shuts them down
+in order. `admin.py` is the HTTP interface for backend servers and operators.
 """
--- a/balsamspindle/node/admin.py
+++ b/balsamspindle/node/admin.py
@@ -1,4 +1,4 @@
-"""The admin address: announcements, drain, status and explanations.
+"""HTTP interface of the admin address: announcements, drain, status, explanations.
 
 ::
 
@@ -79,7 +79,7 @@
         self._on_settings_accepted = on_settings_accepted
 
     def __call__(self, environ, start_response):
-        """Answer one call."""
+        """Answer one request."""
         request = _AdminRequest(environ)
         try:
             endpoint, arguments = _URLS.bind_to_environ(environ).match()
@@ -110,8 +110,8 @@
         explanation = self._explain(announcement.service)
         if explanation.is_defined or explanation.settings_revision < 0:
             return _json({})
-        # Else a typo in the service's name would show as a backend server
-        # that announces itself well and never gets a request.
+        # Without this note, a typo in the service's name would go unnoticed: the
+        # announcement succeeds, but the backend server never gets a request.
         note = f"no settings in force define the service {announcement.service!r}"
         self._event_log.emit(
             "backend_server_without_service", backend_server=server_id, cause=note
@@ -131,7 +131,7 @@
         return _json({})
 
     def _settings_accepted(self, request):
-        """Take an operator's word of a new revision: read it now."""
+        """Read the settings from the store now: an operator's change was accepted."""
         accepted = msgspec.json.decode(request.get_data(), type=Accepted)
         self._on_settings_accepted(accepted.revision)
         return _json({})
--- a/balsamspindle/node/admin_server.py
+++ b/balsamspindle/node/admin_server.py
@@ -1,4 +1,4 @@
-"""The HTTP server of the admin address: a bounded number of threads."""
+"""The HTTP server of the admin address, with a limited number of threads."""
 
 import socket
 from concurrent.futures import ThreadPoolExecutor
@@ -15,20 +15,20 @@
 
 
 class _Handler(WSGIRequestHandler):
-    # A caller that connects and says nothing would hold a worker for ever.
+    # Otherwise a client that connects and sends nothing would occupy a thread forever.
     timeout = CONNECTION_TIMEOUT_S
     server: "AdminServer"
 
     def log_request(self, *_args):
-        """Write nothing: answers on the admin address are no events."""
+        """Log nothing: requests to the admin address are no events."""
 
     def log(self, type, message, *args):
-        """Hand a fault to the server."""
+        """Pass an error to the server, which logs it as an event."""
         self.server.log(type, message, *args)
 
 
 class AdminServer(BaseWSGIServer):
-    """Answers each connection in one of a few threads.
+    """Serves each connection in a thread of a small pool.
 
     Parameters
     ----------
@@ -42,8 +42,8 @@
     def __init__(self, address: str, application, events: EventLog) -> None:
         self.events = events
         host, _, port = address.partition(":")
-        # werkzeug ends the process by itself when it can't bind; a listener
-        # of our own raises an error that the program can report.
+        # werkzeug exits the process if it can't bind. With a listener that is created
+        # here, the error is raised, so the program can report it.
         with socket.create_server((host, int(port)), backlog=BACKLOG) as listener:
             super().__init__(
                 host, int(port), application, handler=_Handler, fd=listener.fileno()
@@ -51,7 +51,7 @@
         self._executor = ThreadPoolExecutor(WORKERS_MAX, "admin")
 
     def process_request(self, request, client_address):
-        """Hand a connection to a worker."""
+        """Serve a connection in a thread of the pool."""
         submit_logged(self._executor, self.events, self._serve, request, client_address)
 
     def _serve(self, request, client_address) -> None:
@@ -63,16 +63,16 @@
             self.shutdown_request(request)
 
     def log(self, type, message, *args):
-        """Write a fault as one event, not as the lines of a traceback."""
+        """Log an error as a single event instead of a traceback."""
         text = (message % args if args else message).strip()
         # The last line of a traceback names the error.
         cause = text.splitlines()[-1] if text else type
         self.events.emit("admin_request_failed", cause=cause)
 
     def handle_error(self, request, client_address):
-        """Pass over a connection that ended early; the caller knows."""
+        """Ignore connections that the client closed early."""
 
     def serve_forever(self, poll_interval=0.25):
-        """Serve until `shutdown`, then let the workers end."""
+        """Serve until `shutdown`, then wait for the threads of the pool."""
         with self._executor:
             super().serve_forever(poll_interval)
--- a/balsamspindle/node/crash_side.py
+++ b/balsamspindle/node/crash_side.py
@@ -1,4 +1,4 @@
-"""The part of a node that knows which requests crash backend servers."""
+"""Assembles the parts of a node that handle requests which crash backend servers."""
 
 import time
 from collections.abc import Callable
@@ -17,18 +17,18 @@
 
 
 class CrashSide:
-    """Joins what is known of crashes to the node's other parts.
+    """Connects the crash history to the node's other parts.
 
     Parameters
     ----------
     send : callable
-        Takes a member address and update; safe from any thread.
+        Sends an update to a member address; called from any thread.
 
     Attributes
     ----------
     history : CrashHistory
     quarantine_store : QuarantineStore or None
-        Set where the node uses a platform.
+        Set by the node after construction; None if it uses no platform.
     """
 
     def __init__(
@@ -41,20 +41,20 @@
         self._directory = directory
         self._events = events
         self.quarantine_store: QuarantineStore | None = None
-        self.history = CrashHistory(self._count_servers, self._note_quarantine)
+        self.history = CrashHistory(self._count_servers, self._report_quarantine)
         self._gossip = CrashGossip(own, directory, self.history, send, time.monotonic)
 
-    def share(self, member: Member) -> None:
-        """Hear of peers what they know, and tell them."""
+    def connect(self, member: Member) -> None:
+        """Exchange crash records with peers through a member."""
         member.register({CrashUpdate: self._gossip.receive})
         member.share_crash_digest(self.history.digest, self._gossip.compare_digest)
 
-    def tell(self, update: CrashUpdate, now_s: float) -> None:
-        """Pass on what is new here."""
+    def share(self, update: CrashUpdate, now_s: float) -> None:
+        """Send an update of this node's crash history to peers."""
         self._gossip.share(update, now_s)
 
     def stop(self) -> None:
-        """Write nothing more into the store."""
+        """Stop writing quarantines to the store."""
         if self.quarantine_store is not None:
             self.quarantine_store.stop()
 
@@ -62,10 +62,10 @@
         placements = self._directory.placements(service)
         return count_live_servers(placements, self.history.has_ended)
 
-    def _note_quarantine(
+    def _report_quarantine(
         self, quarantine: Quarantine, ended: list[str], evidence: CauseEvidence
     ) -> None:
-        """Say which request crashes backend servers, and which ones it ended."""
+        """Emit the event that a request is quarantined or no longer, and store it."""
         event = "quarantine_lifted" if quarantine.is_lifted else "request_quarantined"
         self._events.emit(
             event,
--- a/balsamspindle/node/customer_side.py
+++ b/balsamspindle/node/customer_side.py
@@ -1,4 +1,4 @@
-"""The part of a node that decides on customers' requests."""
+"""Assembles the parts of a node that admit or refuse customers' requests."""
 
 import time
 from collections.abc import Callable
@@ -21,53 +21,49 @@
 __all__ = ["CustomerSide"]
 
 
-# How long a node may take to grant a request; some round trips within a zone.
-ASK_TIMEOUT_S = 0.25
+# Timeout for a node's answer to a limit question: several round trips within a zone.
+QUESTION_TIMEOUT_S = 0.25
 
 
 class PooledLimitLinks:
-    """Asks over the links that attempts use, too.
-
-    Parameters
-    ----------
-    links : LinkPool
-    """
+    """Sends questions about limits over the links that attempts use, too."""
 
     def __init__(self, links: LinkPool) -> None:
         self._links = links
 
     def ask(self, node: NodeRecord, question: LimitQuestion) -> LimitTold | None:
         """See `balsamspindle.customers.limits.LimitLinks`."""
-        link = self._take(node)
+        link = self._acquire_link(node)
         if link is None:
             return None
-        told = link.ask(question, time.monotonic() + ASK_TIMEOUT_S)
-        if told is None:
+        answer = link.ask(question, time.monotonic() + QUESTION_TIMEOUT_S)
+        if answer is None:
             link.close()
         else:
             self._links.release(link)
-        return told
+        return answer
 
     def send(self, node: NodeRecord, message: LimitReturn) -> None:
         """See `balsamspindle.customers.limits.LimitLinks`."""
-        link = self._take(node)
+        link = self._acquire_link(node)
         if link is not None:
             link.send(message)
             self._links.release(link)
 
-    def _take(self, node: NodeRecord) -> Link | None:
-        # One more question does no harm, so an idle link need not be asked first.
-        deadline_s = time.monotonic() + ASK_TIMEOUT_S
+    def _acquire_link(self, node: NodeRecord) -> Link | None:
+        # Sending a question twice does no harm. It counts as idempotent, so that a
+        # link that was idle is used without checking it first.
+        deadline_s = time.monotonic() + QUESTION_TIMEOUT_S
         return self._links.acquire(node.link_address, deadline_s, Execution.IDEMPOTENT)
 
 
 class CustomerSide:
-    """Customers at one node: the admission of their requests, and what it needs.
+    """Admission of customers' requests at one node, with the parts that it needs.
 
     Parameters
     ----------
     prove : callable
-        Has the store read for the newest revision.
+        Triggers a read of the store's newest revision.
 
     Attributes
     ----------
@@ -122,11 +118,11 @@
         )
 
     def record_read(self, began_s: float, revision: int) -> None:
-        """Take the revision that a read of the store showed."""
+        """Record the revision that a read of the store returned."""
         self._proofs.record_read(began_s, revision)
 
     def is_ready(self, now_s: float) -> bool:
-        """Tell whether customers are served."""
+        """Return whether customers' requests can be admitted."""
         configuration = self._configuration.get()
         if configuration is None:
             return False
@@ -135,15 +131,15 @@
         return self._freshness.is_fresh(configuration.revision, now_s)
 
     def refresh(self, now_s: float) -> None:
-        """Do what is due about once a second."""
+        """Update the limiter; called about once a second."""
         self._limiter.refresh(now_s)
 
     def tasks(self) -> list[Callable[[], None]]:
-        """Return what has to run until `stop` is called."""
+        """Return the tasks, each to be run in its own thread until `stop` is called."""
         if not self._freshness.requires_proof:
             return []
         return [self._proofs.run_reads, self._proofs.run_questions]
 
     def stop(self) -> None:
-        """End the tasks soon."""
+        """Make the tasks end soon."""
         self._proofs.stop()
--- a/balsamspindle/node/gate_budgets.py
+++ b/balsamspindle/node/gate_budgets.py
@@ -1,4 +1,4 @@
-"""A gate's part of the retries that a whole fleet may make."""
+"""Computes a gate's share of the retries that the whole fleet may make."""
 
 from collections.abc import Callable
 
@@ -13,12 +13,12 @@
 
 
 class GateBudgets:
-    """Divides each service's retries among the nodes that have its gates.
+    """Divides each service's retry budget equally among the nodes with its gates.
 
     Parameters
     ----------
     service_document : callable
-        Returns the settings in force of a service.
+        Returns the settings of a service that are in force.
     """
 
     def __init__(
@@ -28,20 +28,20 @@
     ) -> None:
         self._directory = directory
         self._service_document = service_document
-        # A gate that is gone, or that this node was cut off from, may have
-        # granted its part within this window; it counts until that has passed.
-        self._gates: dict[str, RecentMax] = {}
+        # A gate that is gone or unreachable may have granted its share within the
+        # current window, so it is counted until the window has passed.
+        self._gate_counts: dict[str, RecentMax] = {}
 
     def part(self, service: str, now_s: float) -> RetryBudget:
-        """Return the budget of a service with this gate's part of the fleet's."""
+        """Return a service's retry budget with this gate's share of the fleet's."""
         budget = self._service_document(service).retry_budget
         if not budget.fleet_per_s_min:
             return budget
-        part = budget.fleet_per_s_min / max(1.0, self._count(service, now_s))
-        return msgspec.structs.replace(budget, fleet_per_s_min=part)
+        share = budget.fleet_per_s_min / max(1.0, self._count_gates(service, now_s))
+        return msgspec.structs.replace(budget, fleet_per_s_min=share)
 
-    def _count(self, service: str, now_s: float) -> float:
-        places = self._directory.placements(service)
-        recent = self._gates.setdefault(service, RecentMax(WINDOW_S))
-        recent.record(len({place.node.node_id for place in places}), now_s)
+    def _count_gates(self, service: str, now_s: float) -> float:
+        gates = self._directory.placements(service)
+        recent = self._gate_counts.setdefault(service, RecentMax(WINDOW_S))
+        recent.record(len({gate.node.node_id for gate in gates}), now_s)
         return recent.value(now_s)
--- a/balsamspindle/node/gate_side.py
+++ b/balsamspindle/node/gate_side.py
@@ -1,4 +1,4 @@
-"""The half of a node that works for its backend servers: gate, health, links in."""
+"""Assembles the part of a node that serves its backend servers."""
 
 import time
 from collections.abc import Callable
@@ -31,28 +31,30 @@
 
 
 class GateSide:
-    """What decides on and does the work beside this node.
+    """The gate of a node, with its backend servers, their health and its link server.
 
     Parameters
     ----------
     service_document : callable
-        Returns the settings in force of a service.
+        Returns the settings of a service that are in force.
     retry_budget : callable
-        Returns a service's retry budget at a time, with this gate's part of the
-        fleet's.
-    crash_history : CrashHistory, default=one of its own
-        What is known of requests that crash backend servers.
+        Returns a service's retry budget at a time, with this gate's share of the
+        fleet's retries.
+    crash_history : CrashHistory, default=an empty one
+        Records of requests that crash backend servers.
     on_crash_update : callable
-        Told what the gate adds to it, and the present time.
+        Called with each update that the gate makes to `crash_history`, and the
+        current time.
     in_zone : callable
         Returns the number of a service's backend servers in this node's zone.
 
     Attributes
     ----------
     failed_calls : FailedCalls
-        Told by the ingress of the answers that were failures.
+        When requests that callers sent to this node last failed; recorded by the
+        ingress.
     link_server : LinkServer
-        The way by which other nodes reach the gate.
+        Receives attempts from other nodes.
     """
 
     def __init__(
@@ -118,32 +120,32 @@
         )
 
     def tasks(self) -> list[Callable[[], None]]:
-        """Return what has to run until `stop` is called."""
+        """Return the tasks, each to be run in its own thread until `stop` is called."""
         return [self._serve_links, self.health.run, self._prober.run]
 
     def _serve_links(self) -> None:
-        """Take other nodes' attempts until the last one has its reply.
+        """Run the link server, then end the threads that run attempts.
 
-        The threads end after that. Without them an attempt that comes while the
-        node stops is lost, and its caller told that it may have run.
+        The threads must not end earlier. An attempt that arrives while the node stops
+        would otherwise be lost, and its caller told that it may have run.
         """
         self.link_server.run()
         self._executor.shutdown(wait=False)
 
     def stop(self) -> None:
-        """End the tasks soon."""
+        """Make the tasks end soon."""
         self.link_server.stop()
         self.health.stop()
         self._prober.stop()
 
     def records(self) -> tuple[BackendServerRecord, ...]:
-        """Return what the fleet is told of each backend server now."""
+        """Return the current record of each backend server, for the fleet."""
         now_s = time.monotonic()
         return self.servers.records(
             lambda server: self.admission.capacity(server, now_s)
         )
 
     def remove_silent(self, now_s: float) -> None:
-        """Let those go that stopped announcing themselves."""
+        """Remove the backend servers that stopped announcing themselves."""
         for server_id in self.servers.remove_silent(now_s):
             self._events.emit("backend_server_silent", backend_server=server_id)
--- a/balsamspindle/node/gauges.py
+++ b/balsamspindle/node/gauges.py
@@ -1,4 +1,4 @@
-"""What a scraper is told of a node's present state, beside its counts."""
+"""Gauges of a node's current state, exported as metrics beside the counters."""
 
 from collections import Counter
 from collections.abc import Iterator
@@ -18,12 +18,12 @@
 
 
 class Gauge(NamedTuple):
-    """One number of the present.
+    """One gauge and its current value.
 
     Attributes
     ----------
     labels : dict of str to str
-        Names and values, in the order in which they are written.
+        Names and values, in the order of the output.
     """
 
     name: str
@@ -33,7 +33,7 @@
 
 
 class NodeGauges:
-    """Reads the present state of one node's parts."""
+    """Reads gauges from the parts of a node."""
 
     def __init__(
         self,
@@ -60,7 +60,7 @@
         self._grants = grants
 
     def read(self, now_s: float) -> list[Gauge]:
-        """Return all gauges."""
+        """Return all gauges with their current values."""
         return [
             Gauge(
                 "balsamspindle_settings_revision",
@@ -97,12 +97,12 @@
                 "Contents of requests that crash backend servers and are sent to none.",
                 self._crash_history.blocked_count(now_s),
             ),
-            *self._of_store(),
-            *self._of_servers(now_s),
-            *self._of_services(now_s),
+            *self._store_gauges(),
+            *self._server_gauges(now_s),
+            *self._service_gauges(now_s),
         ]
 
-    def _of_store(self) -> Iterator[Gauge]:
+    def _store_gauges(self) -> Iterator[Gauge]:
         calls: Counter[tuple[str, str]] = Counter()
         for guard in self._guards:
             calls.update(guard.calls)
@@ -114,7 +114,7 @@
                 {"verb": verb, "result": result},
             )
 
-    def _of_servers(self, now_s: float) -> Iterator[Gauge]:
+    def _server_gauges(self, now_s: float) -> Iterator[Gauge]:
         for server in self._servers.all():
             server_id = server.backend_server_id
             yield Gauge(
@@ -130,7 +130,7 @@
                 {"backend_server": server_id},
             )
 
-    def _of_services(self, now_s: float) -> Iterator[Gauge]:
+    def _service_gauges(self, now_s: float) -> Iterator[Gauge]:
         for service in self._retries.services():
             yield Gauge(
                 "balsamspindle_retries_left",
--- a/balsamspindle/node/integration.py
+++ b/balsamspindle/node/integration.py
@@ -1,4 +1,4 @@
-"""What a deployment gives a node besides its settings."""
+"""Options that a deployment passes to a node in code, besides its settings."""
 
 from dataclasses import dataclass
 from typing import TextIO
@@ -10,15 +10,15 @@
 
 @dataclass(frozen=True)
 class Integration:
-    """Ways of one deployment; the defaults are the product's own.
+    """Options of one deployment; the defaults are those of the product.
 
     Attributes
     ----------
     operator_row : OperatorRow or None
-        The row of the store that holds the whole settings; None where teams
-        edit subtrees of them.
+        The row of the store that contains all settings; None if teams edit subtrees
+        of the settings.
     log_stream : file or None
-        Where events go; standard error when None.
+        Destination of the event log; standard error if None.
     """
 
     operator_row: OperatorRow | None = None
--- a/balsamspindle/node/process.py
+++ b/balsamspindle/node/process.py
@@ -1,4 +1,4 @@
-"""One node process: its tasks, their start and their orderly end."""
+"""One node process: assembles its parts, runs their tasks and shuts them down."""
 
 import threading
 import time
@@ -16,8 +16,8 @@
 from balsamspindle.node.gate_budgets import GateBudgets
 from balsamspindle.node.gate_side import GateSide
 from balsamspindle.node.gauges import NodeGauges
+from balsamspindle.node.graceful_shutdown import GracefulShutdown
 from balsamspindle.node.integration import Integration
-from balsamspindle.node.orderly_end import OrderlyEnd
 from balsamspindle.node.settings_tasks import SettingsTasks
 from balsamspindle.node.settings_watch import LoadSettings, SettingsWatch
 from balsamspindle.node.status import NodeStatus
@@ -42,28 +42,28 @@
 __all__ = ["NodeProcess"]
 
 HOUSEKEEPING_INTERVAL_S = 1.0
-FLUSH_MS = 300
+LINGER_MS = 300
 _DEFAULT_SERVICE = ServiceDocument()
 DEFAULT_INTEGRATION = Integration()
 
 
 class NodeProcess:
-    """All of one node: ingress, gate and member."""
+    """A complete node: ingress, gate and member."""
 
     def __init__(
         self, settings: NodeSettings, integration: Integration = DEFAULT_INTEGRATION
     ) -> None:
         self._settings = settings
         self._integration = integration
-        self._stop_asked = threading.Event()
+        self._stop_requested = threading.Event()
         incarnation = int(time.time() * 1000)
         clock = HybridClock(settings.wall_clock_offset_s)
         self.events = EventLog(
             settings.node_id, incarnation, clock, integration.log_stream
         )
         self._eras = NodeEras(self.events)
-        self._served: list[AdminServer] = []
-        self._watch: SettingsWatch | None = None
+        self._extra_servers: list[AdminServer] = []
+        self._settings_watch: SettingsWatch | None = None
         self._context = zmq.Context()
         self._authenticator = start_authenticator(self._context, settings.fleet_keys)
         self._directory = Directory()
@@ -82,7 +82,7 @@
             self._context,
             self.events,
             self._crashes.history,
-            self._crashes.tell,
+            self._crashes.share,
             self._count_in_zone,
         )
         self.lifetimes = self._gate_side.lifetimes
@@ -95,7 +95,7 @@
             self._gate_side.records,
             self.events,
         )
-        self._crashes.share(self._member)
+        self._crashes.connect(self._member)
         self._links = LinkPool(self._context, self.events, settings.fleet_keys)
         self._customers = CustomerSide(
             settings,
@@ -108,7 +108,7 @@
             self._links,
             self._gate_side.link_server,
         )
-        self._eras.share(own, self._directory, self._member)
+        self._eras.connect(own, self._directory, self._member)
         parts = StoreParts(settings, own, self._directory, self.events, self._eras)
         claims = parts.claims_table()
         self._make_ingress(own, claims)
@@ -125,7 +125,7 @@
         )
         self._registry = parts.registry(self._member)
         self._crashes.quarantine_store = parts.quarantine_store(
-            self._crashes.history, self._crashes.tell
+            self._crashes.history, self._crashes.share
         )
         self._restorer = parts.claim_restorer(
             claims,
@@ -136,41 +136,43 @@
         self._admin = self._make_admin_server()
 
     def stop(self) -> None:
-        """Ask for an orderly end; safe in a signal handler."""
-        self._stop_asked.set()
+        """Request a graceful shutdown; safe in a signal handler."""
+        self._stop_requested.set()
 
     def serve(self, address: str, application) -> None:
-        """Answer calls at one more address; call it before `run`.
+        """Serve an application at an additional address; call it before `run`.
 
         Parameters
         ----------
         application : WSGI application
         """
-        self._served.append(AdminServer(address, application, self.events))
+        self._extra_servers.append(AdminServer(address, application, self.events))
 
     def watch_settings(self, path: Path, load: LoadSettings) -> None:
-        """Follow changes of the settings file; call it before `run`."""
-        self._watch = SettingsWatch(path, load, self._settings, self._adopt)
+        """Reload the settings file whenever it changes; call it before `run`."""
+        self._settings_watch = SettingsWatch(
+            path, load, self._settings, self._apply_settings
+        )
 
     def reload(self) -> None:
-        """Read the settings file again now; safe in a signal handler."""
-        if self._watch is not None:
-            self._watch.hurry()
+        """Reload the settings file now; safe in a signal handler."""
+        if self._settings_watch is not None:
+            self._settings_watch.wake()
 
     def is_ready(self) -> bool:
-        """Tell whether callers may be sent here."""
+        """Return whether a load balancer may send callers to this node."""
         return (
             self._ingress.accepting()
-            and not self._stop_asked.is_set()
+            and not self._stop_requested.is_set()
             and self._configuration.get() is not None
         )
 
     def run(self) -> None:
-        """Serve until `stop` is called, then end in order."""
+        """Serve until `stop` is called, then shut down gracefully."""
         tasks = [
             self._member.run,
             *self._gate_side.tasks(),
-            lambda: self._ingress.run(self._ready),
+            lambda: self._ingress.run(self._can_serve),
             self._admin.serve_forever,
             *self._settings_tasks.tasks(),
             *self._customers.tasks(),
@@ -181,35 +183,35 @@
             tasks.append(self._crashes.quarantine_store.run)
         if self._restorer is not None:
             tasks.append(self._restorer.run)
-        tasks += [server.serve_forever for server in self._served]
-        if self._watch is not None:
-            tasks.append(self._watch.run)
+        tasks += [server.serve_forever for server in self._extra_servers]
+        if self._settings_watch is not None:
+            tasks.append(self._settings_watch.run)
         with ThreadPoolExecutor(len(tasks), "task") as executor:
             for task in tasks:
-                executor.submit(self._guard, task)
+                executor.submit(self._run_task, task)
             self.events.emit("node_started", zone=self._settings.availability_zone)
-            while not self._stop_asked.wait(HOUSEKEEPING_INTERVAL_S):
+            while not self._stop_requested.wait(HOUSEKEEPING_INTERVAL_S):
                 now_s = time.monotonic()
                 self._gate_side.remove_silent(now_s)
                 self._customers.refresh(now_s)
             self._shut_down()
-        # Sends what the closed links still hold, for a bounded time.
-        self._context.destroy(linger=FLUSH_MS)
+        # Messages still queued on the closed links are sent for at most this long.
+        self._context.destroy(linger=LINGER_MS)
 
     def may_define(self, service: str) -> bool:
-        """Tell whether a service may exist: always, before settings are in force."""
+        """Return whether a service is defined; True while no settings are in force."""
         configuration = self._configuration.get()
         return configuration is None or service in configuration.services
 
-    def _ready(self) -> bool:
-        """Tell whether settings are in force and each service has a place."""
+    def _can_serve(self) -> bool:
+        """Return whether requests of all services can be admitted and have a gate."""
         configuration = self._configuration.get()
         if configuration is None or not self._customers.is_ready(time.monotonic()):
             return False
         return all(map(self._directory.placements, configuration.services))
 
-    def _guard(self, task) -> None:
-        """Run a task; a fault in it ends the process, never half of it."""
+    def _run_task(self, task) -> None:
+        """Run a task; if it fails, stop the whole process."""
         try:
             task()
         except Exception as error:
@@ -218,11 +220,11 @@
             raise
 
     def _shut_down(self) -> None:
-        """Leave in order, then end all tasks."""
-        # Before the rest: a call of it to a store that is silent may last for two
-        # seconds, which the node has now and not at its end.
+        """Shut down gracefully, then end all tasks."""
+        # First, because a running call to a store that does not answer may take two
+        # seconds; at the end of the shutdown there is no time left for it.
         self._crashes.stop()
-        end = OrderlyEnd(
+        shutdown = GracefulShutdown(
             self._settings,
             self.events,
             self._member,
@@ -231,12 +233,12 @@
             self._gate_side.link_server,
             self._forwarder,
         )
-        end.run()
+        shutdown.run()
         self._end_tasks()
         self.events.emit("node_stopped")
 
     def _end_tasks(self) -> None:
-        """End all tasks and threads; none may keep the process alive."""
+        """End all tasks and threads; one that goes on would keep the process alive."""
         self._settings_tasks.stop()
         self._customers.stop()
         if self._registry is not None:
@@ -244,10 +246,10 @@
         if self._restorer is not None:
             self._restorer.stop()
         self._member.stop()
-        if self._watch is not None:
-            self._watch.stop()
-        servers = (self._admin, *self._served)
-        # Each waits for its own loop to notice.
+        if self._settings_watch is not None:
+            self._settings_watch.stop()
+        servers = (self._admin, *self._extra_servers)
+        # In parallel: `shutdown` blocks until the server's loop has ended.
         with ThreadPoolExecutor(len(servers), "shutdown") as executor:
             list(executor.map(AdminServer.shutdown, servers))
         if self._authenticator is not None:
@@ -262,8 +264,8 @@
             for placement in self._directory.placements(service)
         )
 
-    def _note_floor(self, service: str, decision: FloorDecision) -> None:
-        """Say who of a service is left out, and whom the floor keeps."""
+    def _report_floor(self, service: str, decision: FloorDecision) -> None:
+        """Emit which suspects of a service are left out and which the floor keeps."""
         self.events.emit(
             "floor_decided",
             service=service,
@@ -275,9 +277,9 @@
         )
 
     def _make_ingress(self, own: NodeRecord, claims: ClaimsTable) -> None:
-        """Make the way of a caller's request, from its connection to a gate."""
+        """Create the parts that handle callers' requests until they reach a gate."""
         self._picker = Picker(
-            own, self._directory, self._configuration, self._note_floor
+            own, self._directory, self._configuration, self._report_floor
         )
         self._hints = ZoneHints(
             own,
@@ -329,18 +331,18 @@
             self._status,
             self._explain_service,
             self.events,
-            self._settings_tasks.accepted,
+            self._settings_tasks.read_accepted,
             lambda: self._gauges.read(time.monotonic()),
         )
         return AdminServer(self._settings.admin_address, application, self.events)
 
-    def _adopt(self, settings: NodeSettings) -> None:
-        """Take what may change of the settings while the process runs."""
+    def _apply_settings(self, settings: NodeSettings) -> None:
+        """Apply the settings that may change while the process runs."""
         self._ingress.caller_service = settings.caller_service
         self.events.emit("settings_file_taken", caller_service=settings.caller_service)
 
     def _service_document(self, service: str) -> ServiceDocument:
-        """Return a service's settings; defaults for one not in them (yet)."""
+        """Return a service's settings; defaults if none in force define it."""
         configuration = self._configuration.get()
         if configuration is None:
             return _DEFAULT_SERVICE
--- a/balsamspindle/node/settings_tasks.py
+++ b/balsamspindle/node/settings_tasks.py
@@ -1,4 +1,4 @@
-"""The tasks of one node that bring, check and pass on the fleet's settings."""
+"""Assembles the tasks of a node that load the fleet's settings and share them."""
 
 from collections.abc import Callable
 
@@ -22,24 +22,25 @@
 
 __all__ = ["SettingsTasks"]
 
-# Nodes of a zone that wait at the store for changes of the settings. At 23
-# zones these are 184 waits; all 5,600 nodes would read each of 45,000 changes
-# a day, over the store's 2,000 reads a second whenever a change comes.
+# Number of nodes in each zone that wait at the store for changes of the settings: 184
+# in 23 zones. If all 5,600 nodes did, each of 45,000 changes a day would cause 5,600
+# reads at once; the store can serve 2,000 a second.
 WATCHERS_PER_ZONE = 8
 
 
 class SettingsTasks:
-    """Reader and gossip of one node, joined to its other parts.
+    """Reads settings from the store, exchanges them with peers, reports their status.
 
     Parameters
     ----------
     on_read : callable
-        Told when a read of the store began, and the revision that it showed.
+        Called after each read of the store, with its start time and the revision that
+        it returned.
 
     Attributes
     ----------
     guards : list of PlatformGuard
-        Of the calls that it makes to the platform.
+        Guards of the calls to the platform; empty without a platform.
     """
 
     def __init__(
@@ -95,28 +96,28 @@
             )
 
     def tasks(self) -> list[Callable[[], None]]:
-        """Return what to run, each in a thread of its own."""
+        """Return the tasks, each to be run in its own thread until `stop` is called."""
         readers = [] if self._reader is None else [self._reader.run]
         return [self._gossip.run, *readers]
 
     def stop(self) -> None:
-        """End the tasks soon."""
+        """Make the tasks end soon."""
         self._gossip.stop()
         if self._reader is not None:
             self._reader.stop()
 
     def prove(self) -> None:
-        """Read the store, to learn whether its revision is in force here."""
+        """Read the store now, to check whether its revision is in force here."""
         if self._reader is not None:
             self._reader.prove()
 
-    def accepted(self, revision: int) -> None:
-        """Take an operator's word of a new revision: read it now."""
+    def read_accepted(self, revision: int) -> None:
+        """Read the store now if an accepted revision is not in force here yet."""
         if self._reader is not None:
             self._reader.notify_revision(revision)
 
     def status(self) -> SettingsStatus:
-        """Return how this node stands."""
+        """Return the status of the settings at this node."""
         configuration = self._configuration.get()
         reader = self._reader
         return SettingsStatus(
--- a/balsamspindle/node/settings_watch.py
+++ b/balsamspindle/node/settings_watch.py
@@ -1,4 +1,4 @@
-"""Follows the settings file of a process, which may change without a signal."""
+"""Reloads the settings file of a process when it changes, even without a signal."""
 
 import threading
 from collections.abc import Callable
@@ -13,20 +13,20 @@
 
 LoadSettings = Callable[[Path], Result[NodeSettings, SettingsError]]
 
-# A look costs one system call; a change is never urgent without a signal.
-LOOK_INTERVAL_S = 1.0
+# A check costs one system call. For a change that can't wait, there is a signal.
+CHECK_INTERVAL_S = 1.0
 
 
 class SettingsWatch:
-    """Reads the file again whenever it is another one.
+    """Loads the file again whenever it was modified or replaced.
 
     Parameters
     ----------
     load : callable
-        Reads and checks the file.
-    adopt : callable
-        Takes settings that differ from the last ones. What can't be read
-        changes nothing.
+        Reads and validates the file.
+    apply : callable
+        Called with loaded settings that differ from the last ones. A file that can't
+        be loaded is logged and changes nothing.
     """
 
     def __init__(
@@ -34,43 +34,43 @@
         path: Path,
         load: LoadSettings,
         settings: NodeSettings,
-        adopt: Callable[[NodeSettings], None],
+        apply: Callable[[NodeSettings], None],
     ) -> None:
         self._path = path
         self._load = load
         self._settings = settings
-        self._adopt = adopt
-        self._wake = threading.Event()
+        self._apply = apply
+        self._wake_event = threading.Event()
         self._stopped = False
-        self._seen = self._stamp()
+        self._last_stamp = self._stamp()
 
     def run(self) -> None:
-        """Look at the file until `stop` is called."""
+        """Check the file until `stop` is called."""
         while not self._stopped:
-            hurried = self._wake.wait(LOOK_INTERVAL_S)
-            self._wake.clear()
-            self.look(hurried)
+            forced = self._wake_event.wait(CHECK_INTERVAL_S)
+            self._wake_event.clear()
+            self.check(forced)
 
     def stop(self) -> None:
-        """End `run` soon."""
+        """Make `run` end soon."""
         self._stopped = True
-        self._wake.set()
+        self._wake_event.set()
 
-    def hurry(self) -> None:
-        """Read the file now, changed or not."""
-        self._wake.set()
+    def wake(self) -> None:
+        """Load the file now, even if it did not change."""
+        self._wake_event.set()
 
-    def look(self, hurried: bool = False) -> None:
-        """Read the file if it changed."""
+    def check(self, forced: bool = False) -> None:
+        """Load the file if it changed, or if `forced`."""
         stamp = self._stamp()
-        if self._stopped or (stamp == self._seen and not hurried):
+        if self._stopped or (stamp == self._last_stamp and not forced):
             return
-        self._seen = stamp
+        self._last_stamp = stamp
         match self._load(self._path):
             case Result(tag="ok", ok=settings):
                 if settings != self._settings:
                     self._settings = settings
-                    self._adopt(settings)
+                    self._apply(settings)
             case Result(error=error):
                 logger.error(f"event=settings_file_refused cause={error.message!r}")
 
--- a/balsamspindle/node/status.py
+++ b/balsamspindle/node/status.py
@@ -1,4 +1,4 @@
-"""What a node says of itself and of the fleet as it sees it."""
+"""The status of a node, as its admin address reports it."""
 
 import msgspec
 
@@ -10,18 +10,18 @@
 
 
 class SettingsStatus(msgspec.Struct, frozen=True):
-    """How a node stands with the settings.
+    """Status of the settings at a node.
 
     Attributes
     ----------
     chain : str
         Digest of all changes in force, in their order.
     unusable : dict of str to str
-        Paths of documents that this node can't read, and why.
+        Reasons why this node can't read documents, by path.
     platform : PlatformState or None
-        None for a node that does not use the platform.
+        None if the node does not use the platform.
     platform_revision : int
-        Newest revision seen at the platform; -1 before the first.
+        Newest revision read from the platform; -1 before the first read.
     """
 
     revision: int
@@ -32,16 +32,16 @@
 
 
 class NodeStatus(msgspec.Struct, frozen=True):
-    """The answer of a node's status page.
+    """Response body of ``/status``.
 
     Attributes
     ----------
     settings_revision : int
-        Revision in force at this node; -1 before the first.
+        Revision in force at this node; -1 without settings.
     nodes : list of NodeRecord
-        All nodes that it knows, itself included.
+        All known nodes, including this one.
     backend_servers : list of BackendServerRecord
-        Those that stand beside it.
+        The backend servers beside this node.
     accepting : bool
         Whether callers can connect.
     metrics : MetricsReport
--- a/balsamspindle/node/store_eras.py
+++ b/balsamspindle/node/store_eras.py
@@ -1,4 +1,4 @@
-"""What a node does when the store comes back from an older copy of itself."""
+"""Shares eras of the store: one begins when it is restored from an older copy."""
 
 import threading
 import time
@@ -13,17 +13,18 @@
 __all__ = ["NodeEras"]
 
 
-# While callers wait for claims, how often peers are told again: messages get lost.
-TELL_AGAIN_S = 1.0
+# While callers wait for lost claims, peers are notified again after this interval,
+# because messages may be lost.
+REPEAT_REQUEST_S = 1.0
 
 
 class NodeEras:
-    """Follows the eras of the store together with the other nodes.
+    """Shares eras of the store with other nodes and notifies the parts of this one.
 
     Attributes
     ----------
     known : StoreEras
-        For all who call the store.
+        The newest known era, for all clients of the store in this process.
     """
 
     def __init__(
@@ -32,63 +33,63 @@
         self._events = events
         self._clock = clock
         self._lock = threading.Lock()
-        self._on_new: list[Callable[[], None]] = []
-        self._on_wanted: list[Callable[[int], None]] = []
-        self._wanted_era = 0
-        self._told_s = float("-inf")
-        self._tell: Callable[[StoreCameBack], None] = lambda message: None
+        self._new_era_handlers: list[Callable[[], None]] = []
+        self._claims_request_handlers: list[Callable[[int], None]] = []
+        self._requested_era = 0
+        self._requested_s = float("-inf")
+        self._notify_peers: Callable[[StoreCameBack], None] = lambda message: None
         self.known = StoreEras(
             self._begin, lambda cause: events.emit("store_era_odd", cause=cause)
         )
 
-    def on_new(self, handler: Callable[[], None]) -> None:
-        """Have a callable called when an era begins; it must return at once."""
-        self._on_new.append(handler)
+    def on_new_era(self, handler: Callable[[], None]) -> None:
+        """Register a callable for the start of each new era; it must not block."""
+        self._new_era_handlers.append(handler)
 
-    def on_wanted(self, handler: Callable[[int], None]) -> None:
-        """Have a callable told an era in which callers wait for lost claims."""
-        self._on_wanted.append(handler)
+    def on_claims_request(self, handler: Callable[[int], None]) -> None:
+        """Register a callable for eras in which callers wait for lost claims."""
+        self._claims_request_handlers.append(handler)
 
-    def share(self, own: NodeRecord, directory: Directory, member: Member) -> None:
-        """Tell peers of a new era, and hear of it from them."""
+    def connect(self, own: NodeRecord, directory: Directory, member: Member) -> None:
+        """Notify peers of new eras, and be notified by them, through a member."""
         fanout = Fanout(own, directory, "eras")
 
-        def tell(message: StoreCameBack) -> None:
+        def notify_peers(message: StoreCameBack) -> None:
             with self._lock:
                 addresses = fanout.choose()
             for address in addresses:
                 member.send(address, message)
 
-        self._tell = tell
-        member.register({StoreCameBack: self._take})
+        self._notify_peers = notify_peers
+        member.register({StoreCameBack: self._receive})
         member.share_store_era(lambda: self.known.newest, self.known.record_era)
 
-    def want_claims(self, era: int) -> None:
-        """Take that callers here wait for the claims that the store has lost."""
+    def request_claims(self, era: int) -> None:
+        """Notify all nodes that callers here wait for claims lost by the store."""
         now_s = self._clock()
-        if now_s - self._told_s < TELL_AGAIN_S and era <= self._wanted_era:
+        if now_s - self._requested_s < REPEAT_REQUEST_S and era <= self._requested_era:
             return
-        self._told_s = now_s
-        self._want(era)
-        self._tell(StoreCameBack(wants_claims=True))
+        self._requested_s = now_s
+        self._record_request(era)
+        self._notify_peers(StoreCameBack(wants_claims=True))
 
-    def _take(self, message: StoreCameBack) -> None:
-        # The peer's era was taken with its word of itself.
-        if message.wants_claims and self._want(self.known.newest):
-            self._tell(message)
+    def _receive(self, message: StoreCameBack) -> None:
+        # The message's `Sender` contains the peer's era, which is already recorded.
+        if message.wants_claims and self._record_request(self.known.newest):
+            self._notify_peers(message)
 
-    def _want(self, era: int) -> bool:
-        """Take an era whose claims are wanted; tell whether that is new here."""
+    def _record_request(self, era: int) -> bool:
+        """Record an era whose claims are requested; return whether this is new here."""
         with self._lock:
-            is_new = era > self._wanted_era
-            self._wanted_era = max(self._wanted_era, era)
+            is_new = era > self._requested_era
+            self._requested_era = max(self._requested_era, era)
         if is_new:
-            for handler in self._on_wanted:
+            for handler in self._claims_request_handlers:
                 handler(era)
         return is_new
 
     def _begin(self, era: int) -> None:
         self._events.emit("store_came_back", era=era)
-        self._tell(StoreCameBack())
-        for handler in self._on_new:
+        self._notify_peers(StoreCameBack())
+        for handler in self._new_era_handlers:
             handler()
--- a/balsamspindle/node/store_parts.py
+++ b/balsamspindle/node/store_parts.py
@@ -1,4 +1,4 @@
-"""The parts of a node that keep something in the platform's store."""
+"""Creates the parts of a node that keep data in the platform's store."""
 
 from collections.abc import Callable
 
@@ -22,12 +22,13 @@
 
 
 class StoreParts:
-    """Makes these parts; none where the node uses no platform.
+    """Creates these parts for a node; most are None if it uses no platform.
 
     Attributes
     ----------
     guards : list of PlatformGuard
-        Of the calls that they make to the platform.
+        Guards of the parts' calls to the platform. Calls of the claims table are not
+        guarded.
     """
 
     def __init__(
@@ -43,11 +44,14 @@
         self._directory = directory
         self._events = events
         self._eras = eras
-        self._claim_eras = ClaimEras(settings.key_resend_max_s, eras.want_claims)
+        self._claim_eras = ClaimEras(settings.key_resend_max_s, eras.request_claims)
         self.guards: list[PlatformGuard] = []
 
     def claims_table(self) -> ClaimsTable:
-        """Return where keys of requests are claimed."""
+        """Create the table in which idempotency keys are claimed.
+
+        Without a platform, the table has no store.
+        """
         if self._address is None:
             return ClaimsTable(None)
         tables = HttpTableService(self._address, self._eras.known)
@@ -59,43 +63,43 @@
         begin_era: Callable[[int, float, float], list[HeldKey]],
         is_isolated: Callable[[], bool],
     ) -> ClaimRestorer | None:
-        """Return what writes claims again that the store has lost.
+        """Create the part that writes claims again which the store has lost.
 
         Parameters
         ----------
         begin_era : callable
             See `Gate.begin_claim_era`.
         is_isolated : callable
-            Tells whether no peer answers this node.
+            Returns whether no peer answers this node.
         """
         if self._address is None:
             return None
         restorer = ClaimRestorer(
-            self._guarded("claims"),
+            self._guarded_tables("claims"),
             ClaimHolder(self._own.node_id, self._own.incarnation),
             self._claim_eras,
             begin_era,
             claims.take_written_claims,
-            self._fleet,
+            self._live_holders,
             is_isolated,
             self._events,
         )
-        self._eras.on_new(restorer.wake)
-        self._eras.on_wanted(restorer.request_era)
+        self._eras.on_new_era(restorer.wake)
+        self._eras.on_claims_request(restorer.request_era)
         return restorer
 
-    def _fleet(self) -> list[ClaimHolder]:
+    def _live_holders(self) -> list[ClaimHolder]:
         return [
             ClaimHolder(node.node_id, node.incarnation)
             for node in self._directory.alive()
         ]
 
     def registry(self, member: Member) -> Registry | None:
-        """Return by what nodes find one another."""
+        """Create the registry through which nodes find each other."""
         if self._address is None:
             return None
         return Registry(
-            self._guarded("registry"),
+            self._guarded_tables("registry"),
             self._own,
             self._directory,
             member.set_contacts,
@@ -104,22 +108,22 @@
         )
 
     def quarantine_store(
-        self, crash_history: CrashHistory, tell: Callable[[CrashUpdate, float], None]
+        self, crash_history: CrashHistory, share: Callable[[CrashUpdate, float], None]
     ) -> QuarantineStore | None:
-        """Return what keeps quarantines over restarts."""
+        """Create the part that keeps quarantines across restarts."""
         if self._address is None:
             return None
         return QuarantineStore(
-            self._guarded("quarantines"),
+            self._guarded_tables("quarantines"),
             self._own,
             self._directory,
             crash_history,
             self._events,
-            tell,
+            share,
         )
 
-    def _guarded(self, user: str) -> GuardedTableService:
-        guard = PlatformGuard(f"{self._own.node_id}/{self._own.incarnation}/{user}")
+    def _guarded_tables(self, purpose: str) -> GuardedTableService:
+        guard = PlatformGuard(f"{self._own.node_id}/{self._own.incarnation}/{purpose}")
         self.guards.append(guard)
         tables = HttpTableService(self._address, self._eras.known)
         return GuardedTableService(tables, guard)
--- a/tests/fake_gate.py
+++ b/tests/fake_gate.py
@@ -1,4 +1,4 @@
-"""A gate of a test: it answers late, twice, damaged, or as somebody else."""
+"""A fake gate that can reply late, twice, with damage, or under another id."""
 
 import heapq
 import itertools
@@ -27,12 +27,18 @@
 
 
 class FakeGate:
-    """A ROUTER whose replies a test decides.
+    """A ROUTER socket that replies as the test specifies.
 
     Parameters
     ----------
     answer : callable
-        Takes a dispatch and returns (delay_s, frame) pairs to send back.
+        Returns (delay_s, frame) pairs to send in reply to a dispatch.
+
+    Attributes
+    ----------
+    declines : Reason, None or SILENT
+        The reason in the answers to admission queries, None to admit. With `SILENT`,
+        queries are not answered.
     """
 
     def __init__(
@@ -43,10 +49,9 @@
         self.dispatches: list[Dispatch] = []
         self.cancels: list[Cancel] = []
         self.questions: list[Question] = []
-        # Why it would not take what it is asked for; silent when not a reason.
         self.declines: Reason | None | str = None
         self._answer = answer
-        self._later: list[tuple[float, int, list[bytes]]] = []
+        self._scheduled: list[tuple[float, int, list[bytes]]] = []
         self._order = itertools.count()
         self._stopped = threading.Event()
         self._context = zmq.Context()
@@ -57,27 +62,29 @@
         self._thread.start()
 
     def close(self) -> None:
-        """End: connections are reset, nobody listens."""
+        """Stop the gate: connections are reset and new ones refused."""
         self._stopped.set()
         self._thread.join()
-        # A thread that an answer's own failure ended has not closed its socket;
-        # `term` would wait for it for ever, and hide the failure.
+        # If `answer` raised an exception, the thread ended without closing its socket.
+        # `term` would wait for that socket forever and hide the failure.
         self._context.destroy(linger=0)
 
     def _run(self) -> None:
         while not self._stopped.is_set():
             if self._router.poll(self._wait_ms()):
-                self._take(self._router.recv_multipart())
-            while self._later and self._later[0][0] <= time.monotonic():
-                self._router.send_multipart(heapq.heappop(self._later)[2])
+                self._handle_message(self._router.recv_multipart())
+            while self._scheduled and self._scheduled[0][0] <= time.monotonic():
+                self._router.send_multipart(heapq.heappop(self._scheduled)[2])
         self._router.close()
 
     def _wait_ms(self) -> int:
-        if not self._later:
+        if not self._scheduled:
             return POLL_MS
-        return max(0, min(POLL_MS, int((self._later[0][0] - time.monotonic()) * 1000)))
+        return max(
+            0, min(POLL_MS, int((self._scheduled[0][0] - time.monotonic()) * 1000))
+        )
 
-    def _take(self, frames: list[bytes]) -> None:
+    def _handle_message(self, frames: list[bytes]) -> None:
         peer, message = frames[0], decode_link(frames[-1])
         match message:
             case Greet():
@@ -86,8 +93,8 @@
             case Question():
                 self.questions.append(message)
                 if self.declines != SILENT:
-                    told = Told(message.number, self.declines, 800.0)
-                    self._router.send_multipart([peer, encode(told)])
+                    answer = Told(message.number, self.declines, 800.0)
+                    self._router.send_multipart([peer, encode(answer)])
             case Cancel():
                 self.cancels.append(message)
             case Dispatch():
@@ -95,5 +102,5 @@
                 for delay_s, frame in self._answer(message):
                     due_s = time.monotonic() + delay_s
                     heapq.heappush(
-                        self._later, (due_s, next(self._order), [peer, frame])
+                        self._scheduled, (due_s, next(self._order), [peer, frame])
                     )
--- a/tests/one_gate.py
+++ b/tests/one_gate.py
@@ -1,4 +1,4 @@
-"""One ingress before one gate of a fake, for tests of links."""
+"""An ingress with a single fake gate, for tests of links."""
 
 import io
 import socket
@@ -34,7 +34,10 @@
 
 
 def answer_frame(dispatch, **changes) -> bytes:
-    """Return the reply that belongs to a dispatch: its body, given back."""
+    """Return an encoded reply to a dispatch, which echoes its body.
+
+    `changes` replace fields of the reply.
+    """
     fields = {
         "attempt_id": dispatch.attempt_id,
         "outcome": Outcome.ANSWERED,
@@ -52,7 +55,7 @@
 
 
 class Ingress:
-    """The ingress's side of one node, with one peer in its directory."""
+    """The ingress of a node that knows one peer, at `gate_address`."""
 
     def __init__(self, gate_address: str, servers_count: int = 1) -> None:
         self.events = io.StringIO()
@@ -70,7 +73,7 @@
         self._forwarder = Forwarder(OWN, picker, gate, self.links, events)
 
     def request(self, body: bytes = b"signature", timeout_s: float = 5.0, **route):
-        """Forward one request of a caller that waits."""
+        """Forward one request; the caller's connection stays open meanwhile."""
         near, far = socket.socketpair()
         self.caller = far
         with near, far:
@@ -85,5 +88,5 @@
             return self._forwarder.forward(self.forwarded)
 
     def give_up(self) -> None:
-        """End the waiting, as a node that leaves."""
+        """Stop waiting for replies, like a node that leaves."""
         self._forwarder.give_up()
--- a/tests/test_ports.py
+++ b/tests/test_ports.py
@@ -1,4 +1,4 @@
-"""Ports for the processes of tests."""
+"""Ports that tests reserve for their processes."""
 
 import json
 import subprocess
@@ -6,14 +6,17 @@
 
 from tests.utils import ROOT
 
-TAKE = "from tests.utils import free_port; print([free_port() for _ in range(120)])"
+PRINT_PORTS = (
+    "from tests.utils import free_port; print([free_port() for _ in range(120)])"
+)
 
 
 def test_test_processes_never_share_a_port():
-    # Guards against nodes that end at their start: another test has their address.
-    takers = [
+    # Guards against two test processes that get the same port. A node whose address is
+    # in use by another test exits when it starts.
+    processes = [
         subprocess.Popen(
-            [sys.executable, "-c", f"{TAKE}; input()"],
+            [sys.executable, "-c", f"{PRINT_PORTS}; input()"],
             stdin=subprocess.PIPE,
             stdout=subprocess.PIPE,
             text=True,
@@ -21,8 +24,8 @@
         )
         for _ in range(4)
     ]
-    taken = [json.loads(taker.stdout.readline()) for taker in takers]
-    for taker in takers:
-        taker.communicate("\n")
-    ports = [port for one in taken for port in one]
+    ports_by_process = [json.loads(process.stdout.readline()) for process in processes]
+    for process in processes:
+        process.communicate("\n")
+    ports = [port for process_ports in ports_by_process for port in process_ports]
     assert len(set(ports)) == len(ports)
--- a/tests/two_gates.py
+++ b/tests/two_gates.py
@@ -1,4 +1,4 @@
-"""One ingress between two gates of fakes, for tests of second attempts."""
+"""An ingress with two fake gates, for tests of second attempts."""
 
 import io
 import socket
@@ -50,7 +50,11 @@
 
 
 class TwoGateCase(TestCase):
-    """One ingress and gates of fakes, two by default, each with one backend server."""
+    """An ingress and its fake gates, each with one backend server.
+
+    `NAMES` lists the gates. A test replaces functions in `answers`, which return the
+    frames that a gate sends for a dispatch.
+    """
 
     NAMES = ("a", "b")
 
@@ -70,7 +74,7 @@
                 0.0,
             )
             self.gates[name] = gate
-        # Beside the ingress's own gate; none at first.
+        # Backend servers of the ingress's own gate; none at first.
         self.servers = LocalBackendServers()
         events = EventLog("own", 1, HybridClock(), io.StringIO())
         self.links = LinkPool(zmq.Context.instance(), events)
