--- a/balsamspindle/backend_servers/admission.py
+++ b/balsamspindle/backend_servers/admission.py
@@ -19,7 +19,7 @@
 from balsamspindle.backend_servers.slots import WorkEnd, WorkKind, ramped_slots
 from balsamspindle.protocol.outcomes import Reason
 from balsamspindle.settings.documents import ServiceDocument
-from balsamspindle.wire import AttemptId, Dispatch, Question
+from balsamspindle.wire import AdmissionQuery, AttemptId, Dispatch
 
 __all__ = ["Admission", "Admitted", "Refused"]
 
@@ -225,20 +225,20 @@
                 return admitted
         return _refusal(verdict, queue, ticket, availability)
 
-    def preview(self, question: Question, deadline_s: float) -> Refused | None:
+    def preview(self, query: AdmissionQuery, deadline_s: float) -> Refused | None:
         """Return why an attempt would be refused now, None if it would be accepted.
 
         The attempt is not enqueued, and no slot is reserved for it.
         """
         with self._servers.changed:
             now_s = time.monotonic()
-            ticket = _ticket(question, deadline_s, now_s)
-            match self._availability(question, ticket, now_s):
+            ticket = _ticket(query, deadline_s, now_s)
+            match self._availability(query, ticket, now_s):
                 case Refused() as refused:
                     return refused
                 case _Availability() as availability:
                     pass
-            queue = self._queue(question.service)
+            queue = self._queue(query.service)
             verdict = queue.preview(
                 ticket,
                 availability.free_slots,
@@ -251,7 +251,7 @@
             return _refusal(verdict, queue, ticket, availability)
 
     def _availability(
-        self, dispatch: Dispatch | Question, ticket: Ticket, now_s: float
+        self, dispatch: Dispatch | AdmissionQuery, ticket: Ticket, now_s: float
     ) -> "_Availability | Refused":
         """Return the slots available to a request, or why its server accepts none."""
         server = self._servers.get(dispatch.backend_server_id)
@@ -352,14 +352,21 @@
     return Refused(Reason.NO_FREE_SLOT, busy_ms)
 
 
-def _ticket(dispatch: Dispatch | Question, deadline_s: float, now_s: float) -> Ticket:
-    wait_max_ms, target_left_ms = dispatch.wait_max_ms, dispatch.target_left_ms
+def _ticket(
+    dispatch: Dispatch | AdmissionQuery, deadline_s: float, now_s: float
+) -> Ticket:
+    wait_max_ms, target_remaining_ms = (
+        dispatch.wait_max_ms,
+        dispatch.target_remaining_ms,
+    )
     return Ticket(
         dispatch.backend_server_id,
         dispatch.weight,
         deadline_s,
         wait_max_s=None if wait_max_ms is None else wait_max_ms / 1000,
-        target_s=None if target_left_ms is None else now_s + target_left_ms / 1000,
+        target_s=None
+        if target_remaining_ms is None
+        else now_s + target_remaining_ms / 1000,
         was_cut=dispatch.was_cut,
         rank_s=dispatch.rank_ms / 1000,
         customer=dispatch.customer,
--- a/balsamspindle/backend_servers/dispatches.py
+++ b/balsamspindle/backend_servers/dispatches.py
@@ -25,9 +25,9 @@
 
 def ingress_ends_s(dispatch: Dispatch, received_s: float) -> float:
     """Return when the ingress of an attempt ends; infinity while it is not leaving."""
-    if dispatch.ingress_left_ms is None:
+    if dispatch.ingress_remaining_ms is None:
         return math.inf
-    return received_s + dispatch.ingress_left_ms / 1000
+    return received_s + dispatch.ingress_remaining_ms / 1000
 
 
 def is_keyed(dispatch: Dispatch) -> bool:
--- a/balsamspindle/backend_servers/evidence.py
+++ b/balsamspindle/backend_servers/evidence.py
@@ -4,7 +4,7 @@
 from typing import NamedTuple, Protocol
 
 from balsamspindle.protocol.outcomes import Execution
-from balsamspindle.wire import SERVES, AttemptId, HeldOut, PeerEvidence
+from balsamspindle.wire import NOT_HELD_OUT, AttemptId, HoldOut, PeerEvidence
 
 __all__ = [
     "HealthObserver",
@@ -51,12 +51,12 @@
     ----------
     bad : bool or None
         None if the attempt is no evidence about the backend server.
-    limit_ms : float
+    p99_ms : float
         The backend server's 99th percentile of latency; 0 if unknown.
     """
 
     bad: bool | None = None
-    limit_ms: float = 0.0
+    p99_ms: float = 0.0
 
 
 class HealthObserver(Protocol):
@@ -100,7 +100,7 @@
             Whether the request cannot be tried again after this attempt.
         """
 
-    def held_out(self, backend_server_id: str, now_s: float) -> HeldOut:
+    def held_out(self, backend_server_id: str, now_s: float) -> HoldOut:
         """Return for how long ordinary work is refused, and on what evidence."""
 
 
@@ -113,9 +113,9 @@
         """See `HealthObserver.admits`."""
         return True
 
-    def held_out(self, backend_server_id, now_s) -> HeldOut:
+    def held_out(self, backend_server_id, now_s) -> HoldOut:
         """See `HealthObserver.held_out`."""
-        return SERVES
+        return NOT_HELD_OUT
 
     def record_start(self, backend_server_id, attempt_id, now_s) -> None:
         """See `HealthObserver.record_start`."""
--- a/balsamspindle/backend_servers/gate.py
+++ b/balsamspindle/backend_servers/gate.py
@@ -54,11 +54,11 @@
 from balsamspindle.settings.documents import RetryBudget
 from balsamspindle.timeline import EventLog
 from balsamspindle.wire import (
+    AdmissionAnswer,
+    AdmissionQuery,
     AttemptId,
     Dispatch,
-    Question,
     Reply,
-    Told,
     checksum,
 )
 from balsamspindle.wire.replies import is_refusal
@@ -222,22 +222,24 @@
             return self._handle_new(dispatch, token, deadline_s)
         return self._handle_keyed(dispatch, token, deadline_s)
 
-    def preview(self, question: Question, received_s: float) -> Told:
+    def preview(self, query: AdmissionQuery, received_s: float) -> AdmissionAnswer:
         """Return whether an attempt would be accepted now; no slot is reserved."""
-        held_out = self._observer.held_out(question.backend_server_id, received_s)
-        told = Told(question.number, held_out=held_out, gate_time_s=received_s)
-        content_status = self._crash_history.status(question.content, received_s)
+        held_out = self._observer.held_out(query.backend_server_id, received_s)
+        answer = AdmissionAnswer(
+            query.number, held_out=held_out, gate_time_s=received_s
+        )
+        content_status = self._crash_history.status(query.content, received_s)
         if content_status.blocked_ms:
             return msgspec.structs.replace(
-                told, reason=Reason.CRASHES_SERVERS, wait_ms=content_status.blocked_ms
+                answer, reason=Reason.CRASHES_SERVERS, wait_ms=content_status.blocked_ms
             )
-        if not self._health_admits(question):
-            return msgspec.structs.replace(told, reason=Reason.SUSPECTED)
-        deadline_s = received_s + question.remaining_ms / 1000
-        match self._admission.preview(question, deadline_s):
+        if not self._health_admits(query):
+            return msgspec.structs.replace(answer, reason=Reason.SUSPECTED)
+        deadline_s = received_s + query.remaining_ms / 1000
+        match self._admission.preview(query, deadline_s):
             case Refused(reason, wait_ms):
-                return msgspec.structs.replace(told, reason=reason, wait_ms=wait_ms)
-        return told
+                return msgspec.structs.replace(answer, reason=reason, wait_ms=wait_ms)
+        return answer
 
     def _begin(self, dispatch, token, deadline_s) -> BeginResult:
         with self._servers.changed:
@@ -293,7 +295,7 @@
             if not dispatch.is_repeat:
                 may_repeat = dispatch.execution is Execution.IDEMPOTENT
                 self._grants.record_first_attempt(
-                    service, weight, received_s, may_repeat, dispatch.repeated_part
+                    service, weight, received_s, may_repeat, dispatch.repeat_fraction
                 )
         elif dispatch.is_repeat:
             self._grants.return_grant(service)
@@ -348,11 +350,11 @@
         reply = self._refuse(dispatch, Reason.CRASHES_SERVERS, wait_ms=blocked_ms)
         return msgspec.structs.replace(reply, retry_after_ms=blocked_ms)
 
-    def repeated_part(self) -> float:
+    def repeat_fraction(self) -> float:
         """Return the fraction of this node's present runs that are repeats."""
-        return self._grants.repeated_part()
+        return self._grants.repeat_fraction()
 
-    def _health_admits(self, dispatch: Dispatch | Question) -> bool:
+    def _health_admits(self, dispatch: Dispatch | AdmissionQuery) -> bool:
         """Return whether the backend server's health allows this attempt."""
         return dispatch.is_last_resort or self._observer.admits(
             dispatch.backend_server_id,
--- a/balsamspindle/backend_servers/health.py
+++ b/balsamspindle/backend_servers/health.py
@@ -12,7 +12,7 @@
 from balsamspindle.backend_servers.health_work import WorkScore
 from balsamspindle.protocol.outcomes import Execution
 from balsamspindle.settings.documents import Detection
-from balsamspindle.wire import SERVES, AttemptId, HeldOut, PeerEvidence
+from balsamspindle.wire import NOT_HELD_OUT, AttemptId, HoldOut, PeerEvidence
 
 __all__ = ["HealthReport", "ServerHealth"]
 
@@ -214,10 +214,10 @@
             return 0.0
         return TRIAL_HINT_MS + self._readmission.hold_out_left_s(now_s) * 1000
 
-    def held_out(self, now_s: float) -> HeldOut:
+    def held_out(self, now_s: float) -> HoldOut:
         """Return for how long ordinary work is refused, and on what evidence."""
         held_out_ms = self.held_out_ms(now_s)
-        return HeldOut(held_out_ms, self._bad_in_a_row) if held_out_ms else SERVES
+        return HoldOut(held_out_ms, self._bad_in_a_row) if held_out_ms else NOT_HELD_OUT
 
     def needs_probe(self, now_s: float) -> bool:
         """Tell whether a probe would add evidence that requests do not give.
--- a/balsamspindle/backend_servers/health_monitor.py
+++ b/balsamspindle/backend_servers/health_monitor.py
@@ -21,7 +21,7 @@
 from balsamspindle.protocol.outcomes import Execution
 from balsamspindle.settings.documents import Detection
 from balsamspindle.timeline import EventLog
-from balsamspindle.wire import SERVES, AttemptId, HeldOut, PeerEvidence
+from balsamspindle.wire import NOT_HELD_OUT, AttemptId, HoldOut, PeerEvidence
 
 __all__ = ["TICK_S", "HealthMonitor"]
 
@@ -143,11 +143,13 @@
                 execution, weight, now_s, is_last_try
             )
 
-    def held_out(self, backend_server_id: str, now_s: float) -> HeldOut:
+    def held_out(self, backend_server_id: str, now_s: float) -> HoldOut:
         """See `HealthObserver.held_out`."""
         with self._lock:
             monitored = self._monitored.get(backend_server_id)
-            return SERVES if monitored is None else monitored.health.held_out(now_s)
+            return (
+                NOT_HELD_OUT if monitored is None else monitored.health.held_out(now_s)
+            )
 
     def record_peer_evidence(
         self, backend_server_id: str, evidence: PeerEvidence, now_s: float
@@ -164,7 +166,8 @@
             # A neighbour's summary counts the held-out server itself as bad. It is
             # subtracted, or the server's own failures would look like its peers'.
             others = evidence._replace(
-                heard=max(0, evidence.heard - 1), bad=max(0, evidence.bad - 1)
+                judged_count=max(0, evidence.judged_count - 1),
+                bad_count=max(0, evidence.bad_count - 1),
             )
             for other in self._monitored.values():
                 if other is not monitored and other.needs_peer_evidence_from(monitored):
--- a/balsamspindle/backend_servers/health_peers.py
+++ b/balsamspindle/backend_servers/health_peers.py
@@ -35,19 +35,19 @@
 
     def record(self, evidence: PeerEvidence, now_s: float) -> None:
         """Add the summary of one dispatch."""
-        if not evidence.heard:
+        if not evidence.judged_count:
             return
         decay = self._decay_factor(now_s)
-        self._peers_seen = self._peers_seen * decay + evidence.heard
-        self._peers_bad = self._peers_bad * decay + evidence.bad
+        self._peers_seen = self._peers_seen * decay + evidence.judged_count
+        self._peers_bad = self._peers_bad * decay + evidence.bad_count
         self._updated_s = now_s
-        if evidence.limit_ms > 0:
-            estimate_ms = self.p99_ms or evidence.limit_ms
-            if self._is_p99_stale and evidence.limit_ms > estimate_ms:
-                estimate_ms = evidence.limit_ms
+        if evidence.median_p99_ms > 0:
+            estimate_ms = self.p99_ms or evidence.median_p99_ms
+            if self._is_p99_stale and evidence.median_p99_ms > estimate_ms:
+                estimate_ms = evidence.median_p99_ms
                 self._is_p99_stale = False
             self.p99_ms = estimate_ms + P99_SMOOTHING * (
-                evidence.limit_ms - estimate_ms
+                evidence.median_p99_ms - estimate_ms
             )
 
     def mark_p99_stale(self) -> None:
--- a/balsamspindle/backend_servers/link_server.py
+++ b/balsamspindle/backend_servers/link_server.py
@@ -13,15 +13,15 @@
 from balsamspindle.backend_servers.gate import Gate
 from balsamspindle.timeline import EventLog
 from balsamspindle.wire import (
+    AdmissionQuery,
     AttemptId,
     Cancel,
     Dispatch,
     GateEnding,
-    Greet,
-    Greeting,
+    GreetingReply,
+    GreetingRequest,
     IngressEnding,
     LinkMessage,
-    Question,
     Reply,
     WireError,
     decode_link,
@@ -187,11 +187,11 @@
                 self._gate.cancel(attempt_id, gate_deadline_s, cause)
             case IngressEnding(attempt_id, left_ms):
                 self._ends_s[attempt_id] = time.monotonic() + left_ms / 1000
-            case Question() as question:
-                answer = self._gate.preview(question, time.monotonic())
+            case AdmissionQuery() as query:
+                answer = self._gate.preview(query, time.monotonic())
                 self._router.send_multipart([peer, encode(answer)])
-            case Greet():
-                greeting = Greeting(
+            case GreetingRequest():
+                greeting = GreetingReply(
                     self._events.node_id, self._events.incarnation, time.monotonic()
                 )
                 self._router.send_multipart([peer, encode(greeting)])
@@ -227,7 +227,9 @@
             ends_s = self._ends_s.get(dispatch.attempt_id)
             if ends_s is not None:
                 left_ms = (ends_s - received_s) * 1000
-                dispatch = msgspec.structs.replace(dispatch, ingress_left_ms=left_ms)
+                dispatch = msgspec.structs.replace(
+                    dispatch, ingress_remaining_ms=left_ms
+                )
             reply = self._gate.handle(dispatch, received_s)
             if reply is not None:
                 frames.append(_encode_now(reply))
--- a/balsamspindle/backend_servers/retry_grants.py
+++ b/balsamspindle/backend_servers/retry_grants.py
@@ -59,7 +59,7 @@
         weight: float,
         now_s: float,
         may_repeat: bool = True,
-        repeated_part: float = 0.0,
+        repeat_fraction: float = 0.0,
     ) -> None:
         """Count a request that is sent to a backend server for the first time.
 
@@ -70,7 +70,7 @@
             requests that must not run twice. Otherwise half of all grants can stay
             unused while lighter requests are refused a repeat, for example 67 of
             them within 15 s.
-        repeated_part : float
+        repeat_fraction : float
             Probability that the request is a call made by a run that is a repeat.
         """
         with self._lock:
@@ -78,8 +78,8 @@
             if may_repeat:
                 state.heaviest.record(weight, now_s)
             state.window.record_request(self._budget(service, now_s), now_s)
-            if repeated_part:
-                state.window.record_retries(repeated_part, now_s)
+            if repeat_fraction:
+                state.window.record_retries(repeat_fraction, now_s)
 
     def run_started(self, is_repeat: bool) -> None:
         """Count the start of a run at a backend server beside this node."""
@@ -93,7 +93,7 @@
             self._running -= 1
             self._running_repeats -= is_repeat
 
-    def repeated_part(self) -> float:
+    def repeat_fraction(self) -> float:
         """Return the fraction of this node's present runs that are repeats."""
         with self._lock:
             return (
--- a/balsamspindle/backend_servers/runner.py
+++ b/balsamspindle/backend_servers/runner.py
@@ -161,7 +161,7 @@
             free_slots=free_slots,
             hlc=hlc,
             bad=judgement.bad,
-            limit_ms=judgement.limit_ms,
+            p99_ms=judgement.p99_ms,
             held_out=held_out,
         )
         return reply if answer is None else with_answer(reply, answer)
--- a/balsamspindle/customers/limits.py
+++ b/balsamspindle/customers/limits.py
@@ -16,7 +16,7 @@
 from balsamspindle.customers.granters import Granters, Limit, Scope
 from balsamspindle.settings.documents import CustomerDocument
 from balsamspindle.wire import NodeRecord
-from balsamspindle.wire.limit_messages import LimitQuestion, LimitReturn, LimitTold
+from balsamspindle.wire.limit_messages import LimitAnswer, LimitQuestion, LimitReturn
 
 __all__ = ["Grant", "Limiter", "LimitLinks"]
 
@@ -29,7 +29,7 @@
 class LimitLinks(Protocol):
     """Sends the messages of limits to other nodes."""
 
-    def ask(self, node: NodeRecord, question: LimitQuestion) -> LimitTold | None:
+    def ask(self, node: NodeRecord, question: LimitQuestion) -> LimitAnswer | None:
         """Return a node's answer; None if it can't be reached."""
 
     def send(self, node: NodeRecord, message: LimitReturn) -> None:
@@ -138,11 +138,11 @@
             message = LimitReturn(grant.customer, grant.scope)
             self._links.send(grant.node, message)
 
-    def answer(self, question: LimitQuestion) -> LimitTold:
+    def answer(self, question: LimitQuestion) -> LimitAnswer:
         """Grant or deny a request of another node."""
         denial = self._try_spend(question, Scope(question.scope))
         wait_ms = denial.wait_s * 1000 if denial else 0.0
-        return LimitTold(question.number, denial is None, wait_ms, self._clock())
+        return LimitAnswer(question.number, denial is None, wait_ms, self._clock())
 
     def receive_return(self, message: LimitReturn) -> None:
         """Refund a grant that another node did not use."""
--- a/balsamspindle/membership/sync.py
+++ b/balsamspindle/membership/sync.py
@@ -19,13 +19,13 @@
 from balsamspindle.membership.peer_selection import choose_peer, sample_peers
 from balsamspindle.wire import (
     News,
+    NodePull,
     NodeRecord,
     NodeSummary,
     Page,
     Pull,
     SyncRequest,
     SyncSummary,
-    Want,
 )
 
 __all__ = ["AntiEntropy"]
@@ -37,7 +37,7 @@
 # Interval after a comparison that found a few differences.
 REPAIR_INTERVAL_S = 2.0
 SUMMARY_NODES_MAX = 64
-WANTS_MAX = 64
+NODE_PULLS_MAX = 64
 PAGE_MAX_BYTES = 64 * 1024
 # Compression makes a page of records smaller by at least this factor.
 PAGE_COMPRESSION_RATIO_MIN = 2
@@ -146,46 +146,50 @@
                 break
             buckets.append(bucket)
             nodes += directory.summaries(bucket)
-        others = bytes(set(differing).difference(buckets))
-        summary = SyncSummary(buckets, nodes, len(differing), others)
+        unlisted_buckets = bytes(set(differing).difference(buckets))
+        summary = SyncSummary(buckets, nodes, len(differing), unlisted_buckets)
         self._channel.answer(peer, summary, now_s)
 
     def _handle_summary(self, peer: Peer, summary: SyncSummary, now_s: float) -> None:
-        is_partial = summary.differing > len(summary.buckets)
+        is_partial = summary.differing_count > len(summary.buckets)
         self.is_catching_up |= is_partial
         self.compare_soon(
             now_s, CATCH_UP_INTERVAL_S if is_partial else REPAIR_INTERVAL_S
         )
         # A joining node that knows no peers cannot pull buckets from them. It pulls
         # the nodes of this summary instead; otherwise it would wait forever.
-        needs_all = summary.differing > PULL_ALL_ABOVE_BUCKETS and self._state.peers()
+        needs_all = (
+            summary.differing_count > PULL_ALL_ABOVE_BUCKETS and self._state.peers()
+        )
         # Once per interval: afterwards only the nodes that did not fit into a page
         # are missing.
         if needs_all and now_s >= self._next_pull_all_s:
             self._next_pull_all_s = now_s + PULL_ALL_INTERVAL_S
-            wanted = [*summary.buckets, *summary.others]
+            wanted = [*summary.buckets, *summary.unlisted_buckets]
             self._buckets_to_pull = self._random.sample(wanted, len(wanted))
             self._buckets_per_pull = _buckets_per_pull(summary)
         if self._buckets_to_pull:
             return
-        wants = [
-            want for want in map(self._build_want, summary.nodes) if want is not None
+        node_pulls = [
+            node_pull
+            for node_pull in map(self._build_node_pull, summary.nodes)
+            if node_pull is not None
         ]
-        if wants:
+        if node_pulls:
             # Urgent, so that comparisons with other peers do not use up the byte
             # budget. The pull would not be sent, and the next comparison would find
             # the same difference again.
-            pull = Pull(wants[:WANTS_MAX])
+            pull = Pull(node_pulls[:NODE_PULLS_MAX])
             self._channel.answer(peer, pull, now_s, Importance.URGENT)
         news = self._news_for_peer(summary)
         if news:
             self._channel.answer(peer, Page(self._limit_to_page(news, now_s)), now_s)
 
-    def _build_want(self, summary: NodeSummary) -> Want | None:
+    def _build_node_pull(self, summary: NodeSummary) -> NodePull | None:
         """Return which entries of a node to pull, None if nothing is missing."""
         view = self._state.directory.view(summary.node_id)
         if view is None or summary.incarnation > view.record.incarnation:
-            return Want(summary.node_id, summary.incarnation, 0)
+            return NodePull(summary.node_id, summary.incarnation, 0)
         if summary.incarnation < view.record.incarnation:
             return None
         if view.is_dead and summary.version <= view.version:
@@ -196,7 +200,7 @@
         # one is missing too, the versions are equal at the next comparison, and
         # all entries are pulled.
         above = view.version if summary.version > view.version else 0
-        return Want(summary.node_id, summary.incarnation, above)
+        return NodePull(summary.node_id, summary.incarnation, above)
 
     def _news_for_peer(self, summary: SyncSummary) -> list[News]:
         directory = self._state.directory
@@ -219,12 +223,12 @@
 
     def _handle_pull(self, peer: Peer, pull: Pull, now_s: float) -> None:
         news: list[News] = []
-        for want in pull.wants[:WANTS_MAX]:
-            view = self._state.directory.view(want.node_id)
+        for node_pull in pull.nodes[:NODE_PULLS_MAX]:
+            view = self._state.directory.view(node_pull.node_id)
             if view is None or view.is_dead:
                 continue
-            same_incarnation = want.incarnation == view.record.incarnation
-            news.append(view.news(want.above_version if same_incarnation else 0))
+            same_incarnation = node_pull.incarnation == view.record.incarnation
+            news.append(view.news(node_pull.above_version if same_incarnation else 0))
         for bucket in pull.buckets[:BUCKETS_PER_PULL_MAX]:
             for summary in self._state.directory.summaries(bucket):
                 news.append(self._state.directory.view(summary.node_id).news())
@@ -245,7 +249,7 @@
     def _handle_page(self, peer: Peer, page: Page, now_s: float) -> None:
         self.pages_received += 1
         self._state.handle_news(page.news, now_s, spread=False)
-        if page.left:
+        if page.remaining_count:
             self.is_catching_up = True
             self.compare_soon(now_s)
 
--- a/balsamspindle/node/customer_side.py
+++ b/balsamspindle/node/customer_side.py
@@ -16,7 +16,7 @@
 from balsamspindle.settings.process import NodeSettings
 from balsamspindle.timeline import EventLog
 from balsamspindle.wire import NodeRecord
-from balsamspindle.wire.limit_messages import LimitQuestion, LimitReturn, LimitTold
+from balsamspindle.wire.limit_messages import LimitAnswer, LimitQuestion, LimitReturn
 
 __all__ = ["CustomerSide"]
 
@@ -31,7 +31,7 @@
     def __init__(self, links: LinkPool) -> None:
         self._links = links
 
-    def ask(self, node: NodeRecord, question: LimitQuestion) -> LimitTold | None:
+    def ask(self, node: NodeRecord, question: LimitQuestion) -> LimitAnswer | None:
         """See `balsamspindle.customers.limits.LimitLinks`."""
         link = self._acquire_link(node)
         if link is None:
--- a/balsamspindle/node/gate_budgets.py
+++ b/balsamspindle/node/gate_budgets.py
@@ -32,7 +32,7 @@
         # current window, so it is counted until the window has passed.
         self._gate_counts: dict[str, RecentMax] = {}
 
-    def part(self, service: str, now_s: float) -> RetryBudget:
+    def retry_budget(self, service: str, now_s: float) -> RetryBudget:
         """Return a service's retry budget with this gate's share of the fleet's."""
         budget = self._service_document(service).retry_budget
         if not budget.fleet_per_s_min:
--- a/balsamspindle/node/process.py
+++ b/balsamspindle/node/process.py
@@ -78,7 +78,7 @@
         self._gate_side = GateSide(
             settings,
             self._service_document,
-            GateBudgets(self._directory, self._service_document).part,
+            GateBudgets(self._directory, self._service_document).retry_budget,
             self._context,
             self.events,
             self._crashes.history,
@@ -198,7 +198,7 @@
         # Messages still queued on the closed links are sent for at most this long.
         self._context.destroy(linger=LINGER_MS)
 
-    def may_define(self, service: str) -> bool:
+    def may_be_defined(self, service: str) -> bool:
         """Return whether a service is defined; True while no settings are in force."""
         configuration = self._configuration.get()
         return configuration is None or service in configuration.services
--- a/balsamspindle/node/store_eras.py
+++ b/balsamspindle/node/store_eras.py
@@ -8,7 +8,7 @@
 from balsamspindle.membership.fanout import Fanout
 from balsamspindle.tables import StoreEras
 from balsamspindle.timeline import EventLog
-from balsamspindle.wire import NodeRecord, StoreCameBack
+from balsamspindle.wire import NewStoreEra, NodeRecord
 
 __all__ = ["NodeEras"]
 
@@ -37,7 +37,7 @@
         self._claims_request_handlers: list[Callable[[int], None]] = []
         self._requested_era = 0
         self._requested_s = float("-inf")
-        self._notify_peers: Callable[[StoreCameBack], None] = lambda message: None
+        self._notify_peers: Callable[[NewStoreEra], None] = lambda message: None
         self.known = StoreEras(
             self._begin, lambda cause: events.emit("store_era_odd", cause=cause)
         )
@@ -54,14 +54,14 @@
         """Notify peers of new eras, and be notified by them, through a member."""
         fanout = Fanout(own, directory, "eras")
 
-        def notify_peers(message: StoreCameBack) -> None:
+        def notify_peers(message: NewStoreEra) -> None:
             with self._lock:
                 addresses = fanout.choose()
             for address in addresses:
                 member.send(address, message)
 
         self._notify_peers = notify_peers
-        member.register({StoreCameBack: self._receive})
+        member.register({NewStoreEra: self._receive})
         member.share_store_era(lambda: self.known.newest, self.known.record_era)
 
     def request_claims(self, era: int) -> None:
@@ -71,11 +71,11 @@
             return
         self._requested_s = now_s
         self._record_request(era)
-        self._notify_peers(StoreCameBack(wants_claims=True))
+        self._notify_peers(NewStoreEra(claims_requested=True))
 
-    def _receive(self, message: StoreCameBack) -> None:
+    def _receive(self, message: NewStoreEra) -> None:
         # The message's `Sender` contains the peer's era, which is already recorded.
-        if message.wants_claims and self._record_request(self.known.newest):
+        if message.claims_requested and self._record_request(self.known.newest):
             self._notify_peers(message)
 
     def _record_request(self, era: int) -> bool:
@@ -90,6 +90,6 @@
 
     def _begin(self, era: int) -> None:
         self._events.emit("store_came_back", era=era)
-        self._notify_peers(StoreCameBack())
+        self._notify_peers(NewStoreEra())
         for handler in self._new_era_handlers:
             handler()
--- a/balsamspindle/requests/admission_queries.py
+++ b/balsamspindle/requests/admission_queries.py
@@ -22,7 +22,13 @@
 from balsamspindle.requests.gate_links import GateLinks
 from balsamspindle.requests.links import Link
 from balsamspindle.timeline import EventLog
-from balsamspindle.wire import SERVES, HeldOut, NodeRecord, Question, Told
+from balsamspindle.wire import (
+    NOT_HELD_OUT,
+    AdmissionAnswer,
+    AdmissionQuery,
+    HoldOut,
+    NodeRecord,
+)
 
 __all__ = ["DeclinedAttempt", "AdmissionQueries"]
 
@@ -43,13 +49,13 @@
     wait_ms : float
         Expected wait for a slot, or how long the request stays blocked as one that
         crashes backend servers; 0 with other reasons.
-    held_out : HeldOut
+    held_out : HoldOut
         The hold-out of the backend server, as the gate reported it.
     """
 
     reason: Reason
     wait_ms: float = 0.0
-    held_out: HeldOut = SERVES
+    held_out: HoldOut = NOT_HELD_OUT
 
 
 class AdmissionQueries:
@@ -93,22 +99,24 @@
                 forwarded, placement, DeclinedAttempt(Reason.UNREACHABLE)
             )
         match link.ask(
-            self._build_question(forwarded, placement), now_s + QUERY_TIMEOUT_S
+            self._build_query(forwarded, placement), now_s + QUERY_TIMEOUT_S
         ):
             case None:
                 link.close()
                 self._links.record_unreachable(placement, self._clock())
                 declined = DeclinedAttempt(Reason.UNREACHABLE)
-            case Told(reason=None):
+            case AdmissionAnswer(reason=None):
                 return link
-            case Told() as told:
+            case AdmissionAnswer() as answer:
                 self._links.release(link)
-                declined = DeclinedAttempt(told.reason, told.wait_ms, told.held_out)
+                declined = DeclinedAttempt(
+                    answer.reason, answer.wait_ms, answer.held_out
+                )
         return self._log_declined(forwarded, placement, declined)
 
-    def _build_question(self, forwarded, placement) -> Question:
+    def _build_query(self, forwarded, placement) -> AdmissionQuery:
         route, now_s = forwarded.route, self._clock()
-        return Question(
+        return AdmissionQuery(
             next(self._numbers),
             route.service,
             placement.backend_server.backend_server_id,
@@ -116,7 +124,7 @@
             (forwarded.deadline_s - now_s) * 1000,
             route.weight,
             forwarded.wait_max_ms,
-            forwarded.target_left_ms(now_s),
+            forwarded.target_remaining_ms(now_s),
             route_id(route),
             is_last_resort=forwarded.is_last_resort,
             was_cut=forwarded.was_cut,
--- a/balsamspindle/requests/attempts.py
+++ b/balsamspindle/requests/attempts.py
@@ -25,7 +25,7 @@
 from balsamspindle.wire import (
     AttemptId,
     Dispatch,
-    HeldOut,
+    HoldOut,
     NodeRecord,
     Reply,
     checksum,
@@ -52,7 +52,7 @@
         events: EventLog,
         free_slots: FreeSlotEstimates,
         clock: Callable[[], float] = time.monotonic,
-        on_suspect: Callable[[NodeRecord, str, HeldOut, float], None] | None = None,
+        on_suspect: Callable[[NodeRecord, str, HoldOut, float], None] | None = None,
     ) -> None:
         self._on_suspect = on_suspect or (lambda *_: None)
         self._own = own
@@ -182,11 +182,11 @@
             caller_service=forwarded.caller_service,
             is_last_resort=forwarded.is_last_resort,
             wait_max_ms=forwarded.wait_max_ms,
-            target_left_ms=forwarded.target_left_ms(self._clock()),
+            target_remaining_ms=forwarded.target_remaining_ms(self._clock()),
             route_id=route_id(route),
             is_repeat=is_repeat,
-            repeated_part=self._gate.repeated_part(),
-            ingress_left_ms=self._link_attempts.left_ms(),
+            repeat_fraction=self._gate.repeat_fraction(),
+            ingress_remaining_ms=self._link_attempts.left_ms(),
             was_cut=forwarded.was_cut,
             rank_ms=forwarded.rank_ms,
             content=forwarded.content,
@@ -244,7 +244,7 @@
         )
 
     def _record_suspect(
-        self, placement: Placement, held_out: HeldOut, now_s: float
+        self, placement: Placement, held_out: HoldOut, now_s: float
     ) -> None:
         server_id = placement.backend_server.backend_server_id
         self.held_out_servers.record(server_id, held_out, now_s)
--- a/balsamspindle/requests/forwarded.py
+++ b/balsamspindle/requests/forwarded.py
@@ -203,7 +203,7 @@
         if is_cut and self.cut_s is None:
             self.cut_s = came_s
 
-    def target_left_ms(self, now_s: float) -> float | None:
+    def target_remaining_ms(self, now_s: float) -> float | None:
         """Return the time left in which an answer has its full worth.
 
         Negative after that time; None where the route sets no target.
--- a/balsamspindle/requests/forwarding.py
+++ b/balsamspindle/requests/forwarding.py
@@ -35,7 +35,7 @@
 from balsamspindle.services.picker import Picker
 from balsamspindle.settings.documents import RetryBudget
 from balsamspindle.timeline import EventLog
-from balsamspindle.wire import HeldOut, NodeRecord, Reply
+from balsamspindle.wire import HoldOut, NodeRecord, Reply
 from balsamspindle.wire.replies import is_refusal
 
 __all__ = ["ForwardedRequest", "Forwarder"]
@@ -75,7 +75,7 @@
         claims: ClaimsTable | None = None,
         retries: RetryPolicy | None = None,
         clock: Callable[[], float] = time.monotonic,
-        on_suspect: Callable[[NodeRecord, str, HeldOut, float], None] | None = None,
+        on_suspect: Callable[[NodeRecord, str, HoldOut, float], None] | None = None,
         crash_history: CrashHistory | None = None,
     ) -> None:
         self._picker = picker
@@ -239,7 +239,7 @@
         self._crash_history.record_answer(forwarded.content, self._clock())
         if took_s is not None:
             self._retries.record_answer(
-                route.service, took_s, reply.limit_ms, route_id(route)
+                route.service, took_s, reply.p99_ms, route_id(route)
             )
         self._sizes.record(route, len(reply.body))
 
--- a/balsamspindle/requests/latency_estimate.py
+++ b/balsamspindle/requests/latency_estimate.py
@@ -15,8 +15,9 @@
         0 before the first answer.
     high_s : float or None
         None before the first answer.
-    limit_s : float
-        The latency above which the gate counts an answer as slow; 0 while unknown.
+    p99_s : float
+        The backend server's 99th percentile of latency, above which the gate counts
+        an answer as slow; 0 while unknown.
     """
 
     STEP = 0.005
@@ -24,14 +25,14 @@
     def __init__(self) -> None:
         self.mean_s = 0.0
         self.high_s: float | None = None
-        self.limit_s = 0.0
+        self.p99_s = 0.0
 
-    def record(self, took_s: float, limit_ms: float = 0.0) -> None:
-        """Record the latency of one answer, and its gate's limit for a slow answer.
+    def record(self, took_s: float, p99_ms: float = 0.0) -> None:
+        """Record the latency of one answer and the 99th percentile its gate reported.
 
-        A `limit_ms` of 0 means that the limit is not known and changes nothing.
+        A `p99_ms` of 0 means that the percentile is not known and changes nothing.
         """
-        self.limit_s = limit_ms / 1000 or self.limit_s
+        self.p99_s = p99_ms / 1000 or self.p99_s
         if self.high_s is None:
             self.mean_s, self.high_s = took_s, 2 * took_s
             return
--- a/balsamspindle/requests/links.py
+++ b/balsamspindle/requests/links.py
@@ -17,23 +17,23 @@
 from balsamspindle.requests.peer_timeout import PeerTimeout
 from balsamspindle.timeline import EventLog
 from balsamspindle.wire import (
+    AdmissionAnswer,
+    AdmissionQuery,
     AttemptId,
     Cancel,
     Dispatch,
     GateEnding,
-    Greet,
-    Greeting,
+    GreetingReply,
+    GreetingRequest,
     IngressEnding,
     LinkMessage,
-    Question,
     Reply,
-    Told,
     WireError,
     checksum,
     decode_link,
     encode,
 )
-from balsamspindle.wire.limit_messages import LimitQuestion, LimitTold
+from balsamspindle.wire.limit_messages import LimitAnswer, LimitQuestion
 from balsamspindle.wire.security import FleetKeys, protect_connection
 
 __all__ = ["GateClock", "Link", "LinkPool", "poll_timeout_ms"]
@@ -127,11 +127,13 @@
         """
         if now_s - self._last_received_s < CHECK_VALID_S[execution]:
             return self.connected()
-        if not self._wait_for_peer(zmq.POLLOUT, timeout) or not self._send(Greet()):
+        if not self._wait_for_peer(zmq.POLLOUT, timeout) or not self._send(
+            GreetingRequest()
+        ):
             return False
         while self._wait_for_peer(zmq.POLLIN, timeout):
             match decode_link(self._socket.recv()):
-                case Greeting(node_id, incarnation, gate_time_s):
+                case GreetingReply(node_id, incarnation, gate_time_s):
                     self.gate = (node_id, incarnation)
                     self._record_received(gate_time_s)
                     return True
@@ -159,16 +161,18 @@
         return dict(poller.poll(timeout_ms))
 
     def ask(
-        self, question: Question | LimitQuestion, give_up_s: float
-    ) -> Told | LimitTold | None:
+        self, question: AdmissionQuery | LimitQuestion, give_up_s: float
+    ) -> AdmissionAnswer | LimitAnswer | None:
         """Send a question and return its answer; None if no answer came in time."""
         if not self._send(question):
             return None
         while self._wait(zmq.POLLIN, give_up_s):
             match decode_link(self._socket.recv()):
-                case Told() | LimitTold() as told if told.number == question.number:
-                    self._record_received(told.gate_time_s)
-                    return told
+                case AdmissionAnswer() | LimitAnswer() as answer if (
+                    answer.number == question.number
+                ):
+                    self._record_received(answer.gate_time_s)
+                    return answer
         return None
 
     def send(self, message: LinkMessage) -> None:
@@ -180,7 +184,7 @@
         now_s = time.monotonic()
         self._sent_s = now_s
         self._gate_deadline_s = self.gate_clock.at(deadline_s)
-        self._ending_sent = dispatch.ingress_left_ms is not None
+        self._ending_sent = dispatch.ingress_remaining_ms is not None
         message = msgspec.structs.replace(
             dispatch,
             remaining_ms=(deadline_s - now_s) * 1000,
--- a/balsamspindle/requests/retries.py
+++ b/balsamspindle/requests/retries.py
@@ -175,7 +175,7 @@
             state.tokens.record_request(self._budget(service), now_s)
 
     def record_answer(
-        self, service: str, took_s: float, limit_ms: float = 0.0, route_id: int = 0
+        self, service: str, took_s: float, p99_ms: float = 0.0, route_id: int = 0
     ) -> None:
         """Record an answered attempt's latency and its gate's limit for a slow answer.
 
@@ -183,7 +183,7 @@
         the time for a second attempt with them.
         """
         with self._lock:
-            self._state(service).latency(route_id).record(took_s, limit_ms)
+            self._state(service).latency(route_id).record(took_s, p99_ms)
 
     def may_retry(
         self,
@@ -310,7 +310,7 @@
         hedge_delay_s = min(latest_s, latency.high_s * self.SLOW_FACTOR)
         if not is_own:
             return hedge_delay_s
-        hedge_delay_s = max(hedge_delay_s, latency.limit_s * self.SLOWEST_FACTOR)
+        hedge_delay_s = max(hedge_delay_s, latency.p99_s * self.SLOWEST_FACTOR)
         return hedge_delay_s if hedge_delay_s <= left_s / 2 else left_s
 
     def record_end(
--- a/balsamspindle/requests/tracking.py
+++ b/balsamspindle/requests/tracking.py
@@ -9,7 +9,7 @@
 from balsamspindle.services.free_slots import FREE_SLOTS_TTL_S, FreeSlotEstimates
 from balsamspindle.services.peer_evidence import PeerEvidenceTracker
 from balsamspindle.services.queue_hints import QueueHints
-from balsamspindle.wire import HeldOut, Reply
+from balsamspindle.wire import HoldOut, Reply
 from balsamspindle.wire.replies import is_refusal
 
 __all__ = ["AVOID_AFTER_FAILURE_S", "TrackedAttempt"]
@@ -35,7 +35,7 @@
         placement: Placement,
         free_slots: FreeSlotEstimates,
         peer_evidence: PeerEvidenceTracker,
-        record_suspect: Callable[[Placement, HeldOut, float], None],
+        record_suspect: Callable[[Placement, HoldOut, float], None],
         queue_hints: QueueHints,
         clock: Callable[[], float],
     ) -> None:
--- a/balsamspindle/requests/zone_hints.py
+++ b/balsamspindle/requests/zone_hints.py
@@ -12,7 +12,7 @@
 
 from balsamspindle.membership.directory import Directory
 from balsamspindle.services.held_out_servers import HeldOutServers
-from balsamspindle.wire import HeldOut, NodeRecord, SuspectHint
+from balsamspindle.wire import HoldOut, NodeRecord, SuspectHint
 
 __all__ = ["ZoneHints"]
 
@@ -55,7 +55,7 @@
         self,
         node: NodeRecord,
         backend_server_id: str,
-        held_out: HeldOut,
+        held_out: HoldOut,
         now_s: float,
     ) -> None:
         """Send a hold-out reported by another zone's gate to nodes of this zone."""
--- a/balsamspindle/services/held_out_servers.py
+++ b/balsamspindle/services/held_out_servers.py
@@ -3,7 +3,7 @@
 import threading
 from typing import NamedTuple
 
-from balsamspindle.wire import HeldOut
+from balsamspindle.wire import HoldOut
 
 __all__ = ["HeldOutServers"]
 
@@ -29,7 +29,7 @@
         self._lock = threading.Lock()
         self._hold_outs: dict[str, _HoldOut] = {}
 
-    def record(self, backend_server_id: str, held_out: HeldOut, now_s: float) -> None:
+    def record(self, backend_server_id: str, held_out: HoldOut, now_s: float) -> None:
         """Record the hold-out that a reply reported, or its end."""
         if not held_out.held_out_ms and backend_server_id not in self._hold_outs:
             return
--- a/balsamspindle/services/peer_evidence.py
+++ b/balsamspindle/services/peer_evidence.py
@@ -23,12 +23,12 @@
 class _ServerEvidence:
     """The latest judgement and latency limit of one backend server."""
 
-    __slots__ = ("bad", "in_flight", "judged_s", "limit_ms")
+    __slots__ = ("bad", "in_flight", "judged_s", "p99_ms")
 
     def __init__(self) -> None:
         self.bad = False
         self.judged_s = float("-inf")
-        self.limit_ms = 0.0
+        self.p99_ms = 0.0
         # Start times of the attempts in flight, the oldest first.
         self.in_flight: list[float] = []
 
@@ -37,9 +37,9 @@
 
     def hangs(self, now_s: float) -> bool:
         """Tell whether the oldest attempt in flight takes unusually long."""
-        if not self.in_flight or not self.limit_ms:
+        if not self.in_flight or not self.p99_ms:
             return False
-        return (now_s - self.in_flight[0]) * 1000 > HANGING_FACTOR * self.limit_ms
+        return (now_s - self.in_flight[0]) * 1000 > HANGING_FACTOR * self.p99_ms
 
 
 class PeerEvidenceTracker:
@@ -76,8 +76,8 @@
                 evidence.in_flight.remove(started_s)
             if reply is None:
                 return
-            if reply.limit_ms > 0:
-                evidence.limit_ms = reply.limit_ms
+            if reply.p99_ms > 0:
+                evidence.p99_ms = reply.p99_ms
             if reply.bad is not None:
                 evidence.bad = reply.bad
                 evidence.judged_s = now_s
@@ -86,8 +86,8 @@
         self, service: str, backend_server_id: str, now_s: float
     ) -> PeerEvidence:
         """Return a summary of the service's other backend servers."""
-        heard = bad = 0
-        limits_ms = []
+        judged_count = bad_count = 0
+        p99s_ms = []
         with self._lock:
             servers = self._services.get(service, {})
             for server_id, evidence in list(servers.items()):
@@ -99,15 +99,15 @@
                     continue
                 if server_id == backend_server_id:
                     continue
-                if evidence.limit_ms:
-                    limits_ms.append(evidence.limit_ms)
+                if evidence.p99_ms:
+                    p99s_ms.append(evidence.p99_ms)
                 hangs = evidence.hangs(now_s)
                 if hangs or evidence.is_recent(now_s):
-                    heard += 1
-                    bad += hangs or evidence.bad
+                    judged_count += 1
+                    bad_count += hangs or evidence.bad
         # A single limit may come from an unhealthy backend server.
-        limit_ms = statistics.median(limits_ms) if len(limits_ms) > 1 else 0.0
-        return PeerEvidence(heard, bad, limit_ms)
+        median_p99_ms = statistics.median(p99s_ms) if len(p99s_ms) > 1 else 0.0
+        return PeerEvidence(judged_count, bad_count, median_p99_ms)
 
     def _evidence(self, service: str, backend_server_id: str) -> _ServerEvidence:
         servers = self._services.setdefault(service, {})
--- a/balsamspindle/wire/limit_messages.py
+++ b/balsamspindle/wire/limit_messages.py
@@ -4,7 +4,7 @@
 
 import msgspec
 
-__all__ = ["LimitQuestion", "LimitReturn", "LimitTold"]
+__all__ = ["LimitQuestion", "LimitReturn", "LimitAnswer"]
 
 # A message with a scope that this release does not know is rejected.
 ScopeNumber = Annotated[int, msgspec.Meta(ge=0, le=1)]
@@ -34,7 +34,7 @@
     scope: ScopeNumber = 0
 
 
-class LimitTold(msgspec.Struct, array_like=True, tag="limited", frozen=True):
+class LimitAnswer(msgspec.Struct, array_like=True, tag="limited", frozen=True):
     """Granting node to ingress: the answer to a `LimitQuestion`.
 
     Attributes
--- a/balsamspindle/wire/link_messages.py
+++ b/balsamspindle/wire/link_messages.py
@@ -12,7 +12,7 @@
 import msgspec
 
 from balsamspindle.protocol.outcomes import CancelCause, Execution, Outcome, Reason
-from balsamspindle.wire.limit_messages import LimitQuestion, LimitReturn, LimitTold
+from balsamspindle.wire.limit_messages import LimitAnswer, LimitQuestion, LimitReturn
 
 __all__ = [
     "AttemptId",
@@ -20,20 +20,20 @@
     "Claim",
     "Dispatch",
     "GateEnding",
-    "Greet",
-    "Greeting",
-    "HeldOut",
+    "GreetingRequest",
+    "GreetingReply",
+    "HoldOut",
     "IngressEnding",
     "LinkMessage",
     "PeerEvidence",
-    "Question",
+    "AdmissionQuery",
     "Reply",
-    "SERVES",
-    "Told",
+    "NOT_HELD_OUT",
+    "AdmissionAnswer",
 ]
 
 
-class HeldOut(NamedTuple):
+class HoldOut(NamedTuple):
     """Whether a gate holds out a backend server from ordinary work, and why.
 
     Attributes
@@ -50,7 +50,7 @@
     bad_in_a_row: int = 0
 
 
-SERVES = HeldOut()
+NOT_HELD_OUT = HoldOut()
 
 
 class AttemptId(NamedTuple):
@@ -91,11 +91,11 @@
     gate_time_s: float
 
 
-class Greet(msgspec.Struct, array_like=True, tag="greet", frozen=True):
+class GreetingRequest(msgspec.Struct, array_like=True, tag="greet", frozen=True):
     """Ingress to gate: the first message on a link, which the gate must answer."""
 
 
-class Greeting(msgspec.Struct, array_like=True, tag="greeting", frozen=True):
+class GreetingReply(msgspec.Struct, array_like=True, tag="greeting", frozen=True):
     """Gate to ingress: the answer to the first message on a link.
 
     Attributes
@@ -114,18 +114,18 @@
 
     Attributes
     ----------
-    heard : int
-        Number of backend servers with a recent verdict.
-    bad : int
-        Number of these whose latest request failed or was slow.
-    limit_ms : float
+    judged_count : int
+        Number of backend servers with a recent judgement or a hanging attempt.
+    bad_count : int
+        Number of these whose latest request failed, was slow or hangs.
+    median_p99_ms : float
         Median of the 99th percentiles of latency that their gates reported; 0 if
         unknown.
     """
 
-    heard: int = 0
-    bad: int = 0
-    limit_ms: float = 0.0
+    judged_count: int = 0
+    bad_count: int = 0
+    median_p99_ms: float = 0.0
 
 
 class Dispatch(msgspec.Struct, array_like=True, tag="dispatch", frozen=True):
@@ -159,17 +159,17 @@
         it may run at a suspected one.
     wait_max_ms : float or None
         Longest time it may wait for a slot; None to wait until its deadline.
-    target_left_ms : float or None
+    target_remaining_ms : float or None
         Time left, when the message is sent, to meet the route's latency target;
         None if the route has none.
     route_id : int
         Identifies the route; its requests take about the same time.
     is_repeat : bool
         Whether an earlier attempt reached a backend server, or may have.
-    repeated_part : float
+    repeat_fraction : float
         Fraction of the runs beside the sender that are repeats, which is the
         probability that this request is a call made by a repeat.
-    ingress_left_ms : float or None
+    ingress_remaining_ms : float or None
         Time until the sender's node ends; None if it is not leaving.
     was_cut : bool
         Whether an earlier run was lost, or will be, because its gate's node ends.
@@ -205,11 +205,11 @@
     caller_service: str = ""
     is_last_resort: bool = False
     wait_max_ms: float | None = None
-    target_left_ms: float | None = None
+    target_remaining_ms: float | None = None
     route_id: int = 0
     is_repeat: bool = False
-    repeated_part: float = 0.0
-    ingress_left_ms: float | None = None
+    repeat_fraction: float = 0.0
+    ingress_remaining_ms: float | None = None
     was_cut: bool = False
     rank_ms: float = 0.0
     content: int = 0
@@ -217,14 +217,14 @@
     is_last_try: bool = False
 
 
-class Question(msgspec.Struct, array_like=True, tag="ask", frozen=True):
+class AdmissionQuery(msgspec.Struct, array_like=True, tag="ask", frozen=True):
     """Ingress to gate: would the gate admit an attempt now? No slot is reserved.
 
     Attributes
     ----------
     number : int
         Identifies the query; the answer repeats it.
-    remaining_ms, weight, wait_max_ms, target_left_ms, route_id, is_last_resort
+    remaining_ms, weight, wait_max_ms, target_remaining_ms, route_id, is_last_resort
         As in `Dispatch`.
     was_cut, rank_ms, content, customer, is_last_try
         As in `Dispatch`.
@@ -237,7 +237,7 @@
     remaining_ms: float
     weight: float
     wait_max_ms: float | None = None
-    target_left_ms: float | None = None
+    target_remaining_ms: float | None = None
     route_id: int = 0
     is_last_resort: bool = False
     was_cut: bool = False
@@ -247,7 +247,7 @@
     is_last_try: bool = False
 
 
-class Told(msgspec.Struct, array_like=True, tag="told", frozen=True):
+class AdmissionAnswer(msgspec.Struct, array_like=True, tag="told", frozen=True):
     """Gate to ingress: the answer to an admission query.
 
     Attributes
@@ -259,7 +259,7 @@
     wait_ms : float
         Expected wait for a slot, or for ``crashes_servers`` how long the request
         stays blocked; 0 with other reasons.
-    held_out : HeldOut
+    held_out : HoldOut
     gate_time_s : float
         Reading of the gate's monotonic clock.
     """
@@ -267,7 +267,7 @@
     number: int
     reason: Reason | None = None
     wait_ms: float = 0.0
-    held_out: HeldOut = SERVES
+    held_out: HoldOut = NOT_HELD_OUT
     gate_time_s: float = 0.0
 
 
@@ -293,12 +293,12 @@
 
     Attributes
     ----------
-    left_ms : float
+    remaining_ms : float
         Time until the ingress ends, when the message is sent.
     """
 
     attempt_id: AttemptId
-    left_ms: float
+    remaining_ms: float
 
 
 class GateEnding(msgspec.Struct, array_like=True, tag="ending", frozen=True):
@@ -328,11 +328,11 @@
     gate_time_s : float
         Reading of the gate's monotonic clock when the reply was sent.
     bad : bool or None
-        The gate's verdict whether the backend server failed or was slow; None if
+        The gate's judgement whether the backend server failed or was slow; None if
         the attempt is no evidence about it.
-    limit_ms : float
+    p99_ms : float
         The backend server's 99th percentile of latency; 0 if unknown.
-    held_out : HeldOut
+    held_out : HoldOut
     """
 
     attempt_id: AttemptId
@@ -347,21 +347,21 @@
     hlc: int = 0
     gate_time_s: float = 0.0
     bad: bool | None = None
-    limit_ms: float = 0.0
-    held_out: HeldOut = SERVES
+    p99_ms: float = 0.0
+    held_out: HoldOut = NOT_HELD_OUT
 
 
 LinkMessage = (
-    Greet
-    | Greeting
-    | Question
-    | Told
+    GreetingRequest
+    | GreetingReply
+    | AdmissionQuery
+    | AdmissionAnswer
     | Dispatch
     | Cancel
     | IngressEnding
     | GateEnding
     | Reply
     | LimitQuestion
-    | LimitTold
+    | LimitAnswer
     | LimitReturn
 )
--- a/balsamspindle/wire/member_messages.py
+++ b/balsamspindle/wire/member_messages.py
@@ -13,7 +13,7 @@
 
 import msgspec
 
-from balsamspindle.wire.link_messages import HeldOut
+from balsamspindle.wire.link_messages import HoldOut
 
 __all__ = [
     "Ack",
@@ -29,7 +29,7 @@
     "Page",
     "Ping",
     "PingRequest",
-    "StoreCameBack",
+    "NewStoreEra",
     "SuspectHint",
     "Pull",
     "Sender",
@@ -37,7 +37,7 @@
     "SyncRequest",
     "SyncSummary",
     "Verdict",
-    "Want",
+    "NodePull",
 ]
 
 # A node must be able to send a number higher than any it receives, for example to
@@ -79,18 +79,16 @@
     store_era: Count = 0
 
 
-class StoreCameBack(
-    msgspec.Struct, array_like=True, tag="store_came_back", frozen=True
-):
+class NewStoreEra(msgspec.Struct, array_like=True, tag="store_came_back", frozen=True):
     """Node to node: a new era of the store began; `Sender` contains the era.
 
     Attributes
     ----------
-    wants_claims : bool
+    claims_requested : bool
         Whether callers wait for claims that the store has lost.
     """
 
-    wants_claims: bool = False
+    claims_requested: bool = False
 
 
 class Envelope(msgspec.Struct, array_like=True, frozen=True):
@@ -267,12 +265,12 @@
 
     Attributes
     ----------
-    held_out : HeldOut
+    held_out : HoldOut
         Remaining time of the hold-out, and its evidence.
     """
 
     backend_server_id: str
-    held_out: HeldOut
+    held_out: HoldOut
 
 
 class PingRequest(msgspec.Struct, array_like=True, frozen=True):
@@ -330,19 +328,19 @@
     ----------
     buckets : list of int
         Numbers of the buckets whose nodes are all in `nodes`.
-    differing : int
+    differing_count : int
         Number of buckets that differ, including those not in `buckets`.
-    others : bytes
+    unlisted_buckets : bytes
         Numbers of the differing buckets that are not in `buckets`, one byte each.
     """
 
     buckets: list[int]
     nodes: list[NodeSummary]
-    differing: int
-    others: bytes = b""
+    differing_count: int
+    unlisted_buckets: bytes = b""
 
 
-class Want(NamedTuple):
+class NodePull(NamedTuple):
     """One node of a `Pull`: send its entries above a version; 0 for all entries."""
 
     node_id: NodeId
@@ -359,7 +357,7 @@
         Buckets whose nodes are all requested; a joining node knows none of them.
     """
 
-    wants: list[Want]
+    nodes: list[NodePull]
     buckets: list[int] = []
 
 
@@ -368,9 +366,9 @@
 
     Attributes
     ----------
-    left : int
+    remaining_count : int
         Number of pulled nodes whose records did not fit.
     """
 
     news: list[News]
-    left: int = 0
+    remaining_count: int = 0
--- a/bench/detection_detectors.py
+++ b/bench/detection_detectors.py
@@ -89,7 +89,7 @@
             AttemptId("", 0, attempt),
             Outcome.ANSWERED,
             bad=bad,
-            limit_ms=health.own_p99_ms,
+            p99_ms=health.own_p99_ms,
         )
         tracker.record_end("s", str(server), started_s, reply, now_s)
 
--- a/bench/health_cost.py
+++ b/bench/health_cost.py
@@ -73,7 +73,7 @@
             attempt_id,
             Outcome.ANSWERED,
             bad=judgement.bad,
-            limit_ms=judgement.limit_ms,
+            p99_ms=judgement.p99_ms,
         )
         tracker.record_end("s/s", server_id, now_s, reply, now_s + 0.02)
 
--- a/bench/retry_storm.py
+++ b/bench/retry_storm.py
@@ -95,8 +95,8 @@
     def cancel(self, attempt_id) -> None:
         """Do nothing: no attempt lasts in real time."""
 
-    def repeated_part(self) -> float:
-        """See `Gate.repeated_part`."""
+    def repeat_fraction(self) -> float:
+        """See `Gate.repeat_fraction`."""
         return 0.0
 
     def handle(self, dispatch: Dispatch, received_s: float) -> Reply:
--- a/tests/fake_gate.py
+++ b/tests/fake_gate.py
@@ -10,12 +10,12 @@
 
 from balsamspindle.protocol.outcomes import Reason
 from balsamspindle.wire import (
+    AdmissionAnswer,
+    AdmissionQuery,
     Cancel,
     Dispatch,
-    Greet,
-    Greeting,
-    Question,
-    Told,
+    GreetingReply,
+    GreetingRequest,
     decode_link,
     encode,
 )
@@ -48,7 +48,7 @@
     ) -> None:
         self.dispatches: list[Dispatch] = []
         self.cancels: list[Cancel] = []
-        self.questions: list[Question] = []
+        self.queries: list[AdmissionQuery] = []
         self.declines: Reason | None | str = None
         self._answer = answer
         self._scheduled: list[tuple[float, int, list[bytes]]] = []
@@ -87,13 +87,13 @@
     def _handle_message(self, frames: list[bytes]) -> None:
         peer, message = frames[0], decode_link(frames[-1])
         match message:
-            case Greet():
-                greeting = Greeting("gate", 1, time.monotonic())
+            case GreetingRequest():
+                greeting = GreetingReply("gate", 1, time.monotonic())
                 self._router.send_multipart([peer, encode(greeting)])
-            case Question():
-                self.questions.append(message)
+            case AdmissionQuery():
+                self.queries.append(message)
                 if self.declines != SILENT:
-                    answer = Told(message.number, self.declines, 800.0)
+                    answer = AdmissionAnswer(message.number, self.declines, 800.0)
                     self._router.send_multipart([peer, encode(answer)])
             case Cancel():
                 self.cancels.append(message)
--- a/tests/health_driver.py
+++ b/tests/health_driver.py
@@ -9,7 +9,7 @@
 __all__ = ["ANSWERED", "ERROR", "PEERS_WELL", "Driver"]
 
 ANSWERED, ERROR = WorkResult.ANSWERED, WorkResult.ERROR
-PEERS_WELL = PeerEvidence(heard=5, bad=0, limit_ms=40.0)
+PEERS_WELL = PeerEvidence(judged_count=5, bad_count=0, median_p99_ms=40.0)
 INTERVAL_S = 0.5
 
 
--- a/tests/test_admission_queries.py
+++ b/tests/test_admission_queries.py
@@ -25,11 +25,11 @@
 from balsamspindle.settings.documents import RouteDocument
 from balsamspindle.timeline import EventLog, HybridClock
 from balsamspindle.wire import (
+    AdmissionQuery,
     AttemptId,
     BackendServerRecord,
     Dispatch,
     NodeRecord,
-    Question,
     Reply,
     checksum,
     encode,
@@ -97,7 +97,7 @@
 
     def test_a_gate_in_the_own_zone_gets_the_request_without_a_query(self):
         self.assertIs(Outcome.ANSWERED, self._request().outcome)
-        self.assertEqual([], self.gates["here"].questions)
+        self.assertEqual([], self.gates["here"].queries)
 
     def test_a_busy_gate_in_the_own_zone_is_not_sent_a_large_body(self):
         # Without a query a body of 60 KB is sent to three or four busy gates, which
@@ -112,14 +112,14 @@
 
     def test_a_free_gate_in_the_own_zone_gets_a_large_body(self):
         self.assertIs(Outcome.ANSWERED, self._request(body=b"x" * 60_000).outcome)
-        self.assertEqual(1, len(self.gates["here"].questions))
+        self.assertEqual(1, len(self.gates["here"].queries))
         self.assertEqual(1, len(self.gates["here"].dispatches))
 
     def test_a_gate_in_another_zone_gets_a_request_that_it_admits(self):
         self._refuse_in_own_zone()
         self.assertIs(Outcome.ANSWERED, self._request().outcome)
-        [question] = self.gates["there"].questions
-        self.assertEqual("server-there", question.backend_server_id)
+        [query] = self.gates["there"].queries
+        self.assertEqual("server-there", query.backend_server_id)
         self.assertEqual(1, len(self.gates["there"].dispatches))
 
     def test_a_gate_in_another_zone_is_not_sent_a_request_that_it_declines(self):
@@ -129,7 +129,7 @@
         self._refuse_in_own_zone()
         self.gates["there"].declines = Reason.WOULD_WAIT
         self.assertIs(Outcome.ANSWERED, self._request().outcome)
-        self.assertEqual(1, len(self.gates["there"].questions))
+        self.assertEqual(1, len(self.gates["there"].queries))
         [dispatch] = self.gates["there"].dispatches
         # The request may wait in that queue for half of its remaining time.
         half_ms = dispatch.remaining_ms / 2
@@ -164,9 +164,9 @@
         )
 
     def _query_gate(self, **changes):
-        question = Question(7, SERVICE, "s", Execution.IDEMPOTENT, 5000.0, 1.0)
-        question = msgspec.structs.replace(question, **changes)
-        return self.gate.preview(question, time.monotonic())
+        query = AdmissionQuery(7, SERVICE, "s", Execution.IDEMPOTENT, 5000.0, 1.0)
+        query = msgspec.structs.replace(query, **changes)
+        return self.gate.preview(query, time.monotonic())
 
     def test_a_query_reports_a_free_slot_without_taking_it(self):
         for _ in range(3):
--- a/tests/test_crash_watch.py
+++ b/tests/test_crash_watch.py
@@ -22,7 +22,7 @@
 from balsamspindle.requests.http import CallerRequest
 from balsamspindle.settings.documents import RetryBudget
 from balsamspindle.timeline import EventLog, HybridClock, parse_event
-from balsamspindle.wire import AttemptId, Dispatch, Question, checksum
+from balsamspindle.wire import AdmissionQuery, AttemptId, Dispatch, checksum
 from tests.raw_server import RawServer, answer_with_length
 from tests.utils import wait_until
 
@@ -295,10 +295,10 @@
 
     def test_a_preview_declines_a_quarantined_request(self):
         self._earlier_crashes(3)
-        question = Question(
+        query = AdmissionQuery(
             1, SERVICE, "server", Execution.IDEMPOTENT, 5000.0, 1.0, content=CAUSE
         )
-        result = self.gate.preview(question, time.monotonic())
+        result = self.gate.preview(query, time.monotonic())
         self.assertEqual(Reason.CRASHES_SERVERS, result.reason)
 
     def test_two_suspected_requests_do_not_run_together(self):
--- a/tests/test_ending_gates.py
+++ b/tests/test_ending_gates.py
@@ -151,7 +151,7 @@
         self.assertEqual(Outcome.ANSWERED, self._request().outcome)
         [dispatch] = [one for gate in self.gates.values() for one in gate.dispatches]
         reserve_ms = REPLY_RESERVE_S * 1000
-        self.assertLess(dispatch.ingress_left_ms, PATIENCE_S * 1000 - reserve_ms)
+        self.assertLess(dispatch.ingress_remaining_ms, PATIENCE_S * 1000 - reserve_ms)
 
     def test_runs_cut_by_a_leaving_gate_use_no_retry_budget(self):
         # More requests run at a leaving gate than the service's retry budget covers.
--- a/tests/test_health.py
+++ b/tests/test_health.py
@@ -126,10 +126,14 @@
 
 def test_slowness_shared_with_most_peers_never_ejects():
     """In an overload all are slow, and each ejection adds load to the others."""
-    overloaded = Driver(peers=PeerEvidence(heard=5, bad=4, limit_ms=40.0))
+    overloaded = Driver(
+        peers=PeerEvidence(judged_count=5, bad_count=4, median_p99_ms=40.0)
+    )
     overloaded.work(latency_ms=150.0, times=100)
     assert overloaded.health.phase is HealthPhase.SERVING
-    one_peer_bad = Driver(peers=PeerEvidence(heard=5, bad=1, limit_ms=40.0))
+    one_peer_bad = Driver(
+        peers=PeerEvidence(judged_count=5, bad_count=1, median_p99_ms=40.0)
+    )
     assert one_peer_bad.requests_until(HealthPhase.HELD_OUT, latency_ms=150.0) <= 10
 
 
@@ -138,7 +142,7 @@
     driver = Driver()
     driver.work(times=150)
     driver.requests_until(HealthPhase.HELD_OUT, latency_ms=150.0)
-    driver.peers = PeerEvidence(heard=5, bad=5, limit_ms=40.0)
+    driver.peers = PeerEvidence(judged_count=5, bad_count=5, median_p99_ms=40.0)
     driver.work(latency_ms=150.0, times=8)
     assert driver.health.phase is HealthPhase.SERVING
     driver.peers = PEERS_WELL
@@ -155,7 +159,7 @@
     driver = Driver(Detection(threshold=7.0, hold_out_s=60.0))
     driver.work(times=30)
     driver.requests_until(HealthPhase.HELD_OUT, result=ERROR)
-    a_pause = PeerEvidence(heard=5, bad=2, limit_ms=40.0)
+    a_pause = PeerEvidence(judged_count=5, bad_count=2, median_p99_ms=40.0)
     for _ in range(30):
         driver.health.record_peer_evidence(a_pause, driver.now_s)
         driver.wait(0.05)
@@ -174,7 +178,7 @@
 
 
 def test_a_backend_server_that_was_always_slow_is_compared_with_its_peers():
-    driver = Driver(peers=PeerEvidence(heard=5, bad=0, limit_ms=10.0))
+    driver = Driver(peers=PeerEvidence(judged_count=5, bad_count=0, median_p99_ms=10.0))
     assert driver.requests_until(HealthPhase.HELD_OUT, latency_ms=150.0) <= 4
 
 
@@ -226,7 +230,7 @@
         driver.health.record_end(attempt_id, ANSWERED, driver.now_s)
     driver.wait(5.5)
     assert driver.health.phase is HealthPhase.ON_TRIAL
-    driver.peers = PeerEvidence(heard=5, bad=0, limit_ms=600.0)
+    driver.peers = PeerEvidence(judged_count=5, bad_count=0, median_p99_ms=600.0)
     driver.work(latency_ms=600.0)
     assert driver.health.phase is HealthPhase.SERVING
 
@@ -236,7 +240,7 @@
     driver = Driver()
     stand_still(driver)
     driver.wait(5.5)
-    driver.peers = PeerEvidence(heard=5, bad=0, limit_ms=600.0)
+    driver.peers = PeerEvidence(judged_count=5, bad_count=0, median_p99_ms=600.0)
     driver.work(latency_ms=600.0)
     assert driver.health.phase is not HealthPhase.SERVING
 
--- a/tests/test_health_monitor.py
+++ b/tests/test_health_monitor.py
@@ -94,7 +94,7 @@
     node.work(ERROR, 4)
     assert node.suspicion >= 1
     for _ in range(5):
-        overload = PeerEvidence(heard=4, bad=4, limit_ms=40.0)
+        overload = PeerEvidence(judged_count=4, bad_count=4, median_p99_ms=40.0)
         node.monitor.record_peer_evidence("contract-1", overload, node.now_s)
         node.wait(0.1)
     assert node.suspicion == 0
@@ -114,7 +114,7 @@
     node.work(ERROR, 4)
     assert node.suspicion >= 1
     for _ in range(10):
-        only_itself = PeerEvidence(heard=1, bad=1)
+        only_itself = PeerEvidence(judged_count=1, bad_count=1)
         node.monitor.record_peer_evidence("contract-1", only_itself, node.now_s)
         node.wait(0.1)
     assert node.suspicion >= 1
--- a/tests/test_health_pauses.py
+++ b/tests/test_health_pauses.py
@@ -26,7 +26,7 @@
 
 def _slow_pair(second_begins_ms: float, good_ends_ms: float) -> Driver:
     """Run a slow request of 80 ms, a good one, and a slow one that ends 60 ms later."""
-    driver = Driver(peers=PeerEvidence(heard=5, bad=0, limit_ms=13.0))
+    driver = Driver(peers=PeerEvidence(judged_count=5, bad_count=0, median_p99_ms=13.0))
     driver.work(latency_ms=2.0, times=2_000)
     starts_ms = (0.0, second_begins_ms, good_ends_ms - 2.0)
     steps = [(at_ms, number, True) for number, at_ms in enumerate(starts_ms)]
--- a/tests/test_independent_errors.py
+++ b/tests/test_independent_errors.py
@@ -19,7 +19,7 @@
 from balsamspindle.protocol.outcomes import Execution, Outcome, Reason
 from balsamspindle.settings.documents import Detection
 from balsamspindle.timeline import EventLog, HybridClock
-from balsamspindle.wire import SERVES, AttemptId, Dispatch, HeldOut, checksum
+from balsamspindle.wire import NOT_HELD_OUT, AttemptId, Dispatch, HoldOut, checksum
 from tests.raw_server import RawServer, answer_with_length
 
 DETECTION = Detection(
@@ -129,7 +129,7 @@
         server.now_s += DETECTION.hold_out_max_s
         self.assertTrue(server.admits())
         server.run(WorkResult.ANSWERED)
-        self.assertEqual(HeldOut(), server.health.held_out(server.now_s))
+        self.assertEqual(HoldOut(), server.health.held_out(server.now_s))
 
     def test_a_failed_trial_doubles_the_hold_out_and_good_service_reduces_it(self):
         server = _TimedServer()
@@ -314,4 +314,4 @@
         return self.is_admitting
 
     def held_out(self, backend_server_id, now_s):
-        return SERVES
+        return NOT_HELD_OUT
--- a/tests/test_peer_evidence.py
+++ b/tests/test_peer_evidence.py
@@ -7,15 +7,15 @@
 SERVICE = "crew/contracts"
 
 
-def reply_with(bad, limit_ms=80.0) -> Reply:
-    return Reply(AttemptId("n", 1, 1), Outcome.ANSWERED, bad=bad, limit_ms=limit_ms)
+def reply_with(bad, p99_ms=80.0) -> Reply:
+    return Reply(AttemptId("n", 1, 1), Outcome.ANSWERED, bad=bad, p99_ms=p99_ms)
 
 
-def tracker_with(judgements: dict[str, bool | None], now_s=1.0, limit_ms=80.0):
+def tracker_with(judgements: dict[str, bool | None], now_s=1.0, p99_ms=80.0):
     tracker = PeerEvidenceTracker()
     for server_id, bad in judgements.items():
         tracker.record_start(SERVICE, server_id, now_s)
-        tracker.record_end(SERVICE, server_id, now_s, reply_with(bad, limit_ms), now_s)
+        tracker.record_end(SERVICE, server_id, now_s, reply_with(bad, p99_ms), now_s)
     return tracker
 
 
@@ -31,7 +31,7 @@
     tracker = tracker_with({"a": True, "b": None, "c": True})
     tracker.record_start(SERVICE, "c", 2.0)
     tracker.record_end(SERVICE, "c", 2.0, None, 2.5)
-    assert tracker.summarize(SERVICE, "a", 3.0).heard == 1
+    assert tracker.summarize(SERVICE, "a", 3.0).judged_count == 1
     assert tracker.summarize(SERVICE, "x", 1.1 + JUDGEMENT_VALID_S) == PeerEvidence(
         0, 0, 80.0
     )
@@ -40,11 +40,11 @@
 def test_a_peer_whose_request_hangs_counts_before_it_ends():
     tracker = tracker_with({"a": False, "b": False, "c": False})
     tracker.record_start(SERVICE, "b", 2.0)
-    assert tracker.summarize(SERVICE, "a", 2.1).bad == 0
-    assert tracker.summarize(SERVICE, "a", 2.2).bad == 1
+    assert tracker.summarize(SERVICE, "a", 2.1).bad_count == 0
+    assert tracker.summarize(SERVICE, "a", 2.2).bad_count == 1
 
 
 def test_one_slow_peer_does_not_set_the_limit():
     tracker = tracker_with({"a": False, "b": False, "c": False})
     tracker.record_end(SERVICE, "c", 1.0, reply_with(True, 9000.0), 1.0)
-    assert tracker.summarize(SERVICE, "x", 1.0).limit_ms == 80.0
+    assert tracker.summarize(SERVICE, "x", 1.0).median_p99_ms == 80.0
--- a/tests/test_placement_selection.py
+++ b/tests/test_placement_selection.py
@@ -25,7 +25,7 @@
 from balsamspindle.services.holdouts import HoldOuts
 from balsamspindle.services.queue_hints import QueueHints
 from balsamspindle.settings.documents import RouteDocument
-from balsamspindle.wire import BackendServerRecord, HeldOut, NodeRecord
+from balsamspindle.wire import BackendServerRecord, HoldOut, NodeRecord
 
 TARGET_MS = 2000.0
 DEADLINE_S = 100.0
@@ -195,7 +195,7 @@
         # that does not ask it itself must not go to a suspected backend server, where
         # it fails, and its parent request with it, with 700 ms left.
         for name in NEAR + FAR[1:]:
-            self.sender.held_out_servers.record(name, HeldOut(1000.0, 9), 0.0)
+            self.sender.held_out_servers.record(name, HoldOut(1000.0, 9), 0.0)
         self.sender.queue_hints.record(FAR[0], 200.0, 0.0)
         self.forwarded.route = msgspec.structs.replace(
             self.forwarded.route, target_ms=250.0
@@ -206,7 +206,7 @@
 
     def test_long_queues_reported_to_other_requests_are_not_joined(self):
         for name in NEAR + FAR[1:]:
-            self.sender.held_out_servers.record(name, HeldOut(1000.0, 9), 0.0)
+            self.sender.held_out_servers.record(name, HoldOut(1000.0, 9), 0.0)
         self.sender.queue_hints.record(FAR[0], 300.0, 0.0)
         self.forwarded.route = msgspec.structs.replace(
             self.forwarded.route, target_ms=250.0
@@ -216,7 +216,7 @@
 
     def test_suspected_backend_servers_are_not_asked_while_others_are_left(self):
         for name in NEAR:
-            self.sender.held_out_servers.record(name, HeldOut(1000.0, 1), 0.0)
+            self.sender.held_out_servers.record(name, HoldOut(1000.0, 1), 0.0)
         [(name, _)] = self.asked(dict.fromkeys(FAR, 0.0))
         self.assertIn(name, FAR)
 
@@ -227,7 +227,7 @@
         for name in NEAR + FAR:
             failing = name != "far-3"
             self.sender.held_out_servers.record(
-                name, HeldOut(1000.0, 9 if failing else 1), 0.0
+                name, HoldOut(1000.0, 9 if failing else 1), 0.0
             )
         self.free.record("far-3", 1, 0.0)
         self.forwarded.is_last_resort = True
--- a/tests/test_retries.py
+++ b/tests/test_retries.py
@@ -111,7 +111,7 @@
         # An attempt at the own gate is ended after this time. If it ended sooner, a
         # backend server that hangs would give no evidence and never be detected.
         policy = RetryPolicy(lambda service: BUDGET)
-        policy.record_answer(SERVICE, 0.01, limit_ms=30.0)
+        policy.record_answer(SERVICE, 0.01, p99_ms=30.0)
         near_s, far_s = (
             policy.hedge_delay_s(SERVICE, is_own, 2.0, 0.0) for is_own in (True, False)
         )
--- a/tests/test_retry_grants.py
+++ b/tests/test_retry_grants.py
@@ -81,13 +81,13 @@
         callers, called = (RetryGrants(lambda *_: BUDGET) for _ in range(2))
         callers.run_started(is_repeat=True)
         callers.run_started(is_repeat=False)
-        part = callers.repeated_part()
+        part = callers.repeat_fraction()
         self.assertEqual(0.5, part)
         for _ in range(20):
-            called.record_first_attempt(SERVICE, 0.5, 0.0, repeated_part=part)
+            called.record_first_attempt(SERVICE, 0.5, 0.0, repeat_fraction=part)
         self.assertEqual(0, count_grants(called, 0.5))
         callers.run_ended(is_repeat=True)
-        self.assertEqual(0.0, callers.repeated_part())
+        self.assertEqual(0.0, callers.repeat_fraction())
 
     def test_a_gate_grants_all_repeats_without_a_fleet_wide_budget(self):
         grants = RetryGrants(lambda *_: RetryBudget())
@@ -109,10 +109,10 @@
         )
         for number in range(3):
             self._add_gate(directory, number)
-        part = budgets.part(SERVICE, 0.0).fleet_per_s_min
+        part = budgets.retry_budget(SERVICE, 0.0).fleet_per_s_min
         self.assertAlmostEqual(PER_S / 3, part)
         directory.declare_dead("n2", (1, 1), 1.0)
-        part = budgets.part(SERVICE, WINDOW_S - 1).fleet_per_s_min
+        part = budgets.retry_budget(SERVICE, WINDOW_S - 1).fleet_per_s_min
         self.assertAlmostEqual(PER_S / 3, part)
-        part = budgets.part(SERVICE, 3 * WINDOW_S).fleet_per_s_min
+        part = budgets.retry_budget(SERVICE, 3 * WINDOW_S).fleet_per_s_min
         self.assertAlmostEqual(PER_S / 2, part)
--- a/tests/test_shared_slowness_simulated.py
+++ b/tests/test_shared_slowness_simulated.py
@@ -80,7 +80,7 @@
             attempt_id,
             Outcome.ANSWERED,
             bad=None if verdict is Verdict.NOTHING else verdict is Verdict.BAD,
-            limit_ms=health.own_p99_ms,
+            p99_ms=health.own_p99_ms,
         )
         self._peers.record_end(SERVICE, name, started_s, reply, now_s)
         self._schedule(now_s + REQUEST_INTERVAL_S, self._send_request)
--- a/tests/test_zone_hints.py
+++ b/tests/test_zone_hints.py
@@ -7,7 +7,7 @@
 from balsamspindle.membership.directory import Directory
 from balsamspindle.requests.zone_hints import PEERS_MAX, ZoneHints
 from balsamspindle.services.held_out_servers import HeldOutServers
-from balsamspindle.wire import HeldOut, NodeRecord, SuspectHint
+from balsamspindle.wire import HoldOut, NodeRecord, SuspectHint
 
 
 def node(name: str, zone: str) -> NodeRecord:
@@ -31,12 +31,12 @@
         )
 
     def share(self, held_out_ms, now_s, zone="there"):
-        self.hints.share(node("gate", zone), "server", HeldOut(held_out_ms, 1), now_s)
+        self.hints.share(node("gate", zone), "server", HoldOut(held_out_ms, 1), now_s)
 
     def test_a_hold_out_in_another_zone_is_shared_once(self):
         self.share(500.0, 10.0)
         self.assertEqual(
-            [("at-mate", SuspectHint("server", HeldOut(500.0, 1)))], self.sent
+            [("at-mate", SuspectHint("server", HoldOut(500.0, 1)))], self.sent
         )
         self.share(450.0, 10.05)
         self.assertEqual(1, len(self.sent))
@@ -49,7 +49,7 @@
         self.assertEqual([], self.sent)
 
     def test_a_received_hint_is_recorded_and_not_forwarded(self):
-        self.hints.receive(SuspectHint("server", HeldOut(60_000.0, 1)))
+        self.hints.receive(SuspectHint("server", HoldOut(60_000.0, 1)))
         self.assertEqual({"server"}, self.held_out_servers.held_out(time.monotonic()))
         self.assertEqual([], self.sent)
 
