--- a/balsamspindle/services/answer_sizes.py
+++ b/balsamspindle/services/answer_sizes.py
@@ -12,14 +12,14 @@
 
 
 class AnswerSizes:
-    """Exponential moving averages of the answer sizes by route; thread-safe."""
+    """One exponential moving average of answer sizes for each route; thread-safe."""
 
     def __init__(self) -> None:
         self._lock = threading.Lock()
         self._mean_bytes: dict[tuple[str, str], float] = {}
 
     def record(self, route: RouteDocument, size_bytes: int) -> None:
-        """Add an answer to its route's average."""
+        """Add the size of one answer to the average of its route."""
         key = _key(route)
         with self._lock:
             mean_bytes = self._mean_bytes.get(key)
@@ -31,7 +31,7 @@
             self._mean_bytes[key] = mean_bytes
 
     def mean_bytes(self, route: RouteDocument) -> float:
-        """Return the mean size of a route's answers; 0 before the first answer."""
+        """Return the average size of a route's answers; 0 before its first answer."""
         return self._mean_bytes.get(_key(route), 0.0)
 
 
--- a/balsamspindle/services/explanation.py
+++ b/balsamspindle/services/explanation.py
@@ -1,4 +1,4 @@
-"""A readable explanation of which backend servers a node uses for a service."""
+"""Explains to operators which backend servers a node uses for a service, and why."""
 
 from collections.abc import Mapping, Sequence
 
@@ -34,12 +34,12 @@
     Attributes
     ----------
     capacity_slots : float
-        Slots usable now; fewer than `slots` during a cold start.
+        Slots usable now; fewer than `slots` while the backend server starts cold.
     takes_work : bool
         Whether this node sends requests to the backend server.
     evidence : list of str
-        Why the node sends no requests to it, or signs that it may be unhealthy;
-        empty when there are none.
+        Why the node sends no requests to the backend server, and signs that it may be
+        unhealthy.
     """
 
     backend_server_id: str
@@ -65,10 +65,10 @@
     is_defined : bool
         Whether the settings in force define the service.
     cause : str
-        Reason for the decision on the service's suspects.
+        Why suspected backend servers of the service are left out or kept.
     known_slots, floor_slots, in_use_slots : float
-        Slots of all known backend servers, the number below which ejection must
-        not bring the slots in use, and the slots that this node uses.
+        Slots of all known backend servers; the floor, the least number of slots that
+        ejection must leave in use; and the slots that this node uses.
     """
 
     service: str
@@ -97,7 +97,7 @@
     Parameters
     ----------
     decision : FloorDecision
-        Which of the service's suspects the node leaves out and which it keeps.
+        Which suspected backend servers the node leaves out and which it keeps.
     reports : mapping of str to HealthReport
         Health reports by backend server id, for the backend servers of this
         node's own gate.
@@ -163,7 +163,10 @@
 
 
 def _warnings(placement: Placement, left_out: Suspect | None) -> list[str]:
-    """Return signs that a backend server in use is unhealthy, on trial or cold."""
+    """Return what limits the trust in a backend server, or the requests to it.
+
+    It may be on trial, under some suspicion, or in a cold start.
+    """
     server = placement.backend_server
     warnings = []
     if left_out is not None and left_out.suspicion < SUSPECTED:
@@ -178,7 +181,7 @@
 
 
 def _gate_evidence(report: HealthReport) -> list[str]:
-    """Return the results that the backend server's gate counted, and its score."""
+    """Return the request results that a gate counted, and the score from them."""
     if not report.evidence:
         return []
     results = ", ".join(
--- a/balsamspindle/services/floor.py
+++ b/balsamspindle/services/floor.py
@@ -1,15 +1,17 @@
 """Decides which suspected backend servers of a service to eject.
 
-Ejection must not bring the capacity in use below the service's floor, a fraction of
-its known capacity. Each picker decides from its own view, without coordination, so
-that the floor holds while the platform is down and when views differ.
-
-*Known capacity* is the full slots of every backend server in the view, including
-those that are draining, leaving or in a cold start. *Capacity in use* is the slots,
-scaled by the cold-start ramp, of the backend servers that are ready and not left out.
-A backend server that is left out counts as lost capacity however unhealthy it looks,
-because a suspicion may be wrong. So drains and cold starts reduce the number of
-ejections that the floor allows, and never increase it.
+Ejection must not bring a service's capacity in use below its floor, which is a fraction
+of its known capacity. The picker of each node decides from its own view of the service,
+without coordination, so the floor holds while the platform is down and when the views
+of nodes differ.
+
+*Known capacity* is the sum of the full slots of all backend servers in the view, with
+those that are draining, leaving or in a cold start. *Capacity in use* is the sum of the
+slots that are usable now at the backend servers that are ready and not left out; during
+a cold start, only a growing fraction of the slots is usable. A backend server that is
+left out counts as lost capacity however unhealthy it looks, because the suspicion may
+be wrong. So drains and cold starts reduce the number of ejections that the floor
+allows, and never increase it.
 """
 
 from collections.abc import Iterable, Sequence
@@ -31,13 +33,14 @@
     "is_ready",
 ]
 
-# Suspicion from which a backend server is over its detection threshold.
+# Suspicion from which a backend server counts as unhealthy and may be ejected.
 SUSPECTED = 1.0
 # Suspicion of a backend server that is being readmitted and gets trial requests only.
 ON_TRIAL = 0.5
-# When this fraction of the ready capacity is suspected, a shared cause (the network,
-# the load) is likelier than many failures, and ejection would only move the load to
-# the remaining backend servers.
+# When backend servers with at least this fraction of the ready capacity are suspected,
+# no backend server is ejected. A shared cause, such as the network or the load, is then
+# likelier than many separate failures, and ejection would only move the load to the
+# remaining backend servers.
 SHARED_CAUSE_FRACTION = 0.8
 
 
@@ -51,14 +54,15 @@
 
 
 class Suspect(NamedTuple):
-    """A backend server that is over its detection threshold or on trial.
+    """A backend server that is suspected of being unhealthy, or on trial.
 
     Attributes
     ----------
     suspicion : float
-        As reported by its gate; 1 is the service's detection threshold.
+        As reported by the backend server's gate; 1 is the service's detection
+        threshold, see `SUSPECTED` and `ON_TRIAL`.
     capacity_slots : float
-        Capacity that is lost if the backend server is left out.
+        Slots usable now, which are lost if the backend server is left out.
     """
 
     backend_server_id: str
@@ -68,7 +72,7 @@
 
 
 class FloorDecision(NamedTuple):
-    """Which of a service's suspects a picker leaves out and keeps, and why.
+    """Which suspected backend servers of a service a picker leaves out, and why.
 
     Attributes
     ----------
@@ -77,11 +81,13 @@
     floor_slots : float
         Capacity below which ejection must not bring the capacity in use.
     ready_slots : float
-        Slots times ramp of the backend servers that take new work, suspects included.
+        Slots usable now at the backend servers that take new work, with the suspected
+        backend servers.
     in_use_slots : float
         `ready_slots` without the capacity of the backend servers left out.
     left_out, kept : tuple of Suspect
-        The most suspected first.
+        The suspected backend servers that get no usual requests and those that still
+        do, the most suspected first.
     """
 
     cause: FloorCause
@@ -95,7 +101,7 @@
 
 
 def is_ready(placement: Placement) -> bool:
-    """Tell whether a backend server takes new work, whatever its suspicion."""
+    """Tell whether a backend server takes new work, whether suspected or not."""
     return (
         placement.backend_server.state == BackendServerState.READY
         and placement.node.state == NodeState.ALIVE
@@ -103,18 +109,19 @@
 
 
 def capacity_slots(placement: Placement) -> float:
-    """Return the slots usable now, scaled by the ramp of a cold start."""
-    ramp = placement.backend_server.capacity
-    # The ramp comes from another node and may be NaN. Then each sum of capacities
-    # would be NaN, and each comparison with the floor false.
-    ramp = min(1.0, ramp) if ramp > 0 else 0.0
-    return _slots(placement) * ramp
+    """Return the slots usable now; only some of them are during a cold start."""
+    fraction = placement.backend_server.capacity
+    # The usable fraction of the slots comes from another node, which may report NaN by
+    # a fault. NaN counts as 0. Otherwise each sum of capacities would be NaN, and each
+    # comparison of such a sum with the floor false.
+    fraction = min(1.0, fraction) if fraction > 0 else 0.0
+    return _slots(placement) * fraction
 
 
 def decide_floor(
     placements: Sequence[Placement], floor_fraction: float
 ) -> FloorDecision:
-    """Decide which suspects are left out.
+    """Decide which suspected backend servers of a service are left out.
 
     Parameters
     ----------
@@ -126,8 +133,8 @@
     Returns
     -------
     FloorDecision
-        Its `in_use_slots` is at least the lesser of `floor_slots` and
-        `ready_slots`: ejection itself never breaks the floor.
+        Its `in_use_slots` is at least `floor_slots`, or equals `ready_slots` if that is
+        less: ejection never brings the capacity in use below the floor.
     """
     ready = [placement for placement in placements if is_ready(placement)]
     suspects = _suspects(ready)
@@ -156,7 +163,7 @@
 
 
 def _suspects(ready: Iterable[Placement]) -> list[Suspect]:
-    """Return the suspects, the most suspected first, equal ones sorted by id."""
+    """Return the suspects, the most suspected first; equal ones are sorted by id."""
     suspects = [
         Suspect(
             placement.backend_server.backend_server_id,
@@ -178,7 +185,7 @@
 
 
 def _is_shared(suspects: list[Suspect], ready_slots: float) -> bool:
-    """Tell whether so much capacity is suspected that a shared cause is likely."""
+    """Tell whether so many backend servers are suspected that they share a cause."""
     suspected = [suspect for suspect in suspects if suspect.suspicion >= SUSPECTED]
     suspected_slots = sum(suspect.capacity_slots for suspect in suspected)
     return bool(suspected) and suspected_slots >= SHARED_CAUSE_FRACTION * ready_slots
@@ -187,13 +194,16 @@
 def _split(
     suspects: list[Suspect], ready_slots: float, floor_slots: float
 ) -> tuple[list[Suspect], list[Suspect]]:
-    """Split suspects into those left out and those kept because of the floor."""
+    """Split suspects into those left out and those kept because of the floor.
+
+    A suspect is kept if the service would otherwise have less than its floor.
+    """
     left_out: list[Suspect] = []
     kept: list[Suspect] = []
     in_use_slots = ready_slots
     for suspect in suspects:
         if in_use_slots - suspect.capacity_slots < floor_slots:
-            # A later suspect with less capacity may still be left out.
+            # A suspect with less capacity, later in the list, may still be left out.
             kept.append(suspect)
             continue
         in_use_slots -= suspect.capacity_slots
--- a/balsamspindle/services/free_slots.py
+++ b/balsamspindle/services/free_slots.py
@@ -1,4 +1,4 @@
-"""Estimates the free slots of backend servers from the replies to an ingress."""
+"""Estimates at an ingress how many free slots each backend server has."""
 
 import threading
 from collections import OrderedDict
@@ -14,19 +14,22 @@
 class _Report(NamedTuple):
     free_slots: int
     received_s: float
-    # Own attempts in flight at that time, whose slots `free_slots` already excludes.
+    # Attempts of this ingress in flight when the report was received. Their slots are
+    # not counted in `free_slots`.
     own_in_flight: int
 
 
 class FreeSlotEstimates:
     """The free slots that the last reply of each backend server reported.
 
-    A report expires after `FREE_SLOTS_TTL_S`; from then on a backend server counts
-    as free. Without expiry, a backend server that was busy once would never be
-    chosen again, send no reply that corrects the report, and starve.
+    A report expires after `FREE_SLOTS_TTL_S`. After that, all usable slots of the
+    backend server count as free, except those of this ingress's attempts. Without
+    expiry, a backend server that was busy once would never be chosen again, so no
+    reply of it could correct the report.
 
-    Own attempts that started since the report are subtracted. Otherwise a burst of
-    requests between two replies would all go to the same backend server.
+    Attempts that this ingress started since the report are subtracted from the free
+    slots. Otherwise all requests of a burst between two replies would go to the same
+    backend server.
     """
 
     def __init__(self) -> None:
@@ -35,14 +38,14 @@
         self._own_in_flight: dict[str, int] = {}
 
     def record_start(self, backend_server_id: str) -> None:
-        """Count the start of an own attempt."""
+        """Count an attempt that this ingress starts as one slot in use."""
         with self._lock:
             self._own_in_flight[backend_server_id] = (
                 self._own_in_flight.get(backend_server_id, 0) + 1
             )
 
     def record_end(self, backend_server_id: str) -> None:
-        """Count the end of an own attempt."""
+        """Stop counting an attempt of this ingress that ended."""
         with self._lock:
             own = self._own_in_flight.pop(backend_server_id) - 1
             if own:
--- a/balsamspindle/services/held_out_servers.py
+++ b/balsamspindle/services/held_out_servers.py
@@ -1,4 +1,7 @@
-"""Backend servers that are held out by their gates, as replies to an ingress report."""
+"""Records which backend servers are held out, as the replies of their gates report.
+
+A gate that holds out a backend server sends it no usual work for a while.
+"""
 
 import threading
 from typing import NamedTuple
@@ -8,8 +11,9 @@
 __all__ = ["HeldOutServers"]
 
 HOLD_OUTS_MAX = 10_000
-# A single error is as likely to come from a healthy backend server, which fails one
-# request in a hundred, as to be the first of an unhealthy one; two in a row are not.
+# Bad results in a row from which a backend server counts as failing. A single error is
+# no sign of it: a healthy backend server, which fails one request in a hundred, is as
+# likely to return it as an unhealthy one. Two errors in a row show an unhealthy one.
 FAILING_IN_A_ROW = 2
 
 
@@ -21,16 +25,17 @@
 class HeldOutServers:
     """The time until which each backend server is held out; thread-safe.
 
-    Each reply carries it, refusals and answers alike, so a gate refuses an ingress at
-    most once in a hold-out. It is a hint only: the gate decides.
+    Each reply of a gate, whether a refusal or an answer, carries the rest of the
+    hold-out. So a gate refuses an ingress at most once in each hold-out. The recorded
+    times are hints: the gate decides whether it accepts a request.
     """
 
     def __init__(self) -> None:
         self._lock = threading.Lock()
         self._hold_outs: dict[str, _HoldOut] = {}
 
-    def record(self, backend_server_id: str, held_out: HoldOut, now_s: float) -> None:
-        """Record the hold-out that a reply reported, or its end."""
+    def record(self, backend_server_id: str, held_out: HeldOut, now_s: float) -> None:
+        """Record a reply's report that a backend server is, or is not, held out."""
         if not held_out.held_out_ms and backend_server_id not in self._hold_outs:
             return
         with self._lock:
@@ -47,9 +52,9 @@
         return self._select(0, now_s)
 
     def failing(self, now_s: float) -> set[str]:
-        """Return the ids of those held out with `FAILING_IN_A_ROW` bad results or more.
+        """Return the ids of held-out backend servers that are failing.
 
-        These bad results came one after the other, without a good one between them.
+        The latest results of each, `FAILING_IN_A_ROW` or more, were all bad.
         """
         return self._select(FAILING_IN_A_ROW, now_s)
 
--- a/balsamspindle/services/holdouts.py
+++ b/balsamspindle/services/holdouts.py
@@ -1,8 +1,8 @@
-"""Hold-outs: nodes that one ingress avoids for a while after failures.
+"""Hold-outs: periods for which one ingress avoids a node after failures.
 
-Hold-outs are not shared with other nodes. A node that this one cannot reach may be
-reachable for all others; if one broken link were shared as a failure of the node, the
-whole fleet would lose healthy capacity.
+Hold-outs are not shared between nodes. A node that one ingress cannot reach may be
+reachable for all others. If the broken link were shared as a failure of the node, the
+whole fleet would avoid a healthy node.
 """
 
 import threading
@@ -24,29 +24,32 @@
 
 
 class HoldOuts:
-    """Names to avoid, each for a time that doubles with each failure in a row.
+    """The hold-outs of an ingress, by the name of the node; thread-safe.
+
+    After each further failure without a success between them, a node is held out for
+    twice as long as before.
 
     Parameters
     ----------
     first_s, max_s : float
-        Length of the first hold-out and of the longest.
+        Length of a node's first hold-out and of its longest possible one.
     """
 
     def __init__(self, first_s: float, max_s: float) -> None:
         self._first_s = first_s
         self._max_s = max_s
         self._lock = threading.Lock()
-        # In order of the last failure, the newest last.
+        # In the order of their last failure, the newest last.
         self._held: dict[str, _HoldOut] = {}
 
     def __bool__(self) -> bool:
         return bool(self._held)
 
     def record_failure(self, name: str, now_s: float) -> bool:
-        """Start or prolong a hold-out; return whether it is the name's first failure.
+        """Start a hold-out or the next longer one; return whether it is the first.
 
-        Failures before the end of a hold-out do not prolong it, so that requests which
-        fail together count once.
+        A failure during a hold-out does not prolong it, so that several requests which
+        fail at the same time count as one failure.
         """
         with self._lock:
             is_first = name not in self._held
@@ -61,7 +64,13 @@
             return is_first
 
     def record_success(self, name: str, now_s: float = 0.0) -> float | None:
-        """Clear a name's failures; return how long ago the first was, None if none."""
+        """Discard the failures of a name.
+
+        Returns
+        -------
+        float or None
+            Seconds since the first failure; None without a failure.
+        """
         if name not in self._held:
             return None
         with self._lock:
@@ -71,9 +80,9 @@
     def is_held(self, name: str, now_s: float) -> bool:
         """Tell whether a name is held out.
 
-        After the end of a hold-out the first call returns False, so that its caller
-        may try the name. The name is held out for all others for `first_s` more, or
-        until a success or failure of that try is recorded.
+        The first call after the end of a hold-out returns False, so that its caller
+        sends one request to the node. For all further calls the name is held out for
+        another `first_s`, or until the success or failure of that request is recorded.
         """
         if name not in self._held:
             return False
--- a/balsamspindle/services/peer_evidence.py
+++ b/balsamspindle/services/peer_evidence.py
@@ -1,8 +1,9 @@
 """Tracks how a service's backend servers answer one ingress, for comparison.
 
-A gate sees only the work of its own backend servers. To learn whether the service's
-other backend servers also fail or are slow, it relies on the ingresses: each dispatch
-carries a summary of the others (`PeerEvidence`).
+A gate sees only the requests at its own backend servers. With each request that an
+ingress sends to a gate, it also sends a summary (`PeerEvidence`) of how the service's
+other backend servers answered it. From this the gate learns whether they also fail or
+are slow.
 """
 
 import statistics
@@ -12,16 +13,18 @@
 
 __all__ = ["PeerEvidenceTracker"]
 
-# How long the judgement of a backend server's latest answer is used.
+# How long a gate's judgement of a backend server's latest answer, good or bad, is used.
 JUDGEMENT_VALID_S = 10.0
-# How long its latency limit, which changes little, is kept.
+# How long the latency limit of a backend server is used after its latest judged answer.
+# It is the 99th percentile of the backend server's latency and changes little.
 LIMIT_EXPIRY_S = 600.0
-# An attempt in flight for this many latency limits counts as hanging.
+# An attempt counts as hanging when it is in flight for longer than this many times the
+# latency limit of its backend server.
 HANGING_FACTOR = 2.0
 
 
 class _ServerEvidence:
-    """The latest judgement and latency limit of one backend server."""
+    """What this ingress knows of how one backend server answers it."""
 
     __slots__ = ("bad", "in_flight", "judged_s", "p99_ms")
 
@@ -50,7 +53,7 @@
         self._services: dict[str, dict[str, _ServerEvidence]] = {}
 
     def record_start(self, service: str, backend_server_id: str, now_s: float) -> None:
-        """Record that an attempt was sent."""
+        """Record that an attempt was sent to a backend server."""
         with self._lock:
             self._evidence(service, backend_server_id).in_flight.append(now_s)
 
@@ -67,8 +70,9 @@
         Parameters
         ----------
         reply : Reply or None
-            Carries the gate's judgement. Without a judgement (the link failed, the
-            work was shed) the end is no evidence on the backend server.
+            Contains the gate's judgement of the answer, good or bad. When the link
+            failed or the request was refused, there is no judgement, and the end of the
+            attempt says nothing about the backend server.
         """
         with self._lock:
             evidence = self._evidence(service, backend_server_id)
@@ -85,9 +89,9 @@
     def summarize(
         self, service: str, backend_server_id: str, now_s: float
     ) -> PeerEvidence:
-        """Return a summary of the service's other backend servers."""
-        judged_count = bad_count = 0
-        p99s_ms = []
+        """Return a summary of the service's backend servers except the given one."""
+        heard = bad = 0
+        limits_ms = []
         with self._lock:
             servers = self._services.get(service, {})
             for server_id, evidence in list(servers.items()):
@@ -103,11 +107,11 @@
                     p99s_ms.append(evidence.p99_ms)
                 hangs = evidence.hangs(now_s)
                 if hangs or evidence.is_recent(now_s):
-                    judged_count += 1
-                    bad_count += hangs or evidence.bad
-        # A single limit may come from an unhealthy backend server.
-        median_p99_ms = statistics.median(p99s_ms) if len(p99s_ms) > 1 else 0.0
-        return PeerEvidence(judged_count, bad_count, median_p99_ms)
+                    heard += 1
+                    bad += hangs or evidence.bad
+        # A single latency limit is not used: it may come from an unhealthy server.
+        limit_ms = statistics.median(limits_ms) if len(limits_ms) > 1 else 0.0
+        return PeerEvidence(heard, bad, limit_ms)
 
     def _evidence(self, service: str, backend_server_id: str) -> _ServerEvidence:
         servers = self._services.setdefault(service, {})
--- a/balsamspindle/services/picker.py
+++ b/balsamspindle/services/picker.py
@@ -16,15 +16,16 @@
 
 _NO_BACKEND_SERVER = BackendServerRecord("-", "-", "-", 0, "-")
 
-# Draws of two backend servers without a free slot after which a tier counts as busy.
+# Two backend servers are drawn from a tier at a time. After this many draws without a
+# free slot the tier counts as busy.
 DRAWS_MAX = 3
 
 
 class Picker:
     """Chooses backend servers for one node's ingress.
 
-    The view of a service is cached, and rebuilt when the service's placements in the
-    directory or its floor change. So the cost of a choice does not depend on the
+    The view of a service is cached. It is rebuilt only when the service's floor or its
+    placements in the directory change, so the cost of a choice does not depend on the
     number of backend servers.
 
     Parameters
@@ -35,8 +36,8 @@
     configuration : CurrentConfiguration
         Contains the services' floors.
     on_decision : callable, default=nothing
-        Called with a service and its floor decision, the first one and each whose
-        cause differs from the one before.
+        Called with a service and its floor decision: with the first decision, and with
+        each whose cause differs from that of the previous decision.
     """
 
     def __init__(
@@ -60,7 +61,7 @@
         free_slots: FreeSlots,
         rng: random.Random,
     ) -> Placement | None:
-        """Choose a backend server: nearest first, then by two random choices.
+        """Choose the freer of two random backend servers of the nearest tier.
 
         Parameters
         ----------
@@ -72,8 +73,8 @@
         Returns
         -------
         Placement or None
-            None when no backend server takes work. When all backend servers drawn
-            are busy, one without free slots, which may queue the request.
+            None when no backend server may be chosen. When all those drawn are busy,
+            a backend server without free slots, whose gate may queue the request.
         """
         view = self.view(service)
         if _draw_trial(view, execution, rng):
@@ -83,8 +84,8 @@
         placement = None
         for tier in view.tiers:
             placement = _choose(tier, excluded, free_slots, rng) or placement
-            # A busy tier spills over to the next wider one, so that the preference
-            # for the own zone does not overload a zone with few backend servers.
+            # When a tier is busy, try the next wider tier, so that the preference for
+            # the own zone does not overload a zone with few backend servers.
             if placement is not None and free_slots(placement) > 0:
                 return placement
         return placement
@@ -92,10 +93,11 @@
     def split_by_zone(
         self, service: str, execution: Execution
     ) -> tuple[Sequence[Placement], Sequence[Placement]]:
-        """Return the placements in the own zone, the own VM's first, and the others.
+        """Return the usable placements in the own zone and those in other zones.
 
-        For idempotent requests the second list includes backend servers on trial;
-        their gates decide whether to accept the request.
+        The placements on the own VM come first. For idempotent requests the second
+        list also contains all backend servers on trial, of whatever zone; their gates
+        decide whether to accept the request.
         """
         view = self.view(service)
         near = (*view.tiers[0], *view.tiers[1])
@@ -105,10 +107,11 @@
         return near, far
 
     def locate(self, node_id: str, service: str) -> Placement | None:
-        """Return a placement at a node's gate; None when the node is not known.
+        """Return a placement at the gate of a node; None when the node is not known.
 
-        When the gate no longer has a backend server of the service, the placement
-        names none; the gate can still report what it ran.
+        When the gate no longer has a backend server of the service, the placement has
+        a backend server with the id "-". A message can still be sent to the gate, to
+        ask about requests that it ran.
         """
         for placement in self._directory.placements(service):
             if placement.node.node_id == node_id:
@@ -138,7 +141,7 @@
         return view
 
     def floor_decision(self, service: str) -> FloorDecision:
-        """Return which suspects of a service are left out, and why."""
+        """Return which suspected backend servers of a service are left out, and why."""
         return self.view(service).decision
 
     def _floor_fraction(self, service: str) -> float:
@@ -151,8 +154,9 @@
 def _draw_trial(view: ServiceView, execution: Execution, rng: random.Random) -> bool:
     """Draw whether a request goes to a backend server on trial.
 
-    Non-idempotent requests do not: a trial may fail without showing whether the
-    request ran. It could not be retried then, and its caller would get `unknown`.
+    Non-idempotent requests never go to one. A request may fail there without showing
+    whether it ran; a non-idempotent request could not be retried then, and its caller
+    would get `unknown`.
     """
     if not view.trials or execution is not Execution.IDEMPOTENT:
         return False
@@ -165,7 +169,7 @@
     free_slots: FreeSlots,
     rng: random.Random,
 ) -> Placement | None:
-    """Return the placement with the most free slots, a random one among equals."""
+    """Return the placement with the most free slots, at random if several are equal."""
     remaining = [
         placement
         for placement in placements
@@ -184,8 +188,8 @@
 ) -> Placement | None:
     """Return the freer of two random placements; draw again while both are busy.
 
-    After `DRAWS_MAX` draws, return a busy placement. Return None when all of the tier
-    are excluded.
+    After `DRAWS_MAX` draws, return a busy placement. Return None when all placements of
+    the tier are excluded.
     """
     if excluded:
         tier = [
--- a/balsamspindle/services/queue_hints.py
+++ b/balsamspindle/services/queue_hints.py
@@ -1,18 +1,18 @@
-"""Queue waits that gates reported when they refused requests of an ingress."""
+"""Records how long requests wait in the queues of gates that refused a request."""
 
 import threading
 
 __all__ = ["QueueHints"]
 
-# A queue changes within the time of a request or two; an older hint would keep work
-# from a gate that has free slots again.
+# A queue changes within the run time of one or two requests. With an older hint, an
+# ingress would avoid a gate that has free slots again.
 HINT_VALID_MAX_S = 0.5
 HINTS_MAX = 10_000
 _NO_HINT = (0.0, float("-inf"))
 
 
 class QueueHints:
-    """The queue wait by backend server, each valid for a short time; thread-safe."""
+    """The latest queue wait reported for each backend server; thread-safe."""
 
     def __init__(self) -> None:
         self._lock = threading.Lock()
@@ -20,7 +20,10 @@
         self._hints: dict[str, tuple[float, float]] = {}
 
     def record(self, backend_server_id: str, wait_ms: float, now_s: float) -> None:
-        """Record the wait that a refusal reported."""
+        """Record the queue wait that a refusal reported.
+
+        The hint is valid for this wait, but at most for `HINT_VALID_MAX_S`.
+        """
         until_s = now_s + min(wait_ms / 1000, HINT_VALID_MAX_S)
         with self._lock:
             self._hints.pop(backend_server_id, None)
@@ -35,7 +38,7 @@
         return hint_ms if until_s > now_s else None
 
     def longer_than(self, wait_ms: float, now_s: float) -> set[str]:
-        """Return the ids of backend servers whose hints exceed a wait."""
+        """Return the ids of backend servers with a valid hint longer than `wait_ms`."""
         with self._lock:
             return {
                 server_id
--- a/balsamspindle/services/shares.py
+++ b/balsamspindle/services/shares.py
@@ -1,9 +1,10 @@
 """Distributes the requests of a route among several services by weight.
 
-Smooth weighted round robin: over any sequence of requests, the number that each
-service gets differs from its share by at most one, where random draws would differ by
-the square root of the number of requests. If the round robins of all nodes began with
-the same service, their differences would add up, so each begins at a random point.
+The method is smooth weighted round robin. Over any sequence of requests, the number
+that a service gets differs from its share of them by at most one; with random draws the
+difference would be about the square root of the number of requests. Each node begins
+its round robin at a random point. If all nodes began with the same service, this
+service would get one request too many from each of them.
 """
 
 import random
@@ -15,7 +16,7 @@
 
 __all__ = ["ServiceShares"]
 
-# Routes whose round robins are kept; the least recently used one is discarded.
+# Routes with a round robin in memory; the least recently used one is discarded.
 ROUTES_MAX = 10_000
 
 
@@ -45,11 +46,14 @@
     def __init__(self, rng: random.Random) -> None:
         self._random = rng
         self._lock = threading.Lock()
-        # In order of use, the most recent last.
+        # In the order of their last use, the most recently used round robin last.
         self._round_robins: dict[RouteDocument, _WeightedRoundRobin] = {}
 
     def choose(self, route: RouteDocument) -> RouteDocument:
-        """Return the route with the service for one request in place of its shares."""
+        """Return a copy of a route with the service that gets its next request.
+
+        A route without shares is returned as it is.
+        """
         if not route.shares:
             return route
         with self._lock:
--- a/balsamspindle/services/subset.py
+++ b/balsamspindle/services/subset.py
@@ -2,8 +2,8 @@
 
 With thousands of nodes, links from each node to every gate would exceed a node's
 limit on control traffic. Each node chooses its own bounded subset by rendezvous
-hashing: a gate that is added or removed changes one entry in the subsets that contain
-it, and over all nodes each gate of a zone is in about equally many subsets.
+hashing. When a gate is added or removed, only one entry changes in each subset that
+contains it, and the gates of a zone are in about equally many subsets.
 """
 
 import heapq
@@ -16,27 +16,30 @@
 
 __all__ = ["OTHER_ZONES_MIN", "SUBSET_MAX", "subset"]
 
-# Links of a node for one service. Sixteen gates with seven slots each have a free slot
-# at nearly any time, at two thirds of their load and with a third of them unhealthy.
+# Backend servers of one service to which a node keeps links. Without the entries for
+# other zones, sixteen of them are in the own zone. Sixteen gates with seven slots each
+# nearly always have a free slot, at a utilization of two thirds and with a third of the
+# gates unhealthy.
 SUBSET_MAX = 24
-# Entries reserved for other zones when the own zone could fill the subset: they take
-# requests when all gates of the own zone are busy or the zone is lost.
+# Entries reserved for backend servers of other zones, even if the own zone could fill
+# the subset. They get requests when all gates of the own zone are busy or lost.
 OTHER_ZONES_MIN = 8
 
 
 def subset(
     placements: Sequence[Placement], own: NodeRecord, size_max: int = SUBSET_MAX
 ) -> list[Placement]:
-    """Return the subset that a node uses of the backend servers that take work.
+    """Return the backend servers that a node uses, among those that take work.
 
-    Backend servers of the own VM come first; then those of the own zone, by hash,
-    except for the entries reserved for other zones; then those of the own region; and
-    those of other regions only if the own region has too few.
+    The subset is filled with the backend servers of the own VM first, then with others
+    of the own zone, by hash, up to the entries reserved for other zones. These entries
+    go to backend servers of the own region, or of other regions if there are too few.
 
-    The zone is preferred because otherwise a subset of 16 of 90 backend servers in five
-    zones holds only three of the own zone. At two thirds of their load and with a third
-    of them unhealthy, 6 to 7 of 100 requests would go to other zones although backend
-    servers of the own zone have free slots; with the preference, less than one does.
+    Without the preference for the own zone, a subset of 16 of 90 backend servers in
+    five zones would contain only three of the own zone. At a utilization of two thirds
+    and with a third of the backend servers unhealthy, 6 to 7 of 100 requests would then
+    go to other zones although other backend servers of the own zone have free slots.
+    With the preference, less than one does.
     """
     if len(placements) <= size_max:
         return list(placements)
--- a/balsamspindle/services/view.py
+++ b/balsamspindle/services/view.py
@@ -1,8 +1,8 @@
 """A picker's view of a service, computed once for each change of the service.
 
-The view holds tuples from which a request's backend server is drawn. With hundreds of
-backend servers in a service, building lists for each request would cost more than the
-rest of the choice.
+The view contains tuples of backend servers, from which the backend server for each
+request is drawn. With hundreds of backend servers in a service, computing these tuples
+for each request would take longer than all other steps of the choice.
 """
 
 from collections.abc import Sequence
@@ -20,7 +20,8 @@
 
 __all__ = ["ServiceView", "make_view"]
 
-# Requests to a backend server on trial, as a fraction of those to a usable one.
+# A backend server on trial gets this fraction of the requests that a usable backend
+# server gets.
 TRIAL_SHARE = 0.2
 
 Tiers = tuple[tuple[Placement, ...], ...]
@@ -32,16 +33,17 @@
     Attributes
     ----------
     placements : sequence of Placement
-        All placements of the service, from which the view was made.
+        All placements of the service, from which the view was computed.
     floor_fraction : float
-        The floor with which the decision was made.
+        Fraction of the known capacity that had to stay in use in `decision`.
     decision : FloorDecision
-        Made on the whole service, not on the node's subset.
+        Made for all placements, not only for those in `tiers` and `trials`.
     tiers : tuple of tuple of Placement
-        Own VM, rest of the own availability zone, rest of the own region,
-        and last the whole subset.
+        The usable backend servers of the node's subset, in four tiers: on the own VM,
+        others in the own availability zone, others in the own region, and all of them.
     trials : tuple of Placement
-        Backend servers on trial whose capacity the floor does not need.
+        Backend servers on trial. Those that the floor keeps in use are in `tiers`
+        instead.
     trial_chance : float
         Probability that an idempotent request goes to one of `trials`.
     """
@@ -92,7 +94,11 @@
 
 
 def _distance(node: NodeRecord, own: NodeRecord) -> int:
-    """Return how many of VM, availability zone and region differ."""
+    """Return how far a node is from the own node.
+
+    0 is the own node, 1 another in the own availability zone, 2 another in the own
+    region, 3 a node of another region.
+    """
     if node.node_id == own.node_id:
         return 0
     if node.region != own.region:
