--- a/balsamspindle/crashes/attribution.py
+++ b/balsamspindle/crashes/attribution.py
@@ -25,7 +25,8 @@
     at_s : float
         Time of the crash, on this node's monotonic clock.
     runs : dict of int to float
-        Run times in seconds by content; contents that are answered later are removed.
+        Run time in seconds of each request that was running, by its content hash.
+        Requests that are answered later are removed.
     """
 
     crash: Crash
@@ -34,14 +35,15 @@
 
 
 class CrashAttribution:
-    """Attributes crashes to contents.
+    """Attributes each crash to the request that most probably caused it.
 
-    Results are cached: create a new instance when crashes or quarantines change.
+    Results are cached, so crashes and quarantines must not change during the use of an
+    instance.
 
     Parameters
     ----------
     is_quarantined : callable
-        Tells whether a content is quarantined.
+        Tells whether the request with a content hash is quarantined.
     servers : callable
         Returns the number of a service's backend servers.
     """
@@ -58,7 +60,10 @@
         self._probabilities: dict[int, float] = {}
 
     def cause_of(self, known: KnownCrash) -> int | None:
-        """Return the content to which a crash is attributed; None when unclear."""
+        """Return the content hash of the cause of a crash; None when unclear.
+
+        If quarantined requests were running, only they are considered.
+        """
         quarantined = self._quarantined_in(known)
         probabilities = dict.fromkeys(known.runs, 1.0)
         if not quarantined:
@@ -68,7 +73,7 @@
         return likeliest_cause(probabilities, quarantined)
 
     def evidence(self, content: int) -> CauseEvidence:
-        """Return the evidence that a content causes the crashes attributed to it."""
+        """Return the evidence that a request causes the crashes attributed to it."""
         return self._evidence_for(
             content,
             [
@@ -79,7 +84,10 @@
         )
 
     def _probability(self, content: int) -> float:
-        """Return the probability that a content was at its crashes by coincidence."""
+        """Return the probability that a request ran at its crashes by coincidence.
+
+        Crashes in which a quarantined request ran are left out.
+        """
         if content not in self._probabilities:
             unexplained = [
                 known
--- a/balsamspindle/crashes/gossip.py
+++ b/balsamspindle/crashes/gossip.py
@@ -1,11 +1,14 @@
 """Shares crashes and quarantines with all nodes within a second.
 
-A node forwards each update that is new to it once, to a few peers. So updates reach
-nearly all nodes within a few hops of milliseconds, also while the platform is
-unavailable. Each message between members carries a digest of what its sender knows.
-When the digests of two nodes differ and no update is under way, they send each other
-all that they know. So a node that missed updates, was cut off or has just started
-catches up within about a second of its first message.
+When a node learns of a crash or quarantine that is new to it, it sends an update to a
+few peers. So an update reaches nearly all nodes within a few hops, each of which takes
+milliseconds, even while the platform is unavailable.
+
+Each membership message carries a digest of the crashes and quarantines that its sender
+knows. When the digests of two nodes differ for longer than an update takes, each sends
+the other a repair: the crashes and quarantines that it knows. So a node that missed
+updates, was disconnected or has just started catches up within about a second of its
+first message.
 """
 
 import threading
@@ -20,21 +23,22 @@
 
 __all__ = ["CrashGossip"]
 
-# A peer's differing digest is ignored for this long after a change here, as the update
-# that makes them equal may be under way.
+# A peer is sent no repair for this long after a change of this node's own digest. The
+# update that makes the digests equal may still be on its way.
 SETTLE_TIME_S = 0.4
 REPAIR_INTERVAL_S = 0.8
 REPAIRED_PEERS_MAX = 1000
-# The first repair of a peer sends crashes up to this age, which it is likely to have
-# missed; further repairs send all.
+# The first repair that is sent to a peer contains only crashes up to this age, which
+# the peer is most likely to have missed. If the digests still differ after it, further
+# repairs contain all crashes.
 RECENT_S = 15.0
-# With six runs each, this many crashes take about 5 KB.
+# This many crashes take about 5 KB in a message, if six requests ran at each.
 CRASHES_PER_MESSAGE = 40
 QUARANTINES_PER_MESSAGE = 100
 
 
 class CrashGossip:
-    """Sends and receives updates on crashes and quarantines; thread-safe.
+    """Exchanges crashes and quarantines with other nodes; thread-safe.
 
     Parameters
     ----------
@@ -58,11 +62,12 @@
         self._clock = clock
         self._lock = threading.Lock()
         self._changed_s = float("-inf")
-        # Times of the last repairs, by address of the peers whose digests differ.
+        # Time of the last repair sent to each peer, by address, until its digest equals
+        # that of this node.
         self._repaired_s: OrderedDict[str, float] = OrderedDict()
 
     def share(self, update: CrashUpdate, now_s: float) -> None:
-        """Send what is new here to a few peers."""
+        """Send crashes and quarantines that are new to this node to a few peers."""
         if not update.crashes and not update.quarantines:
             return
         with self._lock:
@@ -72,12 +77,16 @@
             self._send_in_parts(address, update)
 
     def receive(self, update: CrashUpdate) -> None:
-        """Merge a peer's update and forward the part of it that is new here."""
+        """Merge a peer's update and forward the part that is new to this node."""
         now_s = self._clock()
         self.share(self._history.merge(update, now_s), now_s)
 
     def compare_digest(self, address: str, digest: int, now_s: float) -> None:
-        """Send a peer what is known here if its digest differs from this node's."""
+        """Send a repair to a peer whose digest differs from that of this node.
+
+        No repair is sent while an update may be on its way, or within
+        `REPAIR_INTERVAL_S` of the last repair to the same peer.
+        """
         is_same = digest == self._history.digest()
         with self._lock:
             if is_same:
@@ -100,8 +109,8 @@
     def _send_in_parts(self, address: str, update: CrashUpdate) -> None:
         """Send an update in messages small enough for a node's byte limit.
 
-        At least one message is sent, even if empty: its digest shows the peer that
-        this node knows less.
+        An empty update is sent too: the digest in its message tells the peer that this
+        node's digest differs, so the peer sends a repair.
         """
         crashes, quarantines = update.crashes, update.quarantines
         is_first = True
--- a/balsamspindle/crashes/history.py
+++ b/balsamspindle/crashes/history.py
@@ -1,4 +1,4 @@
-"""The crashes that one node knows, and the requests quarantined as their causes."""
+"""The crashes and quarantines that one node knows."""
 
 import threading
 from collections import Counter, OrderedDict
@@ -30,24 +30,24 @@
 CRASHES_MAX = 256
 CRASH_EXPIRY_S = 600.0
 RUNS_MAX = 32
-# A request counts as a suspect when this many backend servers crashed while running it.
+# A request is suspected when this many backend servers crashed while running it.
 SUSPECT_CRASHES = 2
-# How long a newly quarantined request is blocked, that is, sent to no backend server.
-# Then it is tried again, since the backend server's fault may be mended; one more
-# crash quarantines it again, for twice as long.
+# How long a request's first quarantine blocks it: it is sent to no backend server. Then
+# it is sent again, since the fault in the backend server may have been corrected. One
+# more crash quarantines it again, for twice as long.
 BLOCKED_S = 600.0
 BLOCKED_MAX_S = 86_400.0
 QUARANTINES_MAX = 1000
 QUARANTINE_EXPIRY_S = 2 * BLOCKED_MAX_S
-# The estimated time of a crash is up to this much too late, as its report takes time to
-# arrive. An answer up to this long before the estimate may have come after the crash.
+# The estimated time of a crash may be this much too late, as its report takes time to
+# arrive. An answer up to this long before the estimate counts as later than the crash.
 REPORT_DELAY_MAX_S = 1.0
 EXPIRE_INTERVAL_S = 1.0
 
 
 @dataclass
 class _Quarantined:
-    """A quarantine. The higher term wins; in the same term a lifted one wins."""
+    """A request's latest quarantine; the term counts its quarantines so far."""
 
     term: int
     until_s: float
@@ -58,22 +58,23 @@
 class CrashHistory:
     """Crashes and quarantines of the whole fleet; thread-safe.
 
-    Nodes converge in whatever order and however often they receive updates: crashes are
-    added, a run is removed from its crash when its content was answered, and of two
-    quarantines the one with the higher term wins.
+    The histories of all nodes become equal, in whatever order and however often they
+    receive updates: crashes are added, a request's run is removed from a crash when the
+    request was answered, and its quarantine is replaced by one with a higher term (the
+    number of its quarantines so far), or by a lifted one with the same term.
 
     Most requests that are lost in a crash are answered at their next attempt and never
-    lost again. Such answers are not shared, as that would cost six updates for each
-    crash; they are shared when the request is lost once more.
+    lost again. Sharing these answers would cost six updates for a crash at which six
+    requests ran. So an answer is shared only when its request is lost once more.
 
     Parameters
     ----------
     servers : callable
         Returns the number of a service's backend servers.
     on_quarantine : callable
-        Called with each quarantine that is new or newly lifted here, the ids of the
-        backend servers that ended while the request ran, and the evidence if the
-        decision was made here. It is called with the lock held and must not block.
+        Called with each quarantine that is new to this node or was just lifted, the ids
+        of the backend servers that ended while the request ran, and the evidence if
+        there is new evidence. It is called with the lock held and must not block.
     """
 
     def __init__(
@@ -87,8 +88,9 @@
         self._on_quarantine = on_quarantine
         self._lock = threading.RLock()
         self._crashes: OrderedDict[tuple[str, int], KnownCrash] = OrderedDict()
+        # By content hash: the number of crashes that still list a run of the request.
         self._counts: Counter[int] = Counter()
-        # By content: keys of the kept crashes from which its run was removed.
+        # By content hash: the keys of the crashes from which its run was removed.
         self._cleared: dict[int, set[tuple[str, int]]] = {}
         self._quarantined: OrderedDict[int, _Quarantined] = OrderedDict()
         self._answers = RecentAnswers()
@@ -96,7 +98,7 @@
         self._expired_s = float("-inf")
 
     def status(self, content: int, now_s: float) -> ContentStatus:
-        """Return whether a content is suspected or blocked."""
+        """Return whether the request with a content hash is suspected or blocked."""
         # Read without the lock: this is called before each attempt of each request.
         if content not in self._counts and content not in self._quarantined:
             return UNSUSPECTED
@@ -110,17 +112,17 @@
             return ContentStatus(True, blocked_ms)
 
     def has_ended(self, backend_server_id: str, start: int) -> bool:
-        """Tell whether a start of a backend server is known to have ended."""
+        """Tell whether the process with a start id is known to have crashed."""
         return (backend_server_id, start) in self._crashes
 
     def is_explained(self, backend_server_id: str, start: int) -> bool:
-        """Tell whether a quarantined request ran when a backend server ended."""
+        """Tell whether a quarantined request was running when a process crashed."""
         with self._lock:
             known = self._crashes.get((backend_server_id, start))
             return known is not None and any(map(self._is_quarantined, known.runs))
 
     def merge(self, update: CrashUpdate, now_s: float) -> CrashUpdate:
-        """Merge an update; return the part of it that is new here."""
+        """Merge an update; return the resulting changes, to be sent to peers."""
         with self._lock:
             self._expire(now_s)
             crashes = [
@@ -141,8 +143,8 @@
             return CrashUpdate(crashes, quarantines)
 
     def record_answer(self, content: int, now_s: float) -> CrashUpdate:
-        """Record an answer to a request; return what changed and should be shared."""
-        # Also while no crash is known: a report of an earlier one may still arrive.
+        """Record a request's answer; return the changes that peers have to know."""
+        # Needed even if no crash is known: the report of an earlier one may yet arrive.
         self._answers.record(content, now_s)
         if content not in self._counts and content not in self._quarantined:
             return CrashUpdate()
@@ -165,7 +167,7 @@
             return CrashUpdate(cleared if is_watched else [], quarantines)
 
     def retract(self, key: tuple[str, int], now_s: float) -> CrashUpdate:
-        """Record that a reported crash was none; return what changed."""
+        """Remove all runs from a crash that did not happen; return the changes."""
         with self._lock:
             known = self._crashes.get(key)
             if known is None or not known.runs:
@@ -176,7 +178,7 @@
             return CrashUpdate([self._export_crash(known, now_s)])
 
     def export(self, now_s: float, age_max_s: float = CRASH_EXPIRY_S) -> CrashUpdate:
-        """Return all quarantines, and the crashes up to a maximum age."""
+        """Return all known quarantines, and the known crashes up to a maximum age."""
         with self._lock:
             self._expire(now_s)
             crashes = [
@@ -190,7 +192,7 @@
             return CrashUpdate(crashes, quarantines)
 
     def digest(self) -> int:
-        """Return a hash that is equal on nodes with the same knowledge; 0 if empty."""
+        """Return a hash of the known crashes and quarantines; 0 if there are none."""
         digest = self._digest
         if digest is None:
             with self._lock:
@@ -198,7 +200,7 @@
         return digest
 
     def blocked_count(self, now_s: float) -> int:
-        """Return the number of contents that are blocked now."""
+        """Return the number of requests that are blocked now."""
         with self._lock:
             return sum(
                 not quarantined.is_lifted and quarantined.until_s > now_s
@@ -206,14 +208,14 @@
             )
 
     def _merge_crash(self, crash: Crash, now_s: float) -> bool:
-        """Merge a crash; return whether it changed anything here."""
+        """Merge a received crash; return whether this changed the history."""
         at_s = now_s - crash.age_ms / 1000
         if now_s - at_s >= CRASH_EXPIRY_S:
             return False
         run_times_s = {run.content: run.ran_ms / 1000 for run in crash.runs[:RUNS_MAX]}
         known = self._crashes.get(crash.key)
         if known is not None:
-            answered = [content for content in known.runs if content not in run_times_s]
+            answered = [one for one in known.runs if one not in run_times_s]
             for content in answered:
                 self._remove_run(known, content)
             return bool(answered)
@@ -226,29 +228,24 @@
             self._remove_crash(next(iter(self._crashes)))
         return True
 
-    def _merge_quarantine(self, received: Quarantine, now_s: float) -> bool:
-        """Merge a quarantine; return whether it changed anything here."""
-        known = self._quarantined.get(received.content)
-        if known is not None and (known.term, known.is_lifted) >= (
-            received.term,
-            received.is_lifted,
-        ):
+    def _merge_quarantine(self, new: Quarantine, now_s: float) -> bool:
+        """Merge a received quarantine; return whether this changed the history."""
+        old = self._quarantined.get(new.content)
+        if old is not None and (old.term, old.is_lifted) >= (new.term, new.is_lifted):
             return False
-        remaining_s = min(received.left_ms / 1000, BLOCKED_MAX_S)
-        is_lifted = received.is_lifted or self._was_answered(received.content, now_s)
-        self._quarantine(
-            received.content, received.term, now_s + remaining_s, is_lifted, now_s
-        )
+        remaining_s = min(new.left_ms / 1000, BLOCKED_MAX_S)
+        is_lifted = new.is_lifted or self._was_answered(new.content, now_s)
+        self._quarantine(new.content, new.term, now_s + remaining_s, is_lifted, now_s)
         return True
 
     def _was_answered(self, content: int, now_s: float) -> bool:
-        """Tell whether an answer is so recent that other nodes may not know it yet."""
+        """Tell whether a request was answered too recently for peers to know it."""
         return now_s - self._answers.answered_s(content) < ANSWER_VALID_S
 
     def _quarantine_causes(self, crashes: Iterable[Crash], now_s: float) -> None:
-        """Quarantine the causes of crashes that are new or had runs removed."""
+        """Quarantine the causes of crashes that are new or had a run removed."""
         attribution = self._attribution()
-        for content in {run.content for crash in crashes for run in crash.runs}:
+        for content in {run.content for one in crashes for run in one.runs}:
             quarantined = self._quarantined.get(content)
             if quarantined is not None and not quarantined.is_lifted:
                 if self._has_crashed_again(content, quarantined, attribution):
@@ -269,14 +266,14 @@
         )
 
     def _is_quarantined(self, content: int) -> bool:
-        """Tell whether a content's quarantine is not lifted, blocked now or not."""
+        """Tell whether a request has an unlifted quarantine, blocked now or not."""
         quarantined = self._quarantined.get(content)
         return quarantined is not None and not quarantined.is_lifted
 
     def _has_crashed_again(
         self, content: int, quarantined: _Quarantined, attribution: CrashAttribution
     ) -> bool:
-        """Tell whether a content crashed a backend server after its block ended."""
+        """Tell whether a request caused a crash after it was no longer blocked."""
         return any(
             known.at_s > quarantined.until_s and attribution.cause_of(known) == content
             for known in self._crashes.values()
@@ -306,19 +303,17 @@
         self._quarantined[content] = _Quarantined(term, until_s, is_lifted, now_s)
         if len(self._quarantined) > QUARANTINES_MAX:
             self._quarantined.popitem(last=False)
-        ended = [
+        ids = [
             known.crash.backend_server_id
             for known in self._crashes.values()
             if content in known.runs
         ]
-        self._on_quarantine(self._export_quarantine(content, now_s), ended, evidence)
+        self._on_quarantine(self._export_quarantine(content, now_s), ids, evidence)
 
     def _export_quarantine(self, content: int, now_s: float) -> Quarantine:
-        quarantined = self._quarantined[content]
-        remaining_ms = max(0, round((quarantined.until_s - now_s) * 1000))
-        return Quarantine(
-            content, quarantined.term, remaining_ms, quarantined.is_lifted
-        )
+        known = self._quarantined[content]
+        remaining_ms = max(0, round((known.until_s - now_s) * 1000))
+        return Quarantine(content, known.term, remaining_ms, known.is_lifted)
 
     def _export_crash(self, known: KnownCrash, now_s: float) -> Crash:
         runs = tuple(
@@ -329,7 +324,10 @@
         return known.crash._replace(age_ms=age_ms, runs=runs)
 
     def _cleared_before(self, crashes: list[Crash], now_s: float) -> list[Crash]:
-        """Return the other crashes from which contents of these were removed."""
+        """Return the earlier crashes of the answered requests in `crashes`.
+
+        Peers may not know yet that the requests' runs were removed from them.
+        """
         contents = {run.content for crash in crashes for run in crash.runs}
         keys = set().union(*(self._cleared.get(one, ()) for one in contents))
         keys -= {crash.key for crash in crashes}
@@ -377,8 +375,8 @@
             self._digest = None
 
     def _compute_digest(self) -> int:
-        # Contents that were lost only once are left out: whether they were answered
-        # since is not shared.
+        # Requests that were lost only once are left out: nodes do not tell each other
+        # whether such a request was answered.
         crashes = [
             (key, sorted(run for run in known.runs if self._counts[run] > 1))
             for key, known in sorted(self._crashes.items())
--- a/balsamspindle/crashes/live_servers.py
+++ b/balsamspindle/crashes/live_servers.py
@@ -14,14 +14,15 @@
 ) -> int:
     """Return the number of backend servers, without those that have ended.
 
-    After a crash the directory lists the backend server for some seconds beside its
-    replacement, which has an id of its own. A node whose backend servers have all ended
-    counts as having one, as a replacement is about to start.
+    For some seconds after a crash, the directory lists both the backend server that
+    crashed and its replacement, which has another id. A node whose backend servers have
+    all ended counts as having one, since a replacement is about to start.
 
     Parameters
     ----------
     has_ended : callable
-        Takes the ids of a backend server and of its start; tells whether it has ended.
+        Takes the id of a backend server and the `start_id` of its process; tells
+        whether that process has ended.
     """
     nodes, live = set(), Counter()
     for node, server in placements:
--- a/balsamspindle/crashes/quarantine_store.py
+++ b/balsamspindle/crashes/quarantine_store.py
@@ -1,10 +1,10 @@
 """Stores quarantines in the platform's tables, for restarts of the whole fleet.
 
-Nodes share quarantines with each other, but keep nothing when their processes end.
-After a power loss of the whole fleet, a quarantined request would crash three backend
-servers again. So each quarantine is a row of a table, which each node reads at its
-start. While the platform is unavailable, nodes rely on sharing; the row is written
-later.
+Nodes send each other their quarantines, but lose them when their processes end. After a
+power loss of the whole fleet, a quarantined request would crash three backend servers
+before it was quarantined again. So each quarantine is written as a row of a table,
+which each node reads at its start. While the platform is unavailable, quarantines only
+pass between nodes, and the row is written later.
 """
 
 import random
@@ -26,22 +26,25 @@
 __all__ = ["QUARANTINES_TABLE", "QuarantineStore", "QuarantineRow"]
 
 QUARANTINES_TABLE = "quarantines"
-# Nodes that write the row of a quarantine: a second one in case the first cannot reach
-# the platform.
+# Nodes that write the row of a quarantine. There are two in case one of them cannot
+# reach the platform.
 WRITERS = 2
-# Writers wait for a random time up to this, so that the second finds the first's row.
+# Before a node writes a row, it waits for a random time up to this, so that the second
+# writer usually finds the row that the first has written.
 WRITE_DELAY_MAX_S = 1.0
 RETRY_DELAY_MIN_S, RETRY_DELAY_MAX_S = 0.6, 30.0
 PENDING_MAX = 1000
 
 
 class QuarantineRow(msgspec.Struct, frozen=True):
-    """One row; its key is the request's content in hexadecimal.
+    """The value of one row; the key is the request's content hash in hexadecimal.
+
+    See `Quarantine` for `term` and `is_lifted`.
 
     Attributes
     ----------
     until_unix_s : float
-        End of the block of the request, by the writer's wall clock.
+        Time until which the request is blocked, by the writer's wall clock.
     """
 
     term: int
@@ -50,12 +53,13 @@
 
 
 class QuarantineStore:
-    """A task that reads the stored quarantines at the start and writes new ones.
+    """A task that reads the stored quarantines once and then writes new ones.
 
     Parameters
     ----------
     on_update : callable
-        Called with the quarantines read that were new here, and the current time.
+        Called with those quarantines read that are new to this node, and the current
+        time.
     """
 
     def __init__(
@@ -99,7 +103,7 @@
             self._changed.notify_all()
 
     def record(self, quarantine: Quarantine, now_unix_s: float) -> None:
-        """Queue a new or lifted quarantine for writing if this node is its writer."""
+        """Queue a new or lifted quarantine for writing if this node is to write it."""
         if not self._is_writer(quarantine.content):
             return
         until_unix_s = now_unix_s + quarantine.left_ms / 1000
@@ -111,7 +115,13 @@
             self._changed.notify_all()
 
     def read(self, now_s: float, now_unix_s: float) -> bool:
-        """Merge all rows; return False when the platform does not answer."""
+        """Read all rows and merge their quarantines into the history.
+
+        Returns
+        -------
+        bool
+            False when the rows could not be read.
+        """
         match self._tables.scan(QUARANTINES_TABLE):
             case Result(tag="ok", ok=rows):
                 pass
@@ -130,7 +140,7 @@
         return True
 
     def write(self) -> bool:
-        """Write the pending rows; return False when one could not be written."""
+        """Write all pending rows; return False when a row could not be written."""
         with self._changed:
             pending = dict(self._pending)
         for content, row in pending.items():
@@ -142,7 +152,13 @@
         return True
 
     def _write_one(self, content: int, row: QuarantineRow) -> bool:
-        """Write one row, unless the stored one is as recent."""
+        """Write one row, unless the stored row is as recent or more recent.
+
+        Returns
+        -------
+        bool
+            False when the row could not be read or written.
+        """
         key = _key(content)
         match self._tables.read(QUARANTINES_TABLE, [key]):
             case Result(tag="ok", ok=[stored]):
@@ -161,8 +177,8 @@
                 self._events.emit("quarantine_written", content=key, term=row.term)
                 return True
             case Result(error=error):
-                # The other writer was faster, or the reply was lost. The next try reads
-                # the row again.
+                # The other writer changed the row first, or the platform's reply was
+                # lost. The next try reads the row again.
                 self._events.emit("quarantine_unwritten", cause=repr(error))
         return False
 
--- a/balsamspindle/crashes/recent_answers.py
+++ b/balsamspindle/crashes/recent_answers.py
@@ -4,7 +4,8 @@
 
 __all__ = ["ANSWER_VALID_S", "RecentAnswers"]
 
-# A crash or quarantine may be reported this long after its request was answered.
+# A peer may report a crash or quarantine this long after this node learned that the
+# request was answered.
 ANSWER_VALID_S = 10.0
 ANSWERS_MAX = 10_000
 
@@ -12,9 +13,10 @@
 class RecentAnswers:
     """Remembers answers for `ANSWER_VALID_S` to twice as long; thread-safe.
 
-    It is called for each answer to each request. Entries go into one of two tables,
-    which are rotated, so that there is no search for old entries and no lock. If two
-    threads rotate the tables at the same moment, one table of answers is lost.
+    `record` is called for each answer to each request, so it neither takes a lock nor
+    searches for old entries. New answers go into one of two tables. After
+    `ANSWER_VALID_S`, the older table is discarded and new answers go into an empty one.
+    If two threads do this at the same moment, one table of answers is lost.
     """
 
     def __init__(self) -> None:
--- a/balsamspindle/crashes/records.py
+++ b/balsamspindle/crashes/records.py
@@ -1,4 +1,4 @@
-"""Records of crashes and quarantines, and the message that shares them."""
+"""Records of crashes and quarantines, and the message that sends them to peers."""
 
 from typing import NamedTuple
 
@@ -23,9 +23,9 @@
     Attributes
     ----------
     content : int
-        Hash of the request's content, from `content_id`.
+        Content hash of the request, from `content_id`.
     ran_ms : int
-        How long the request had been running.
+        How long the request had been running when the server ended.
     """
 
     content: int
@@ -38,11 +38,12 @@
     Attributes
     ----------
     start : int
-        Identifies the start of the backend server that ended, see `start_id`.
+        Identifies the process that ended among all processes of the backend server,
+        see `start_id`.
     age_ms : int
         Time from the crash to the sending of this record.
     runs : tuple of CrashedRun
-        Without the runs whose content has been answered since.
+        Runs of requests that have been answered since the crash are removed.
     """
 
     backend_server_id: str
@@ -53,7 +54,7 @@
 
     @property
     def key(self) -> tuple[str, int]:
-        """Identifies the crash in the whole fleet."""
+        """The same for all records of a crash, and unique in the fleet."""
         return self.backend_server_id, self.start
 
 
@@ -63,13 +64,13 @@
     Attributes
     ----------
     content : int
-        Hash of the request's content, from `content_id`.
+        Content hash of the request, from `content_id`.
     term : int
-        How often the content has been quarantined.
+        How often the request has been quarantined, including this quarantine.
     left_ms : int
         How long the request stays blocked after the sending of this record.
     is_lifted : bool
-        Whether the request has been answered since.
+        Whether the quarantine has ended because a backend server answered the request.
     """
 
     content: int
@@ -79,21 +80,22 @@
 
 
 class CrashUpdate(msgspec.Struct, array_like=True, tag="crashes", frozen=True):
-    """Message between nodes: all crashes and quarantines known, or the new ones."""
+    """Message to a peer: crashes and quarantines that the peer may not know yet."""
 
     crashes: list[Crash] = []
     quarantines: list[Quarantine] = []
 
 
 class ContentStatus(NamedTuple):
-    """Whether a content is suspected of crashing backend servers, or blocked.
+    """Whether a request is suspected of crashing backend servers, or blocked.
 
     Attributes
     ----------
     is_suspect : bool
-        Whether several backend servers ended while running it and none answered it.
+        Whether several backend servers ended while running the request and it has not
+        been answered since, or it is quarantined.
     blocked_ms : float
-        How long it must not be sent to a backend server; 0 when it may be sent.
+        How long the request must not be sent to a backend server; 0 when it may be.
     """
 
     is_suspect: bool = False
@@ -104,7 +106,7 @@
 
 
 class RunEnd(NamedTuple):
-    """How a run ended, as far as this is evidence for or against a crash.
+    """What the end of a run tells about a crash of the backend server.
 
     Attributes
     ----------
@@ -125,5 +127,9 @@
 
 
 def start_id(boot_id: str) -> int:
-    """Return a 32-bit hash of a boot id, which identifies a backend server's start."""
+    """Return the 32-bit hash of a boot id.
+
+    The hash identifies one process among all processes of a backend server, since each
+    start of the backend server has a new boot id.
+    """
     return xxhash.xxh32_intdigest(boot_id.encode())
--- a/balsamspindle/crashes/retry_waits.py
+++ b/balsamspindle/crashes/retry_waits.py
@@ -8,7 +8,7 @@
 __all__ = ["retry_wait_s"]
 
 WAIT_MAX_S = 0.4
-# Longest wait as a fraction of the time until the request's deadline.
+# The wait is at most this fraction of the time until the request's deadline.
 WAIT_FRACTION_MAX = 0.1
 
 
@@ -17,15 +17,16 @@
 ) -> float:
     """Return how long a request that was lost in a crash waits before its next attempt.
 
-    A request that was lost more than once may be the cause of the crashes. Retried
-    without delay, it would follow a wave of crashes from one backend server to the
-    next, and its run times would show nothing. After a random wait, only a cause is
-    lost after the same run time again.
+    A request that was lost more than once may be the cause of the crashes. The cause is
+    recognized by being lost after the same run time each time. In a wave of crashes at
+    regular intervals, any request that is retried without delay is lost after the same
+    run time, the interval. With a random wait before each retry, only the cause is
+    still lost after equal run times.
 
     Parameters
     ----------
     status : ContentStatus
-        Of the request's content, with the latest loss counted.
+        Status of the request after its latest loss was recorded.
     remaining_s : float
         Time until the request's deadline.
     rng : random.Random
--- a/balsamspindle/crashes/verdicts.py
+++ b/balsamspindle/crashes/verdicts.py
@@ -1,4 +1,4 @@
-"""Distinguishes requests that crash backend servers from those running beside them."""
+"""Distinguishes requests that cause crashes from those that merely run during them."""
 
 import heapq
 import itertools
@@ -18,36 +18,43 @@
     "likeliest_cause",
 ]
 
-# Crashes attributed to a request before it can be the cause; fewer are too often a
-# coincidence.
+# A request counts as the cause of crashes only if at least this many are attributed to
+# it; fewer are too often a coincidence.
 CRASHES_MIN = 3
-# A request is the cause when its crashes are less probable than this by coincidence.
+# A request counts as the cause when the probability that it was running at its crashes
+# by coincidence is less than this.
 COINCIDENCE_MAX = 1e-5
-# This many crashes, each after a similar run time, are sufficient evidence whatever the
-# rate of other crashes.
+# A request to which this many crashes are attributed, all after similar run times,
+# counts as their cause whatever the rate of other crashes.
 CRASHES_SUFFICIENT = 6
+# For CRASHES_SUFFICIENT, run times are similar if the longest is at most this factor
+# times the shortest, plus this time.
 SIMILAR_TIME_FACTOR, SIMILAR_TIME_S = 2.0, 0.1
-# The crash rate is computed from this long before the first crash attributed to the
-# request to the last one. With a longer window, a wave of crashes of two seconds would
-# not raise the rate enough.
+# The crash rate of a service is computed from this long before the first crash that is
+# attributed to a request to the last of these crashes. In a longer window, a wave of
+# crashes that lasts two seconds would raise the rate too little, and a request that
+# runs during the wave by coincidence would count as its cause.
 RATE_LEAD_S = 1.0
-# A crash is attributed to a request only if the next likely cause is at least this many
-# times as probable to be there by coincidence.
+# A crash is attributed to the request that most probably caused it. That request's
+# probability of running at its crashes by coincidence must be at least this many times
+# smaller than that of any other request.
 CAUSE_LEAD_FACTOR = 10.0
 # Run times that differ by less count as equal.
 EQUAL_RUN_TIME_S = 0.01
-# Lower limit of the probability of similar run times. They are no proof by themselves:
-# timeouts also end runs after equal times.
+# The probability that run times are similar by coincidence counts as at least this:
+# similar run times alone are no proof, since timeouts also end runs after equal times.
 SIMILAR_TIMES_PROBABILITY_MIN = 1e-3
 # Shorter run times count as this long, since clocks are read late on a busy VM.
 RUN_TIME_MIN_S = 0.05
-# Crashes within this time may have one common reason, such as the loss of a rack. A
-# request that causes them all, in copies started together, has similar run times.
+# Crashes within this time may have one common reason, such as the loss of a rack.
 SIMULTANEOUS_S = 0.1
+# If a request causes simultaneous crashes, because copies of it started together, its
+# run times differ by at most this fraction of the run time, plus this time.
 SIMILAR_RUN_FRACTION, SIMILAR_RUN_S = 0.2, 0.03
-# A run that began within this time after a crash is a retry of the run lost in it.
+# A run that began within this time after a crash counts as a prompt retry of the run of
+# the same request that was lost in the crash.
 RETRIED_WITHIN_S = 0.1
-# Largest difference between two nodes in the time of one crash.
+# The times that two nodes record for one crash differ by at most this.
 CLOCK_DIFFERENCE_MAX_S = 0.03
 
 
@@ -59,7 +66,7 @@
     at_s : float
         Time of the crash.
     ran_s : float
-        How long the request had been running.
+        How long the request had been running when the server crashed.
     """
 
     at_s: float
@@ -74,8 +81,9 @@
     crashes : sequence of AttributedCrash
         The crashes attributed to the request, in the order of time.
     service_crashes : int
-        Number of crashes of the same services, except those in which a quarantined
-        request ran, from `RATE_LEAD_S` before the first of `crashes` to the last.
+        Number of all crashes of the services in which `crashes` happened, from
+        `RATE_LEAD_S` before the first of `crashes` to the last. Crashes in which a
+        quarantined request ran are not counted.
     servers : int
         Number of backend servers of these services.
     """
@@ -91,21 +99,25 @@
 def likeliest_cause(
     probabilities: Mapping[int, float], quarantined: Collection[int]
 ) -> int | None:
-    """Return the content that is the likeliest cause of a crash; None when unclear.
+    """Return the request that most probably caused a crash; None when unclear.
 
-    A request that ran beside the cause several times shares these crashes with it, and
-    beside several causes it may have more crashes than each of them. But it was lost
-    after various run times, and a cause always after the same. So a crash is attributed
-    only to the request whose crashes are the least probable by coincidence, and to none
-    when two are close.
+    The number of crashes does not identify the cause. An innocent request that often
+    runs at the same time as one cause is lost in the same crashes, and one that runs at
+    the same time as several causes may be lost in more crashes than each of them. But
+    an innocent request is lost after various run times, and a cause always after about
+    the same run time. So a crash is attributed to the request that is the least likely
+    to have been running at its crashes by coincidence, and to no request when two are
+    about equally likely.
 
     Parameters
     ----------
     probabilities : mapping of int to float
-        The contents that were running and have not been answered since, each with the
-        probability that it was at all its crashes by coincidence.
+        By the content hash of each request that was running at the crash and has not
+        been answered since: the probability that the request was running at all its
+        crashes by coincidence.
     quarantined : collection of int
-        Contents known to crash backend servers.
+        Content hashes of quarantined requests. If one of them was running, it is the
+        cause; if several were, the cause is unclear.
     """
     known = [content for content in probabilities if content in quarantined]
     if known:
@@ -121,10 +133,13 @@
 
 
 def independent_crashes(crashes: Sequence[AttributedCrash]) -> list[AttributedCrash]:
-    """Return the crashes, only one of each group that may have one common reason.
+    """Return the crashes without those that may have the reason of an earlier one.
 
     The loss of a rack or an availability zone ends several backend servers at the same
-    moment. A request with copies on some of them would be quarantined for that alone.
+    moment. A request that was running at several of them, in copies, would otherwise be
+    quarantined for this loss. So of simultaneous crashes only the first is returned. A
+    further one is returned too if the request's run time was similar at both, since the
+    request may then have caused both.
     """
     kept: list[AttributedCrash] = []
     for crash in crashes:
@@ -139,11 +154,14 @@
 def is_cause(evidence: CauseEvidence) -> bool:
     """Tell whether a request causes the crashes that are attributed to it.
 
-    In a wave of crashes with another cause, the expected number of crashes that a
-    request meets by coincidence is the crash rate times its total run time. A request
-    that crashes backend servers meets far more. The rate includes the request's own
-    crashes: a request that many callers send runs at nearly all backend servers, and
-    so is there at each crash.
+    The number of crashes at which a request is expected to be running by coincidence is
+    the crash rate times the total run time of the request. A request that crashes
+    backend servers is running at far more crashes than that.
+
+    The rate includes the crashes attributed to the request. A request that many callers
+    send runs at nearly all backend servers, so it is running at nearly each crash,
+    whatever the cause. If the rate were computed from other crashes only, it would be
+    near 0, and the request would count as the cause.
     """
     if len(evidence.crashes) >= CRASHES_SUFFICIENT and _has_similar_run_times(
         evidence.crashes
@@ -154,18 +172,18 @@
 
 
 def _has_similar_run_times(crashes: Sequence[AttributedCrash]) -> bool:
-    """Tell whether all crashes came after about the same run time.
+    """Tell whether a request was running for about the same time at all its crashes.
 
-    A request that is there by coincidence is lost after various run times. A factor of
-    two is allowed, since a request takes about twice as long to crash a backend server
-    that has just started.
+    A request that is running at crashes by coincidence is lost after various run times.
+    The run times of a cause may differ by a factor of two, since a request takes about
+    twice as long to crash a backend server that has just started.
     """
     ran_s = [crash.ran_s for crash in crashes]
     return max(ran_s) <= SIMILAR_TIME_FACTOR * min(ran_s) + SIMILAR_TIME_S
 
 
 def coincidence_probability(evidence: CauseEvidence) -> float:
-    """Return the probability that a request was at its crashes by coincidence."""
+    """Return the probability that a request ran at its crashes by coincidence."""
     crashes = independent_crashes(evidence.crashes)
     count = len(crashes)
     window_s = crashes[-1].at_s - crashes[0].at_s + RATE_LEAD_S
@@ -175,20 +193,26 @@
 
 
 def _count_probability(count: int, expected: float) -> float:
-    """Return the Poisson probability of a number of crashes; 1 if it is expected."""
+    """Return the Poisson probability of exactly `count` crashes.
+
+    It is 1 if at least that many crashes are expected.
+    """
     if expected >= count:
         return 1.0
-    # Larger counts are left out. While `expected` is less than half of `count`, they
-    # are together less probable than this one.
+    # The probabilities of larger counts are not added. While `expected` is less than
+    # half of `count`, their sum is less than the probability of `count` itself.
     return expected**count * math.exp(-expected) / math.factorial(count)
 
 
 def _similar_times_probability(crashes: Sequence[AttributedCrash]) -> float:
-    """Return the probability that crashes at random times give such similar run times.
-
-    A cause may also be there at crashes for other reasons. So the most similar run
-    times are selected, of each possible number of crashes, and the probability of their
-    similarity is multiplied by the number of ways to select as many.
+    """Return the probability that run times are as similar by coincidence.
+
+    A request that causes crashes may also be running at crashes with another cause, so
+    not all its run times need to be similar. For each number of crashes from
+    `CRASHES_MIN`, the crashes with the most similar run times are selected. The
+    probability that random run times are as similar is multiplied by the number of ways
+    to select that many crashes. The smallest of these products is returned, but at
+    least `SIMILAR_TIMES_PROBABILITY_MIN`.
     """
     ran_s = sorted(crash.ran_s for crash in _without_prompt_retries(crashes))
     longest_s = max(ran_s[-1], RUN_TIME_MIN_S)
@@ -206,11 +230,12 @@
 def _without_prompt_retries(
     crashes: Sequence[AttributedCrash],
 ) -> list[AttributedCrash]:
-    """Return the crashes without those of retries that began at the crash before.
+    """Return the crashes except those in which a prompt retry was lost.
 
-    The run time of such a retry is the time between the two crashes. In a wave that
-    ends one backend server after the other at regular intervals, all run times would be
-    equal, and the request would look like a cause.
+    A prompt retry begins right after the previous crash, so its run time is the time
+    between the two crashes. In a wave that ends one backend server after the other at
+    regular intervals, all these run times are equal, and the request would look like a
+    cause.
     """
     kept = list(crashes[:1])
     for previous, crash in itertools.pairwise(crashes):
