--- a/balsamspindle/services/held_out_servers.py
+++ b/balsamspindle/services/held_out_servers.py
@@ -34,7 +34,7 @@
         self._lock = threading.Lock()
         self._hold_outs: dict[str, _HoldOut] = {}
 
-    def record(self, backend_server_id: str, held_out: HeldOut, now_s: float) -> None:
+    def record(self, backend_server_id: str, held_out: HoldOut, now_s: float) -> None:
         """Record a reply's report that a backend server is, or is not, held out."""
         if not held_out.held_out_ms and backend_server_id not in self._hold_outs:
             return
--- a/balsamspindle/services/peer_evidence.py
+++ b/balsamspindle/services/peer_evidence.py
@@ -15,11 +15,11 @@
 
 # How long a gate's judgement of a backend server's latest answer, good or bad, is used.
 JUDGEMENT_VALID_S = 10.0
-# How long the latency limit of a backend server is used after its latest judged answer.
-# It is the 99th percentile of the backend server's latency and changes little.
-LIMIT_EXPIRY_S = 600.0
+# How long the 99th percentile of a backend server's latency, which changes little, is
+# used after the backend server's latest judged answer.
+P99_EXPIRY_S = 600.0
 # An attempt counts as hanging when it is in flight for longer than this many times the
-# latency limit of its backend server.
+# 99th percentile of its backend server's latency.
 HANGING_FACTOR = 2.0
 
 
@@ -90,13 +90,13 @@
         self, service: str, backend_server_id: str, now_s: float
     ) -> PeerEvidence:
         """Return a summary of the service's backend servers except the given one."""
-        heard = bad = 0
-        limits_ms = []
+        judged_count = bad_count = 0
+        p99s_ms = []
         with self._lock:
             servers = self._services.get(service, {})
             for server_id, evidence in list(servers.items()):
                 if (
-                    now_s - evidence.judged_s > LIMIT_EXPIRY_S
+                    now_s - evidence.judged_s > P99_EXPIRY_S
                     and not evidence.in_flight
                 ):
                     del servers[server_id]
@@ -107,11 +107,11 @@
                     p99s_ms.append(evidence.p99_ms)
                 hangs = evidence.hangs(now_s)
                 if hangs or evidence.is_recent(now_s):
-                    heard += 1
-                    bad += hangs or evidence.bad
-        # A single latency limit is not used: it may come from an unhealthy server.
-        limit_ms = statistics.median(limits_ms) if len(limits_ms) > 1 else 0.0
-        return PeerEvidence(heard, bad, limit_ms)
+                    judged_count += 1
+                    bad_count += hangs or evidence.bad
+        # A single value is not used: it may be that of an unhealthy backend server.
+        median_p99_ms = statistics.median(p99s_ms) if len(p99s_ms) > 1 else 0.0
+        return PeerEvidence(judged_count, bad_count, median_p99_ms)
 
     def _evidence(self, service: str, backend_server_id: str) -> _ServerEvidence:
         servers = self._services.setdefault(service, {})
