--- a/balsamspindle/backend_servers/crash_watch.py
+++ b/balsamspindle/backend_servers/crash_watch.py
@@ -38,12 +38,12 @@
 
 
 class _Run(NamedTuple):
-    content: int
+    content_hash: int
     started_s: float
 
 
 class _LostRun(NamedTuple):
-    content: int
+    content_hash: int
     ran_s: float
     lost_s: float
     is_broken: bool
@@ -108,13 +108,13 @@
         self,
         server: LocalBackendServer,
         attempt_id: AttemptId,
-        content: int,
+        content_hash: int,
         now_s: float,
     ) -> None:
         """Record that a request starts to run."""
         with self._lock:
             start = self._start_of(_key(server))
-            start.running[attempt_id] = _Run(content, now_s)
+            start.running[attempt_id] = _Run(content_hash, now_s)
 
     def record_end(
         self,
@@ -130,7 +130,9 @@
             run = start.running.pop(attempt_id, None)
             if run is not None and end.is_lost:
                 ran_s = now_s - run.started_s
-                start.lost.append(_LostRun(run.content, ran_s, now_s, end.is_broken))
+                start.lost.append(
+                    _LostRun(run.content_hash, ran_s, now_s, end.is_broken)
+                )
             was_refuted = end.is_answer and start.is_refuted_by_answer(run, now_s)
             start.ended_s = None if was_refuted else start.ended_s
         if was_refuted:
@@ -139,7 +141,7 @@
             self._on_update(self._history.retract(key, now_s), now_s)
             self._events.emit("backend_server_crash_retracted", backend_server=key[0])
         if end.is_success and run is not None:
-            self._on_update(self._history.record_answer(run.content, now_s), now_s)
+            self._on_update(self._history.record_answer(run.content_hash, now_s), now_s)
         return end.is_broken and self._has_ended(server, start, now_s)
 
     def record_replacement(self, server: LocalBackendServer, now_s: float) -> None:
@@ -192,7 +194,7 @@
             "backend_server_crashed",
             backend_server=crash.backend_server_id,
             service=crash.service,
-            runs=",".join(f"{run.content:016x}:{run.ran_ms}" for run in runs),
+            runs=",".join(f"{run.content_hash:016x}:{run.ran_ms}" for run in runs),
         )
         self._on_update(self._history.merge(CrashUpdate([crash]), now_s), now_s)
 
@@ -208,16 +210,20 @@
 def _runs_at(start: _Start, now_s: float) -> list[CrashedRun]:
     """Return the requests lost in a crash, each once, the shortest run first."""
     run_times_s = {
-        run.content: max(0.0, now_s - run.started_s) for run in start.running.values()
+        run.content_hash: max(0.0, now_s - run.started_s)
+        for run in start.running.values()
     }
     for lost in start.lost:
         if now_s - lost.lost_s <= LOST_TOGETHER_S:
-            run_times_s[lost.content] = min(
-                lost.ran_s, run_times_s.get(lost.content, lost.ran_s)
+            run_times_s[lost.content_hash] = min(
+                lost.ran_s, run_times_s.get(lost.content_hash, lost.ran_s)
             )
     run_times_s.pop(0, None)
     shortest = sorted(run_times_s.items(), key=lambda item: item[1])[:REPORTED_RUNS_MAX]
-    return [CrashedRun(content, round(ran_s * 1000)) for content, ran_s in shortest]
+    return [
+        CrashedRun(content_hash, round(ran_s * 1000))
+        for content_hash, ran_s in shortest
+    ]
 
 
 def refuses_connections(address: str) -> bool:
--- a/balsamspindle/backend_servers/gate.py
+++ b/balsamspindle/backend_servers/gate.py
@@ -228,7 +228,7 @@
         answer = AdmissionAnswer(
             query.number, held_out=held_out, gate_time_s=received_s
         )
-        content_status = self._crash_history.status(query.content, received_s)
+        content_status = self._crash_history.status(query.content_hash, received_s)
         if content_status.blocked_ms:
             return msgspec.structs.replace(
                 answer, reason=Reason.CRASHES_SERVERS, wait_ms=content_status.blocked_ms
@@ -274,7 +274,7 @@
         received_s = time.monotonic()
         if checksum(dispatch.body) != dispatch.body_checksum:
             return self._refuse(dispatch, Reason.DAMAGED)
-        content_status = self._crash_history.status(dispatch.content, received_s)
+        content_status = self._crash_history.status(dispatch.content_hash, received_s)
         if content_status.blocked_ms:
             return self._refuse_blocked(dispatch, content_status.blocked_ms)
         if not self._health_admits(dispatch):
@@ -328,13 +328,15 @@
         That is checked again here, because copies of a request may wait for slots
         while another copy crashes a backend server.
         """
-        content_status = self._crash_history.status(dispatch.content, time.monotonic())
+        content_status = self._crash_history.status(
+            dispatch.content_hash, time.monotonic()
+        )
         if content_status.blocked_ms:
             self._admission.release(admitted, WorkEnd.DONE)
             return self._refuse_blocked(dispatch, content_status.blocked_ms)
-        server_id, content = dispatch.backend_server_id, dispatch.content
+        server_id, content_hash = dispatch.backend_server_id, dispatch.content_hash
         if content_status.is_suspect and not self._suspect_runs.begin(
-            server_id, content
+            server_id, content_hash
         ):
             self._admission.release(admitted, WorkEnd.DONE)
             return self._refuse(dispatch, Reason.WOULD_WAIT)
@@ -344,7 +346,7 @@
         finally:
             self._grants.run_ended(dispatch.is_repeat)
             if content_status.is_suspect:
-                self._suspect_runs.end(server_id, content)
+                self._suspect_runs.end(server_id, content_hash)
 
     def _refuse_blocked(self, dispatch: Dispatch, blocked_ms: float) -> Reply:
         reply = self._refuse(dispatch, Reason.CRASHES_SERVERS, wait_ms=blocked_ms)
--- a/balsamspindle/backend_servers/runner.py
+++ b/balsamspindle/backend_servers/runner.py
@@ -80,7 +80,7 @@
         self._observer.record_peer_evidence(server_id, dispatch.peers, time.monotonic())
         self._observer.record_start(server_id, attempt_id, time.monotonic())
         self._crash_watch.record_start(
-            server, attempt_id, dispatch.content, time.monotonic()
+            server, attempt_id, dispatch.content_hash, time.monotonic()
         )
         result = None
         try:
--- a/balsamspindle/backend_servers/suspect_runs.py
+++ b/balsamspindle/backend_servers/suspect_runs.py
@@ -18,19 +18,19 @@
         self._lock = threading.Lock()
         self._running: dict[str, Counter[int]] = {}
 
-    def begin(self, backend_server_id: str, content: int) -> bool:
+    def begin(self, backend_server_id: str, content_hash: int) -> bool:
         """Register a run; return False if another suspected request runs there."""
         with self._lock:
             running = self._running.setdefault(backend_server_id, Counter())
-            if any(other != content for other in running):
+            if any(other != content_hash for other in running):
                 return False
-            running[content] += 1
+            running[content_hash] += 1
             return True
 
-    def end(self, backend_server_id: str, content: int) -> None:
+    def end(self, backend_server_id: str, content_hash: int) -> None:
         """Remove a run that `begin` registered."""
         with self._lock:
             running = self._running[backend_server_id]
-            running[content] -= 1
-            if not running[content]:
+            running[content_hash] -= 1
+            if not running[content_hash]:
                 del self._running[backend_server_id]
--- a/balsamspindle/crashes/attribution.py
+++ b/balsamspindle/crashes/attribution.py
@@ -68,44 +68,46 @@
         probabilities = dict.fromkeys(known.runs, 1.0)
         if not quarantined:
             probabilities = {
-                content: self._probability(content) for content in known.runs
+                content_hash: self._probability(content_hash)
+                for content_hash in known.runs
             }
         return likeliest_cause(probabilities, quarantined)
 
-    def evidence(self, content: int) -> CauseEvidence:
+    def evidence(self, content_hash: int) -> CauseEvidence:
         """Return the evidence that a request causes the crashes attributed to it."""
         return self._evidence_for(
-            content,
+            content_hash,
             [
                 known
                 for known in self._crashes
-                if content in known.runs and self.cause_of(known) == content
+                if content_hash in known.runs and self.cause_of(known) == content_hash
             ],
         )
 
-    def _probability(self, content: int) -> float:
+    def _probability(self, content_hash: int) -> float:
         """Return the probability that a request ran at its crashes by coincidence.
 
         Crashes in which a quarantined request ran are left out.
         """
-        if content not in self._probabilities:
+        if content_hash not in self._probabilities:
             unexplained = [
                 known
                 for known in self._crashes
-                if content in known.runs and not self._quarantined_in(known)
+                if content_hash in known.runs and not self._quarantined_in(known)
             ]
-            self._probabilities[content] = coincidence_probability(
-                self._evidence_for(content, unexplained)
+            self._probabilities[content_hash] = coincidence_probability(
+                self._evidence_for(content_hash, unexplained)
             )
-        return self._probabilities[content]
+        return self._probabilities[content_hash]
 
     def _evidence_for(
-        self, content: int, attributed: list[KnownCrash]
+        self, content_hash: int, attributed: list[KnownCrash]
     ) -> CauseEvidence:
         if not attributed:
             return NO_EVIDENCE
         own_crashes = sorted(
-            AttributedCrash(known.at_s, known.runs[content]) for known in attributed
+            AttributedCrash(known.at_s, known.runs[content_hash])
+            for known in attributed
         )
         services = {known.crash.service for known in attributed}
         service_crashes = sum(
--- a/balsamspindle/crashes/history.py
+++ b/balsamspindle/crashes/history.py
@@ -97,15 +97,15 @@
         self._digest: int | None = 0
         self._expired_s = float("-inf")
 
-    def status(self, content: int, now_s: float) -> ContentStatus:
+    def status(self, content_hash: int, now_s: float) -> ContentStatus:
         """Return whether the request with a content hash is suspected or blocked."""
         # Read without the lock: this is called before each attempt of each request.
-        if content not in self._counts and content not in self._quarantined:
+        if content_hash not in self._counts and content_hash not in self._quarantined:
             return UNSUSPECTED
         with self._lock:
             self._expire(now_s)
-            quarantined = self._quarantined.get(content)
-            is_suspect = self._counts[content] >= SUSPECT_CRASHES
+            quarantined = self._quarantined.get(content_hash)
+            is_suspect = self._counts[content_hash] >= SUSPECT_CRASHES
             if quarantined is None or quarantined.is_lifted:
                 return ContentStatus(is_suspect)
             blocked_ms = max(0.0, (quarantined.until_s - now_s) * 1000)
@@ -132,7 +132,7 @@
             ]
             crashes += self._cleared_before(crashes, now_s)
             quarantines = [
-                self._export_quarantine(quarantine.content, now_s)
+                self._export_quarantine(quarantine.content_hash, now_s)
                 for quarantine in update.quarantines
                 if self._merge_quarantine(quarantine, now_s)
             ]
@@ -142,25 +142,25 @@
                 self._digest = None
             return CrashUpdate(crashes, quarantines)
 
-    def record_answer(self, content: int, now_s: float) -> CrashUpdate:
+    def record_answer(self, content_hash: int, now_s: float) -> CrashUpdate:
         """Record a request's answer; return the changes that peers have to know."""
         # Needed even if no crash is known: the report of an earlier one may yet arrive.
-        self._answers.record(content, now_s)
-        if content not in self._counts and content not in self._quarantined:
+        self._answers.record(content_hash, now_s)
+        if content_hash not in self._counts and content_hash not in self._quarantined:
             return CrashUpdate()
         with self._lock:
             self._expire(now_s)
-            is_watched = self._counts[content] >= SUSPECT_CRASHES
+            is_watched = self._counts[content_hash] >= SUSPECT_CRASHES
             cleared = []
             for known in self._crashes.values():
-                if content in known.runs:
-                    self._remove_run(known, content)
+                if content_hash in known.runs:
+                    self._remove_run(known, content_hash)
                     cleared.append(self._export_crash(known, now_s))
             quarantines = []
-            quarantined = self._quarantined.get(content)
+            quarantined = self._quarantined.get(content_hash)
             if quarantined is not None and not quarantined.is_lifted:
                 quarantined.is_lifted = True
-                quarantines.append(self._export_quarantine(content, now_s))
+                quarantines.append(self._export_quarantine(content_hash, now_s))
                 self._on_quarantine(quarantines[0], [], NO_EVIDENCE)
             self._quarantine_causes(cleared, now_s)
             self._digest = None
@@ -172,8 +172,8 @@
             known = self._crashes.get(key)
             if known is None or not known.runs:
                 return CrashUpdate()
-            for content in list(known.runs):
-                self._remove_run(known, content)
+            for content_hash in list(known.runs):
+                self._remove_run(known, content_hash)
             self._digest = None
             return CrashUpdate([self._export_crash(known, now_s)])
 
@@ -187,7 +187,8 @@
                 if now_s - known.at_s <= age_max_s
             ]
             quarantines = [
-                self._export_quarantine(content, now_s) for content in self._quarantined
+                self._export_quarantine(content_hash, now_s)
+                for content_hash in self._quarantined
             ]
             return CrashUpdate(crashes, quarantines)
 
@@ -212,52 +213,56 @@
         at_s = now_s - crash.age_ms / 1000
         if now_s - at_s >= CRASH_EXPIRY_S:
             return False
-        run_times_s = {run.content: run.ran_ms / 1000 for run in crash.runs[:RUNS_MAX]}
+        run_times_s = {
+            run.content_hash: run.ran_ms / 1000 for run in crash.runs[:RUNS_MAX]
+        }
         known = self._crashes.get(crash.key)
         if known is not None:
             answered = [one for one in known.runs if one not in run_times_s]
-            for content in answered:
-                self._remove_run(known, content)
+            for content_hash in answered:
+                self._remove_run(known, content_hash)
             return bool(answered)
         known = self._crashes[crash.key] = KnownCrash(crash, at_s, run_times_s)
         self._counts.update(run_times_s.keys())
-        for content in list(run_times_s):
-            if self._answers.answered_s(content) > at_s - REPORT_DELAY_MAX_S:
-                self._remove_run(known, content)
+        for content_hash in list(run_times_s):
+            if self._answers.answered_s(content_hash) > at_s - REPORT_DELAY_MAX_S:
+                self._remove_run(known, content_hash)
         if len(self._crashes) > CRASHES_MAX:
             self._remove_crash(next(iter(self._crashes)))
         return True
 
     def _merge_quarantine(self, new: Quarantine, now_s: float) -> bool:
         """Merge a received quarantine; return whether this changed the history."""
-        old = self._quarantined.get(new.content)
+        old = self._quarantined.get(new.content_hash)
         if old is not None and (old.term, old.is_lifted) >= (new.term, new.is_lifted):
             return False
         remaining_s = min(new.left_ms / 1000, BLOCKED_MAX_S)
-        is_lifted = new.is_lifted or self._was_answered(new.content, now_s)
-        self._quarantine(new.content, new.term, now_s + remaining_s, is_lifted, now_s)
+        is_lifted = new.is_lifted or self._was_answered(new.content_hash, now_s)
+        self._quarantine(
+            new.content_hash, new.term, now_s + remaining_s, is_lifted, now_s
+        )
         return True
 
-    def _was_answered(self, content: int, now_s: float) -> bool:
+    def _was_answered(self, content_hash: int, now_s: float) -> bool:
         """Tell whether a request was answered too recently for peers to know it."""
-        return now_s - self._answers.answered_s(content) < ANSWER_VALID_S
+        return now_s - self._answers.answered_s(content_hash) < ANSWER_VALID_S
 
     def _quarantine_causes(self, crashes: Iterable[Crash], now_s: float) -> None:
         """Quarantine the causes of crashes that are new or had a run removed."""
         attribution = self._attribution()
-        for content in {run.content for one in crashes for run in one.runs}:
-            quarantined = self._quarantined.get(content)
+        for content_hash in {run.content_hash for one in crashes for run in one.runs}:
+            quarantined = self._quarantined.get(content_hash)
             if quarantined is not None and not quarantined.is_lifted:
-                if self._has_crashed_again(content, quarantined, attribution):
-                    self._quarantine_again(content, quarantined.term + 1, now_s)
+                if self._has_crashed_again(content_hash, quarantined, attribution):
+                    self._quarantine_again(content_hash, quarantined.term + 1, now_s)
                     attribution = self._attribution()
                 continue
-            if self._counts[content] < CRASHES_MIN:
+            if self._counts[content_hash] < CRASHES_MIN:
                 continue
-            evidence = attribution.evidence(content)
+            evidence = attribution.evidence(content_hash)
             if is_cause(evidence):
                 term = 1 if quarantined is None else quarantined.term + 1
-                self._quarantine_again(content, term, now_s, evidence)
+                self._quarantine_again(content_hash, term, now_s, evidence)
                 attribution = self._attribution()
 
     def _attribution(self) -> CrashAttribution:
@@ -265,60 +270,64 @@
             self._crashes.values(), self._is_quarantined, self._servers
         )
 
-    def _is_quarantined(self, content: int) -> bool:
+    def _is_quarantined(self, content_hash: int) -> bool:
         """Tell whether a request has an unlifted quarantine, blocked now or not."""
-        quarantined = self._quarantined.get(content)
+        quarantined = self._quarantined.get(content_hash)
         return quarantined is not None and not quarantined.is_lifted
 
     def _has_crashed_again(
-        self, content: int, quarantined: _Quarantined, attribution: CrashAttribution
+        self,
+        content_hash: int,
+        quarantined: _Quarantined,
+        attribution: CrashAttribution,
     ) -> bool:
         """Tell whether a request caused a crash after it was no longer blocked."""
         return any(
-            known.at_s > quarantined.until_s and attribution.cause_of(known) == content
+            known.at_s > quarantined.until_s
+            and attribution.cause_of(known) == content_hash
             for known in self._crashes.values()
-            if content in known.runs
+            if content_hash in known.runs
         )
 
     def _quarantine_again(
         self,
-        content: int,
+        content_hash: int,
         term: int,
         now_s: float,
         evidence: CauseEvidence = NO_EVIDENCE,
     ) -> None:
         blocked_s = min(BLOCKED_S * 2 ** (term - 1), BLOCKED_MAX_S)
-        self._quarantine(content, term, now_s + blocked_s, False, now_s, evidence)
+        self._quarantine(content_hash, term, now_s + blocked_s, False, now_s, evidence)
 
     def _quarantine(
         self,
-        content: int,
+        content_hash: int,
         term: int,
         until_s: float,
         is_lifted: bool,
         now_s: float,
         evidence: CauseEvidence = NO_EVIDENCE,
     ) -> None:
-        self._quarantined.pop(content, None)
-        self._quarantined[content] = _Quarantined(term, until_s, is_lifted, now_s)
+        self._quarantined.pop(content_hash, None)
+        self._quarantined[content_hash] = _Quarantined(term, until_s, is_lifted, now_s)
         if len(self._quarantined) > QUARANTINES_MAX:
             self._quarantined.popitem(last=False)
         ids = [
             known.crash.backend_server_id
             for known in self._crashes.values()
-            if content in known.runs
+            if content_hash in known.runs
         ]
-        self._on_quarantine(self._export_quarantine(content, now_s), ids, evidence)
+        self._on_quarantine(self._export_quarantine(content_hash, now_s), ids, evidence)
 
-    def _export_quarantine(self, content: int, now_s: float) -> Quarantine:
-        known = self._quarantined[content]
+    def _export_quarantine(self, content_hash: int, now_s: float) -> Quarantine:
+        known = self._quarantined[content_hash]
         remaining_ms = max(0, round((known.until_s - now_s) * 1000))
-        return Quarantine(content, known.term, remaining_ms, known.is_lifted)
+        return Quarantine(content_hash, known.term, remaining_ms, known.is_lifted)
 
     def _export_crash(self, known: KnownCrash, now_s: float) -> Crash:
         runs = tuple(
-            CrashedRun(content, round(ran_s * 1000))
-            for content, ran_s in known.runs.items()
+            CrashedRun(content_hash, round(ran_s * 1000))
+            for content_hash, ran_s in known.runs.items()
         )
         age_ms = max(0, round((now_s - known.at_s) * 1000))
         return known.crash._replace(age_ms=age_ms, runs=runs)
@@ -328,29 +337,29 @@
 
         Peers may not know yet that the requests' runs were removed from them.
         """
-        contents = {run.content for crash in crashes for run in crash.runs}
-        keys = set().union(*(self._cleared.get(one, ()) for one in contents))
+        content_hashes = {run.content_hash for crash in crashes for run in crash.runs}
+        keys = set().union(*(self._cleared.get(one, ()) for one in content_hashes))
         keys -= {crash.key for crash in crashes}
         return [self._export_crash(self._crashes[key], now_s) for key in sorted(keys)]
 
-    def _remove_run(self, known: KnownCrash, content: int) -> None:
-        self._cleared.setdefault(content, set()).add(known.crash.key)
-        self._uncount(known, content)
+    def _remove_run(self, known: KnownCrash, content_hash: int) -> None:
+        self._cleared.setdefault(content_hash, set()).add(known.crash.key)
+        self._uncount(known, content_hash)
 
-    def _uncount(self, known: KnownCrash, content: int) -> None:
-        del known.runs[content]
-        self._counts[content] -= 1
-        if not self._counts[content]:
-            del self._counts[content]
+    def _uncount(self, known: KnownCrash, content_hash: int) -> None:
+        del known.runs[content_hash]
+        self._counts[content_hash] -= 1
+        if not self._counts[content_hash]:
+            del self._counts[content_hash]
 
     def _remove_crash(self, key: tuple[str, int]) -> None:
         known = self._crashes[key]
-        for content in list(known.runs):
-            self._uncount(known, content)
-        for content in [one for one, keys in self._cleared.items() if key in keys]:
-            self._cleared[content].discard(key)
-            if not self._cleared[content]:
-                del self._cleared[content]
+        for content_hash in list(known.runs):
+            self._uncount(known, content_hash)
+        for content_hash in [one for one, keys in self._cleared.items() if key in keys]:
+            self._cleared[content_hash].discard(key)
+            if not self._cleared[content_hash]:
+                del self._cleared[content_hash]
         del self._crashes[key]
         self._digest = None
 
@@ -366,12 +375,12 @@
         for key in old:
             self._remove_crash(key)
         old_quarantines = [
-            content
-            for content, quarantined in self._quarantined.items()
+            content_hash
+            for content_hash, quarantined in self._quarantined.items()
             if now_s - quarantined.recorded_s >= QUARANTINE_EXPIRY_S
         ]
-        for content in old_quarantines:
-            del self._quarantined[content]
+        for content_hash in old_quarantines:
+            del self._quarantined[content_hash]
             self._digest = None
 
     def _compute_digest(self) -> int:
@@ -382,8 +391,8 @@
             for key, known in sorted(self._crashes.items())
         ]
         quarantines = [
-            (content, quarantined.term, quarantined.is_lifted)
-            for content, quarantined in sorted(self._quarantined.items())
+            (content_hash, quarantined.term, quarantined.is_lifted)
+            for content_hash, quarantined in sorted(self._quarantined.items())
         ]
         if not crashes and not quarantines:
             return 0
--- a/balsamspindle/crashes/quarantine_store.py
+++ b/balsamspindle/crashes/quarantine_store.py
@@ -104,12 +104,12 @@
 
     def record(self, quarantine: Quarantine, now_unix_s: float) -> None:
         """Queue a new or lifted quarantine for writing if this node is to write it."""
-        if not self._is_writer(quarantine.content):
+        if not self._is_writer(quarantine.content_hash):
             return
         until_unix_s = now_unix_s + quarantine.left_ms / 1000
         row = QuarantineRow(quarantine.term, until_unix_s, quarantine.is_lifted)
         with self._changed:
-            self._pending[quarantine.content] = row
+            self._pending[quarantine.content_hash] = row
             if len(self._pending) > PENDING_MAX:
                 del self._pending[next(iter(self._pending))]
             self._changed.notify_all()
@@ -143,15 +143,15 @@
         """Write all pending rows; return False when a row could not be written."""
         with self._changed:
             pending = dict(self._pending)
-        for content, row in pending.items():
-            if not self._write_one(content, row):
+        for content_hash, row in pending.items():
+            if not self._write_one(content_hash, row):
                 return False
             with self._changed:
-                if self._pending.get(content) is row:
-                    del self._pending[content]
+                if self._pending.get(content_hash) is row:
+                    del self._pending[content_hash]
         return True
 
-    def _write_one(self, content: int, row: QuarantineRow) -> bool:
+    def _write_one(self, content_hash: int, row: QuarantineRow) -> bool:
         """Write one row, unless the stored row is as recent or more recent.
 
         Returns
@@ -159,7 +159,7 @@
         bool
             False when the row could not be read or written.
         """
-        key = _key(content)
+        key = _key(content_hash)
         match self._tables.read(QUARANTINES_TABLE, [key]):
             case Result(tag="ok", ok=[stored]):
                 known = _parse_row(stored)
@@ -182,12 +182,12 @@
                 self._events.emit("quarantine_unwritten", cause=repr(error))
         return False
 
-    def _is_writer(self, content: int) -> bool:
+    def _is_writer(self, content_hash: int) -> bool:
         node_ids = {record.node_id for record in self._directory.alive()}
         ranked = sorted(
             node_ids | {self._own.node_id},
             key=lambda node_id: xxhash.xxh3_64_intdigest(
-                f"{content}/{node_id}".encode()
+                f"{content_hash}/{node_id}".encode()
             ),
         )
         return self._own.node_id in ranked[:WRITERS]
@@ -201,8 +201,8 @@
     return row.term, row.is_lifted
 
 
-def _key(content: int) -> str:
-    return f"{content:016x}"
+def _key(content_hash: int) -> str:
+    return f"{content_hash:016x}"
 
 
 def _parse_row(row: Row) -> QuarantineRow | None:
@@ -219,8 +219,8 @@
     if value is None:
         return None
     try:
-        content = int(row.key, 16)
+        content_hash = int(row.key, 16)
     except ValueError:
         return None
     remaining_ms = max(0, round((value.until_unix_s - now_unix_s) * 1000))
-    return Quarantine(content, value.term, remaining_ms, value.is_lifted)
+    return Quarantine(content_hash, value.term, remaining_ms, value.is_lifted)
--- a/balsamspindle/crashes/recent_answers.py
+++ b/balsamspindle/crashes/recent_answers.py
@@ -24,13 +24,13 @@
         self._old: dict[int, float] = {}
         self._rotated_s = -math.inf
 
-    def record(self, content: int, now_s: float) -> None:
+    def record(self, content_hash: int, now_s: float) -> None:
         """Record that a request was answered."""
         if now_s - self._rotated_s > ANSWER_VALID_S or len(self._new) >= ANSWERS_MAX:
             self._old, self._new, self._rotated_s = self._new, {}, now_s
-        self._new[content] = now_s
+        self._new[content_hash] = now_s
 
-    def answered_s(self, content: int) -> float:
+    def answered_s(self, content_hash: int) -> float:
         """Return the time of a request's last answer; minus infinity if not known."""
-        found = self._new.get(content)
-        return self._old.get(content, -math.inf) if found is None else found
+        found = self._new.get(content_hash)
+        return self._old.get(content_hash, -math.inf) if found is None else found
--- a/balsamspindle/crashes/records.py
+++ b/balsamspindle/crashes/records.py
@@ -22,13 +22,13 @@
 
     Attributes
     ----------
-    content : int
-        Content hash of the request, from `content_id`.
+    content_hash : int
+        Content hash of the request, from `hash_content`.
     ran_ms : int
         How long the request had been running when the server ended.
     """
 
-    content: int
+    content_hash: int
     ran_ms: int
 
 
@@ -63,8 +63,8 @@
 
     Attributes
     ----------
-    content : int
-        Content hash of the request, from `content_id`.
+    content_hash : int
+        Content hash of the request, from `hash_content`.
     term : int
         How often the request has been quarantined, including this quarantine.
     left_ms : int
@@ -73,7 +73,7 @@
         Whether the quarantine has ended because a backend server answered the request.
     """
 
-    content: int
+    content_hash: int
     term: int
     left_ms: int
     is_lifted: bool = False
--- a/balsamspindle/crashes/verdicts.py
+++ b/balsamspindle/crashes/verdicts.py
@@ -119,7 +119,9 @@
         Content hashes of quarantined requests. If one of them was running, it is the
         cause; if several were, the cause is unclear.
     """
-    known = [content for content in probabilities if content in quarantined]
+    known = [
+        content_hash for content_hash in probabilities if content_hash in quarantined
+    ]
     if known:
         return known[0] if len(known) == 1 else None
     match heapq.nsmallest(2, probabilities, key=probabilities.__getitem__):
--- a/balsamspindle/node/crash_side.py
+++ b/balsamspindle/node/crash_side.py
@@ -69,7 +69,7 @@
         event = "quarantine_lifted" if quarantine.is_lifted else "request_quarantined"
         self._events.emit(
             event,
-            content=f"{quarantine.content:016x}",
+            content=f"{quarantine.content_hash:016x}",
             term=quarantine.term,
             blocked_ms=quarantine.left_ms,
             backend_servers=",".join(ended) or None,
--- a/balsamspindle/requests/admission_queries.py
+++ b/balsamspindle/requests/admission_queries.py
@@ -129,7 +129,7 @@
             is_last_resort=forwarded.is_last_resort,
             was_cut=forwarded.was_cut,
             rank_ms=forwarded.rank_ms,
-            content=forwarded.content,
+            content_hash=forwarded.content_hash,
             customer=forwarded.customer,
             is_last_try=forwarded.sends + 1 >= route.attempts_max,
         )
--- a/balsamspindle/requests/attempts.py
+++ b/balsamspindle/requests/attempts.py
@@ -189,7 +189,7 @@
             ingress_remaining_ms=self._link_attempts.left_ms(),
             was_cut=forwarded.was_cut,
             rank_ms=forwarded.rank_ms,
-            content=forwarded.content,
+            content_hash=forwarded.content_hash,
             customer=forwarded.customer,
             is_last_try=not forwarded.may_send(),
         )
--- a/balsamspindle/requests/content.py
+++ b/balsamspindle/requests/content.py
@@ -5,10 +5,10 @@
 from balsamspindle.protocol.header_names import HeaderNames
 from balsamspindle.requests.http import CallerRequest
 
-__all__ = ["content_id"]
+__all__ = ["hash_content"]
 
 
-def content_id(request: CallerRequest, names: HeaderNames) -> int:
+def hash_content(request: CallerRequest, names: HeaderNames) -> int:
     """Return a hash that is the same for all repeats of a request.
 
     It covers the host, the method, the target, the caller's credential, the digest
--- a/balsamspindle/requests/forwarded.py
+++ b/balsamspindle/requests/forwarded.py
@@ -143,7 +143,7 @@
         When the first reply was received that a run was cut.
     rank_ms : float
         Delay of the request's order in queues; see `balsamspindle.requests.siblings`.
-    content : int
+    content_hash : int
         See `balsamspindle.requests.content`; 0 when it is not known.
     customer : str
         Empty for a request without a customer.
@@ -176,7 +176,7 @@
     was_cut: bool = False
     cut_s: float | None = None
     rank_ms: float = 0.0
-    content: int = 0
+    content_hash: int = 0
     customer: str = ""
     stopped_by: StopReason | None = None
 
--- a/balsamspindle/requests/forwarding.py
+++ b/balsamspindle/requests/forwarding.py
@@ -216,16 +216,16 @@
         """Return the refusal of a request that crashes backend servers, else None.
 
         Checked before each attempt: earlier attempts, or requests with the same
-        content, may have crashed backend servers since the request was received.
+        content hash, may have crashed backend servers since the request was received.
         """
-        status = self._crash_history.status(forwarded.content, self._clock())
+        status = self._crash_history.status(forwarded.content_hash, self._clock())
         if not status.blocked_ms:
             return None
         refusal = self._not_run_reply(Reason.CRASHES_SERVERS)
         return msgspec.structs.replace(refusal, retry_after_ms=status.blocked_ms)
 
     def _wait_after_crash(self, forwarded: ForwardedRequest, now_s: float) -> None:
-        status = self._crash_history.status(forwarded.content, now_s)
+        status = self._crash_history.status(forwarded.content_hash, now_s)
         with self._random_lock:
             wait_s = retry_wait_s(status, forwarded.deadline_s - now_s, self._random)
         self._given_up.wait(wait_s)
@@ -236,7 +236,7 @@
         """Record an answer's latency and size for the estimates of its route."""
         route = forwarded.route
         # The gate's node may stop before it reports the answer to the fleet.
-        self._crash_history.record_answer(forwarded.content, self._clock())
+        self._crash_history.record_answer(forwarded.content_hash, self._clock())
         if took_s is not None:
             self._retries.record_answer(
                 route.service, took_s, reply.p99_ms, route_id(route)
--- a/balsamspindle/requests/ingress.py
+++ b/balsamspindle/requests/ingress.py
@@ -16,7 +16,7 @@
 from balsamspindle.requests.closing import close_gracefully, close_listener
 from balsamspindle.requests.connection_refuser import ConnectionRefuser
 from balsamspindle.requests.connections import OpenConnections
-from balsamspindle.requests.content import content_id
+from balsamspindle.requests.content import hash_content
 from balsamspindle.requests.forwarding import ForwardedRequest, Forwarder
 from balsamspindle.requests.heads import IDEMPOTENCY_KEY_HEADER, BadRequest
 from balsamspindle.requests.http import CallerRequest, HttpConnection
@@ -244,8 +244,8 @@
         """
         received_s = time.monotonic()
         request_id = self._caller_protocol.request_id(request)
-        content = content_id(request, self._names)
-        self._log.received(request_id, request, content)
+        content_hash = hash_content(request, self._names)
+        self._log.received(request_id, request, content_hash)
         if self._is_too_late():
             # A long request would be broken off at the shutdown timeout, while a
             # backend server is working on it.
@@ -259,7 +259,7 @@
                 answer = self._encode_refusal(request, request_id, refused)
             case Admitted() as admitted:
                 answer = self._forward(
-                    caller, request, request_id, admitted, received_s, content
+                    caller, request, request_id, admitted, received_s, content_hash
                 )
         # Recorded before the answer is sent, like the request's outcome, so that a
         # caller that has its answer finds the request counted.
@@ -282,7 +282,7 @@
         return request.keep_alive
 
     def _forward(
-        self, caller, request, request_id, admitted: Admitted, received_s, content
+        self, caller, request, request_id, admitted: Admitted, received_s, content_hash
     ) -> bytes:
         route = admitted.route
         try:
@@ -305,7 +305,7 @@
             caller_service=self.caller_service,
             target_s=received_s + route.target_ms / 1000 if route.target_ms else None,
             rank_ms=self._sibling_ranks.rank_ms(route, deadline_s, received_s),
-            content=content,
+            content_hash=content_hash,
             customer=admitted.name,
         )
         reply = self._forwarder.forward(forwarded)
--- a/balsamspindle/requests/request_log.py
+++ b/balsamspindle/requests/request_log.py
@@ -27,15 +27,15 @@
         self.leaving_s: float | None = None
 
     def received(
-        self, request_id: str, request: CallerRequest, content_id: int
+        self, request_id: str, request: CallerRequest, content_hash: int
     ) -> None:
-        """Log a request, with its content id if its body has been read."""
+        """Log a request, with its content hash if its body has been read."""
         self._events.emit(
             "request_received",
             request=request_id,
             method=request.method,
             path=request.path[:LOGGED_PATH_MAX],
-            content=f"{content_id:016x}" if request.is_whole else None,
+            content=f"{content_hash:016x}" if request.is_whole else None,
         )
 
     def ended(
--- a/balsamspindle/services/holdouts.py
+++ b/balsamspindle/services/holdouts.py
@@ -10,7 +10,7 @@
 
 __all__ = ["HoldOuts"]
 
-KEPT_MAX = 1000
+HOLD_OUTS_MAX = 1000
 
 
 class _HoldOut(NamedTuple):
@@ -59,7 +59,7 @@
                 since_s = now_s if is_first else hold_out.since_s
                 hold_out = _HoldOut(now_s + length_s, length_s, False, since_s)
             self._held[name] = hold_out
-            if len(self._held) > KEPT_MAX:
+            if len(self._held) > HOLD_OUTS_MAX:
                 del self._held[next(iter(self._held))]
             return is_first
 
--- a/balsamspindle/services/peer_evidence.py
+++ b/balsamspindle/services/peer_evidence.py
@@ -95,10 +95,7 @@
         with self._lock:
             servers = self._services.get(service, {})
             for server_id, evidence in list(servers.items()):
-                if (
-                    now_s - evidence.judged_s > P99_EXPIRY_S
-                    and not evidence.in_flight
-                ):
+                if now_s - evidence.judged_s > P99_EXPIRY_S and not evidence.in_flight:
                     del servers[server_id]
                     continue
                 if server_id == backend_server_id:
--- a/balsamspindle/wire/link_messages.py
+++ b/balsamspindle/wire/link_messages.py
@@ -176,7 +176,7 @@
     rank_ms : float
         Delay added to its position in queues; the same for all calls made by one
         parent request.
-    content : int
+    content_hash : int
         Hash that is the same for all repeats of a request, whatever their ids; 0 if
         unknown.
     customer : str
@@ -212,7 +212,7 @@
     ingress_remaining_ms: float | None = None
     was_cut: bool = False
     rank_ms: float = 0.0
-    content: int = 0
+    content_hash: int = 0
     customer: str = ""
     is_last_try: bool = False
 
@@ -226,7 +226,7 @@
         Identifies the query; the answer repeats it.
     remaining_ms, weight, wait_max_ms, target_remaining_ms, route_id, is_last_resort
         As in `Dispatch`.
-    was_cut, rank_ms, content, customer, is_last_try
+    was_cut, rank_ms, content_hash, customer, is_last_try
         As in `Dispatch`.
     """
 
@@ -242,7 +242,7 @@
     is_last_resort: bool = False
     was_cut: bool = False
     rank_ms: float = 0.0
-    content: int = 0
+    content_hash: int = 0
     customer: str = ""
     is_last_try: bool = False
 
--- a/tests/crash_world.py
+++ b/tests/crash_world.py
@@ -47,8 +47,8 @@
         ]
         self._lost: Counter[int] = Counter()
         self._due = [
-            (self._rng.uniform(0, 0.5), content)
-            for content in [*self._works, *self._causes]
+            (self._rng.uniform(0, 0.5), content_hash)
+            for content_hash in [*self._works, *self._causes]
         ]
         heapq.heapify(self._due)
         self._strikes = sorted(self._draw_strikes())
@@ -68,8 +68,8 @@
             self._now_s += STEP_S
 
     def _record_quarantine(self, quarantine, ended, evidence) -> None:
-        known = self.wrong if quarantine.content in self._works else self.right
-        known.add(quarantine.content)
+        known = self.wrong if quarantine.content_hash in self._works else self.right
+        known.add(quarantine.content_hash)
 
     def _draw_strikes(self) -> list[tuple[float, int]]:
         """Draw crashes that no request causes: single ones, waves, three at once."""
@@ -84,54 +84,54 @@
         at_s = rng.uniform(0, DURATION_S)
         return strikes + [(at_s, one) for one in rng.sample(range(SERVERS), 3)]
 
-    def _send(self, content: int) -> None:
-        status = self._history.status(content, BEGINS_S + self._now_s)
+    def _send(self, content_hash: int) -> None:
+        status = self._history.status(content_hash, BEGINS_S + self._now_s)
         if status.blocked_ms:
-            self._send_later(content)
+            self._send_later(content_hash)
             return
         up = [one for one in range(SERVERS) if self._up_s[one] <= self._now_s]
         if status.is_suspect:
-            up = [one for one in up if not self._has_other_suspect(one, content)]
+            up = [one for one in up if not self._has_other_suspect(one, content_hash)]
         if not up:
-            heapq.heappush(self._due, (self._now_s + RESEND_MIN_S, content))
+            heapq.heappush(self._due, (self._now_s + RESEND_MIN_S, content_hash))
             return
         server = min(up, key=lambda one: (len(self._running[one]), self._rng.random()))
-        runs_s = self._works.get(content)
+        runs_s = self._works.get(content_hash)
         if runs_s is None:
-            runs_s = self._causes[content] * self._rng.uniform(0.95, 1.05)
-        self._running[server][content] = self._now_s, self._now_s + runs_s
+            runs_s = self._causes[content_hash] * self._rng.uniform(0.95, 1.05)
+        self._running[server][content_hash] = self._now_s, self._now_s + runs_s
 
-    def _has_other_suspect(self, server: int, content: int) -> bool:
+    def _has_other_suspect(self, server: int, content_hash: int) -> bool:
         now_s = BEGINS_S + self._now_s
         return any(
-            other != content and self._history.status(other, now_s).is_suspect
+            other != content_hash and self._history.status(other, now_s).is_suspect
             for other in self._running[server]
         )
 
-    def _send_later(self, content: int) -> None:
+    def _send_later(self, content_hash: int) -> None:
         wait_s = self._rng.uniform(RESEND_MIN_S, RESEND_MAX_S)
-        heapq.heappush(self._due, (self._now_s + wait_s, content))
+        heapq.heappush(self._due, (self._now_s + wait_s, content_hash))
 
     def _end_runs(self, server: int) -> None:
         running = self._running[server]
-        for content, (_, ends_s) in list(running.items()):
-            if ends_s > self._now_s or content not in running:
+        for content_hash, (_, ends_s) in list(running.items()):
+            if ends_s > self._now_s or content_hash not in running:
                 continue
-            if content in self._causes:
-                self.crashes[content] += 1
+            if content_hash in self._causes:
+                self.crashes[content_hash] += 1
                 self._crash(server)
                 return
-            del running[content]
-            self._lost[content] = 0
-            self._history.record_answer(content, BEGINS_S + self._now_s)
-            self._send_later(content)
+            del running[content_hash]
+            self._lost[content_hash] = 0
+            self._history.record_answer(content_hash, BEGINS_S + self._now_s)
+            self._send_later(content_hash)
 
     def _crash(self, server: int) -> None:
         if self._up_s[server] > self._now_s:
             return
         runs = [
-            CrashedRun(content, round((self._now_s - began_s) * 1000))
-            for content, (began_s, _) in self._running[server].items()
+            CrashedRun(content_hash, round((self._now_s - began_s) * 1000))
+            for content_hash, (began_s, _) in self._running[server].items()
         ]
         self._running[server] = {}
         self._up_s[server] = self._now_s + DOWN_S
@@ -139,13 +139,13 @@
         crash = Crash(f"server-{server}", self._starts, "crew", 0, tuple(runs))
         self._history.merge(CrashUpdate([crash]), BEGINS_S + self._now_s)
         for run in runs:
-            self._retry(run.content)
+            self._retry(run.content_hash)
 
-    def _retry(self, content: int) -> None:
-        self._lost[content] = (self._lost[content] + 1) % ATTEMPTS
-        if not self._lost[content]:
-            self._send_later(content)
+    def _retry(self, content_hash: int) -> None:
+        self._lost[content_hash] = (self._lost[content_hash] + 1) % ATTEMPTS
+        if not self._lost[content_hash]:
+            self._send_later(content_hash)
             return
-        status = self._history.status(content, BEGINS_S + self._now_s)
+        status = self._history.status(content_hash, BEGINS_S + self._now_s)
         wait_s = retry_wait_s(status, CALLER_WAITS_S, self._rng)
-        heapq.heappush(self._due, (self._now_s + max(STEP_S, wait_s), content))
+        heapq.heappush(self._due, (self._now_s + max(STEP_S, wait_s), content_hash))
--- a/tests/test_crash_spread.py
+++ b/tests/test_crash_spread.py
@@ -41,8 +41,8 @@
         node.member.register({CrashUpdate: gossip.receive})
         node.member.share_crash_digest(history.digest, gossip.compare_digest)
 
-    def crash(self, node, number: int, content: int = CAUSE) -> None:
-        runs = tuple(CrashedRun(one, 90) for one in (content, *range(100, 105)))
+    def crash(self, node, number: int, content_hash: int = CAUSE) -> None:
+        runs = tuple(CrashedRun(one, 90) for one in (content_hash, *range(100, 105)))
         crash = Crash(f"server-{number}", 1, SERVICE, 0, runs)
         now_s = self.network.now_s
         update = self.histories[node.address].merge(CrashUpdate([crash]), now_s)
--- a/tests/test_crash_verdicts.py
+++ b/tests/test_crash_verdicts.py
@@ -46,7 +46,7 @@
         self._starts = 0
 
     def _quarantine(self, quarantine, ended, evidence) -> None:
-        self.quarantined.append(quarantine.content)
+        self.quarantined.append(quarantine.content_hash)
 
     def crash(self, runs: dict[int, float], after_s: float = 0.5) -> None:
         self.now_s += after_s
@@ -55,11 +55,11 @@
         crash = Crash(f"server-{self._starts}", 1, SERVICE, 0, crashed)
         self.history.merge(CrashUpdate([crash]), self.now_s)
 
-    def answer(self, content: int) -> None:
-        self.history.record_answer(content, self.now_s)
+    def answer(self, content_hash: int) -> None:
+        self.history.record_answer(content_hash, self.now_s)
 
-    def is_blocked(self, content: int) -> bool:
-        return self.history.status(content, self.now_s).blocked_ms > 0
+    def is_blocked(self, content_hash: int) -> bool:
+        return self.history.status(content_hash, self.now_s).blocked_ms > 0
 
 
 def test_the_third_crash_quarantines_a_request_that_ran_alone():
@@ -175,11 +175,13 @@
     refuse dozens.
     """
     rng, scenario, tried, struck_three_times = random.Random(26), CrashScenario(), 0, 0
-    for content in range(1, 3_000):
+    for content_hash in range(1, 3_000):
         hits = 0
         while rng.random() < 0.17 and hits < 4:
             company = {10**6 + rng.randrange(10**6): rng.random() for _ in range(3)}
-            scenario.crash({content: rng.uniform(0.05, 2.0), **company}, after_s=1.0)
+            scenario.crash(
+                {content_hash: rng.uniform(0.05, 2.0), **company}, after_s=1.0
+            )
             hits += 1
         scenario.crash({10**7 + rng.randrange(10**6): rng.random()}, after_s=1.0)
         tried += 1
--- a/tests/test_crash_watch.py
+++ b/tests/test_crash_watch.py
@@ -18,7 +18,7 @@
 from balsamspindle.crashes.records import Crash, CrashedRun, CrashUpdate, RunEnd
 from balsamspindle.protocol.header_names import HeaderNames
 from balsamspindle.protocol.outcomes import Execution, Outcome, Reason
-from balsamspindle.requests.content import content_id
+from balsamspindle.requests.content import hash_content
 from balsamspindle.requests.http import CallerRequest
 from balsamspindle.settings.documents import RetryBudget
 from balsamspindle.timeline import EventLog, HybridClock, parse_event
@@ -71,7 +71,7 @@
         self.hold.wait(10.0)
         return b"", False
 
-    def _dispatch(self, sequence, content=CAUSE, **changes):
+    def _dispatch(self, sequence, content_hash=CAUSE, **changes):
         fields = {
             "attempt_id": AttemptId("ingress", 1, sequence),
             "request_id": f"id-{sequence}",
@@ -85,14 +85,14 @@
             "headers": [],
             "body": b"",
             "body_checksum": checksum(b""),
-            "content": content,
+            "content_hash": content_hash,
             **changes,
         }
         return Dispatch(**fields)
 
-    def _begin(self, sequence, content=CAUSE, **changes):
+    def _begin(self, sequence, content_hash=CAUSE, **changes):
         """Start an attempt in another thread."""
-        dispatch = self._dispatch(sequence, content, **changes)
+        dispatch = self._dispatch(sequence, content_hash, **changes)
         return self.executor.submit(self.gate.handle, dispatch, time.monotonic())
 
     def _wait_running(self, count):
@@ -103,11 +103,13 @@
         self.server.close()
         self.hold.set()
 
-    def _earlier_crashes(self, count, content=CAUSE):
+    def _earlier_crashes(self, count, content_hash=CAUSE):
         for number in range(count):
-            server_id = f"other-{content}-{number}"
+            server_id = f"other-{content_hash}-{number}"
             age_ms = 1000 * (number + 1)
-            crash = Crash(server_id, 1, SERVICE, age_ms, (CrashedRun(content, 90),))
+            crash = Crash(
+                server_id, 1, SERVICE, age_ms, (CrashedRun(content_hash, 90),)
+            )
             self.history.merge(CrashUpdate([crash]), time.monotonic())
 
     def _logged(self, name):
@@ -129,7 +131,9 @@
         )
         crashes = [crash for update in self.updates for crash in update.crashes]
         self.assertEqual(1, len(crashes))
-        self.assertEqual({CAUSE, OTHER, 33}, {run.content for run in crashes[0].runs})
+        self.assertEqual(
+            {CAUSE, OTHER, 33}, {run.content_hash for run in crashes[0].runs}
+        )
         self.assertEqual(1, len(self._logged("backend_server_crashed")))
 
     def test_an_answer_broken_off_by_a_running_backend_server_is_no_crash(self):
@@ -196,7 +200,7 @@
         self.assertEqual([], self.updates)
         self._announce_another(1)
         crashes = [crash for update in self.updates for crash in update.crashes]
-        self.assertEqual([CAUSE], [run.content for run in crashes[0].runs])
+        self.assertEqual([CAUSE], [run.content_hash for run in crashes[0].runs])
 
     def test_a_crash_while_idle_counts_without_requests(self):
         # How often backend servers crash by themselves shows whether a request that
@@ -244,7 +248,7 @@
         whole = RunEnd(is_success=True, is_answer=True)
         self.watch.record_end(server, answered, whole, now_s + 0.12)
         runs = self.history.export(now_s + 0.2).crashes[0].runs
-        self.assertIn(CAUSE, [run.content for run in runs])
+        self.assertIn(CAUSE, [run.content_hash for run in runs])
         self.hold.set()
         first.result(), second.result()
 
@@ -296,7 +300,7 @@
     def test_a_preview_declines_a_quarantined_request(self):
         self._earlier_crashes(3)
         query = AdmissionQuery(
-            1, SERVICE, "server", Execution.IDEMPOTENT, 5000.0, 1.0, content=CAUSE
+            1, SERVICE, "server", Execution.IDEMPOTENT, 5000.0, 1.0, content_hash=CAUSE
         )
         result = self.gate.preview(query, time.monotonic())
         self.assertEqual(Reason.CRASHES_SERVERS, result.reason)
@@ -339,7 +343,7 @@
 class ContentTests(TestCase):
     NAMES = HeaderNames(credential="X-Credential")
 
-    def _content(self, **changes):
+    def _content_hash(self, **changes):
         fields = {
             "method": "POST",
             "target": "/sign?page=7",
@@ -348,7 +352,7 @@
             "headers": [("X-Credential", "anna"), ("X-Request-Id", "1")],
             **changes,
         }
-        return content_id(CallerRequest(**fields), self.NAMES)
+        return hash_content(CallerRequest(**fields), self.NAMES)
 
     def test_a_repeat_with_other_ids_has_the_same_content(self):
         headers = [
@@ -357,19 +361,19 @@
             ("x-credential", "anna"),
             ("X-Deadline-Ms", "700"),
         ]
-        self.assertEqual(self._content(), self._content(headers=headers))
+        self.assertEqual(self._content_hash(), self._content_hash(headers=headers))
 
     def test_another_path_query_body_host_or_caller_is_another_request(self):
         others = [
-            self._content(target="/sign?page=8"),
-            self._content(body=b"Signed"),
-            self._content(method="PUT"),
-            self._content(host="crew2.example"),
-            self._content(headers=[("X-Credential", "berta")]),
-            self._content(headers=[]),
+            self._content_hash(target="/sign?page=8"),
+            self._content_hash(body=b"Signed"),
+            self._content_hash(method="PUT"),
+            self._content_hash(host="crew2.example"),
+            self._content_hash(headers=[("X-Credential", "berta")]),
+            self._content_hash(headers=[]),
         ]
-        self.assertEqual(len(others), len({*others, self._content()}) - 1)
+        self.assertEqual(len(others), len({*others, self._content_hash()}) - 1)
 
     def test_the_same_bytes_split_otherwise_are_another_request(self):
-        first = self._content(target="/a", body=b"bc")
-        self.assertNotEqual(first, self._content(target="/ab", body=b"c"))
+        first = self._content_hash(target="/a", body=b"bc")
+        self.assertNotEqual(first, self._content_hash(target="/ab", body=b"c"))
--- a/tests/test_crashing_requests.py
+++ b/tests/test_crashing_requests.py
@@ -31,17 +31,19 @@
             lambda service: RetryBudget(fleet_per_s_min=100.0)
         )
 
-    def _crash(self, number, content=CONTENT):
-        crash = Crash(f"server-{number}", 1, SERVICE, 0, (CrashedRun(content, 90),))
+    def _crash(self, number, content_hash=CONTENT):
+        crash = Crash(
+            f"server-{number}", 1, SERVICE, 0, (CrashedRun(content_hash, 90),)
+        )
         self.history.merge(CrashUpdate([crash]), time.monotonic())
 
     def _crash_and_answer(self, dispatch):
         """Record a crash and reply, as the gate of the crashed backend server does."""
-        self._crash(self._dispatches(), dispatch.content)
+        self._crash(self._dispatches(), dispatch.content_hash)
         return crashed(dispatch)
 
     def _forward(self, **route):
-        return self._request(content=CONTENT, **route)
+        return self._request(content_hash=CONTENT, **route)
 
     def test_a_quarantined_request_is_refused_at_once_with_a_retry_after(self):
         for number in range(3):
@@ -94,7 +96,7 @@
         self.answers = dict.fromkeys(self.NAMES, answer)
         self.assertEqual(Reason.CRASHES_SERVERS, self._forward().reason)
         self.assertEqual(3, self._dispatches())
-        self.assertEqual(Outcome.ANSWERED, self._request(content=8).outcome)
+        self.assertEqual(Outcome.ANSWERED, self._request(content_hash=8).outcome)
 
     def test_the_retry_of_a_request_lost_in_a_crash_is_marked_as_cut(self):
         # It failed through another request's fault. So gates also grant it retries
@@ -103,4 +105,4 @@
         self._forward(attempts_max=2)
         dispatches = [one for gate in self.gates.values() for one in gate.dispatches]
         self.assertEqual([False, True], sorted(one.was_cut for one in dispatches))
-        self.assertEqual({CONTENT}, {one.content for one in dispatches})
+        self.assertEqual({CONTENT}, {one.content_hash for one in dispatches})
--- a/tests/test_recent_answers.py
+++ b/tests/test_recent_answers.py
@@ -21,7 +21,7 @@
 
 def test_no_more_answers_are_kept_than_two_tables_hold():
     answers = RecentAnswers()
-    for content in range(5 * ANSWERS_MAX):
-        answers.record(content, 100.0)
+    for content_hash in range(5 * ANSWERS_MAX):
+        answers.record(content_hash, 100.0)
     kept = [one for one in range(5 * ANSWERS_MAX) if answers.answered_s(one) > 0]
     assert ANSWERS_MAX <= len(kept) <= 2 * ANSWERS_MAX
--- a/tests/test_retries.py
+++ b/tests/test_retries.py
@@ -13,7 +13,7 @@
 from balsamspindle.requests.retry_after import RetryAfterEstimator
 from balsamspindle.requests.retry_tokens import FLOOR_BURST_S, RetryTokens
 from balsamspindle.services.free_slots import FreeSlotEstimates
-from balsamspindle.services.holdouts import KEPT_MAX, HoldOuts
+from balsamspindle.services.holdouts import HOLD_OUTS_MAX, HoldOuts
 from balsamspindle.settings.documents import RetryBudget
 from balsamspindle.wire import (
     AttemptId,
@@ -226,7 +226,9 @@
 
     def test_the_number_of_links_held_out_is_bounded(self):
         holds = HoldOuts(0.5, 4.0)
-        for number in range(3 * KEPT_MAX):
+        for number in range(3 * HOLD_OUTS_MAX):
             holds.record_failure(f"gate-{number}", 0.0)
-        kept = [holds.is_held(f"gate-{number}", 0.1) for number in range(3 * KEPT_MAX)]
-        self.assertEqual(KEPT_MAX, sum(kept))
+        kept = [
+            holds.is_held(f"gate-{number}", 0.1) for number in range(3 * HOLD_OUTS_MAX)
+        ]
+        self.assertEqual(HOLD_OUTS_MAX, sum(kept))
--- a/tests/two_gates.py
+++ b/tests/two_gates.py
@@ -88,7 +88,7 @@
         )
 
     def _request(
-        self, execution=Execution.IDEMPOTENT, timeout_s=20.0, content=0, **route
+        self, execution=Execution.IDEMPOTENT, timeout_s=20.0, content_hash=0, **route
     ):
         near, far = socket.socketpair()
         with near, far:
@@ -99,7 +99,7 @@
                     CallerRequest("GET", "/"),
                     RouteDocument(service=SERVICE, execution=execution, **route),
                     time.monotonic() + timeout_s,
-                    content=content,
+                    content_hash=content_hash,
                 )
             )
 
