--- a/balsamspindle/customers/admission.py
+++ b/balsamspindle/customers/admission.py
@@ -1,6 +1,6 @@
-"""Admission of callers' requests by key, settings freshness and customer limit.
+"""Admits or refuses callers' requests by their keys and their customers' limits.
 
-Runs for each request of each caller.
+A key is accepted only while this node's settings are proven to be new enough.
 """
 
 from typing import NamedTuple
@@ -25,9 +25,10 @@
     customer : CustomerDocument or None
         None for a request without a valid key, on a route that needs none.
     route : RouteDocument
-        With the customer's weight in place of the route's, if the customer has one.
+        The request's route, with the customer's weight if the customer has one.
     grant : Grant or None
-        The grant from the customer's limit; None if limits were not checked.
+        Permission to run the request within the customer's limit; None if limits were
+        not checked.
     """
 
     customer: CustomerDocument | None
@@ -46,11 +47,12 @@
     Attributes
     ----------
     retry_after_ms : float
-        When the caller may retry; 0 for the default of the reason.
+        Time after which the caller may retry; 0 for the default of the reason.
     customer : str
         The customer's name; empty if unknown.
     allow : tuple of str
-        Methods that the target supports, if the request's method is not among them.
+        Methods that the request's target supports, if the request was refused because
+        of its method.
     """
 
     reason: Reason
@@ -70,9 +72,9 @@
     Parameters
     ----------
     key_digest : str or None
-        Digest of the key that the request came with; None without a key.
+        Digest of the request's key; None without a key.
     is_fresh : bool
-        Whether the configuration is proven new enough for its keys to be used.
+        Whether the configuration is proven to be new enough for its keys to be used.
     """
     customer = None
     if key_digest is not None and is_fresh:
@@ -116,10 +118,9 @@
     def admit(
         self, route: RouteDocument, key_digest: str | None, now_s: float
     ) -> Admitted | Refused:
-        """Find the customer and count the request against the customer's limit.
+        """Find a request's customer and count the request against the customer's limit.
 
-        May block for a moment, until the node that grants the customer's requests
-        replies.
+        Blocks while a node that grants the customer's requests is asked.
         """
         configuration = self._configuration.get()
         is_fresh = self._freshness.is_fresh(configuration.revision, now_s)
@@ -131,7 +132,7 @@
         return identified
 
     def refund(self, admitted: Admitted) -> None:
-        """Return the grant of an admitted request that did not run."""
+        """Give back the grant of an admitted request that did not run."""
         if self._limiter is not None and admitted.grant is not None:
             self._limiter.refund(admitted.grant)
 
--- a/balsamspindle/customers/buckets.py
+++ b/balsamspindle/customers/buckets.py
@@ -1,8 +1,8 @@
-"""Token buckets of customers, at the node that grants their requests.
+"""Token buckets of customers, at a node that grants their requests.
 
-Over any period, one bucket grants at most its rate times the period plus its burst,
-even if rate and burst change meanwhile, and even for a customer that sends many times
-its limit from all nodes at once.
+Over any period, a bucket grants at most its rate times the period plus its burst, even
+if rate and burst change during the period, and even if the customer sends many times
+its limit through all nodes at once.
 """
 
 import threading
@@ -13,8 +13,8 @@
 
 __all__ = ["Buckets", "Denial", "Rate"]
 
-# Tokens of a new bucket when this node starts to grant; it is not full, as another
-# node may have granted the customer's whole burst a moment before.
+# Tokens of a new bucket. It is not full, because another node may have granted the
+# customer's whole burst just before this node started to grant.
 INITIAL_TOKENS = 2.0
 BUCKETS_MAX = 100_000
 WAIT_MAX_S = 30.0
@@ -28,7 +28,7 @@
     per_s : float
         Tokens added each second.
     burst : float
-        Most tokens that the bucket holds.
+        Maximum number of tokens in the bucket.
     """
 
     per_s: float
@@ -48,10 +48,10 @@
     Attributes
     ----------
     filled_s : float
-        Time up to which the tokens of the rate have been added.
+        Time up to which tokens have been added at the refill rate.
     unreserved_from_s : float
-        Tokens that arrive before this time are reserved: each for a refused caller
-        that was told to retry then.
+        Tokens added before this time are reserved, each for a refused caller that was
+        told to retry when the token is added.
     """
 
     tokens: float
@@ -65,23 +65,23 @@
 
 
 class Buckets:
-    """The buckets of one node; thread-safe.
+    """One node's token buckets by customer; thread-safe.
 
     Parameters
     ----------
     now_s : float
-        When this node starts to grant.
+        When this node starts to grant requests.
     """
 
     def __init__(self, now_s: float) -> None:
         self._lock = threading.Lock()
-        # Customers without a bucket were granted nothing here since this time, so a
-        # new bucket is filled from then on.
+        # Since this time, this node has granted nothing to customers without a bucket.
+        # The tokens that arrived since then are added to a new bucket.
         self._ungranted_since_s = now_s
         self._buckets: OrderedDict[str, _Bucket] = OrderedDict()
 
     def try_spend(self, customer: str, rate: Rate, now_s: float) -> Denial | None:
-        """Spend a token for one request; return None if there was one."""
+        """Spend a token for one request; return a denial if the bucket has none."""
         with self._lock:
             bucket = self._filled_bucket(customer, rate, now_s)
             if bucket.tokens >= 1:
@@ -90,18 +90,19 @@
             return Denial(self._reserve_token(bucket, rate, now_s))
 
     def refund(self, customer: str) -> None:
-        """Return the token of a request that did not run."""
+        """Put back the token of a request that did not run."""
         with self._lock:
             bucket = self._buckets.get(customer)
             if bucket is not None:
-                # May exceed the burst until the next `fill`, which cuts it off.
+                # If the tokens now exceed the burst, the next `fill` drops the excess.
                 bucket.tokens += 1
 
     def keep_only(self, is_kept: Callable[[str], bool], now_s: float) -> None:
-        """Discard the buckets of customers that another node grants now.
+        """Discard the buckets of customers whose requests another node now grants.
 
-        A bucket that was kept would fill while the other node grants. Once this node
-        grants again, the customer could use both bursts.
+        A bucket that was kept would fill up while the other node grants the customer's
+        requests. Once this node grants them again, the customer could use the bursts
+        of both nodes.
         """
         with self._lock:
             self._ungranted_since_s = now_s
@@ -126,9 +127,10 @@
 
     @staticmethod
     def _reserve_token(bucket: _Bucket, rate: Rate, now_s: float) -> float:
-        """Reserve the next token for a refused caller; return the time until then.
+        """Reserve the next token for a refused caller; return the seconds until then.
 
-        Each token is reserved for one caller, so that they do not all retry at once.
+        Each token is reserved for one caller, so that refused callers do not all retry
+        at once.
         """
         if rate.per_s <= 0:
             return WAIT_MAX_S
--- a/balsamspindle/customers/freshness.py
+++ b/balsamspindle/customers/freshness.py
@@ -2,10 +2,11 @@
 
 A revoked key must stop working on all nodes within a few seconds, even on a node that
 receives no messages. So a node uses keys only while it can prove that a short time ago
-its settings were the store's newest. A proof is a read of the store whose result is a
-revision that is in force at this node, or an older one. Its age counts from the start
-of that read, as the result may miss changes accepted later. Receiving no messages is
-no proof.
+its settings were the store's newest. A proof is a read of the newest revision in the
+store; a node can use the proof if that revision, or a newer one, is in force at the
+node. The age of a proof counts from the start of the read, as the result may lack
+changes that the store accepted later. That a node received no message about a newer
+revision is no proof.
 """
 
 import threading
@@ -31,7 +32,7 @@
 
 
 class Freshness:
-    """The newest proof and the newest usable one; thread-safe.
+    """Keeps the newest proof and the newest usable proof; thread-safe.
 
     Parameters
     ----------
@@ -43,7 +44,7 @@
         self._age_max_s = age_max_s
         self._lock = threading.Lock()
         self._newest = _NO_PROOF
-        # The newest proof whose revision is in force at this node.
+        # The newest proof whose revision, or a newer one, is in force at this node.
         self._usable = _NO_PROOF
 
     @property
@@ -66,13 +67,13 @@
             self._update_usable(own_revision)
 
     def usable_proof(self, own_revision: int) -> Proof:
-        """Return the newest proof of a revision in force; revision -1 without one."""
+        """Return the newest usable proof; its revision is -1 if there is none."""
         with self._lock:
             self._update_usable(own_revision)
             return self._usable
 
     def is_fresh(self, own_revision: int, now_s: float) -> bool:
-        """Return whether keys may be used."""
+        """Return whether keys may be used: a proof is valid, or none is required."""
         if self._age_max_s is None:
             return True
         return now_s - self.usable_proof(own_revision).began_s < self._age_max_s
--- a/balsamspindle/customers/granters.py
+++ b/balsamspindle/customers/granters.py
@@ -1,15 +1,17 @@
-"""Selection of the nodes that grant a customer's requests, and their share.
+"""Selects the nodes that grant a customer's requests, and each node's share of a limit.
 
-A fraction of each limit is divided equally among the availability zones. One node of
-each zone, its granter, grants the zone's share, because messages within a zone cost
-nothing. The rest is granted by one node of the whole fleet, to requests for which the
-zone's share does not suffice. So a customer whose callers are all in one zone can use
-more than that zone's share.
+A fraction of each limit is divided equally among the availability zones. In each zone,
+one node, the customer's granter for the zone, grants the zone's share, because messages
+within a zone cost nothing. The remaining fraction is granted by one node of the whole
+fleet, the customer's granter for the fleet, to requests for which the zone's share does
+not suffice. So a customer whose callers are all in one zone can use more than that
+zone's share.
 
 Each node selects the granters by rendezvous hashing over the nodes that it knows,
-without any agreement between nodes. While nodes can't reach each other, one customer
-may have two granters. Each then grants a share proportional to the nodes that it can
-reach, so that together they grant no more than one would.
+without any agreement between nodes. While nodes can't reach each other, a customer may
+have two granters for the same zone or fleet. Each of the two then grants a share
+proportional to the number of nodes that it can reach, so that together they grant no
+more than a single granter would.
 """
 
 from enum import IntEnum
@@ -23,10 +25,10 @@
 
 __all__ = ["Granters", "Limit", "LimitPolicy", "Scope"]
 
-# A bucket that holds less than one token can't grant anything.
+# Smallest burst of a bucket: a bucket that can't hold one token could grant nothing.
 BURST_MIN = 1.0
-# How long a dead node still counts towards the number of nodes: it may be alive but
-# unreachable, and grant requests on its own.
+# How long a dead node is still counted among the nodes that share a limit: it may be
+# alive but unreachable, and grant requests on its own.
 DEAD_COUNTED_S = 30.0
 RANKINGS_MAX = 10_000
 
@@ -49,9 +51,9 @@
         In any window of this length, a customer may run its rate times the window
         plus its burst. If 0, the burst is available once and refills at the rate.
     over_fraction : float
-        Fraction of that amount by which a customer may exceed it.
+        A customer may exceed the number of requests per window by this fraction of it.
     slack : float
-        Requests by which a customer may exceed it in addition.
+        Number of requests by which a customer may exceed its limit in addition.
     """
 
     zones: int = 0
@@ -60,7 +62,7 @@
     slack: float = 0.0
 
     def fleet_rate(self, limit: Limit) -> Rate:
-        """Return what all nodes together may grant."""
+        """Return the rate and burst that all nodes together may grant of a limit."""
         if not self.window_s:
             return Rate(limit.rate_per_s, limit.burst + self.slack)
         in_window = limit.rate_per_s * self.window_s + limit.burst
@@ -70,19 +72,26 @@
 
 
 class Scope(IntEnum):
-    """The nodes among which a granter is selected; asked in this order."""
+    """Whether a granter is selected among the nodes of a zone or of the whole fleet.
+
+    A customer's granters are asked in the order of their scopes.
+    """
 
     ZONE = 0
     FLEET = 1
 
 
-# Fraction of a limit that each scope grants. With callers in only one of three zones,
-# a customer can use 0.4 / 3 + 0.6 of its limit, which is more than two thirds.
+# Fraction of a limit that all granters of a scope grant together. A customer whose
+# callers are all in one of three zones can use 0.4 / 3 + 0.6 of its limit, which is
+# more than two thirds.
 _SCOPE_FRACTIONS = {Scope.ZONE: 0.4, Scope.FLEET: 0.6}
 
 
 class Granters:
-    """Ranks the nodes of one scope for each customer; the first one is the granter."""
+    """Selects each customer's granter among the nodes of one scope.
+
+    The scope's nodes are those of this node's availability zone or of the whole fleet.
+    """
 
     def __init__(
         self, own: NodeRecord, directory: Directory, scope: Scope, policy: LimitPolicy
@@ -97,7 +106,7 @@
         self._rankings: dict[str, tuple[NodeRecord, ...]] = {}
 
     def update(self) -> bool:
-        """Read the directory; return whether the ids of the scope's nodes changed."""
+        """Update the scope's nodes from the directory; return whether ids changed."""
         records = self._directory.alive()
         if records is self._last_records:
             return False
@@ -111,12 +120,16 @@
         zones = {record.availability_zone for record in (*records, self._own)}
         self._known_zones = len(zones)
         self._last_records, self._nodes = records, nodes
-        # Cleared even if no id changed: a node may have restarted at another address.
+        # The rankings contain node records, so they are cleared even if no id changed:
+        # a node may have restarted at another address.
         self._rankings = {}
         return is_changed
 
     def ranked(self, customer: str) -> tuple[NodeRecord, ...]:
-        """Return the customer's granter and the node to ask if it is unreachable."""
+        """Return a customer's granter, and the node to ask if it can't be reached.
+
+        Only the granter is returned if the scope has a single node.
+        """
         ranking = self._rankings.get(customer)
         if ranking is None:
             if len(self._rankings) >= RANKINGS_MAX:
@@ -133,9 +146,10 @@
         return self.ranked(customer)[0].node_id == self._own.node_id
 
     def own_rate(self, customer: str, limit: Limit, now_s: float) -> Rate:
-        """Return what this node may grant of a limit.
+        """Return the rate and burst that this node may grant of a customer's limit.
 
-        A node that is asked in place of the granter grants only its own node's share.
+        The granter grants the shares of all nodes of its scope. Another node, which is
+        asked if the granter is unreachable, grants only the share of a single node.
         """
         counted = len(self._nodes) if self.is_own(customer) else 1
         fraction = _SCOPE_FRACTIONS[self._scope] * counted / self._node_count(now_s)
@@ -145,7 +159,7 @@
         return Rate(fleet.per_s * fraction, max(BURST_MIN, fleet.burst * fraction))
 
     def _node_count(self, now_s: float) -> int:
-        """Return the number of the scope's nodes, with those that died recently."""
+        """Return the number of the scope's nodes, including recently died ones."""
         dead_count = sum(
             self._is_member(view.record) and now_s - view.dead_since_s < DEAD_COUNTED_S
             for view in self._directory.dead()
--- a/balsamspindle/customers/limits.py
+++ b/balsamspindle/customers/limits.py
@@ -1,9 +1,10 @@
 """Enforces customers' limits over all nodes together.
 
-A request of a limited customer is forwarded only after a granter of the customer has
-granted it: that of the request's zone or else that of the fleet (see
-`balsamspindle.customers.granters`). If a granter can't be reached, the next node is
-asked, which has a much smaller share. A request that no node grants is not run.
+A request of a customer with a limit is forwarded only after a granter of the customer
+has granted it (see `balsamspindle.customers.granters`). The granter for this node's
+zone is asked first. If it does not grant the request, the granter for the whole fleet
+is asked. If a granter can't be reached, another node is asked in its place, which may
+grant a much smaller share of the limit. A request that no node grants is not run.
 """
 
 import itertools
@@ -20,29 +21,30 @@
 
 __all__ = ["Grant", "Limiter", "LimitLinks"]
 
-# How long after its start a node may not know most of the others yet, and would take
-# itself for the granter of every customer.
+# How long after its start a node may not yet know most of the other nodes. During this
+# time it would select itself as the granter of every customer.
 DISCOVERY_S = 1.0
 KNOWN_LIMITS_MAX = 100_000
 
 
 class LimitLinks(Protocol):
-    """Sends the messages of limits to other nodes."""
+    """Sends messages about customers' limits to other nodes."""
 
     def ask(self, node: NodeRecord, question: LimitQuestion) -> LimitAnswer | None:
-        """Return a node's answer; None if it can't be reached."""
+        """Ask a node to grant a request; return None if the node can't be reached."""
 
     def send(self, node: NodeRecord, message: LimitReturn) -> None:
         """Send a message that may get lost."""
 
 
 class Grant(NamedTuple):
-    """Permission to run one request; returned if the request does not run.
+    """Permission to run one request; given back if the request does not run.
 
     Attributes
     ----------
     node : NodeRecord or None
-        The node that granted it; None for this node, or without a limit.
+        The node that granted the request; None for this node, or if the customer has
+        no limit.
     """
 
     customer: str
@@ -57,12 +59,12 @@
 
 
 class Limiter:
-    """Acquires grants for this node's requests, and grants those of other nodes.
+    """Acquires grants for this node's requests, and grants requests of other nodes.
 
     Parameters
     ----------
     granters : dict of Scope to Granters
-        Not used by any other object: they are protected by this object's lock.
+        Protected by this object's lock, so no other object may use them.
     """
 
     def __init__(
@@ -83,18 +85,22 @@
         self._question_numbers = itertools.count(1)
 
     def is_ready(self, now_s: float) -> bool:
-        """Return whether this node has had the time to discover the others."""
+        """Return whether this node has had the time to discover the other nodes."""
         return now_s - self._started_s >= DISCOVERY_S
 
     def refresh(self, now_s: float) -> None:
-        """Read the directory for nodes that joined or left; call once a second."""
+        """Update the granters from the directory; to be called once a second."""
         with self._lock:
             self._update_granters(now_s)
 
     def acquire(
         self, customer: CustomerDocument, revision: int
     ) -> Grant | Denial | None:
-        """Acquire a grant for one request; None if no node could be asked."""
+        """Acquire a grant for one request.
+
+        If no node grants the request, returns the denial with the shortest wait; None
+        if no node could be asked.
+        """
         if not customer.rate_per_s:
             return Grant(customer.name, is_limited=False)
         denial = None
@@ -117,7 +123,7 @@
     def _ask_scope(
         self, question: LimitQuestion, scope: Scope
     ) -> Grant | Denial | None:
-        """Ask the scope's granter, or the next node if it can't be reached."""
+        """Ask the scope's granter, or the next node if the granter is unreachable."""
         for node in self._ranked(question.customer, scope):
             if node.node_id == self._own.node_id:
                 grant = Grant(question.customer, scope=scope)
@@ -129,7 +135,7 @@
         return None
 
     def refund(self, grant: Grant) -> None:
-        """Return the grant of a request that did not run to the node that gave it."""
+        """Give a grant back to the node that gave it, as the request did not run."""
         if not grant.is_limited:
             return
         if grant.node is None:
@@ -139,13 +145,13 @@
             self._links.send(grant.node, message)
 
     def answer(self, question: LimitQuestion) -> LimitAnswer:
-        """Grant or deny a request of another node."""
+        """Return the answer to another node's question: a grant or a denial."""
         denial = self._try_spend(question, Scope(question.scope))
         wait_ms = denial.wait_s * 1000 if denial else 0.0
         return LimitAnswer(question.number, denial is None, wait_ms, self._clock())
 
     def receive_return(self, message: LimitReturn) -> None:
-        """Refund a grant that another node did not use."""
+        """Refund the token of a grant that another node gives back unused."""
         self._buckets[Scope(message.scope)].refund(message.customer)
 
     def _ranked(self, customer: str, scope: Scope) -> tuple[NodeRecord, ...]:
@@ -154,7 +160,7 @@
             return self._granters[scope].ranked(customer)
 
     def _try_spend(self, question: LimitQuestion, scope: Scope) -> Denial | None:
-        """Spend a token of this node; return None if there was one."""
+        """Spend a token of this node's bucket; return a denial if there is none."""
         now_s = self._clock()
         with self._lock:
             self._update_granters(now_s)
@@ -168,9 +174,9 @@
                 self._buckets[scope].keep_only(granters.is_own, now_s)
 
     def _newest_limit(self, question: LimitQuestion) -> Limit:
-        """Return the customer's limit in the newest settings seen in any question.
+        """Return the customer's limit in the newest settings of any question so far.
 
-        A node with older settings may ask with a limit that is no longer in force.
+        A node with older settings may send a limit that is no longer in force.
         """
         known = self._known_limits.get(question.customer)
         if known is None or question.revision >= known.revision:
--- a/balsamspindle/customers/proofs.py
+++ b/balsamspindle/customers/proofs.py
@@ -1,10 +1,10 @@
 """Gets proofs that this node's settings are new enough for its keys to be used.
 
-A few nodes of each zone read the store. The others ask them for their newest proof,
-within the zone, and read the store themselves only if no node of the zone has a newer
-one. The age of a proof from a peer is the age that the peer reports plus the time
-since the question was sent, so that delays of either message, for instance in a paused
-process, are included.
+A few nodes of each zone, its readers, read the store. The other nodes ask their zone's
+readers for the newest proof, and read the store themselves only if no node of the zone
+has a newer one. The age of a proof from a peer is the age that the peer reports plus
+the time since the question was sent. It includes delays of the question and of the
+answer, for instance in a paused process.
 """
 
 import itertools
@@ -28,30 +28,33 @@
 
 TICK_S = 0.1
 READERS_PER_ZONE_MIN = 2
-# Nodes of a zone for each of its readers.
+# A zone has one reader for this many nodes.
 NODES_PER_READER = 32
+# Interval at which readers read the store.
 READ_INTERVAL_S = 1.5
-# Age of its proof from which a node asks for a newer one, and how often it does.
+# Once a node's proof has this age, the node asks peers for a newer one.
 ASK_AT_AGE_S = 1.5
+# Interval at which a node asks peers until it gets a newer proof.
 ASK_INTERVAL_S = 0.4
-# Without a newer proof, the first questions go to readers of the node's own zone, the
-# next ones to any node of the zone, and all later ones to readers of all zones.
+# How many questions a node sends to readers of its own zone, and after these to any
+# node of its zone. If it still has no newer proof, it asks readers of all zones.
 READER_QUESTIONS, ZONE_QUESTIONS = 2, 1
-# Age of its proof from which a node that is no reader may read the store itself.
+# Once its proof has this age, a node that is no reader may read the store itself.
 READ_AT_AGE_S = 2.5
-# Interval of such reads, doubled after each. If peers answer but have no newer proof,
-# the store is probably unavailable to all, and the maximum applies after one read.
+# Interval at which a node that is no reader reads the store, doubled after each read.
+# If peers answer but have no newer proof, the store is probably unavailable to all
+# nodes, and the maximum applies after one read.
 OWN_READ_INTERVAL_S, OWN_READ_INTERVAL_MAX_S = 1.0, 8.0
 OPEN_QUESTIONS_MAX = 16
 
 
 class ProofQuestion(msgspec.Struct, array_like=True, tag="proof_ask", frozen=True):
-    """Node to node: asks for the newest proof.
+    """Asks another node for its newest usable proof.
 
     Attributes
     ----------
     address : str
-        Member address of the node that asks.
+        Member address of the node that asks, which gets the answer.
     """
 
     address: str
@@ -59,16 +62,16 @@
 
 
 class ProofAnswer(msgspec.Struct, array_like=True, tag="proof", frozen=True):
-    """The answer to a question.
+    """The newest usable proof of a node, in answer to a `ProofQuestion`.
 
     Attributes
     ----------
     number : int
-        As in the question.
+        The question's number.
     age_ms : float
-        Age of the newest proof when the answer was made.
+        Age of the proof when the answer was made; 0 without a proof.
     revision : int
-        The revision that it proves; -1 without a proof.
+        The proof's revision; -1 without a proof.
     """
 
     number: int
@@ -82,14 +85,14 @@
 
 
 class ProofRefresher:
-    """Keeps one node's proof of its settings new enough.
+    """Renews one node's proof that its settings are new enough.
 
     Parameters
     ----------
     read : callable
-        Starts a read of the store, whose result comes by `record_read`.
+        Starts a read of the store, whose result is then passed to `record_read`.
     send : callable
-        Takes a member address and a message; thread-safe.
+        Sends a message to a member address; thread-safe.
     """
 
     def __init__(
@@ -119,22 +122,24 @@
         self._next_question_s = 0.0
         self._next_read_s = 0.0
         self._own_read_interval_s = OWN_READ_INTERVAL_S
-        # Since the last newer proof: questions sent, and answers to them.
+        # Numbers of questions sent and of answers received since this node last got a
+        # newer proof.
         self._question_count = 0
         self._answer_count = 0
-        # The peer that sent the last newer proof; it is asked first for the next one.
+        # Address of the peer that sent the last answer, if it had a newer proof. This
+        # peer is asked first for the next proof.
         self._preferred_address: str | None = None
         self._was_fresh = False
         self._changed_s = clock()
 
     def run_reads(self) -> None:
-        """Read the store whenever this node has to, until `stop` is called."""
+        """Read the store whenever a read is due, until `stop` is called."""
         while not self._stopped.wait(TICK_S):
             if self.check_read_due(self._clock()):
                 self._read()
 
     def run_questions(self) -> None:
-        """Ask peers for a newer proof when needed, until `stop` is called."""
+        """Ask a peer for a newer proof whenever that is due, until `stop` is called."""
         while not self._stopped.wait(TICK_S):
             now_s = self._clock()
             self._log_change(now_s)
@@ -143,7 +148,7 @@
                 self.send_question(address, now_s)
 
     def stop(self) -> None:
-        """Make `run_reads` and `run_questions` return within a tick."""
+        """Make `run_reads` and `run_questions` return within `TICK_S`."""
         self._stopped.set()
 
     def record_read(self, began_s: float, revision: int) -> None:
@@ -152,7 +157,7 @@
         self._own_read_interval_s = OWN_READ_INTERVAL_S
 
     def answer_question(self, question: ProofQuestion) -> None:
-        """Answer a peer's question."""
+        """Send this node's newest usable proof to the peer that asked for it."""
         proof = self._usable_proof()
         age_ms = (self._clock() - proof.began_s) * 1000
         if proof.revision < 0:
@@ -162,7 +167,7 @@
         )
 
     def receive_answer(self, answer: ProofAnswer) -> None:
-        """Record a peer's proof, with the time since the question added to its age."""
+        """Record a peer's proof; add the time since the question to the proof's age."""
         with self._lock:
             asked = self._open_questions.pop(answer.number, None)
             self._answer_count += asked is not None
@@ -194,9 +199,10 @@
         return True
 
     def choose_peer(self, now_s: float) -> str | None:
-        """Return the member address of the peer to ask now; None if none is due.
+        """Return the member address of the peer to ask for a newer proof now.
 
-        Schedules the next question.
+        None if no question is due or no peer is known. If a question is due, also
+        schedules the next one.
         """
         if now_s < self._next_question_s or self._age_s(now_s) < ASK_AT_AGE_S:
             return None
@@ -209,7 +215,13 @@
         return self._random.choice(candidates).member_address if candidates else None
 
     def _candidates(self, question_count: int) -> list[NodeRecord]:
-        """Return the nodes to ask after some questions without a newer proof."""
+        """Return the nodes among which the next question's receiver is chosen.
+
+        Parameters
+        ----------
+        question_count : int
+            Number of questions sent since this node last got a newer proof.
+        """
         zones: dict[str, list[NodeRecord]] = {}
         for record in self._directory.alive():
             if record.node_id != self._own.node_id:
@@ -237,7 +249,7 @@
         self._send(address, ProofQuestion(self._own.member_address, number))
 
     def _record_proof(self, proof: Proof) -> bool:
-        """Record a proof; return whether the usable proof is newer than before."""
+        """Record a proof; return whether this node now has a newer usable proof."""
         before = self._usable_proof()
         self._freshness.record(proof, self._configuration.revision)
         is_newer = self._usable_proof().began_s > before.began_s
@@ -263,7 +275,7 @@
         return max(READERS_PER_ZONE_MIN, math.ceil(count / NODES_PER_READER))
 
     def _log_change(self, now_s: float) -> None:
-        """Log when this node stops using keys, and when it uses them again."""
+        """Log that this node stopped using keys, or that it uses them again."""
         revision = self._configuration.revision
         is_fresh = self._freshness.is_fresh(revision, now_s)
         if is_fresh is self._was_fresh:
--- a/balsamspindle/requests/answers.py
+++ b/balsamspindle/requests/answers.py
@@ -12,24 +12,25 @@
 
 __all__ = ["NOT_RUN_STATUSES", "encode_answer", "encode_problem"]
 
-# Scheme in WWW-Authenticate: the key is sent in a header of its own.
+# Authentication scheme that a 401 names in its WWW-Authenticate header. Callers send
+# the API key in a header of its own, not in Authorization.
 AUTHENTICATION_SCHEME = "ApiKey"
 _PHRASES = {status.value: status.phrase for status in HTTPStatus}
 _BODILESS_STATUSES = frozenset({204, 304})
-# Statuses by which callers know that the request was not run and never will be.
+# Statuses from which callers conclude that the request did not run and never will.
 NOT_RUN_STATUSES = frozenset({408, 421, 429, 503})
-# Replaces one of these statuses when an attempt may have run.
+# Replaces a status of NOT_RUN_STATUSES if an earlier attempt may have run.
 UNKNOWN_STATUS = 502
-# Replaces 502 and 504 when nothing ran. With these statuses the request may have run,
-# so the caller of a non-idempotent request could not send it again.
+# Replaces 502 and 504 if no attempt ran. With these statuses the caller would have to
+# assume that the request may have run, and could not resend a non-idempotent one.
 NOT_RUN_STATUS = 503
 _AMBIGUOUS_STATUSES = frozenset({502, 504})
 
 
 @lru_cache(maxsize=8)
 def _replaced_headers(names: HeaderNames) -> frozenset[str]:
-    # Backend servers must not set the outcome, which only the fleet can know. Two
-    # Content-Length headers would let the response be split.
+    # These headers of a backend server's response are dropped. Only the fleet knows the
+    # outcome, and a second Content-Length header would allow response splitting.
     return HOP_BY_HOP_HEADERS | {
         "content-length",
         names.outcome.lower(),
@@ -46,7 +47,7 @@
     is_head: bool,
     names: HeaderNames = DEFAULT_HEADER_NAMES,
 ) -> bytes:
-    """Encode a backend server's response, with the outcome `answered`."""
+    """Encode a backend server's response to a caller, with the outcome `answered`."""
     replaced = _replaced_headers(names)
     lines = [
         f"{name}: {value}" for name, value in headers if name.lower() not in replaced
@@ -68,25 +69,25 @@
     names: HeaderNames = DEFAULT_HEADER_NAMES,
     retry_after_decimals: int = 0,
 ) -> bytes:
-    """Encode a response of the fleet's own: a JSON problem and its headers.
+    """Encode a response that the fleet itself generates: a JSON problem and headers.
 
     Parameters
     ----------
     detail : str, optional
-        An additional sentence about this request.
+        An additional sentence for the caller about this request.
     allow : tuple of str
-        Methods that the target supports, for a 405.
+        Methods that the request's target supports, for a 405.
     retry_after_ms : float, default=0
-        When this caller may retry; 0 for the default of the reason.
+        Time after which this caller may retry; 0 for the default of the reason.
     retry_after_decimals : int, default=0
-        Decimal places of the Retry-After header. The standard allows only whole
-        seconds, so the body has the time in milliseconds as well.
+        Decimal places of the Retry-After header. The HTTP standard allows only whole
+        seconds there, so the JSON body also gives the time in milliseconds.
     """
     problem = PROBLEMS[reason]
     status = problem.status
     if outcome is not Outcome.NOT_RUN and status in NOT_RUN_STATUSES:
-        # The last attempt was refused, but an earlier one may have run. The status of
-        # the refusal would allow the caller to run the request a second time.
+        # The last attempt was refused, but an earlier one may have run. With the
+        # refusal's status, the caller would retry, and the request could run twice.
         status = UNKNOWN_STATUS
     if outcome is Outcome.NOT_RUN and status in _AMBIGUOUS_STATUSES:
         status = NOT_RUN_STATUS
@@ -107,7 +108,7 @@
     if allow:
         lines.append(f"Allow: {', '.join(allow)}")
     if status == HTTPStatus.UNAUTHORIZED:
-        # RFC 9110, 15.5.2: a 401 names at least one authentication scheme.
+        # RFC 9110, 15.5.2: a 401 response must name at least one authentication scheme.
         lines.append(f"WWW-Authenticate: {AUTHENTICATION_SCHEME}")
     return _encode(
         status,
--- a/balsamspindle/requests/caller_protocol.py
+++ b/balsamspindle/requests/caller_protocol.py
@@ -21,12 +21,12 @@
 
 
 def new_request_id() -> str:
-    """Return a random id for a request that came without one."""
+    """Return a random id for a request that has no valid id of its caller."""
     return f"{_request_ids.getrandbits(128):032x}"
 
 
 class CallerProtocol:
-    """Reads callers' request headers and encodes responses, as configured."""
+    """Reads the fleet's headers in callers' requests and encodes the responses."""
 
     def __init__(
         self, settings: NodeSettings, configuration: CurrentConfiguration
@@ -36,7 +36,10 @@
         self._configuration = configuration
 
     def limits(self) -> HttpLimits:
-        """Return the fleet's limits for callers, else this process's own."""
+        """Return the limits for callers' connections.
+
+        Limits in the fleet's settings take precedence over this process's limits.
+        """
         settings, configuration = self._settings, self._configuration.get()
         limits = HttpLimits(
             body_max_bytes=settings.request_body_max_bytes,
@@ -49,8 +52,8 @@
             return limits
         return limits._replace(
             head_max_bytes=fleet.head_max_bytes,
-            # A request body is kept in memory in several copies. This process's own
-            # limit, set by its memory, caps the fleet's.
+            # Several copies of a request body are in memory at a time. So this
+            # process's limit, which depends on its memory, bounds the fleet's limit.
             body_max_bytes=min(fleet.body_max_bytes, settings.request_body_max_bytes),
             idle_timeout_s=fleet.idle_timeout_ms / 1000,
             head_timeout_s=fleet.head_timeout_ms / 1000,
@@ -64,7 +67,7 @@
         return new_request_id()
 
     def timeout_ms(self, request: CallerRequest, route: RouteDocument) -> float:
-        """Return the shorter of the caller's and the route's time-outs.
+        """Return a request's time-out: the shorter of its caller's and its route's.
 
         Raises
         ------
@@ -84,7 +87,7 @@
     def encode_reply(
         self, reply: Reply, request: CallerRequest, request_id: str, keep_alive: bool
     ) -> bytes:
-        """Encode the response to a caller for a reply."""
+        """Encode the reply to a forwarded request as the response to its caller."""
         is_head = request.method == "HEAD"
         if reply.outcome is Outcome.ANSWERED:
             return encode_answer(
@@ -116,7 +119,7 @@
         allow: tuple[str, ...] = (),
         retry_after_ms: float = 0.0,
     ) -> bytes:
-        """Encode a response of the fleet's own; see `answers.encode_problem`."""
+        """Encode a response that the fleet generates; see `answers.encode_problem`."""
         return encode_problem(
             reason,
             outcome,
--- a/balsamspindle/requests/caller_watch.py
+++ b/balsamspindle/requests/caller_watch.py
@@ -1,9 +1,10 @@
-"""Detects that a caller left while this node's own gate runs its request.
+"""Detects callers that disconnect while this node's own gate runs their requests.
 
-When the gate is on another node, the task that serves the caller waits for the link
-and checks the caller's connection meanwhile. When the gate is in the same process,
-that task calls the backend server itself, so that the call passes through no other
-thread. A separate thread then checks the connections of all such callers.
+When the gate is on another node, the task that serves the caller waits for messages on
+the link to that node, and checks the caller's connection while it waits. When the gate
+is in the same process, the task itself calls the backend server, so that the call
+passes through no other thread. During the call the task can't check the caller's
+connection, so a separate thread checks the connections of all these callers.
 """
 
 import threading
@@ -25,7 +26,7 @@
     Parameters
     ----------
     cancel : callable
-        Called with the id of each attempt whose caller left.
+        Called with the id of each attempt whose caller disconnected.
     """
 
     def __init__(self, cancel: Callable[[AttemptId], None]) -> None:
@@ -36,7 +37,7 @@
 
     @contextmanager
     def watching(self, attempt_id: AttemptId, caller: HttpConnection) -> Iterator[None]:
-        """Check the caller's connection for as long as the context is open."""
+        """Cancel the attempt if the caller disconnects while the context is open."""
         with self._changed:
             if not self._callers:
                 self._changed.notify()
@@ -51,13 +52,14 @@
         while True:
             with self._changed:
                 self._changed.wait_for(lambda: self._callers)
-            # Most attempts end before their first check, which they then don't need.
+            # Most attempts end during this sleep and need no check.
             time.sleep(CHECK_INTERVAL_S)
             self._cancel_if_gone()
 
     def _cancel_if_gone(self) -> None:
-        # The lock keeps attempts from ending during the checks. Otherwise a connection
-        # could be closed and its descriptor reused by another connection.
+        # While the lock is held, no attempt leaves `watching`, so the callers'
+        # connections stay open. The descriptor of a closed connection might already
+        # belong to another connection.
         with self._changed:
             gone = [
                 attempt_id
--- a/balsamspindle/requests/claim_eras.py
+++ b/balsamspindle/requests/claim_eras.py
@@ -1,10 +1,11 @@
-"""Decides when a key without a claim in the store is known to be unclaimed.
-
-A store restored from an older copy has lost the claims of its last seconds and starts
-a new era. In that era a missing claim proves nothing until every process that may have
-held claims has written them again and confirmed it; then the era is settled. If such
-a process ended before it confirmed, keys without a claim are not run until callers
-can no longer resend the keys of the lost claims.
+"""Decides whether a key that has no claim in the store is known to be unclaimed.
+
+A store that is restored from an older copy has lost the claims written after the copy
+was made, and it starts a new era. In that era a key without a claim may have been
+claimed before the restore. The era is settled once every process that may know lost
+claims has written its claims again and has confirmed this: from then on a key without
+a claim is unclaimed. If one of these processes ended before it confirmed, keys without
+a claim are not run until callers can no longer resend the keys of the lost claims.
 """
 
 import threading
@@ -23,34 +24,35 @@
     "ClaimHolder",
 ]
 
-# Era of a store that was never restored from a copy; 0 if the store reports no era.
+# The era of a store until its first restore from a copy. Era 0 stands for a store that
+# reports no era.
 FIRST_ERA = 1
-# Age of the oldest copy from which a store may be restored.
+# A store is not restored from a copy that is older than this.
 COPY_AGE_MAX_S = 60.0
-# Time after its start until a process knows all other processes of the fleet.
+# Time after its start by which a process knows all other processes of the fleet.
 FLEET_KNOWN_AFTER_S = 5.0
-# An era is settled this long after it began at the earliest. Processes that are cut
-# off from their peers but not from the store may be missing from the processes that
-# have to confirm; they write their claims again within this time.
+# Minimum time from the start of an era until it is settled. A process that reaches the
+# store but not its peers may be missing among the processes that have to confirm the
+# era. It writes its claims again within this time.
 RESTORE_MIN_S = 1.0
-# Time after the start of an era during which requests wait for it to be settled.
+# Requests wait for an era to be settled only until this time after the era's start.
 RESTORE_WAIT_S = 2.0
 
 
 class ClaimHolder(NamedTuple):
-    """A process that may hold claims, as a gate or as the ingress that wrote them."""
+    """A process that may know claims, as a gate or as the ingress that wrote them."""
 
     node_id: str
     incarnation: int
 
 
 class Confirmation(msgspec.Struct, frozen=True):
-    """A stored row by which a process confirms that its claims are in the store.
+    """Row of the store by which a process confirms that it wrote its claims again.
 
     Attributes
     ----------
     era : int
-        Era of the store in which the claims were written.
+        Era of the store in which the process wrote them.
     """
 
     incarnation: int
@@ -58,15 +60,15 @@
 
 
 class ClaimEras:
-    """Tracks the eras of the store in which all claims are known; thread-safe.
+    """Tracks which eras of the store are settled; thread-safe.
 
     Parameters
     ----------
     resend_max_s : float
-        Time for which callers may resend a key, and for which the claims of processes
-        that have ended are therefore in doubt.
+        Time for which callers may resend a key. If a process ended before it confirmed
+        an era, it is unknown for this time whether keys without a claim are unclaimed.
     on_request : callable
-        Called with an era when a request waits for its claims to be written again.
+        Called with an era when a request waits for the era to be settled.
     """
 
     def __init__(
@@ -82,7 +84,8 @@
         self._era = 0
         self._era_began_s = 0.0
         self._newest_settled_era = FIRST_ERA
-        # Processes that have to confirm the era; None if this process doesn't know.
+        # Processes that have to confirm the current era; None if this process doesn't
+        # know all of them.
         self._required: set[ClaimHolder] | None = set()
 
     def record_holders(
@@ -90,13 +93,14 @@
     ) -> None:
         """Record which processes of the fleet are running now.
 
-        Processes that ended before the oldest copy that may be restored are removed.
+        Removes processes that ended before the oldest copy was made from which the
+        store may be restored: that copy has all of their claims.
 
         Parameters
         ----------
         answered_s : float
             Time of the store's last answer in the current era. If the store has been
-            restored since, its copy may be up to `COPY_AGE_MAX_S` older than this.
+            restored after this time, the copy is at most `COPY_AGE_MAX_S` older.
         """
         with self._changed:
             if self._first_seen_s is None:
@@ -109,7 +113,7 @@
                 del self._seen_s[ended]
 
     def begin(self, era: int, now_s: float) -> bool:
-        """Begin an era of the store; return False if it is not newer than the last."""
+        """Begin an era of the store; return False if it or a later one has begun."""
         with self._changed:
             if era <= self._era:
                 return False
@@ -119,23 +123,25 @@
             return True
 
     def is_settled(self, era: int) -> bool:
-        """Return whether a claim that is missing in an era was never made."""
+        """Return whether a key that has no claim in an era is known to be unclaimed."""
         return era <= self._newest_settled_era
 
     def settle(self, era: int) -> None:
-        """Record that in an era no missing claim is in doubt any more.
+        """Record that an era is settled.
 
-        All claims were written again, or callers can no longer resend their keys.
+        Either all claims were written again, or callers can no longer resend the keys
+        of the lost claims.
         """
         with self._changed:
             self._newest_settled_era = max(self._newest_settled_era, era)
             self._changed.notify_all()
 
     def wait_until_settled(self, era: int, now_s: float, give_up_s: float) -> bool:
-        """Wait while claims are being written again; return whether the era is settled.
+        """Wait for an era to be settled; return whether it is.
 
-        The wait ends at `give_up_s` or `RESTORE_WAIT_S` after the era began. A later
-        call does not wait: the missing process may never return.
+        The wait ends at `give_up_s`, or earlier, `RESTORE_WAIT_S` after the current era
+        began. Calls after that time do not wait, because a process that has not yet
+        confirmed the era may never do so.
         """
         self._on_request(era)
         with self._changed:
@@ -147,7 +153,15 @@
     def missing_holders(
         self, confirmed: Mapping[str, Confirmation]
     ) -> set[ClaimHolder] | None:
-        """Return the processes that have not confirmed the era; None if not known."""
+        """Return the processes that still have to confirm the current era.
+
+        None if this process doesn't know all of them.
+
+        Parameters
+        ----------
+        confirmed : mapping of str to Confirmation
+            The confirmations in the store, by node id.
+        """
         with self._changed:
             if self._required is None:
                 return None
@@ -158,7 +172,10 @@
             }
 
     def can_settle(self, missing: set[ClaimHolder] | None, now_s: float) -> bool:
-        """Return whether the current era may be settled.
+        """Return whether this process can declare the current era settled.
+
+        It can `RESTORE_MIN_S` after the era began if all processes have confirmed the
+        era, otherwise once callers can no longer resend the keys of lost claims.
 
         Parameters
         ----------
@@ -170,9 +187,10 @@
         return now_s - self._era_began_s >= self._resend_max_s
 
     def _holders_before(self, now_s: float) -> set[ClaimHolder] | None:
-        """Return the processes that may hold claims lost in an era that begins now.
+        """Return the processes that have to confirm an era that begins now.
 
-        None if this process can't know all of them.
+        The store may have lost claims that these processes know. None if this process
+        can't know all of them.
         """
         if self._era == 0 or self._first_seen_s is None:
             return None
@@ -184,11 +202,11 @@
 
 
 def _confirms(confirmation: Confirmation | None, holder: ClaimHolder, era: int) -> bool:
-    """Return whether a confirmation is from a process that ran when the era began.
+    """Return whether a process itself confirmed an era, not its node's next process.
 
-    Peers may know that process by a higher incarnation than its own, since a process
-    raises its incarnation to refute outdated reports about itself. A later process of
-    the same node has an incarnation that is higher than both.
+    Peers may know the process by a higher incarnation than its confirmation has, since
+    a process raises its incarnation to refute outdated reports about itself. A process
+    that starts later on the same node has an incarnation higher than both.
     """
     if confirmation is None or confirmation.era < era:
         return False
--- a/balsamspindle/requests/claim_restorer.py
+++ b/balsamspindle/requests/claim_restorer.py
@@ -1,11 +1,12 @@
-"""Writes the claims of this process again after the store was restored from a copy.
+"""Writes this process's claims again after the store was restored from an older copy.
 
-A gate knows the keys that it ran, and an ingress the claims that it wrote. Both write
-them again, then confirm it in a row per node. Once all confirmations are there, one
-process marks the era as settled: from then on a key without a claim is unclaimed.
+A process knows the keys that its gate ran and the claims that its ingress wrote. It
+writes their claims again and confirms this in its node's row of a table. Once all
+processes have confirmed, one of them marks the store's new era as settled: from then on
+a key without a claim is unclaimed (see `balsamspindle.requests.claim_eras`).
 
-A process without claims to write does nothing until a request with a key arrives at
-any node, so a fleet whose callers send no keys makes no calls to the store.
+A process that has no claims to write does nothing until a request with a key arrives at
+any node. So a fleet whose callers send no keys makes no calls to the store.
 """
 
 import math
@@ -39,16 +40,18 @@
 __all__ = ["CLAIM_ERAS_TABLE", "ClaimRestorer"]
 
 CLAIM_ERAS_TABLE = "claim-eras"
-# Key of the row that marks an era as settled. Node ids do not begin with "_", so it
-# can't collide with the row of a node.
+# Key of the row that marks an era as settled. Node ids do not begin with "_", so no
+# node's row has this key.
 SETTLED_KEY = "_settled"
 CLAIMS_PER_BATCH = 50
-# Tries per batch. A try fails if rows changed since their versions were read.
+# Tries to write a batch of claims. A try fails if a row of the batch does not have the
+# expected version.
 BATCH_ATTEMPTS_MAX = 8
-# Interval of checks for an era that no call of this process has revealed.
+# Interval at which `run` checks for a new era of the store when nothing wakes it.
 IDLE_INTERVAL_S = 1.0
 RETRY_DELAY_MIN_S, RETRY_DELAY_MAX_S = 0.1, 10.0
-# Belongs to no process: under a claim with it a gate replies that the key may have run.
+# Incarnation that no process has. A gate does not run a key whose claim has it, but
+# replies that the key may have run.
 NO_INCARNATION = 0
 
 
@@ -58,7 +61,8 @@
     Attributes
     ----------
     overrides : bool
-        Whether the claim replaces another claim in its row, because the key ran here.
+        Whether this claim replaces another claim that is found in its row. True if the
+        key ran at this process's gate.
     """
 
     key: str
@@ -67,7 +71,10 @@
 
 
 class ClaimRestorer:
-    """Task that writes claims again and settles each new era of the store.
+    """Background task that restores claims in each new era of the store.
+
+    It writes the claims of this process again, and settles the era once all processes
+    have confirmed it.
 
     Parameters
     ----------
@@ -104,10 +111,10 @@
         self._changed = threading.Event()
         self._stopped = False
         self._era = self._confirmed_era = self._requested_era = 0
-        # Claims to write in this era; None until they have been collected.
+        # Claims to write again in this era; None until they have been collected.
         self._to_rewrite: list[_ClaimRewrite] | None = None
         self._answered_s = -math.inf
-        # Claims written after this time may be lost.
+        # The store may have lost claims that were written after this time.
         self._lost_after_s = math.inf
         self._reported_missing: set[ClaimHolder] = set()
 
@@ -141,13 +148,13 @@
         self._changed.set()
 
     def step(self, now_s: float) -> bool:
-        """Restore claims as far as possible now.
+        """Restore claims as far as the store and the other processes allow now.
 
         Returns
         -------
         bool
-            True if nothing is left to do until a new era begins or a request waits;
-            False if the step has to be tried again.
+            True if nothing is left to do until a new era begins or a request waits for
+            this era to be settled; False if the step has to be repeated.
         """
         era = self._tables.era
         self._update_era(era, now_s)
@@ -167,7 +174,8 @@
     def _update_era(self, era: int, now_s: float) -> None:
         self._eras.begin(era, now_s)
         if era > self._era:
-            # At its last answer the store was still in the previous era.
+            # The store had not yet been restored at its last answer, and the copy is at
+            # most COPY_AGE_MAX_S older than that answer.
             oldest_s = self._answered_s - COPY_AGE_MAX_S
             self._lost_after_s = min(self._lost_after_s, oldest_s)
             self._era, self._to_rewrite = era, None
@@ -180,7 +188,8 @@
 
     def _record_fleet(self, now_s: float) -> None:
         self._answered_s = self._tables.answered_s
-        # An isolated process does not see all processes of the fleet.
+        # An isolated process does not see all processes of the fleet. With -inf, it
+        # removes no process that it saw before.
         answered_s = -math.inf if self._is_isolated() else self._answered_s
         self._eras.record_holders([self._own, *self._fleet()], answered_s, now_s)
 
@@ -195,11 +204,11 @@
             for written_claim in self._take_written_claims(after_s, now_s)
             if written_claim.key not in known
         ]
-        # Only the last claim of each key counts: earlier ones were moved.
+        # Keep only each key's last claim: earlier claims were moved to another gate.
         return list({claim.key: claim for claim in claims}.values())
 
     def _write_and_confirm(self, claims: list[_ClaimRewrite], era: int) -> bool:
-        """Write claims again, then confirm the era; return False on failure."""
+        """Write claims to the store, then confirm the era; return False on failure."""
         for first in range(0, len(claims), CLAIMS_PER_BATCH):
             if not self._write_batch(claims[first : first + CLAIMS_PER_BATCH], era):
                 return False
@@ -215,7 +224,7 @@
         return _ClaimRewrite(claim_key(held_key.service, held_key.key), stored, True)
 
     def _write_batch(self, claims: list[_ClaimRewrite], era: int) -> bool:
-        """Write claims that are not in the store; return False on failure."""
+        """Write those claims that the store does not have; return False on failure."""
         versions = dict.fromkeys((claim.key for claim in claims), 0)
         for _ in range(BATCH_ATTEMPTS_MAX):
             if not claims:
@@ -247,7 +256,7 @@
         return False
 
     def _check_settled(self, era: int, now_s: float) -> bool:
-        """Return whether the era is settled; settle it once all have confirmed."""
+        """Return whether the era is settled, after settling it if that is possible."""
         match self._tables.scan(CLAIM_ERAS_TABLE):
             case Result(tag="ok", ok=rows):
                 confirmations = {row.key: _confirmation(row) for row in rows}
@@ -292,17 +301,17 @@
 
 
 def _rewrite_without_run(written_claim: WrittenClaim) -> _ClaimRewrite:
-    """Return a claim written by this node's ingress, changed so that no gate runs it.
+    """Return a claim of this node's ingress, changed so that no gate runs its key.
 
-    The gate that it names may have voided the claim, or may have ended. A gate that
-    ran the key replaces this claim by its own.
+    The gate that the claim names may have replied 'not run' since, or its process may
+    have ended. A gate that did run the key replaces this claim with its own.
     """
     stored = msgspec.structs.replace(written_claim.stored, incarnation=NO_INCARNATION)
     return _ClaimRewrite(written_claim.key, stored, False)
 
 
 def _must_write(claim: _ClaimRewrite, row: Row) -> bool:
-    """Return whether a claim still has to be written over the row that was found."""
+    """Return whether a claim has to be written, given the current row of its key."""
     if row.value is None:
         return True
     present = msgspec.convert(row.value, StoredClaim)
--- a/balsamspindle/requests/claims.py
+++ b/balsamspindle/requests/claims.py
@@ -1,13 +1,13 @@
 """Claims, which bind each Idempotency-Key to the one gate that may run it.
 
 A gate remembers the keys that it ran, but a caller may resend a request through
-another ingress, which may see other nodes and choose another gate. The first
-attempt with a key therefore writes a row into the platform's table service: the
-claim, which names the only gate that may run the key and the incarnation of that
-gate's process. The row is written only if it is absent. A claim is moved to another
-gate only if its row still has the version under which the previous gate replied
-'not run'; that gate never runs the key under that version again. No lease or clock
-is involved, so a claim does not expire while its gate is paused.
+another ingress, which may see other nodes and choose another gate. Before the first
+attempt with a key, the ingress therefore writes a row into the platform's table
+service: the claim, which names the only gate that may run the key and the incarnation
+of that gate's process. It is written only if the key has no claim yet. A claim is moved
+to another gate only if its row still has the version under which the previous gate
+replied 'not run'; that gate never runs the key under that version again. Claims depend
+on no lease or clock, so a claim does not expire while its gate is paused.
 """
 
 import threading
@@ -49,11 +49,11 @@
 CLAIMS_TABLE = "claims"
 STORE_CALLS_MAX = 16
 WRITE_ATTEMPTS_MAX = 2
-# Time beyond the request's deadline for the final read of its claim: enough for a few
-# calls to a store that answers within milliseconds. Without an answer the caller gets
-# `unknown` and has to resend with the same key.
+# How long after a request's deadline its claim may still be read for the final reply:
+# enough for a few calls to a store that answers within milliseconds. If the read fails,
+# the caller gets `unknown` and has to resend the request with the same key.
 FINAL_READ_TIMEOUT_S = 0.1
-# Under a claim of this version a gate repeats an earlier answer but starts no run.
+# For a claim with this version, a gate repeats an earlier answer but starts no run.
 REPEAT_ONLY_VERSION = 0
 WRITTEN_CLAIMS_MAX = 5000
 
@@ -71,10 +71,10 @@
     Attributes
     ----------
     gate_time_s : float
-        The gate's monotonic clock when the claim was made, or a little less.
+        Time of the claim on the gate's monotonic clock, or a little earlier.
     claimed_wall_s : float
-        Wall-clock time of the claim, for the removal of old rows. Not used for
-        decisions here.
+        Wall-clock time of the claim, only for the removal of old rows. No decision
+        about a key depends on it.
     """
 
     node_id: str
@@ -100,12 +100,12 @@
 
 
 class ClaimsTable:
-    """Reads and writes the claims table from a few threads, with bounded waits.
+    """Reads and writes the claims table; each call waits only until its deadline.
 
     Parameters
     ----------
     tables : TableService or None
-        None when the node has no platform: no key can be claimed.
+        None if the node has no platform; then no key can be claimed.
     eras : ClaimEras, default=only the first era of the store is settled
     clock : callable, default=time.monotonic
         Returns the current time in seconds.
@@ -132,35 +132,36 @@
         gate_time_s: float,
         deadline_s: float,
     ) -> Claim | None:
-        """Claim a key for a gate, unless its row has changed since `version`.
+        """Claim a key for a gate, if the key's row has the expected version.
 
         Parameters
         ----------
         version : int
-            Expected version of the row; 0 for a key without a claim.
+            Expected version of the row; 0 if the key should have no claim.
         deadline_s : float
             Monotonic time until which to wait for the platform.
 
         Returns
         -------
         Claim or None
-            The claim in force, possibly written by another process; None when the
+            The claim in force, possibly written by another process; None if the
             platform did not answer or may have lost the claim.
         """
         if not self._wait_until_settled(deadline_s):
             return self.read(key, deadline_s).default_value(None)
         value = StoredClaim(*gate, gate_time_s, time.time())
         claim = self._call_store(deadline_s, lambda: self._write(key, version, value))
-        # The store may have been restored from an older copy during the call. A claim
-        # that it lost could not conflict with this one, so this one is not safe.
+        # The store may have been restored from an older copy during the call. If it
+        # lost a claim of this key, the write found no conflict, but another gate may
+        # run the key. So the new claim must not be used.
         return claim if self._is_settled() else None
 
     def read(self, key: str, deadline_s: float) -> Result[Claim | None, None]:
-        """Return the claim in force, if any; an error when it can't be determined.
+        """Return a key's claim, or None without a claim; an error if it isn't known.
 
-        While claims may be missing from the store, a claim that is found may have
-        replaced a lost one. It is returned with `REPEAT_ONLY_VERSION`, so that its
-        gate starts no run under it.
+        While the store's era is not settled, the store may lack claims, and a claim
+        that it has may have replaced a lost one. The claim is then returned with
+        `REPEAT_ONLY_VERSION`, so that its gate starts no run.
         """
         answer = self._call_store(
             deadline_s, lambda: self._tables.read(CLAIMS_TABLE, [key])
@@ -179,8 +180,8 @@
     def take_written_claims(self, after_s: float, now_s: float) -> list[WrittenClaim]:
         """Return the claims that this process wrote later than `after_s`.
 
-        The caller is about to write them again, so their time of writing becomes
-        `now_s`. Claims written earlier are discarded.
+        The calling code writes these claims again, so their time of writing becomes
+        `now_s`. Claims that were written up to `after_s` are discarded.
         """
         with self._lock:
             recent = [
@@ -202,11 +203,12 @@
         return self._eras.wait_until_settled(self._tables.era, now_s, deadline_s)
 
     def _call_store(self, deadline_s: float, call: Callable):
-        """Call the store in a thread of the pool; None if the deadline passes first.
+        """Return the result of a call to the store, made in a thread of the pool.
 
-        The platform may hang for longer than the caller waits. A write that takes
-        effect after the deadline is harmless: its claim names a gate that may run
-        the key, and a resend finds that claim.
+        None without a platform, or if the deadline passes first: the platform may hang
+        for longer than the request can wait. A write that takes effect after the
+        deadline is harmless: its claim names a gate that may run the key, and a resent
+        request finds that claim.
         """
         if self._tables is None:
             return None
@@ -229,7 +231,7 @@
                         self._written.append(WrittenClaim(key, value, self._clock()))
                     return _claim(Row(key, written_version, msgspec.to_builtins(value)))
                 case Result(error=Conflict(rows)):
-                    # The row may be from the previous try, if its reply was lost.
+                    # If the reply to the previous try was lost, this may be its row.
                     return _claim(rows[0])
                 case Result(error=Unknown()):
                     continue
@@ -255,7 +257,7 @@
     Parameters
     ----------
     service, key : str
-        A key is unique within its service.
+        The request's service and its Idempotency-Key, unique only in that service.
     deadline_s : float
         Deadline of the request, on the monotonic clock.
     """
@@ -272,9 +274,9 @@
         self._unavailable = False
 
     def look_up(self) -> None:
-        """Read the key's claim, for a request without a usable backend server.
+        """Read the key's claim for a request that no backend server can run now.
 
-        The gate named by the claim can still tell whether it ran the key.
+        The gate that the claim names can still report whether it ran the key.
         """
         if self._claim is not None or self._unavailable:
             return
@@ -285,18 +287,18 @@
                 self._unavailable = True
 
     def owner_id(self) -> str | None:
-        """Return the id of the node that alone may run the key; None if not known."""
+        """Return the id of the only node that may run the key; None if not known."""
         if self._claim is None or self._is_void:
             return None
         return self._claim.node_id
 
     def claim_for(self, gate: GateIdentity, gate_time_s: float) -> Claim | Reason:
-        """Return the claim for an attempt at a gate, or the reason to make none.
+        """Return the claim for an attempt at a gate, or the reason not to send it.
 
         Parameters
         ----------
         gate_time_s : float
-            The gate's monotonic clock now, or a little less.
+            Current time on the gate's monotonic clock, or a little earlier.
         """
         if self._claim is None or self._is_void:
             version = self._claim.version if self._claim else 0
@@ -312,9 +314,9 @@
         return self._claim
 
     def record_reply(self, reply: Reply) -> None:
-        """Record the reply of the claim's gate to an attempt.
+        """Record the reply to an attempt at the gate that the claim names.
 
-        After 'not run' the claim is void and may be moved to another gate.
+        After the reply 'not run', the claim may be moved to another gate.
         """
         if reply.outcome is Outcome.NOT_RUN and reply.reason is not Reason.KEY_REUSED:
             self._is_void = True
@@ -323,9 +325,10 @@
         """Return the reply for the caller, with 'not run' only if the key did not run.
 
         'Not run' applies to the key, not only to this request: a caller that receives
-        it after an earlier 'unknown' would sign again with a new key. After its gate
-        refused, the claim may have been moved by a resend that is running elsewhere,
-        so it is read once more.
+        'not run' after an earlier 'unknown' would send the request with a new key, so
+        that it could run twice. Even if the claim's gate replied 'not run', the caller
+        may have resent the request, and the resent one may have moved the claim to
+        another gate and be running there. So the claim is read once more.
         """
         if reply.outcome is not Outcome.NOT_RUN or reply.reason is Reason.KEY_REUSED:
             return reply
@@ -337,7 +340,7 @@
             return reply
         reason = reply.reason
         if reason is Reason.CLAIM_MOVED:
-            # The gate that the claim names was not reached and may have run the key.
+            # No attempt reached the gate that the claim names; it may have run the key.
             reason = Reason.DUPLICATE
         return msgspec.structs.replace(reply, outcome=Outcome.UNKNOWN, reason=reason)
 
@@ -357,12 +360,14 @@
     gate: GateIdentity,
     gate_time_s: float,
 ) -> Dispatch | Reply:
-    """Add the key's claim to a dispatch; return a reply if it must not be sent.
+    """Add the claim of the request's key to a dispatch.
+
+    Returns a 'not run' reply instead if the dispatch must not be sent.
 
     Parameters
     ----------
     claimant : KeyClaimant or None
-        None for a request without a key.
+        None for a request without a key; its dispatch is returned unchanged.
     """
     if claimant is None:
         return dispatch
@@ -374,6 +379,6 @@
 
 
 def record_claim_reply(claimant: KeyClaimant | None, reply: Reply) -> None:
-    """Record a gate's reply to an attempt with the claimant, if there is one."""
+    """Pass a gate's reply to `KeyClaimant.record_reply` if the request has a key."""
     if claimant is not None:
         claimant.record_reply(reply)
--- a/balsamspindle/requests/closing.py
+++ b/balsamspindle/requests/closing.py
@@ -1,4 +1,4 @@
-"""Closes callers' listeners and connections without breaking off a request."""
+"""Closes listeners and connections for callers without interrupting a request."""
 
 import ctypes
 import socket
@@ -15,16 +15,16 @@
 DISCARD_MAX_BYTES = 8 * 1024 * 1024
 
 SO_ATTACH_FILTER = 26
-# A classic BPF program over the TCP header: drops segments with SYN and without ACK,
-# which open connections, and keeps all others.
+# Classic BPF program that reads the TCP header. It drops segments that have SYN but not
+# ACK set, because these segments open connections, and keeps all others.
 _FLAGS_OFFSET = 13
 _SYN, _SYN_ACK = 0x02, 0x12
 _DROP_HANDSHAKES_FILTER = (
-    (0x30, 0, 0, _FLAGS_OFFSET),  # load the byte with the flags
-    (0x54, 0, 0, _SYN_ACK),  # keep SYN and ACK of it
-    (0x15, 0, 1, _SYN),  # SYN alone?
-    (0x06, 0, 0, 0),  # drop
-    (0x06, 0, 0, 0xFFFFFFFF),  # keep
+    (0x30, 0, 0, _FLAGS_OFFSET),  # load the flags byte
+    (0x54, 0, 0, _SYN_ACK),  # clear all flags but SYN and ACK
+    (0x15, 0, 1, _SYN),  # is only SYN left?
+    (0x06, 0, 0, 0),  # yes: drop the segment
+    (0x06, 0, 0, 0xFFFFFFFF),  # no: keep the segment
 )
 
 
@@ -33,11 +33,12 @@
 ) -> None:
     """Close a listener after all connections in its backlog have been accepted.
 
-    After their handshake, connections wait in the kernel for `accept`. A plain close
-    resets them, possibly after their callers have sent requests. Therefore the kernel
-    first drops new handshakes: their callers retry the handshake a little later and
-    are refused before they send anything. Handshakes in progress then get time to
-    complete, and only after that is the listener closed.
+    After the handshake, a connection waits in the kernel for `accept`. Closing the
+    listener would reset it, possibly after its caller has sent a request. Therefore the
+    kernel is first told to drop new handshakes. Their callers repeat the handshake a
+    little later, when the listener is closed, and are refused before they send a
+    request. Handshakes in progress have `HANDSHAKES_TIMEOUT_S` to complete before the
+    listener is closed.
 
     Parameters
     ----------
@@ -68,18 +69,19 @@
     try:
         listener.setsockopt(socket.SOL_SOCKET, SO_ATTACH_FILTER, program)
     except OSError:
-        # Without the filter, a connection that arrives in the microseconds between
-        # the last accept and the close is reset.
+        # The filter is not essential: without it, a connection that arrives in the
+        # microseconds between the last accept and the close is reset.
         pass
 
 
 def close_gracefully(connection: socket.socket) -> None:
-    """Close a connection after its last answer so that the caller can still read it.
+    """Close a connection so that the caller can still read the last answer.
 
-    If bytes from the caller are unread at the close (a request sent before the caller
-    saw the last answer, or the rest of a refused body), the kernel sends a reset, and
-    the caller loses the answer. Therefore only the sending side is closed first, and
-    the caller's bytes are read and discarded, up to a limit in time and in bytes.
+    If this node has not read all bytes from the caller before the close, the kernel
+    sends a reset, and the caller loses the answer. Unread bytes can be a request that
+    the caller sent before it read the last answer, or the rest of a refused body.
+    Therefore only the sending side is closed first. Then the caller's bytes are read
+    and discarded, up to a limit in time and in bytes.
     """
     end_s, discarded = time.monotonic() + LINGER_S, 0
     try:
@@ -91,6 +93,7 @@
             if not data or discarded > DISCARD_MAX_BYTES:
                 break
     except OSError:
-        # The caller has left, or neither sends nor closes within LINGER_S.
+        # The caller has disconnected, or LINGER_S passed before it closed the
+        # connection.
         pass
     connection.close()
--- a/balsamspindle/requests/connections.py
+++ b/balsamspindle/requests/connections.py
@@ -7,11 +7,12 @@
 
 
 class OpenConnections:
-    """Limits the number of connections by closing idle ones for new ones.
+    """Limits the number of connections; at the limit, a new one replaces an idle one.
 
-    A connection is idle until the first byte of its next request arrives. Only the
-    reading side of an idle connection is shut down. That wakes up its task at once,
-    and a request that arrives at the same moment is still read and answered.
+    A connection is idle until the first byte of its next request arrives. To close an
+    idle connection, only its reading side is shut down. The task that waits for the
+    next request then wakes up at once, and a request that arrives at the same moment is
+    still read and answered.
     """
 
     def __init__(self, connections_max: int) -> None:
@@ -20,12 +21,12 @@
         self._open: set[socket.socket] = set()
         # Connections that have not received a request yet.
         self._without_request: set[socket.socket] = set()
-        # In the order in which the connections became idle.
+        # Idle connections, in the order in which they became idle.
         self._idle: dict[socket.socket, None] = {}
         self._closing = False
 
     def admit(self, connection: socket.socket) -> bool:
-        """Add a connection; return False if the limit is reached and none is idle.
+        """Add a connection; return False at the limit if no other connection is idle.
 
         At the limit, the connection that has been idle for the longest time is shut
         down to make room.
@@ -48,12 +49,12 @@
                 self._shut_idle(connection)
 
     def set_busy(self, connection: socket.socket) -> bool:
-        """Record the end of a connection's wait for a request.
+        """Record that a connection no longer waits for a request.
 
         Returns
         -------
         bool
-            Whether the wait ended because the connection was shut down here.
+            Whether this object shut the connection down while it was idle.
         """
         with self._changed:
             if connection in self._without_request:
@@ -62,19 +63,19 @@
             return self._idle.pop(connection, self) is self
 
     def remove(self, connection: socket.socket) -> None:
-        """Remove a connection that has ended."""
+        """Stop tracking a connection that is closed."""
         with self._changed:
             self._open.discard(connection)
             self._without_request.discard(connection)
             self._idle.pop(connection, None)
 
     def open_count(self) -> int:
-        """Return the number of admitted connections that have not ended."""
+        """Return the number of admitted connections that have not been removed."""
         with self._changed:
             return len(self._open)
 
     def busy_count(self) -> int:
-        """Return the number of connections that do not wait for a request."""
+        """Return the number of connections that are not waiting for a request."""
         with self._changed:
             return len(self._open) - len(self._idle)
 
@@ -84,8 +85,8 @@
         Parameters
         ----------
         include_new : bool, default=False
-            Whether to include connections that wait for their first request, and all
-            that become idle from now on.
+            Whether to also shut down connections that wait for their first request,
+            and from now on each connection as soon as it becomes idle.
         """
         with self._changed:
             self._closing = include_new
@@ -94,12 +95,12 @@
                     self._shut_idle(connection)
 
     def wait_for_first_requests(self, timeout_s: float) -> None:
-        """Wait until all connections have received a request, or for `timeout_s`."""
+        """Wait until every connection has received a request, at most `timeout_s`."""
         with self._changed:
             self._changed.wait_for(lambda: not self._without_request, timeout_s)
 
     def shut_down_all(self) -> None:
-        """Shut down all connections at once, busy ones included."""
+        """Shut down all connections immediately, including busy ones."""
         with self._changed:
             for connection in self._open:
                 _shut_down(connection, socket.SHUT_RDWR)
@@ -120,5 +121,5 @@
     try:
         connection.shutdown(how)
     except OSError:
-        # Already closed by its task or by the caller.
+        # The task that serves the connection, or the caller, has already closed it.
         pass
--- a/balsamspindle/requests/content.py
+++ b/balsamspindle/requests/content.py
@@ -1,4 +1,4 @@
-"""Identifies repeats of a request by their content."""
+"""Computes a hash of a request's content by which its repeats are recognized."""
 
 import xxhash
 
@@ -11,15 +11,15 @@
 def hash_content(request: CallerRequest, names: HeaderNames) -> int:
     """Return a hash that is the same for all repeats of a request.
 
-    It covers the host, the method, the target, the caller's credential, the digest
-    of the customer's key and the body. All other headers are left out, because ids
-    and times in them change from one repeat to the next.
+    The hash covers the host, the method, the target, the caller's credential, the
+    digest of the customer's key and the body. All other headers are left out, because
+    they may contain ids and times that change from one repeat to the next.
     """
     credential = request.header(names.credential.lower()) or ""
     parts = (request.host, request.method, request.target, credential)
     if request.key_digest is not None:
         parts += (request.key_digest,)
-    # Lengths keep different parts from being joined to the same string.
+    # Without the lengths, different parts could be joined to the same string.
     head = "".join(f"{len(part)}:{part}" for part in parts)
     seed = xxhash.xxh3_64_intdigest(head.encode())
     return xxhash.xxh3_64_intdigest(request.body, seed)
--- a/balsamspindle/requests/heads.py
+++ b/balsamspindle/requests/heads.py
@@ -1,8 +1,9 @@
 """Validates the heads of callers' requests and sorts their headers.
 
-llhttp rejects errors in the framing of a single request: two lengths, a length together
-with a transfer coding, invalid chunks, control characters. The checks here reject what
-llhttp accepts although two implementations could interpret it differently.
+The HTTP parser, llhttp, rejects a request with errors in its framing: two lengths, a
+length together with a transfer coding, invalid chunks, control characters. The checks
+here reject requests that llhttp accepts although two implementations could interpret
+them differently.
 """
 
 import re
@@ -32,8 +33,9 @@
 
 HEADERS_MAX = 100
 
-# Headers that decide where a request is routed, where it ends or how often it runs.
-# If one is repeated, two implementations may each use a different value.
+# Headers that determine where a request is routed, at which byte its body ends, or how
+# often the request runs. If a request has one of these headers twice, two
+# implementations may each use a different value.
 _SINGLE_HEADERS = frozenset(
     {
         "content-length",
@@ -48,8 +50,9 @@
 _is_host = re.compile(r"(\[[0-9A-Fa-f:.]+\]|[A-Za-z0-9._-]*)(:[0-9]{1,5})?").fullmatch
 _is_target = re.compile(r"/[!\"$-~]*").fullmatch
 _match_absolute_target = re.compile(r"https?://([^/?]*)(.*)", re.IGNORECASE).fullmatch
-# The route, found by its path prefix, decides whether a request may run twice. A
-# backend server that resolves "/read/../sign" would run a request of another route.
+# Finds '.' and '..' segments. The route of a request is selected by the path's prefix
+# and determines whether the request may run twice. For "/read/../sign" that is the
+# route of "/read", but a backend server that resolves the path would run "/sign".
 _has_dot_segment = re.compile(
     r"/(\.|%2e){1,2}(?=[/\\?]|%2f|%5c|$)", re.IGNORECASE
 ).search
@@ -81,8 +84,8 @@
     control_headers : dict of str to str
         Headers that the proxy itself reads, by lower-case name.
     key_digest : str or None
-        Digest of the customer's key; empty if the value can't be a key, None if there
-        is none. The key itself is not kept.
+        Digest of the customer's key; empty if the header's value can't be a key, None
+        without that header. The key itself is not kept.
     """
 
     method: str
@@ -94,7 +97,7 @@
 
 
 class _HeaderRules(NamedTuple):
-    """Lower-case names of headers with special treatment in a deployment.
+    """Lower-case names of the headers that a deployment treats specially.
 
     Attributes
     ----------
@@ -114,8 +117,8 @@
 @lru_cache(maxsize=8)
 def _header_rules(names: HeaderNames) -> _HeaderRules:
     single = _SINGLE_HEADERS | {names.timeout_ms.lower(), names.api_key.lower()}
-    # Headers that the fleet sets itself are not accepted from callers, which could
-    # otherwise choose the backend server or impersonate another service.
+    # The fleet's own headers are not passed on from callers, who could otherwise choose
+    # the backend server or impersonate another service.
     own = {
         name.lower()
         for name in (
@@ -142,7 +145,7 @@
     raw_headers: list[tuple[bytes, bytes]],
     names: HeaderNames = DEFAULT_HEADER_NAMES,
 ) -> RequestHead:
-    """Check a head, and separate the headers to pass on from those read here.
+    """Check the head of a request, and sort its headers as `RequestHead` describes.
 
     Raises
     ------
@@ -188,7 +191,8 @@
         lower = name.lower()
         if lower in rules.control_headers:
             _add_control_header(lower, value, control_headers, rules.single)
-        # Frameworks that treat "_" as "-" would read it as one of the fleet's headers.
+        # A framework that treats "_" as "-" in names would otherwise read such a header
+        # as one of the fleet's.
         if lower.replace("_", "-") not in rules.removed:
             headers.append((name, value))
     if "connection" in control_headers:
@@ -213,8 +217,8 @@
 def _check_framing(version: str, control_headers: dict[str, str]) -> None:
     coding = control_headers.get("transfer-encoding")
     if coding is not None and (coding.lower() != "chunked" or version != "1.1"):
-        # If the next reader ignores the coding or does not know it, the body ends at
-        # another byte for that reader.
+        # A recipient that ignores or does not know the transfer coding would find the
+        # end of the body at another byte.
         raise BadRequest(
             Reason.BAD_REQUEST,
             "The only transfer coding taken is chunked, with HTTP/1.1.",
--- a/balsamspindle/requests/http.py
+++ b/balsamspindle/requests/http.py
@@ -1,8 +1,9 @@
 """Reads HTTP/1.1 requests from callers' connections and writes answers to them.
 
 The parser is llhttp, through httptools. Each connection is read and written by one
-task. Its socket is in blocking mode, with timeouts set in the kernel (SO_RCVTIMEO and
-SO_SNDTIMEO), because timeouts of Python's sockets cost a poll before each call.
+task. The connection's socket is in blocking mode, with timeouts set in the kernel
+(SO_RCVTIMEO and SO_SNDTIMEO), because the socket timeouts of Python itself cost a poll
+before each call.
 """
 
 import select
@@ -32,7 +33,7 @@
 
 
 class HttpLimits(NamedTuple):
-    """Limits in size and time for each connection of a caller."""
+    """Limits of size and time for the requests and answers on a caller's connection."""
 
     head_max_bytes: int = 32 * 1024
     body_max_bytes: int = 8 * 1024 * 1024
@@ -44,12 +45,12 @@
 
 @dataclass
 class CallerRequest:
-    """One request of a caller; fields as in `RequestHead`.
+    """One request of a caller; `RequestHead` describes the fields of the head.
 
     Attributes
     ----------
     is_whole : bool
-        Whether the body has been read as well.
+        Whether the request has been read to the end of its body.
     """
 
     method: str = ""
@@ -90,9 +91,10 @@
         self._limits = limits
         self._names = names
         self._complete: deque[CallerRequest] = deque()
-        # Complete requests before the invalid bytes are still answered.
+        # Error in the received bytes; complete requests before it are still answered.
         self._parse_error: BadRequest | None = None
-        # Head of a request with an upgrade offer, until a new parser reads its body.
+        # Head of a request that offers a protocol upgrade, until a new parser reads the
+        # request's body.
         self._upgrade_head: RequestHead | None = None
         self._in_request = False
         self._head_complete = False
@@ -107,7 +109,7 @@
     def wait_for_request(self) -> bool:
         """Wait for the first byte of a request; return False if none arrives.
 
-        No request is lost if the connection is closed during this wait.
+        The connection may be closed during this wait: no request is lost then.
         """
         if self._complete or self._parse_error or self._in_request:
             return True
@@ -120,7 +122,7 @@
         return bool(data)
 
     def read_request(self) -> CallerRequest | None:
-        """Return the current request with its body; None if the caller closes early.
+        """Return the current request with its body; None if the caller closes first.
 
         Raises
         ------
@@ -134,7 +136,7 @@
         """Return the current request as soon as its head has been read.
 
         The body is included if it arrived together with the head. Returns None if the
-        caller closes early.
+        caller closes the connection before the end of the head.
 
         Raises
         ------
@@ -147,9 +149,9 @@
         return self._complete.popleft() if self._complete else self._current
 
     def read_body(self) -> CallerRequest | None:
-        """Return the request whose head was read, with its body.
+        """Return the request whose head `read_head` returned, with its body.
 
-        Returns None if the caller closes early.
+        Returns None if the caller closes the connection before the end of the body.
 
         Raises
         ------
@@ -164,10 +166,10 @@
         return self._complete.popleft()
 
     def caller_gone(self) -> bool:
-        """Return whether the caller closed the connection, without waiting."""
-        # On a socket with a timeout, recv waits for data even with MSG_DONTWAIT. It
-        # would block for the idle timeout, and a caller that is waiting for its answer
-        # would then be taken for one that has left. Hence the poll.
+        """Return whether the caller has closed the connection; does not block."""
+        # Poll first, because on a socket with a timeout, recv waits for data even with
+        # MSG_DONTWAIT: it would block for the idle timeout, and a caller that is only
+        # waiting for its answer would then count as gone.
         poller = select.poll()
         poller.register(self._socket, select.POLLIN)
         if not poller.poll(0):
@@ -190,8 +192,9 @@
         sent = self._socket.send(data)
         if sent == len(data):
             return
-        # The timeout of the socket restarts with each send. A caller that reads a byte
-        # now and then would occupy its task forever without a limit for the whole.
+        # The timeout of the socket restarts with each send. Without a limit for the
+        # whole answer, a caller that reads a byte now and then would occupy its task
+        # forever.
         give_up_s = time.monotonic() + self._limits.answer_timeout_s
         rest = memoryview(data)[sent:]
         while rest:
@@ -215,8 +218,9 @@
         return bool(data)
 
     def _receive(self, timeout_s: float) -> bytes:
-        # Each receive may take only the rest of the total time. Otherwise a caller
-        # that sends a byte now and then would occupy its task forever.
+        # Each receive may take only the time that is left for the whole head or body.
+        # Otherwise a caller that sends a byte now and then would occupy its task
+        # forever.
         try:
             if timeout_s > 0:
                 self._set_timeout(socket.SO_RCVTIMEO, timeout_s)
@@ -244,7 +248,7 @@
     def _parse_received(self, data: bytes) -> None:
         """Parse received bytes; an error is kept in `_parse_error`."""
         if self._in_request and not self._head_complete:
-            # llhttp buffers an unfinished header itself, without a limit.
+            # llhttp buffers an unfinished header without a limit, so count its bytes.
             self._incomplete_head_bytes += len(data)
         while data and self._parse_error is None:
             data = self._parse_until_upgrade(data)
@@ -254,12 +258,12 @@
             )
 
     def _parse_until_upgrade(self, data: bytes) -> bytes:
-        """Parse bytes; return the rest if a new parser has to read it."""
+        """Parse bytes; return those that a new parser has to read, if any."""
         try:
             self._parser.feed_data(data)
         except httptools.HttpParserUpgrade as error:
-            # The request offers an upgrade to another protocol, which a server may
-            # ignore. llhttp stops after the head of such a request.
+            # The request offers an upgrade to another protocol. A server may ignore the
+            # offer, but llhttp stops after the head, so a new parser reads the body.
             self._parser = httptools.HttpRequestParser(self)
             return self._body_framing() + data[error.args[0] :]
         except httptools.HttpParserError as error:
@@ -267,9 +271,10 @@
         return b""
 
     def _body_framing(self) -> bytes:
-        """Return a minimal head that makes a new parser read the body left unread.
+        """Return a minimal request head for a new parser, to precede an unread body.
 
-        Without it the body would be parsed as the next request.
+        Without this head the body would be parsed as the next request. Empty if there
+        is no unread body.
         """
         if self._upgrade_head is None:
             return b""
@@ -305,7 +310,7 @@
         self._target += url
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Add one header, raising `BadRequest` beyond `HEADERS_MAX`."""
+        """Add one header, raising `BadRequest` if there are over `HEADERS_MAX`."""
         self._head_bytes += len(name) + len(value) + 4
         self._raw_headers.append((name, value))
         if len(self._raw_headers) > HEADERS_MAX:
@@ -334,8 +339,8 @@
             self._raw_headers,
             self._names,
         )
-        # Trailers after the body are not added to the head. Some implementations would
-        # trust a "Host" there and others would not.
+        # Trailers, the headers after a body, are not added to the request's headers.
+        # Some implementations would trust a "Host" trailer and others would not.
         self._raw_headers = []
         self._keep_alive = (
             parser.should_keep_alive() and parser.get_http_version() == "1.1"
@@ -361,7 +366,7 @@
         self._body.append(body)
 
     def on_message_complete(self) -> None:
-        """Complete the request, unless its body is left to a new parser."""
+        """Complete the request, unless a new parser has to read its body."""
         control_headers = self._head.control_headers
         has_body = (
             "content-length" in control_headers
--- a/balsamspindle/requests/ingress.py
+++ b/balsamspindle/requests/ingress.py
@@ -33,13 +33,14 @@
 ACCEPT_FAILED_PAUSE_S = 0.05
 BACKLOG = 512
 READY_POLL_S = 0.02
-# When the node stops, how long it waits for the first request of open connections.
+# How long a node that stops waits for the first requests on open connections.
 FIRST_REQUEST_TIMEOUT_S = 1.0
 ERROR_STATUS_MIN = 500
 
-# Fraction of the shutdown timeout during which requests are still accepted. Callers are
-# sent to other nodes during the first half. Requests that arrive a little later were
-# already on their way, and one that takes some seconds still ends in the time left.
+# Fraction of the shutdown timeout during which a leaving node still accepts requests.
+# Callers are directed to other nodes during the first half of the timeout. Requests
+# that arrive a little later were already on their way, and a request that takes some
+# seconds still ends before the timeout.
 LAST_REQUEST_FRACTION = 0.55
 
 
@@ -49,14 +50,14 @@
     Parameters
     ----------
     on_failure : callable
-        Called with the monotonic time when a request fails.
-    customers : CustomerAdmission, default=one for keys that need no proof
+        Called after each failed request, with the current monotonic time.
+    customers : CustomerAdmission, default=no proofs needed, no limits enforced
 
     Attributes
     ----------
     caller_service : str
-        The service that runs beside this node. Backend servers receive it as the
-        origin of requests that arrive here.
+        The service that runs beside this node. Backend servers are told that requests
+        that arrive at this node come from this service.
     """
 
     def __init__(
@@ -105,7 +106,7 @@
         Parameters
         ----------
         ready : callable, default=always
-            Connections are refused until this returns True, but not beyond
+            Connections are refused until this function returns True, but for at most
             `start_wait_s`. A node that has just started knows no backend servers and
             would reject requests that any other node could serve.
         """
@@ -120,7 +121,8 @@
             self._accept()
         close_listener(self._listener, self._serve_or_refuse)
         self._connections.close_idle()
-        # The first request of a newly accepted connection is probably on its way.
+        # The first request of a newly accepted connection is probably on its way, so
+        # connections without a request are closed a little later.
         self._connections.wait_for_first_requests(FIRST_REQUEST_TIMEOUT_S)
         self._connections.close_idle(include_new=True)
         self._connection_refuser.shutdown()
@@ -133,7 +135,7 @@
         self._leaving.set()
 
     def stop(self) -> None:
-        """Accept no more connections; close each open one after its request."""
+        """Accept no more connections; close each open one after its current request."""
         self.leave()
         self._stopped.set()
 
@@ -159,8 +161,8 @@
         except TimeoutError:
             return
         except OSError as error:
-            # The process is out of file descriptors, or the caller left at once. The
-            # node continues to serve its open connections.
+            # The process is out of file descriptors, or the caller disconnected before
+            # `accept`. The node continues to serve its open connections.
             self._events.emit("accept_failed", cause=error)
             time.sleep(ACCEPT_FAILED_PAUSE_S)
             return
@@ -176,11 +178,11 @@
         self._refuse(self._open(connection), Reason.TOO_MANY_CONNECTIONS)
 
     def _serve(self, connection: socket.socket) -> None:
-        """Serve one connection to its end."""
+        """Serve the requests of one connection, and close it."""
         try:
             self._serve_requests(self._open(connection), connection)
         except OSError:
-            # The caller left, so no request of it is waiting.
+            # The caller disconnected, so none of its requests waits for an answer.
             pass
         finally:
             close_gracefully(connection)
@@ -202,9 +204,10 @@
                 return
             if request is None:
                 if was_shut:
-                    # A request sent at the moment of the close is never read. This
-                    # answer says so; after a reset its caller couldn't tell whether
-                    # the request ran.
+                    # The caller may have sent a request just as this node shut the
+                    # connection down. That request is never read, and this answer
+                    # says that it did not run. After a reset, the caller couldn't
+                    # tell whether it ran.
                     self._refuse(caller, self._closing_reason())
                 return
             keep_alive = self._serve_request(caller, request, refused) and not was_shut
@@ -212,7 +215,7 @@
     def _read(
         self, caller: HttpConnection
     ) -> tuple[CallerRequest | None, Refused | None]:
-        """Read a request, without its body if it is refused on its head."""
+        """Read a request; if its head is reason to refuse it, don't read its body."""
         request = caller.read_head()
         if request is None or request.is_whole:
             return request, None
@@ -223,7 +226,7 @@
         return caller.read_body(), None
 
     def _is_too_late(self) -> bool:
-        """Return whether a leaving node no longer accepts requests."""
+        """Return whether this node leaves and no longer accepts requests."""
         if not self._leaving.is_set():
             return False
         passed_s = time.monotonic() - self._log.leaving_s
@@ -235,19 +238,19 @@
     def _serve_request(
         self, caller, request: CallerRequest, refused: Refused | None = None
     ) -> bool:
-        """Answer one request; return False if the connection ends with it.
+        """Answer one request; return False if the connection must then be closed.
 
         Parameters
         ----------
         refused : Refused or None
-            Set if the request was refused on its head, before its body arrived.
+            The refusal, if the request was refused before its body arrived.
         """
         received_s = time.monotonic()
         request_id = self._caller_protocol.request_id(request)
         content_hash = hash_content(request, self._names)
         self._log.received(request_id, request, content_hash)
         if self._is_too_late():
-            # A long request would be broken off at the shutdown timeout, while a
+            # At the shutdown timeout, a long request would be interrupted while a
             # backend server is working on it.
             stopping = Refused(Reason.NODE_STOPPING)
             answer = self._encode_refusal(request, request_id, stopping)
@@ -261,21 +264,22 @@
                 answer = self._forward(
                     caller, request, request_id, admitted, received_s, content_hash
                 )
-        # Recorded before the answer is sent, like the request's outcome, so that a
-        # caller that has its answer finds the request counted.
+        # The duration, like the outcome, is recorded before the answer is sent, so that
+        # a caller that has received its answer finds its request counted.
         self._events.metrics.record(Hop.INGRESS, time.monotonic() - received_s)
         self._write(caller, request_id, answer)
         return request.keep_alive
 
     def _wait_until_ready(self) -> None:
-        """Wait for a limited time after the start until backend servers are known."""
+        """Wait until backend servers are known, at most until `_ready_wait_end_s`."""
         while time.monotonic() < self._ready_wait_end_s and not self._is_ready():
             time.sleep(READY_POLL_S)
 
     def _decide_keep_alive(self, request: CallerRequest) -> bool:
-        """Decide whether the connection is kept open, right before the answer.
+        """Decide, right before the answer, whether the connection is kept open.
 
-        After an unread body, the start of the next request can't be determined.
+        It is closed if the node leaves or the request's body was not read: after an
+        unread body, the start of the next request can't be determined.
         """
         can_continue = request.is_whole and not self._leaving.is_set()
         request.keep_alive = request.keep_alive and can_continue
@@ -291,7 +295,8 @@
             self._admissions.refund(admitted)
             refused = Refused(error.reason)
             return self._encode_refusal(request, request_id, refused, error.detail)
-        # Lets the backend server's log be matched with the event log.
+        # With the request id, entries of the backend server's log can be matched with
+        # entries of the event log.
         request.headers.append((self._names.request_id, request_id))
         route = self._shares.choose(route)
         deadline_s = received_s + timeout_ms / 1000
@@ -310,8 +315,9 @@
         )
         reply = self._forwarder.forward(forwarded)
         if reply.outcome is not Outcome.ANSWERED or reply.status >= ERROR_STATUS_MIN:
-            # Reported before the answer is sent: the caller may be the backend server
-            # beside this node, whose own request fails as a result a moment later.
+            # Called before the answer is sent. The caller may be the backend server
+            # beside this node, which made this call to serve a request. That request
+            # may fail as a result a moment later, and the gate must then know why.
             self._on_failure(time.monotonic())
         if reply.outcome is Outcome.NOT_RUN:
             self._admissions.refund(admitted)
@@ -351,7 +357,7 @@
         )
 
     def _refuse(self, caller, reason: Reason, detail: str | None = None) -> None:
-        """Send a refusal that does not refer to a valid request."""
+        """Send a refusal to a caller from which no valid request was read."""
         request_id = new_request_id()
         self._log.ended(request_id, Outcome.NOT_RUN, reason)
         answer = self._caller_protocol.encode_problem(
--- a/balsamspindle/requests/request_log.py
+++ b/balsamspindle/requests/request_log.py
@@ -18,7 +18,7 @@
     Attributes
     ----------
     leaving_s : float or None
-        Monotonic time at which this node began to leave.
+        Monotonic time at which this node began to leave; None before that.
     """
 
     def __init__(self, events: EventLog, configuration: CurrentConfiguration) -> None:
@@ -29,7 +29,7 @@
     def received(
         self, request_id: str, request: CallerRequest, content_hash: int
     ) -> None:
-        """Log a request, with its content hash if its body has been read."""
+        """Log a request, with the hash of its content if its body has been read."""
         self._events.emit(
             "request_received",
             request=request_id,
@@ -46,7 +46,7 @@
         status: int | None = None,
         **decisions,
     ) -> None:
-        """Log the outcome of a request; `decisions` becomes fields of the event."""
+        """Log the outcome of a request; `decisions` are additional event fields."""
         self._events.emit(
             "request_ended",
             request=request_id,
@@ -59,10 +59,10 @@
         )
 
     def not_delivered(self, request_id: str, error: OSError) -> None:
-        """Log that a caller did not get its answer; the request is not undone."""
+        """Log that a caller did not get its answer; the request may still have run."""
         self._events.emit("answer_not_delivered", request=request_id, cause=error)
 
 
 def elapsed_ms(began_s: float | None) -> int | None:
-    """Return the milliseconds since `began_s`; None if that is None."""
+    """Return the milliseconds since `began_s`; None if `began_s` is None."""
     return None if began_s is None else round((time.monotonic() - began_s) * 1000)
--- a/balsamspindle/requests/retry_after.py
+++ b/balsamspindle/requests/retry_after.py
@@ -5,17 +5,17 @@
 
 __all__ = ["RetryAfterEstimator"]
 
-# Time constant of the decaying counts.
+# Time constant with which the counts of answered and unanswered requests decay.
 WINDOW_S = 10.0
-RETURN_MIN_S, RETURN_MAX_S = 2.0, 60.0
+SPREAD_MIN_S, SPREAD_MAX_S = 2.0, 60.0
 
 
 class RetryAfterEstimator:
     """Suggests when callers whose requests were not answered should retry.
 
     The retries are spread over the time in which the service, at its present rate
-    of answers, could serve all of them. With the same time for all, the callers
-    would return as the same burst that could not be served.
+    of answers, could answer all of them. If all callers were given the same time, their
+    retries would be one burst, which could not be answered either.
     """
 
     def __init__(self) -> None:
@@ -24,7 +24,7 @@
         self._updated_s = 0.0
 
     def record(self, is_answered: bool, now_s: float) -> None:
-        """Count one request that ended, answered or not."""
+        """Count one request that ended as answered or as unanswered."""
         elapsed_s = max(0.0, now_s - self._updated_s)
         self._updated_s = max(now_s, self._updated_s)
         decay = math.exp(-elapsed_s / WINDOW_S)
@@ -41,6 +41,6 @@
         """
         answers_per_s = max(1.0, self._answered / WINDOW_S)
         spread_s = min(
-            max(self._unanswered / answers_per_s, RETURN_MIN_S), RETURN_MAX_S
+            max(self._unanswered / answers_per_s, SPREAD_MIN_S), SPREAD_MAX_S
         )
         return earliest_ms + rng.random() * spread_s * 1000
--- a/balsamspindle/requests/tracking.py
+++ b/balsamspindle/requests/tracking.py
@@ -1,4 +1,4 @@
-"""Updates an ingress's views of backend servers from its attempts."""
+"""Updates what an ingress knows of backend servers from the ends of its attempts."""
 
 from collections.abc import Callable
 
@@ -14,19 +14,20 @@
 
 __all__ = ["AVOID_AFTER_FAILURE_S", "TrackedAttempt"]
 
-# How long a backend server counts as busy after a failure. A longer time would
-# deprive its gate of the requests by which it detects a sick backend server.
+# How long after a failed attempt the backend server counts as busy here. With a longer
+# time, its gate would get too few requests to detect a sick backend server.
 AVOID_AFTER_FAILURE_S = 0.25
 _REASONS_WITHOUT_SLOT_COUNT = frozenset({Reason.SUSPECTED, Reason.RETRY_BUDGET})
 
 
 class TrackedAttempt:
-    """One attempt in flight, as counted in its ingress's local views.
+    """One attempt in flight; updates its ingress's estimates at its start and end.
 
     Parameters
     ----------
     record_suspect : callable
-        Called with the hold-out in the reply, even if the reply reports none.
+        Called with the `HoldOut` of each reply, also if it reports that the backend
+        server is not held out.
     """
 
     def __init__(
@@ -56,13 +57,13 @@
         """Record how the attempt ended.
 
         After a failure this ingress prefers other backend servers for
-        `AVOID_AFTER_FAILURE_S`. The one that failed still gets requests when all
-        others are busy, so that one failure costs no capacity.
+        `AVOID_AFTER_FAILURE_S`. The backend server that failed still gets requests
+        when all others are busy, so that a single failure costs no capacity.
 
         Parameters
         ----------
         reply : Reply or None
-            None if no reply came.
+            None if no reply was received.
         """
         now_s = self._clock()
         self._peer_evidence.record_end(
