--- a/balsamspindle/backend_servers/admission.py
+++ b/balsamspindle/backend_servers/admission.py
@@ -1,6 +1,6 @@
 """Admission control: decides which attempts get a slot at a backend server.
 
-All decisions are made under the lock of the node's backend servers.
+All decisions are made under the lock in `LocalBackendServers.changed`.
 """
 
 import math
@@ -24,17 +24,20 @@
 __all__ = ["Admission", "Admitted", "Refused"]
 
 CAPACITY_STEPS = 4
-# Fraction of its slots that a backend server gets while it reports to be cold. Work
-# takes about twice as long there, so half of the work is done in the usual time.
+# Fraction of its slots that a backend server may use while it reports that it is cold.
+# Requests take about twice as long there, so the server can answer only half as many
+# of them as usual in a given time.
 COLD_SLOTS_FRACTION = 0.5
-# A waiting attempt asks again after each change and after this time, because the slots
-# of a cold backend server increase without a change that would wake it.
+# A waiting attempt requests a slot again at each change, and at the latest after this
+# time: the slots of a cold backend server increase without a notification that would
+# wake the attempt.
 RECHECK_INTERVAL_S = 0.5
 RECHECK_MIN_S = 0.005
-# If the gate's or the ingress's node is leaving, an attempt is started only if this
-# many times the mean service time of its route is left. Half of all requests, reads
-# too, take longer than the mean, but few take longer than twice the mean. Refusing an
-# attempt is better than cutting its run, because its caller can then retry in time.
+# If the gate's or the ingress's node is about to end, an attempt is started only if at
+# least this many times the mean service time of its route remains until then. Half of
+# all requests, including reads, take longer than the mean, but few take longer than
+# twice the mean. Refusing an attempt is better than interrupting its run when the node
+# ends, because a refused attempt can still be retried in time.
 LAST_START_FACTOR = 2.0
 
 
@@ -89,10 +92,10 @@
             self._servers.changed.notify_all()
 
     def end_by(self, ends_s: float) -> None:
-        """Set when this node ends; start only attempts that can finish before.
+        """Set when this node ends, and start only attempts that can finish by then.
 
-        Runs are cut when the node ends. An attempt that gets a slot just before that
-        would be lost; if refused, it can go to another gate.
+        Runs that are in progress when the node ends are interrupted, and their answers
+        are lost. An attempt that is refused instead can go to another gate.
         """
         with self._servers.changed:
             self._node_ends_s = ends_s
@@ -106,8 +109,8 @@
     def outlasting_attempts(self, now_s: float) -> list[AttemptId]:
         """Return the running attempts that may not finish before this node ends.
 
-        These are the ones that would not be started any more, and those whose service
-        time is unknown.
+        These are the attempts that would be refused if they arrived now, because this
+        node ends too soon, and the attempts whose service time is unknown.
         """
         if math.isinf(self._node_ends_s):
             return []
@@ -122,7 +125,7 @@
     def _may_outlast(
         self, server: LocalBackendServer, kind: WorkKind, now_s: float
     ) -> bool:
-        """Return whether work started now could last longer than this node."""
+        """Return whether an attempt started now may still run when this node ends."""
         return (
             now_s + LAST_START_FACTOR * _expected_run_s(server, kind)
             >= self._node_ends_s
@@ -161,7 +164,7 @@
         return queue
 
     def _latest_start_s(self, dispatch: Dispatch, token: CancelToken) -> float:
-        """Return until when an attempt may start to finish before its ingress ends."""
+        """Return the latest start of an attempt that must end before its ingress."""
         server = self._servers.get(dispatch.backend_server_id)
         kind = WorkKind(dispatch.weight, dispatch.route_id)
         return token.ingress_ends_s - LAST_START_FACTOR * _expected_run_s(server, kind)
@@ -169,10 +172,10 @@
     def _recheck_wait_s(
         self, ticket: Ticket, latest_start_s: float, now_s: float
     ) -> float:
-        """Return for how long a waiting attempt waits before it asks again unwoken."""
+        """Return after how many seconds a waiting attempt rechecks if not woken."""
         account = self._servers.get(ticket.backend_server_id).account
-        # After this time it could not be finished in time, even if it started as soon
-        # as an attempt that is now running has ended.
+        # The attempt may first wait one mean service time for a slot, and then run for
+        # one. After this time it would then miss its deadline.
         last_chance_s = ticket.deadline_s - 2 * account.service_time_s
         until_s = min(
             last_chance_s, account.next_hold_end_s(), now_s + RECHECK_INTERVAL_S
@@ -253,7 +256,7 @@
     def _availability(
         self, dispatch: Dispatch | AdmissionQuery, ticket: Ticket, now_s: float
     ) -> "_Availability | Refused":
-        """Return the slots available to a request, or why its server accepts none."""
+        """Return the slots available to a request, or its refusal if it gets none."""
         server = self._servers.get(dispatch.backend_server_id)
         if server is None:
             return Refused(Reason.NO_BACKEND_SERVER)
@@ -285,8 +288,8 @@
     def capacity(self, server: LocalBackendServer, now_s: float) -> float:
         """Return the fraction of its slots that a backend server may use now.
 
-        Rounded down to quarters, at least one, so that a cold start causes only a few
-        updates to the fleet.
+        The fraction is rounded down to a multiple of 1/4, but is at least 1/4. Each
+        change of it is sent to the whole fleet, so a cold start causes few updates.
         """
         part = self._slots(server, now_s) / server.announcement.slots
         return max(1, int(part * CAPACITY_STEPS)) / CAPACITY_STEPS
@@ -319,7 +322,8 @@
     Attributes
     ----------
     free_slots : int
-        Without those reserved for heavier requests; may be negative.
+        Slots that are neither occupied nor reserved for heavier requests; may be
+        negative.
     slots : int
         All slots that the backend server may use now.
     effective_slots : float
@@ -374,5 +378,5 @@
 
 
 def _busy_ms(waiting: int, slots: int, service_time_s: float) -> float:
-    """Return the estimated time in which the attempts that wait now are done."""
+    """Return the estimated time until the attempts that wait now have ended."""
     return (waiting / max(1, slots) + 1) * service_time_s * 1000
--- a/balsamspindle/backend_servers/answers.py
+++ b/balsamspindle/backend_servers/answers.py
@@ -1,4 +1,7 @@
-"""Reads a backend server's answer; incomplete and foreign answers are failures."""
+"""Reads a backend server's answer; incomplete and foreign answers are failures.
+
+An answer is foreign if it belongs to another request.
+"""
 
 from typing import NamedTuple
 
@@ -17,7 +20,8 @@
     "end_to_end_headers",
 ]
 
-# Headers that apply to one connection only, and headers that the client sets itself.
+# Headers that are not forwarded: they apply to one connection only, or the HTTP client
+# that sends the message on sets them itself.
 _DROPPED_HEADERS = HOP_BY_HOP_HEADERS | {"content-length", "expect"}
 _BODILESS_STATUSES = frozenset({204, 304})
 _CONTROL_CHARACTERS = frozenset("\r\n\0")
@@ -45,9 +49,9 @@
     Attributes
     ----------
     sent : bool
-        False only if no part of the request was written to a connected socket.
+        Whether any part of the request may have been written to a connected socket.
     is_foreign : bool
-        An answer arrived that does not belong to this request.
+        Data arrived that is not an answer to this request.
     cut_by : CancelCause or None
         Why the call was cancelled; None if it failed by itself.
     """
@@ -79,8 +83,8 @@
     request_id : str
         Id of the request to which the answer must belong.
     takes_unframed : bool
-        Whether an answer without a length counts as complete when its connection
-        was closed regularly. If it was reset, libcurl reports an error.
+        Whether an answer without a length is accepted as complete when its connection
+        was closed normally. If the connection was reset, libcurl reports an error.
 
     Attributes
     ----------
@@ -108,7 +112,7 @@
     def on_header(self, line: bytes) -> None:
         """Read one line of a head or of the trailers."""
         if line.startswith(b"HTTP/"):
-            # A new head starts; the one before was an interim answer (1xx).
+            # A new head starts: the head before it belonged to an interim answer (1xx).
             self._headers = []
             self._head_done = False
         elif line in (b"\r\n", b"\n"):
@@ -120,7 +124,7 @@
         # Any other line is a trailer, which is not a header of the answer.
 
     def on_body(self, chunk: bytes) -> int | None:
-        """Read a part of the body; return 0 to end the call."""
+        """Add a part of the body; return 0 to end the call if the body is too large."""
         self._body_bytes += len(chunk)
         if self._body_bytes > self._body_max_bytes:
             self.too_large = True
@@ -129,7 +133,7 @@
         return None
 
     def answer(self, status: int, method: str) -> BackendAnswer | BackendFailure:
-        """Return the complete answer, or why it is invalid, when the call has ended."""
+        """Return the answer once the call has ended, or a failure if it is invalid."""
         error = self._format_error(method == "HEAD" or status in _BODILESS_STATUSES)
         if error is not None:
             return BackendFailure(Reason.BROKEN_ANSWER, True, error)
@@ -162,15 +166,15 @@
     def _format_error(self, bodiless: bool) -> str | None:
         for name, value in self._headers:
             # libcurl does not treat a bare CR as a line end, but the caller's client
-            # may. It would then read a header or a complete answer that the backend
-            # server did not send.
+            # may. That client would then read a header or a complete answer that the
+            # backend server did not send.
             if not _CONTROL_CHARACTERS.isdisjoint(name + value):
                 return "a header contains a control character"
         if len(set(self._values("content-length"))) > 1:
             return "the answer has several Content-Length headers with different values"
         if not (bodiless or self._takes_unframed or self._has_framing()):
             # Without a length the body ends with the connection, so the answer of a
-            # server that dies half way looks like a complete one.
+            # backend server that crashes half way through it looks complete.
             return "the answer has no valid framing (Content-Length or chunked)"
         return None
 
--- a/balsamspindle/backend_servers/attempts.py
+++ b/balsamspindle/backend_servers/attempts.py
@@ -1,4 +1,4 @@
-"""The attempts that a gate has received: each runs at most once."""
+"""The table of attempts that a gate has received; it lets each run at most once."""
 
 import heapq
 from enum import Enum, auto
@@ -16,8 +16,9 @@
 ]
 
 ATTEMPTS_MAX = 100_000
-# How long an attempt is remembered after its deadline. A message that arrives later
-# is refused because of its deadline, and its ingress no longer waits for a reply.
+# How long an attempt stays in the table after its deadline. A message of the attempt
+# that arrives even later is refused because the deadline has passed, and its ingress
+# no longer waits for a reply.
 ATTEMPT_RETENTION_S = 5.0
 
 
@@ -30,7 +31,7 @@
     NO_ROOM = auto()
 
 
-# Reasons for which attempts are refused; duplicates get no reply.
+# The reason that the reply to a refused attempt gives. Duplicates get no reply.
 REFUSAL_REASONS = {
     BeginResult.CANCELLED: Reason.CANCELLED,
     BeginResult.NO_ROOM: Reason.NO_FREE_SLOT,
@@ -40,12 +41,12 @@
 class AttemptTable:
     """Attempts by id; guarded by the gate's lock.
 
-    Entries expire by time and are never evicted early to make room: an attempt that
-    was removed before its deadline could run a second time.
+    Entries expire by time and are never evicted early to make room: if an attempt were
+    removed before its deadline, a duplicate of its message could run it again.
     """
 
     def __init__(self) -> None:
-        # Cancelled attempts keep their entry, as their message may still arrive.
+        # A cancelled attempt stays in the table, as its message may still arrive.
         self._tokens: dict[AttemptId, CancelToken] = {}
         self._begun: set[AttemptId] = set()
         self._expiries: list[tuple[float, AttemptId]] = []
@@ -53,12 +54,12 @@
     def begin(
         self, attempt_id: AttemptId, token: CancelToken, deadline_s: float, now_s: float
     ) -> BeginResult:
-        """Register an attempt when its message arrives; only the first may run.
+        """Register an attempt when its message arrives; only the first message runs it.
 
         Parameters
         ----------
         token : CancelToken
-            Cancels the attempt from now on.
+            Token by which the attempt can be cancelled from now on.
         deadline_s : float
             On the gate's monotonic clock.
         """
@@ -80,14 +81,15 @@
         now_s: float,
         cause: CancelCause = CancelCause.INGRESS_GAVE_UP,
     ) -> None:
-        """Cancel an attempt; one that has not arrived yet will never begin."""
+        """Cancel an attempt; if its message arrives later, the attempt will not run."""
         self._expire(now_s)
         token = self._tokens.get(attempt_id)
         if token is not None:
             token.cancel(cause)
         elif len(self._tokens) < ATTEMPTS_MAX:
-            # If the table is full, the attempt may still run once with nobody waiting
-            # for it. That is safe: its ingress answered 'unknown' before it cancelled.
+            # If the table is full, the cancellation is lost, and the attempt may still
+            # run once with nobody waiting for it. That is safe: its ingress had given
+            # its caller the outcome 'unknown' before it cancelled the attempt.
             self._add(attempt_id, CancelToken(), deadline_s)
 
     def set_ingress_end(self, attempt_id: AttemptId, ends_s: float) -> bool:
@@ -96,7 +98,7 @@
         Returns
         -------
         bool
-            False when the attempt has not begun yet.
+            False if the attempt is not in the table, for example before it begins.
         """
         token = self._tokens.get(attempt_id)
         if token is not None:
--- a/balsamspindle/backend_servers/cancellation.py
+++ b/balsamspindle/backend_servers/cancellation.py
@@ -12,9 +12,9 @@
 class CancelToken:
     """Cancels one call from another thread.
 
-    libcurl checks only about once a second whether it should abort. Shutting down the
-    call's socket wakes it immediately, and also closes the connection to the backend
-    server.
+    libcurl checks only about once a second whether it should abort a call. Shutting
+    down the call's socket wakes libcurl immediately, and also closes the connection to
+    the backend server.
 
     Attributes
     ----------
@@ -35,7 +35,7 @@
 
     @property
     def ingress_ends_s(self) -> float:
-        """When the ingress of the call ends; infinity while it is not leaving."""
+        """When the call's ingress ends; infinity while that node is not leaving."""
         return self._ingress_ends_s
 
     def set_ingress_end(self, ends_s: float) -> None:
@@ -50,7 +50,7 @@
                 _shut_down(self._socket)
 
     def attach(self, connection: socket.socket | None) -> bool:
-        """Set the socket that the call uses now; return False if it is cancelled.
+        """Set the socket that the call uses now; return False for a cancelled call.
 
         The cause and the socket change under one lock, so that a cancellation either
         finds the socket to shut down or is noticed here.
@@ -69,5 +69,5 @@
     try:
         connection.shutdown(socket.SHUT_RDWR)
     except OSError:
-        # Not connected yet, or already closed by the backend server.
+        # The socket is not connected yet, or the backend server has closed it.
         pass
--- a/balsamspindle/backend_servers/client.py
+++ b/balsamspindle/backend_servers/client.py
@@ -24,9 +24,9 @@
 CONNECT_TIMEOUT_MS = 1000
 IDLE_HANDLES_MAX = 512
 
-# Headers that libcurl adds when the caller did not send them. It would, for example,
-# declare a body without a content type as a web form. A name without a value keeps
-# libcurl from adding the header.
+# Headers that libcurl would add when the caller did not send them: for example, it
+# would declare a body without a content type as a web form. A name without a value
+# keeps libcurl from adding the header.
 _SUPPRESSED_HEADERS = (
     "Accept:",
     "Accept-Encoding:",
@@ -36,7 +36,8 @@
 )
 
 _BODY_METHODS = frozenset({"POST", "PUT", "PATCH"})
-# The bytes received are not an HTTP answer: stray data in the connection.
+# Errors of libcurl for received bytes that are not an HTTP answer, such as stray data
+# in a reused connection.
 _NOT_HTTP_CODES = {pycurl.E_UNSUPPORTED_PROTOCOL, pycurl.E_FTP_WEIRD_SERVER_REPLY}
 _FAILURE_REASONS = {pycurl.E_OPERATION_TIMEDOUT: Reason.SILENCE}
 
@@ -80,11 +81,11 @@
         address : str
             IP:port.
         timeout_ms : float
-            For the whole call.
+            Time limit for the whole call.
         token : CancelToken, default=None
-            Cancels the call from another thread.
+            Token by which another thread can cancel the call.
         request_id : str, default=""
-            Identifies the answer if backend servers echo the request id.
+            Id that the answer must carry if backend servers echo request ids.
         """
         deadline_s = time.monotonic() + timeout_ms / 1000
         token = token or CancelToken()
@@ -92,15 +93,15 @@
         handle = self._pool.acquire(address, execution)
         result = self._perform(handle, request, timeout_ms, token)
         if _is_foreign(result):
-            # Otherwise the next request on this connection would receive this
-            # request's answer.
+            # Close the connection. Otherwise the next request on it would receive the
+            # answer to this request.
             handle.close()
             if execution is not Execution.IDEMPOTENT or not handle.was_reused():
                 return result
-            # The reused connection still held a second answer to an earlier request,
-            # or other stray bytes. They say nothing about this request, which the
-            # backend server is working on, and it would fail for no fault of its own.
-            # It is idempotent, so send it again on a new connection.
+            # The reused connection still held a second copy of an earlier answer, or
+            # other stray bytes. This request, on which the backend server is working,
+            # must not fail because of them. It is idempotent, so send it again on a
+            # new connection.
             handle = _Handle(execution)
             left_ms = (deadline_s - time.monotonic()) * 1000
             result = self._perform(handle, request, left_ms, token)
@@ -110,7 +111,7 @@
     def _perform(
         self, handle: "_Handle", request: "_Request", timeout_ms: float, token
     ) -> BackendAnswer | BackendFailure:
-        """Make one call with a handle, on its open connection or a new one."""
+        """Make one call with a handle, on the handle's open connection or a new one."""
         deadline_s = time.monotonic() + timeout_ms / 1000
         reader = AnswerReader(
             self._answer_body_max_bytes,
@@ -120,7 +121,7 @@
         )
         left_ms = max(1, int(timeout_ms))
         handle.curl.setopt(pycurl.URL, f"http://{request.address}/")
-        # Set apart from the URL, where an `@` in the target would change the host.
+        # Set the target separately: in the URL an `@` in it would change the host.
         handle.curl.setopt(pycurl.REQUEST_TARGET, request.target.encode("latin-1"))
         handle.curl.setopt(pycurl.TIMEOUT_MS, left_ms)
         handle.curl.setopt(
@@ -138,7 +139,7 @@
 
 
 class _Request(NamedTuple):
-    """The request that a backend server is sent."""
+    """A request to a backend server."""
 
     address: str
     method: str
@@ -162,8 +163,8 @@
         """Decide, once connected, whether to send the request.
 
         The process may have been suspended since the attempt was admitted, or while
-        it connected. Without this second check the request could run long after its
-        caller was told that it timed out.
+        it connected. Without this second check of the deadline the request could run
+        long after its caller was told that it timed out.
         """
         if not self.token.attach(connection):
             return False
@@ -174,10 +175,10 @@
         return True
 
     def _timed_out_before_sending(self) -> bool:
-        """Return whether the deadline passed while still connecting.
+        """Return whether the deadline passed before the request was sent.
 
-        That says nothing about the backend server. If it were taken for unreachable,
-        each request with little time left would count against its health.
+        Such a timeout shows nothing about the backend server. If the server counted as
+        unreachable, each request with little time left would lower its health.
         """
         return not self.sent and time.monotonic() >= self.deadline_s
 
@@ -207,9 +208,9 @@
         self._call: _Call | None = None
         self._set_options()
         if execution is Execution.NON_IDEMPOTENT:
-            # When a reused connection turns out to be dead, libcurl sends the request
-            # again on a new one by itself, and the backend server could run it twice.
-            # It does so for reused connections only.
+            # When a reused connection turns out to be closed, libcurl sends the request
+            # again on a new connection by itself, and the backend server could run it
+            # twice. libcurl never does so for a new connection, so never reuse one.
             self.curl.setopt(pycurl.FRESH_CONNECT, 1)
             self.curl.setopt(pycurl.FORBID_REUSE, 1)
 
@@ -260,8 +261,8 @@
         return connection
 
     def _on_close(self, descriptor: int) -> int:
-        # libcurl has a duplicate of our descriptor; the backend server sees the end
-        # of the connection only after both are closed.
+        # libcurl uses a duplicate of the descriptor in `_connection`. The backend
+        # server sees the end of the connection only after both are closed.
         os.close(descriptor)
         if self._connection is not None:
             self._connection.close()
@@ -279,8 +280,8 @@
 
     The pool's lock is also the memory barrier when a handle passes from one thread to
     another. The gate's slots limit the handles in use, and thereby the connections
-    that a backend server has to hold. A cache per thread would open a connection for
-    each pair of thread and backend server.
+    that a backend server has to hold. If each thread cached its own handles instead,
+    there would be a connection for each pair of thread and backend server.
     """
 
     def __init__(self) -> None:
@@ -329,7 +330,8 @@
 def _pool_key(address: str, execution: Execution) -> str:
     """Return the pool key of a handle.
 
-    Handles for non-idempotent requests keep no connection and fit every address.
+    Handles for non-idempotent requests keep no connection, so any of them can be used
+    for any address, and all have the same key.
     """
     return address if execution is Execution.IDEMPOTENT else ""
 
--- a/balsamspindle/backend_servers/crash_watch.py
+++ b/balsamspindle/backend_servers/crash_watch.py
@@ -25,19 +25,29 @@
 
 __all__ = ["CrashWatch", "refuses_connections"]
 
-# Runs that were lost within this time before a crash was detected count as lost in it.
-# Their callers may have left, or their threads may have noticed the end earlier.
+# A run that was lost at most this long before a crash was detected counts as lost in
+# that crash: its caller may have disconnected, or its thread may have noticed the end
+# of the connection before the crash was detected.
 LOST_TOGETHER_S = 1.0
-# How long after a crash the replacement of a backend server announces itself at most.
+# The longest time from the crash of a backend server until another one announces
+# itself at the same address.
 REPLACED_WITHIN_S = 5.0
 CONNECT_TIMEOUT_S = 0.25
-# How long after a crash an earlier answer may still be read, on a busy VM.
+# On a busy VM, an answer sent before a crash may be read up to this long after it.
 LATE_READ_S = 1.0
 STARTS_MAX = 64
 REPORTED_RUNS_MAX = 32
 
 
 class _Run(NamedTuple):
+    """A running request.
+
+    Attributes
+    ----------
+    content_hash : int
+        Equal for all copies of a request; 0 when unknown.
+    """
+
     content_hash: int
     started_s: float
 
@@ -51,7 +61,7 @@
 
 @dataclass
 class _Start:
-    """The runs at one start of a backend server, and whether it has crashed."""
+    """The runs since one start of a backend server, and when its end was detected."""
 
     running: dict[AttemptId, _Run] = field(default_factory=dict)
     lost: deque[_LostRun] = field(
@@ -67,7 +77,11 @@
         return self.ended_s is not None
 
     def is_refuted_by_answer(self, run: _Run | None, now_s: float) -> bool:
-        """Return whether an answer received now shows that this start did not end."""
+        """Return whether an answer received now shows that this start did not end.
+
+        It does if its run began after the supposed end, or if it arrives too late to
+        have been sent before the supposed end.
+        """
         if self.ended_s is None or run is None:
             return False
         return run.started_s > self.ended_s or now_s > self.ended_s + LATE_READ_S
@@ -77,15 +91,15 @@
     """Watches the runs at the backend servers of one gate; thread-safe.
 
     A connection that ends without an answer may mean that the backend server crashed,
-    or that it is still running and broke off the answer. After a crash it refuses
-    connections, or has been restarted.
+    or that it is still running and broke off the answer. The backend server has
+    crashed if it refuses connections afterwards, or has been restarted or replaced.
 
     Parameters
     ----------
     history : CrashHistory
         Records crashes and answers.
     on_update : callable
-        Called with the changes of the history, and the present time.
+        Called with each update of the history and the present time.
     is_down : callable, default=refuses_connections
         Returns whether no process listens at an address.
     """
@@ -123,7 +137,7 @@
         end: RunEnd,
         now_s: float,
     ) -> bool:
-        """Record the end of a run; return whether the backend server crashed in it."""
+        """Record a run's end; return whether the backend server crashed during it."""
         key = _key(server)
         with self._lock:
             start = self._start_of(key)
@@ -136,8 +150,8 @@
             was_refuted = end.is_answer and start.is_refuted_by_answer(run, now_s)
             start.ended_s = None if was_refuted else start.ended_s
         if was_refuted:
-            # The backend server refused a connection for lack of room. It still
-            # answers, so no request crashed it.
+            # The backend server refused a connection only because it had no room for
+            # it. It still answers, so no request has crashed it.
             self._on_update(self._history.retract(key, now_s), now_s)
             self._events.emit("backend_server_crash_retracted", backend_server=key[0])
         if end.is_success and run is not None:
@@ -145,11 +159,11 @@
         return end.is_broken and self._has_ended(server, start, now_s)
 
     def record_replacement(self, server: LocalBackendServer, now_s: float) -> None:
-        """Record a crash if another backend server has this one's address now.
+        """Record the crash of a backend server whose address another one has now.
 
-        Call it only if this one was not draining. A backend server that is replaced at
-        once accepts connections again before the gate probes it. Runs that broke off
-        shortly before were lost in the crash.
+        Call it only if the backend server was not draining. If it is replaced at once,
+        the gate's probe of the address reaches the new backend server, and does not
+        detect the crash. Runs that broke off shortly before were lost in the crash.
         """
         with self._lock:
             start = self._start_of(_key(server))
@@ -158,24 +172,25 @@
             if start.has_ended:
                 return
             start.ended_s = now_s
-        # If no run was lost, it crashed while idle, so no request is the cause. Such
-        # crashes show how often backend servers crash by themselves.
+        # If no run broke off recently, the backend server crashed while idle, and no
+        # request is the cause. The crash is recorded nevertheless, because such crashes
+        # show how often backend servers crash by themselves.
         is_recent = broken_s and now_s - broken_s[-1] <= REPLACED_WITHIN_S
         self._record_crash(server, start, broken_s[-1] if is_recent else now_s)
 
     def _has_ended(
         self, server: LocalBackendServer, start: _Start, now_s: float
     ) -> bool:
-        """Return whether a backend server has ended; record a new crash."""
+        """Return whether this start has ended; record its crash when first detected."""
         with start.probe_lock:
             if start.has_ended:
                 return True
             if not (server.has_restarted or server.is_replaced):
                 if server.state is BackendServerState.DRAINING:
-                    # It had announced its end, so this is no crash.
+                    # The backend server had announced its end, so this is no crash.
                     return False
                 if now_s <= start.probed_s:
-                    # A probe after the end of this run found it running.
+                    # A probe made after the end of this run found the server running.
                     return False
                 start.probed_s = now_s
                 if not self._is_down(_address(server)):
@@ -229,8 +244,8 @@
 def refuses_connections(address: str) -> bool:
     """Return whether no process listens at an address.
 
-    A timeout does not count: a backend server that is running drops connections when
-    its queue of connections is full.
+    A timeout does not count as a refusal: a running backend server ignores attempts to
+    connect while its queue of new connections is full.
     """
     host, _, port = address.partition(":")
     with socket.socket() as probe:
--- a/balsamspindle/backend_servers/customer_turns.py
+++ b/balsamspindle/backend_servers/customer_turns.py
@@ -1,10 +1,11 @@
 """Fair turns for the customers whose requests wait in one queue.
 
-One customer may send many times the requests of all others to a queue that never
-becomes empty. This is start-time fair queueing: each waiting request gets a turn
-number, one higher than the previous request of its customer and not lower than the
-turn being served. A customer therefore waits behind its own requests only, not
-behind the backlog of another customer.
+One customer may send many times as many requests as all others together, so that the
+queue never becomes empty. To keep this customer from delaying the others, the queue
+uses start-time fair queueing: each waiting request gets a turn number, and lower turns
+are served first. The turn of a request is one higher than that of its customer's
+previous request, and not lower than the turn that is being served. A customer therefore
+waits behind its own requests only, not behind the backlog of another customer.
 """
 
 from collections import Counter
@@ -24,7 +25,7 @@
     def next_turn(self, customer: str) -> int:
         """Return the turn for a customer's next request.
 
-        Requests without a customer get the turn being served.
+        A request without a customer gets the turn that is being served.
         """
         return (
             max(self._current_turn, self._next_turns[customer])
@@ -33,14 +34,14 @@
         )
 
     def assign_turn(self, customer: str) -> None:
-        """Use up the customer's next turn: one of its requests enters the queue."""
+        """Assign a customer's next turn to a request that enters the queue."""
         if customer:
             self._next_turns[customer] = self.next_turn(customer) + 1
         if len(self._next_turns) > CUSTOMERS_PRUNE_LIMIT:
             self._discard_served()
 
     def advance_to(self, turn: int) -> None:
-        """Record that a request with this turn starts."""
+        """Set the turn that is being served, when a request with this turn starts."""
         self._current_turn = max(self._current_turn, turn)
 
     def reset(self) -> None:
--- a/balsamspindle/backend_servers/dispatches.py
+++ b/balsamspindle/backend_servers/dispatches.py
@@ -31,7 +31,7 @@
 
 
 def is_keyed(dispatch: Dispatch) -> bool:
-    """Return whether an attempt's key may run only once across all gates."""
+    """Return whether an attempt has a key whose request must run only once."""
     return (
         dispatch.idempotency_key is not None
         and dispatch.execution is Execution.NON_IDEMPOTENT
@@ -41,7 +41,8 @@
 def unchecked_key_outcome(dispatch: Dispatch) -> Outcome:
     """Return the outcome of an attempt that is refused before its key is checked.
 
-    For a keyed attempt it is unknown, as an earlier attempt of the key may have run.
+    For a keyed attempt the outcome is 'unknown', as an earlier attempt with the same
+    key may have run.
     """
     return Outcome.UNKNOWN if is_keyed(dispatch) else Outcome.NOT_RUN
 
@@ -49,7 +50,7 @@
 def backend_server_headers(
     dispatch: Dispatch, names: HeaderNames
 ) -> list[tuple[str, str]]:
-    """Return the request's headers, with those that the gate adds."""
+    """Return the request's headers and the headers that the gate adds."""
     added = (
         (names.expected_backend_server, dispatch.backend_server_id),
         (names.caller_service, dispatch.caller_service),
--- a/balsamspindle/backend_servers/evidence.py
+++ b/balsamspindle/backend_servers/evidence.py
@@ -36,7 +36,8 @@
     """How a probe of a health endpoint ended.
 
     ``FAILED`` is an answer with an error status, or no answer in time.
-    ``UNREACHABLE`` is a refused connection; requests go to the same address.
+    ``UNREACHABLE`` is a refused connection. Requests go to the same address, so they
+    would fail as well.
     """
 
     PASSED = "passed"
@@ -50,7 +51,8 @@
     Attributes
     ----------
     bad : bool or None
-        None if the attempt is no evidence about the backend server.
+        Whether the attempt counts against the backend server; None if it is no
+        evidence about it.
     p99_ms : float
         The backend server's 99th percentile of latency; 0 if unknown.
     """
@@ -73,7 +75,7 @@
     def record_peer_evidence(
         self, backend_server_id: str, evidence: PeerEvidence, now_s: float
     ) -> None:
-        """Record an ingress's summary of the service's other backend servers."""
+        """Record an ingress's summary of how the service's other servers performed."""
 
     def record_end(
         self,
@@ -101,7 +103,7 @@
         """
 
     def held_out(self, backend_server_id: str, now_s: float) -> HoldOut:
-        """Return for how long ordinary work is refused, and on what evidence."""
+        """Return for how long the gate refuses ordinary work, and on what evidence."""
 
 
 class NullHealthObserver:
--- a/balsamspindle/backend_servers/failed_calls.py
+++ b/balsamspindle/backend_servers/failed_calls.py
@@ -1,17 +1,19 @@
 """Failed calls that were made through this node.
 
 While a backend server works on a request, it may make calls of its own through the
-node beside it. When such a call fails, it answers its own request with an error.
-That error is no evidence against the backend server. If it counted, one sick
-service would get the healthy backend servers of every service that calls it ejected.
+node beside it. When such a call fails, the backend server answers the request with an
+error. That error is no evidence against the backend server. If it counted, one sick
+service would cause the ejection of healthy backend servers of every service that
+calls it.
 """
 
 import threading
 
 __all__ = ["FailedCalls"]
 
-# An error this soon after the failure of a call is attributed to that call: both
-# travel within one VM, and a backend server gives up at once when its call fails.
+# An error that a backend server returns this soon after the failure of a call is
+# attributed to that call: both answers travel within one VM, and a backend server
+# stops working on its request as soon as its call fails.
 ERROR_DELAY_MAX_S = 0.06
 
 
--- a/balsamspindle/backend_servers/gate.py
+++ b/balsamspindle/backend_servers/gate.py
@@ -1,10 +1,11 @@
 """The gate: sole authority over the backend servers beside this node.
 
 An attempt is refused, dispatched or cancelled under one lock. It is therefore either
-refused or dispatched, never both, and never dispatched after it was cancelled. The
-checks are made in this order: the attempt's id (handled once only), its idempotency
-key (run once across all gates, with its claim), its body's checksum, a slot, and its
-deadline again just before the request is sent.
+refused or dispatched, never both, and never dispatched after it was cancelled. An
+attempt is checked in this order: its id (each id is handled only once), its idempotency
+key and claim (each key runs only once across all gates), the checksum of its body,
+whether its request crashes backend servers, the backend server's health, the retry
+budget, a free slot, and its deadline again just before the request is sent.
 """
 
 import time
@@ -65,7 +66,7 @@
 
 __all__ = ["Gate"]
 
-# How long a cancellation without a deadline is remembered.
+# How long the gate keeps a cancellation that does not give the attempt's deadline.
 CANCELLATION_TTL_S = 60.0
 
 
@@ -83,9 +84,9 @@
     failed_calls : FailedCalls, default=none failed
         Failed calls made by the backend servers beside this node.
     grants : RetryGrants, default=grants all repeats
-        The default leaves it to the sending nodes to limit repeats.
+        Limits repeats at this gate. By default only the sending nodes limit them.
     crash_history : CrashHistory, default=an empty one
-        Records of requests that crash backend servers.
+        Knows which requests are suspected of crashing backend servers, or blocked.
     crash_watch : CrashWatch, default=one that reports to `crash_history` alone
     """
 
@@ -140,7 +141,7 @@
     def refuse_busy(self, dispatch: Dispatch, received_s: float) -> Reply | None:
         """Refuse an attempt because too many others wait for a worker thread.
 
-        None for a duplicate, as in `handle`.
+        Returns None for a duplicate message, as `handle` does.
         """
         begin = self._begin(
             dispatch, CancelToken(), attempt_deadline_s(dispatch, received_s)
@@ -154,7 +155,10 @@
     def begin_claim_era(
         self, version_min: int, after_s: float, now_s: float
     ) -> list[HeldKey]:
-        """Return the keys that the store may have lost; see `RunLedger.begin_era`."""
+        """Return the keys whose claims the store may have lost.
+
+        See `RunLedger.begin_era`.
+        """
         return self._ledger.begin_era(version_min, after_s, now_s)
 
     def in_flight(self) -> int:
@@ -173,8 +177,8 @@
     ) -> None:
         """Cancel an attempt, even if its message has not arrived yet.
 
-        Before its request is sent the attempt is refused. After that the connection to
-        its backend server is closed.
+        If the request was not sent to the backend server yet, the attempt is refused.
+        Otherwise the connection to the backend server is closed.
         """
         now_s = time.monotonic()
         with self._servers.changed:
@@ -184,7 +188,7 @@
             self._servers.changed.notify_all()
 
     def set_ingress_end(self, attempt_id: AttemptId, ends_s: float) -> bool:
-        """Record when the ingress of an attempt ends; False if it is unknown."""
+        """Record when an attempt's ingress ends; False if the attempt is unknown."""
         with self._servers.changed:
             is_known = self._attempts.set_ingress_end(attempt_id, ends_s)
             self._servers.changed.notify_all()
@@ -262,7 +266,8 @@
             case EarlierAnswer(reply):
                 self._events.emit("answer_repeated", request=dispatch.request_id)
                 return msgspec.structs.replace(reply, attempt_id=dispatch.attempt_id)
-        # If an exception is raised below, this reply keeps the key claimed.
+        # If the code below raises an exception, the ledger records this reply, so that
+        # the key stays claimed.
         reply = Reply(dispatch.attempt_id, Outcome.UNKNOWN, Reason.BROKEN_ANSWER)
         try:
             reply = self._handle_new(dispatch, token, deadline_s)
@@ -280,8 +285,8 @@
         if not self._health_admits(dispatch):
             return self._refuse(dispatch, Reason.SUSPECTED)
         service, weight = dispatch.service, dispatch.weight
-        # A request suspected of crashing backend servers fails by its own fault, so
-        # it must not use up the repeats of others.
+        # A request suspected of crashing backend servers fails by its own fault. It
+        # gets only repeats that are not reserved for other requests.
         if dispatch.is_repeat and not self._grants.try_grant(
             service,
             weight,
@@ -311,8 +316,8 @@
                 )
                 return msgspec.structs.replace(reply, retry_after_ms=retry_after_ms)
             case Admitted() as admitted:
-                # Check the health again. If the backend server became unhealthy while
-                # attempts waited for a slot, they would all fail there one by one.
+                # Check the health again: the backend server may have become unhealthy
+                # while attempts waited, and all of them would fail there one by one.
                 if not self._health_admits(dispatch):
                     self._admission.release(admitted, WorkEnd.DONE)
                     return self._refuse(dispatch, Reason.SUSPECTED)
@@ -325,8 +330,8 @@
     ) -> Reply:
         """Run an attempt that has a slot, unless its request crashes backend servers.
 
-        That is checked again here, because copies of a request may wait for slots
-        while another copy crashes a backend server.
+        The crash history is checked again here, because copies of a request may wait
+        for slots while another copy crashes a backend server.
         """
         content_status = self._crash_history.status(
             dispatch.content_hash, time.monotonic()
--- a/balsamspindle/backend_servers/health.py
+++ b/balsamspindle/backend_servers/health.py
@@ -19,26 +19,27 @@
 
 LIGHTEST_WEIGHT_EXPIRY_S = 5.0
 
-# Some attempts still reach a backend server that is held out. The hold-out ends
-# early when they lower its score to this part of the threshold.
+# A hold-out ends early when the score has fallen to this part of the threshold. It can
+# fall because some attempts still reach a backend server that is held out.
 RECOVERED_SCORE_PART = 0.5
-# The time reported to ingresses as left of a hold-out while a trial is running:
-# about as long as a request takes.
+# The estimated time of a trial, about as long as a request takes. It is added to the
+# remaining time of a hold-out that the gate reports to ingresses.
 TRIAL_HINT_MS = 100.0
-# For this long a trial is reserved for idempotent requests, so that a few of them
-# can arrive where each backend server gets a few requests a second.
+# A trial accepts only idempotent requests for this long. If each backend server gets a
+# few requests a second, some idempotent ones arrive in that time.
 TRIAL_WAIT_S = 3.0
-# For this long a trial is reserved for the lightest idempotent requests.
+# A trial accepts only the lightest of the idempotent requests for this long.
 LIGHTEST_WAIT_S = 0.7
-# A backend server without any work for this long is probed, provided that an
-# attempt was dispatched to it within the demand window.
+# A backend server is probed after `PROBE_AFTER_IDLE_S` without work, provided that an
+# attempt was dispatched to it within the last `PROBE_DEMAND_WINDOW_S`.
 PROBE_AFTER_IDLE_S = 2.0
 PROBE_DEMAND_WINDOW_S = 60.0
-# Suspicion takes few values, because each change of a backend server's record is
-# sent to all nodes of the fleet.
+# The values of the published suspicion. They are few, because each change of a backend
+# server's record is sent to all nodes of the fleet.
 SUSPICION_ON_TRIAL = 0.5
 SUSPICION_HELD_OUT = 1.0
 SUSPICION_STRONG = 2.0
+# `SUSPICION_STRONG` is published from this multiple of the threshold on.
 STRONG_SCORE_FACTOR = 1.5
 
 
@@ -48,7 +49,7 @@
     Attributes
     ----------
     score, threshold : float
-        Sum of the sequential test, and the value at which it ejects.
+        The backend server's score, and the score at which it is ejected.
     slow_ms : float
         Requests that take longer count as slow.
     peers_bad_share : float
@@ -84,7 +85,7 @@
         self._recorded_s = -math.inf
 
     def record(self, weight: float, now_s: float) -> None:
-        """Lower the minimum to a request's weight, or replace an expired one."""
+        """Record a weight if it is the least, or if the recorded one has expired."""
         if weight <= self.weight or now_s - self._recorded_s > LIGHTEST_WEIGHT_EXPIRY_S:
             self.weight, self._recorded_s = weight, now_s
 
@@ -129,7 +130,7 @@
         self._readmission.detection = detection
 
     def record_peer_evidence(self, evidence: PeerEvidence, now_s: float) -> None:
-        """Record an ingress's summary of the service's other backend servers."""
+        """Record an ingress's summary of how the service's other servers performed."""
         self._work.record_peer_evidence(evidence, now_s)
 
     def record_start(self, attempt_id: AttemptId, now_s: float) -> None:
@@ -160,12 +161,13 @@
     ) -> bool:
         """Tell whether an attempt may go to the backend server now.
 
-        A backend server on trial gets one attempt at a time, and at first only
-        idempotent ones: if the trial fails, the caller retries elsewhere, and no
-        request that must not run twice is lost. The lightest go first, because a
-        heavier request may be a call that a non-idempotent request waits for.
-        An attempt that cannot be retried waits as well: it would be lost in a
-        failed trial although other backend servers were free.
+        A backend server on trial gets one attempt at a time. At first, only
+        idempotent attempts are admitted: if one of them fails, its request can be
+        retried at another backend server, while a request that must not run twice
+        would be lost. For the same reason, attempts of requests that cannot be tried
+        again are not admitted at first. Of the idempotent attempts the lightest are
+        admitted first, because a heavier one may be a call that a non-idempotent
+        request waits for.
 
         Parameters
         ----------
@@ -175,16 +177,17 @@
         if execution is Execution.IDEMPOTENT:
             self._lightest_weight.record(weight, now_s)
         if not self._work.detection.independent_errors:
-            # The suspicion is published to all nodes. An ingress that still sends
-            # work here has no other backend server.
+            # The gate refuses nothing, because all nodes know the published suspicion.
+            # An ingress that still sends work here has no other backend server.
             return True
         self._update_phase(now_s)
         match self.phase:
             case HealthPhase.SERVING:
                 return True
             case HealthPhase.ON_TRIAL:
-                # The reservation ends after a time. Without that, a service that
-                # gets no idempotent requests would never use the server again.
+                # A trial is reserved for suitable requests for a limited time only.
+                # Otherwise a service that gets no idempotent requests would never use
+                # the backend server again.
                 since_s = self._readmission.since_s
                 fits = now_s - since_s >= self._trial_wait_s(
                     execution, weight, is_last_try
@@ -195,19 +198,20 @@
     def _trial_wait_s(
         self, execution: Execution, weight: float, is_last_try: bool
     ) -> float:
-        """Return how long a trial is reserved for requests that suit it better."""
+        """Return how long after its start a trial accepts no such attempt."""
         if execution is Execution.NON_IDEMPOTENT or is_last_try:
             return TRIAL_WAIT_S
         return 0.0 if weight <= self._lightest_weight.weight else LIGHTEST_WAIT_S
 
     def held_out_ms(self, now_s: float) -> float:
-        """Return for how long the gate refuses ordinary work; 0 while it does not.
-
-        Always 0 without `independent_errors`: suspicions are then published to
-        all nodes, and the gate refuses nothing. An ingress that was given the
-        length of a hold-out would observe it even if a restart or good work ended
-        the hold-out early. It would also bypass the floor and the trials, which
-        pickers apply according to the published suspicion.
+        """Return for how long the gate refuses ordinary work; 0 while it refuses none.
+
+        Without `independent_errors` it is always 0: the gate then refuses nothing,
+        and publishes its suspicion to all nodes instead. An ingress that also knew the
+        length of a hold-out would send no requests until its end, even if a restart or
+        good work ended the hold-out early. It would also leave out backend servers
+        that have to stay in use, because they are on trial, or because too little of
+        the service's capacity (less than its floor) would remain without them.
         """
         refuses = self._work.detection.independent_errors
         if self.phase is HealthPhase.SERVING or not refuses:
@@ -215,15 +219,16 @@
         return TRIAL_HINT_MS + self._readmission.hold_out_left_s(now_s) * 1000
 
     def held_out(self, now_s: float) -> HoldOut:
-        """Return for how long ordinary work is refused, and on what evidence."""
+        """Return for how long the gate refuses ordinary work, and on what evidence."""
         held_out_ms = self.held_out_ms(now_s)
         return HoldOut(held_out_ms, self._bad_in_a_row) if held_out_ms else NOT_HELD_OUT
 
     def needs_probe(self, now_s: float) -> bool:
         """Tell whether a probe would add evidence that requests do not give.
 
-        False while there is work, which is stronger evidence, and false when the
-        backend server has had no attempt for `PROBE_DEMAND_WINDOW_S`.
+        A backend server that serves is probed only while it has no work, because
+        requests are stronger evidence. A backend server that got no attempt for
+        `PROBE_DEMAND_WINDOW_S` is not in demand, and is not probed.
         """
         if now_s - self._last_attempt_s > PROBE_DEMAND_WINDOW_S:
             return False
@@ -243,11 +248,12 @@
 
         Health endpoints may answer while requests hang, and fail while requests
         succeed, so a probe counts for less than a request. A passed probe does
-        not lower the score. Several in a row shorten a hold-out, and end a trial
-        that got no request; the score is then so near the threshold that one bad
-        request ejects again. A failed probe raises the score, but alone never to
-        the threshold. Only a refused connection counts like a failed request. No
-        failed probe counts within `PROBE_AFTER_IDLE_S` of a request's verdict.
+        not lower the score. Several passed probes in a row shorten a hold-out, and
+        end a trial that got no request; the score is then so near the threshold that
+        one bad request ejects the backend server again. A failed probe raises the
+        score, but failed probes alone never raise it to the threshold, unless
+        connections are refused: these count like failed requests. No failed probe
+        counts within `PROBE_AFTER_IDLE_S` of a request's verdict.
         """
         self._readmission.record_probe_result(result is ProbeResult.PASSED)
         if (
@@ -262,8 +268,9 @@
     def record_restart(self, now_s: float) -> None:
         """Discard the work in flight after a restart of the backend server.
 
-        A hold-out ends and a trial begins. The growth of the hold-out stays,
-        because a backend server that keeps restarting is flapping, too.
+        If the backend server is held out, a trial begins. The next hold-out is still
+        longer than the last one, because a backend server that keeps restarting keeps
+        failing.
         """
         self._work.discard_in_flight()
         if self.phase is HealthPhase.HELD_OUT:
@@ -276,7 +283,7 @@
             self._readmission.undo_ejection(now_s)
 
     def tick(self, now_s: float) -> None:
-        """Score the age of work in flight, and end a hold-out whose time is up."""
+        """Count attempts that take too long as slow, and end an expired hold-out."""
         self._work.tick(now_s)
         self._update_phase(now_s)
 
@@ -287,7 +294,7 @@
     def suspicion(self) -> float:
         """Return the published suspicion.
 
-        0 is serving, 0.5 is on trial, 1 and above is held out.
+        0 while the backend server is serving, 0.5 on trial, 1 or 2 while held out.
         """
         if self.phase is HealthPhase.HELD_OUT:
             return (
@@ -309,7 +316,7 @@
         )
 
     def _update_phase(self, now_s: float) -> None:
-        """Move to the next phase if the score or the time in this one requires it."""
+        """Change the phase if the score or the time spent in the phase requires it."""
         threshold = self._work.detection.threshold
         if self.phase is not HealthPhase.SERVING and self._work.has_shared_cause(now_s):
             if not self._work.detection.independent_errors:
@@ -326,15 +333,16 @@
                     self._work.score >= STRONG_SCORE_FACTOR * threshold
                 )
                 recovered = self._work.score <= RECOVERED_SCORE_PART * threshold
-                # The score also falls while peers are slow for a moment. That
-                # does not undo the server's own errors, so good work is required.
+                # The score also falls when the peers are slow for a moment. That does
+                # not show that this backend server has recovered, so a good request
+                # is required as well.
                 recovered &= self._work.had_good_work_since(self._readmission.since_s)
                 recovered &= not self._work.detection.independent_errors
                 if recovered or not self._readmission.hold_out_left_s(now_s):
                     self._start_trial(now_s)
 
     def _has_passed_trial(self, now_s: float) -> bool:
-        """Tell whether a trial is passed by work that has run longer than errors do."""
+        """Tell whether a trial is passed by an attempt that outlasts errors."""
         return (
             self.phase is HealthPhase.ON_TRIAL
             and self._work.detection.independent_errors
--- a/balsamspindle/backend_servers/health_latency.py
+++ b/balsamspindle/backend_servers/health_latency.py
@@ -10,26 +10,27 @@
 # The largest latency of this many requests is close enough to the 99th percentile
 # to start the running estimate from.
 SETTLING_REQUESTS = 100
-# From this many requests on the estimate is reported; it then still includes a
-# tenfold margin.
+# The estimate is reported to ingresses from this many requests on. At that number it
+# is still ten times the largest latency seen.
 REPORTABLE_REQUESTS = 10
-# Step of the estimate's logarithm. It corrects an estimate that is too high by a
-# factor of two within about 350 requests, and one outlier moves it by a fifth.
+# Step by which the estimate's logarithm changes. An estimate that is twice too high is
+# corrected within about 350 requests, and one outlier raises the estimate by a fifth.
 LOG_STEP = 0.2
 
 
 class LatencyP99:
     """Estimates the latency that a share `SLOW_SHARE` of requests exceeds.
 
-    Until `SETTLING_REQUESTS` requests were seen, the estimate is their largest
-    latency times `SETTLING_REQUESTS` / requests seen. That is how far a quantile
-    moves under a tail as heavy as a Pareto tail of index 1. At a few requests a
-    second this takes half a minute; with a fixed value until then, a hang that
-    is shorter than the value would go undetected.
+    Until `SETTLING_REQUESTS` requests were seen, the estimate is the largest latency
+    so far times `SETTLING_REQUESTS` / requests seen. That extrapolates from few
+    requests to the 99th percentile if the distribution of latencies has a tail as
+    heavy as a Pareto distribution of index 1. At a few requests a second it takes half
+    a minute to see `SETTLING_REQUESTS`. If the estimate were a fixed value until then,
+    a hang that is shorter than this value would go undetected.
 
     After that the estimate is a stochastic approximation of the quantile: each
-    request that takes longer raises it by a step, and each faster one lowers it
-    by about a hundredth of that.
+    request that takes longer than the estimate raises it by a step, and each faster
+    request lowers it by about a hundredth of a step.
 
     Attributes
     ----------
@@ -49,7 +50,7 @@
 
     @property
     def settled(self) -> bool:
-        """Whether the estimate has no margin for a small sample any more."""
+        """Whether `SETTLING_REQUESTS` were seen, so that extrapolation has ended."""
         return self._requests_seen >= SETTLING_REQUESTS
 
     def learn(self, latency_ms: float) -> None:
--- a/balsamspindle/backend_servers/health_monitor.py
+++ b/balsamspindle/backend_servers/health_monitor.py
@@ -1,4 +1,4 @@
-"""The health of all backend servers of a node: collects evidence, publishes it."""
+"""Health of a node's backend servers: collects evidence, publishes suspicion."""
 
 import threading
 import time
@@ -26,8 +26,8 @@
 __all__ = ["TICK_S", "HealthMonitor"]
 
 TICK_S = 0.05
-# A backend server that comes back within this time keeps its health, including the
-# growth of its hold-outs.
+# How long the health of a backend server is kept after its announcements have stopped.
+# If it comes back within this time, the length of its next hold-out is not reset.
 ABSENT_EXPIRY_S = 900.0
 
 
@@ -37,12 +37,12 @@
     Attributes
     ----------
     phase : HealthPhase
-        Phase of the latest event.
+        Phase that the latest event reported.
     last_present_s : float
-        When the backend server was last in the list of announced ones.
+        When the backend server was last in the list of announced backend servers.
     previous_start : int or None
-        The start before the present one; None when there is none, or when its
-        end has been attributed to a request.
+        Id of the backend server's previous start; None when there is none, or when
+        the end of that start has been attributed to a request.
     """
 
     def __init__(self, health: ServerHealth, server: LocalBackendServer) -> None:
@@ -55,7 +55,7 @@
         self.previous_start: int | None = None
 
     def needs_peer_evidence_from(self, other: "_MonitoredServer") -> bool:
-        """Tell whether a summary of the other server's peers applies here, too."""
+        """Tell whether this server needs the summaries that the other server gets."""
         held_out = self.health.phase is HealthPhase.HELD_OUT
         return held_out and self.service == other.service
 
@@ -161,10 +161,10 @@
                 return
             monitored.health.record_peer_evidence(evidence, now_s)
             # A backend server that is held out gets no dispatch, and so no summary
-            # of its peers. Without those of its neighbours it would stay held out
-            # in an overload that affects all of them.
-            # A neighbour's summary counts the held-out server itself as bad. It is
-            # subtracted, or the server's own failures would look like its peers'.
+            # of its peers. It would stay held out in an overload that affects all of
+            # them, so it is given the summaries that its neighbours on this node get.
+            # Such a summary counts the held-out server as a bad peer. Subtract it, or
+            # the server's own failures would look like failures of its peers.
             others = evidence._replace(
                 judged_count=max(0, evidence.judged_count - 1),
                 bad_count=max(0, evidence.bad_count - 1),
@@ -240,9 +240,10 @@
     ) -> None:
         """Undo the ejection of a backend server that a request has crashed.
 
-        The request may be quarantined before or after the backend server is back.
-        Without this, each crash would keep a healthy server from all other callers,
-        for longer each time.
+        This is checked at each tick, because the crash may be attributed to the request
+        before or after the backend server is back. If the ejection stayed, each such
+        crash would keep a healthy backend server from all other callers, for longer
+        each time.
         """
         if monitored.previous_start is None:
             return
@@ -262,9 +263,10 @@
     def _publish(self, server: LocalBackendServer) -> None:
         """Publish the suspicion to all nodes, unless the gate refuses work instead.
 
-        Where backend servers fall sick and recover every few seconds, published
-        changes would arrive too late and use more bytes than all other messages. A
-        refusal by the gate costs one round trip and is never out of date.
+        The gate refuses work where `independent_errors` is set: there backend servers
+        fall sick and recover every few seconds. Published changes would arrive too late
+        and use more bytes than all other messages. A refusal by the gate costs one
+        round trip and is never out of date.
         """
         if self._detection(server.announcement.service).independent_errors:
             return
--- a/balsamspindle/backend_servers/health_peers.py
+++ b/balsamspindle/backend_servers/health_peers.py
@@ -1,7 +1,8 @@
-"""What a gate learns about the other backend servers of a service.
+"""Summaries of a backend server's peers: the service's other backend servers.
 
-Ingresses see the answers of many backend servers. Each dispatch carries a summary
-of the others, so that the comparison needs no messages of its own.
+A gate compares each backend server with its peers, but does not see the peers' answers.
+Ingresses see the answers of many backend servers, and add a summary of the peers to
+each dispatch, so that the comparison needs no messages of its own.
 """
 
 import math
@@ -11,9 +12,10 @@
 __all__ = ["PeerAggregate"]
 
 DECAY_TIME_S = 3.0
-# Added to the peers seen, so that one bad peer among few gives a small share.
+# Good peers that are assumed in addition to the peers seen, so that one bad peer among
+# few gives a small share of bad peers.
 PRIOR_GOOD_PEERS = 2.0
-# Share of a new summary's percentile in the average.
+# Weight of a new summary's 99th percentile in the moving average.
 P99_SMOOTHING = 0.1
 
 
@@ -53,10 +55,11 @@
     def mark_p99_stale(self) -> None:
         """Let the next summary with a higher percentile replace the average.
 
-        No summaries arrive during a hold-out, so the average is stale after it.
-        If all peers have turned slow meanwhile and it rose by a tenth at a time, a
-        backend server as slow as its peers would be held out again after its first
-        answer, for twice as long.
+        A backend server that is held out gets no dispatches, and so no summaries of
+        its peers: the average is stale when the hold-out ends. If all peers have become
+        slow meanwhile, the average would follow only by a tenth of the difference with
+        each summary. A backend server that is as slow as its peers would be held out
+        again after its first answer, for twice as long.
         """
         self._is_p99_stale = True
 
--- a/balsamspindle/backend_servers/health_readmission.py
+++ b/balsamspindle/backend_servers/health_readmission.py
@@ -8,8 +8,9 @@
 
 On trial a backend server gets idempotent requests, one at a time. Each ejection
 multiplies the length of the next hold-out, up to a bound, and each period of good
-service takes one multiplication back. So a backend server that flaps costs a
-bounded number of failed requests an hour, and one that failed once is soon back.
+service undoes one multiplication. So a backend server that fails again and again
+causes only a bounded number of failed requests an hour, and a backend server that
+failed once soon serves again.
 """
 
 from enum import StrEnum
@@ -19,9 +20,10 @@
 __all__ = ["HealthPhase", "Readmission"]
 
 GROWTH_EXPONENT_MAX = 20
-# So many probes passed in a row halve a hold-out, or end a trial without requests.
+# This many passed probes in a row halve the length of a hold-out, or end a trial in
+# which no request arrived.
 PROBES_TO_SHORTEN = 3
-# A trial without any request may end by probes after this time.
+# Passed probes end a trial only after it has lasted this long without a request.
 TRIAL_SILENCE_S = 10.0
 
 
@@ -41,7 +43,7 @@
     phase : HealthPhase
     since_s : float
         When the phase began.
-    level : int
+    growth_exponent : int
         How many times the next hold-out is multiplied by `hold_out_growth`.
     """
 
@@ -56,7 +58,7 @@
         self._calm_since_s = now_s
 
     def eject(self, now_s: float) -> None:
-        """Begin a hold-out, longer than the previous one up to the bound."""
+        """Begin a hold-out, longer than the last one but at most `hold_out_max_s`."""
         self._reduce_growth(now_s)
         grown_s = (
             self.detection.hold_out_s
@@ -80,7 +82,7 @@
         self._enter(HealthPhase.ON_TRIAL, now_s)
 
     def record_work(self, good: bool) -> bool:
-        """Count a request, and return whether it completes a passed trial."""
+        """Count an ended request, and return whether the trial is passed with it."""
         if not good:
             self._probes_passed = 0
         if self.phase is not HealthPhase.ON_TRIAL:
@@ -93,7 +95,7 @@
         self._probes_passed = self._probes_passed + 1 if passed else 0
 
     def probes_end_trial(self, last_verdict_s: float, now_s: float) -> bool:
-        """Tell whether probes end a trial that has had no request.
+        """Tell whether passed probes end a trial in which no request has ended.
 
         Parameters
         ----------
@@ -108,12 +110,12 @@
         )
 
     def readmit(self, now_s: float) -> None:
-        """Return to service, and start counting the time of good service."""
+        """Enter the serving phase, and count the time of good service from now on."""
         self._calm_since_s = now_s
         self._enter(HealthPhase.SERVING, now_s)
 
     def undo_ejection(self, now_s: float) -> None:
-        """Return to service, and take the hold-out's last growth back."""
+        """Enter the serving phase, and undo the last growth of the next hold-out."""
         self.growth_exponent = max(0, self.growth_exponent - 1)
         self.readmit(now_s)
 
--- a/balsamspindle/backend_servers/health_score.py
+++ b/balsamspindle/backend_servers/health_score.py
@@ -1,10 +1,10 @@
 """The sequential test that tells a sick backend server from a healthy one.
 
 Each ended request is bad if it failed or was slow, else good. The score is a
-CUSUM of log-likelihood ratios of "sick" against "healthy": bad requests raise
-it, good ones lower it, never below 0. At the threshold the backend server is
-suspected. For a given rate of false alarms no other test on the same evidence
-has a shorter worst-case detection delay.
+CUSUM (cumulative sum) of log-likelihood ratios of "sick" against "healthy": bad
+requests raise it, and good requests lower it, but never below 0. When it reaches
+the threshold, the backend server is suspected. For a given rate of false alarms no
+other test on the same evidence has a shorter worst-case detection delay.
 """
 
 import math
@@ -21,8 +21,8 @@
 
 SHARED_CAUSE_SHARE = 0.5
 HEALTHY_RATE_MIN = 0.002
-# The initial rate weighs as much as the minimum of requests; the moving average
-# then covers at most the maximum.
+# Window of a learned rate's moving average, in requests. It begins at the minimum, so
+# the initial rate weighs as much as that many requests, and grows to the maximum.
 LEARNING_REQUESTS_MIN = 100
 LEARNING_REQUESTS_MAX = 2000
 HEALTHY_RATE_MAX = 0.99
@@ -30,7 +30,7 @@
 
 
 class Rates(NamedTuple):
-    """Shares of bad requests that the test tells apart.
+    """Shares of bad requests at a healthy and at a sick backend server.
 
     Attributes
     ----------
@@ -45,9 +45,9 @@
 class LearnedRate:
     """Estimate of the share of bad requests at a healthy backend server.
 
-    A moving average over one kind of fault. The rate of the settings is only the
-    initial value: if that is too high, each bad request adds too little to the
-    score.
+    It is the moving average for one kind of fault: errors or slowness. The configured
+    rate is only the initial value, because with a rate that is too high each bad
+    request adds too little to the score.
 
     Attributes
     ----------
@@ -60,14 +60,14 @@
         self._window_requests = LEARNING_REQUESTS_MIN
 
     def learn(self, bad: bool) -> None:
-        """Update the estimate with a request to a backend server that is healthy."""
+        """Update the estimate with the end of a request at a healthy backend server."""
         value = self.value + (bad - self.value) / self._window_requests
         self.value = max(HEALTHY_RATE_MIN, value)
         self._window_requests = min(LEARNING_REQUESTS_MAX, self._window_requests + 1)
 
 
 def adjust_for_peers(rates: Rates, peers_bad_share: float) -> Rates:
-    """Return the rates to test for while a share of the peers is bad, too.
+    """Return the rates that the test uses while this share of the peers is bad.
 
     When all backend servers of a service fail or are slow at once, the cause is
     the load or something that they share. Tested against a fixed rate, each of
--- a/balsamspindle/backend_servers/health_verdicts.py
+++ b/balsamspindle/backend_servers/health_verdicts.py
@@ -1,4 +1,4 @@
-"""Verdicts on a backend server from the end of one request."""
+"""Derives a verdict on a backend server from the end of one request."""
 
 from enum import StrEnum
 
@@ -20,15 +20,17 @@
     return _VERDICTS[result, is_slow]
 
 
-# Results that are bad only if they were slow, with their names as evidence.
+# Results that count as bad only if the request was slow, each with the name under
+# which it is then counted as evidence.
 SLOW_RESULTS = {
     WorkResult.ANSWERED: "slow",
     WorkResult.SILENCE: WorkResult.SILENCE.value,
 }
 
-# Silence counts only past the slow limit: a caller with a timeout of one
-# millisecond must not get a healthy backend server ejected. Shed work is evidence
-# of load, and a cancelled attempt was ended by this node.
+# Silence (no answer before the timeout) counts only if the request was slow: a caller
+# with a timeout of one millisecond must not get a healthy backend server ejected. Shed
+# requests are evidence of load, and cancelled attempts were ended by this node, so
+# neither counts.
 _VERDICTS = {
     (WorkResult.ANSWERED, False): Verdict.GOOD,
     (WorkResult.ANSWERED, True): Verdict.BAD,
--- a/balsamspindle/backend_servers/health_work.py
+++ b/balsamspindle/backend_servers/health_work.py
@@ -23,33 +23,34 @@
 # Upper bound of the score, as a multiple of the threshold: more evidence would not
 # change any decision.
 SCORE_MAX = 2.0
-# What one attempt adds at most, as a part of the threshold: two attempts are
-# needed to eject.
+# The most that one attempt adds to the score, as a part of the threshold: ejection
+# takes at least two bad attempts.
 ONE_ATTEMPT_MAX = 0.6
-# So many hanging requests are a standstill, unless at least this share of the peers
-# is bad, too: then the load may be the cause.
+# A backend server with this minimum of hanging requests is at a standstill, unless the
+# share of bad peers reaches the maximum: then the load may be the cause.
 STANDSTILL_REQUESTS_MIN = 2
 STANDSTILL_PEERS_BAD_MAX = 0.1
+# Times that differ by less than this count as the same moment.
 SAME_MOMENT_S = 0.05
 # Healthy rates and latencies are learned only up to this score, as a part of the
 # threshold: the latencies of a sick backend server must not become the normal ones.
 LEARNING_SCORE = 0.25
-# An attempt is taken not to fail like earlier ones when it has run for this many
-# times as long as errors took here, and at least for the minimum. Thread switches
-# make the time of errors vary.
+# An attempt is not expected to end in an error once it has run for this many times the
+# duration of errors at its backend server, and at least for the minimum. Thread
+# switches make the duration of errors vary.
 OUTLIVED_FACTOR = 4.0
 OUTLIVED_MIN_S = 0.02
-# A shorter error lowers the recorded duration of errors at most by this factor.
+# A shorter error lowers the recorded duration of errors, but at most to this part.
 ERROR_DURATION_DECAY = 0.5
-# Names of evidence from work that did not fail: slow or good.
+# Names of the evidence that is not an error: slow or good requests.
 SLOW_EVIDENCE = {
     "in_flight_too_long",
     "standstill",
     SLOW_RESULTS[WorkResult.ANSWERED],
     WorkResult.ANSWERED.value,
 }
-# A trial starts this far below the threshold, as a part of what a bad request adds,
-# so that one bad request ends it.
+# A trial starts with a score this far below the threshold, as a part of what a bad
+# request adds to the score, so that one bad request ends the trial.
 TRIAL_MARGIN = 0.9
 
 
@@ -70,7 +71,7 @@
     Attributes
     ----------
     detection : Detection
-        May be replaced; score and evidence stay.
+        The settings; when they are replaced, score and evidence stay.
     score : float
         0 is healthy; from the threshold on the backend server is suspected.
     evidence : Counter
@@ -112,9 +113,9 @@
     def has_attempt_outlasting_errors(self, since_s: float, now_s: float) -> bool:
         """Tell whether an attempt begun after a time has run longer than errors do.
 
-        A sick backend server answers an error within a millisecond. One that is
-        still running an attempt has accepted it. Waiting for its answer would
-        leave the other slots empty for the length of a request, at each trial.
+        A sick backend server answers with an error within a millisecond, so an attempt
+        that runs for longer will probably succeed. Waiting for its answer would leave
+        the other slots empty for the length of a request at each trial.
         """
         lasts_s = max(OUTLIVED_MIN_S, OUTLIVED_FACTOR * self._error_duration_s)
         return any(
@@ -123,12 +124,12 @@
         )
 
     def had_good_work_since(self, since_s: float) -> bool:
-        """Tell whether an attempt ended well after a time."""
+        """Tell whether an attempt that ended after a time was good."""
         return self._last_good_s > since_s
 
     @property
     def own_p99_ms(self) -> float:
-        """Its own 99th percentile of latency; 0 while too few requests were seen."""
+        """The server's 99th percentile of latency; 0 while too few requests ended."""
         return self._latency.p99_ms if self._latency.is_reportable else 0.0
 
     def slow_ms(self) -> float:
@@ -144,8 +145,8 @@
     def has_shared_cause(self, now_s: float) -> bool:
         """Tell whether the cause of the score is shared with the peers.
 
-        Either many peers are bad now, or all have become slow and what was counted
-        as slow here is normal among them.
+        Either many peers are bad now, or all peers have become slow, and the requests
+        that were counted as slow at this backend server are normal among them.
         """
         if self.peers_bad_share(now_s) >= SHARED_CAUSE_SHARE:
             return True
@@ -154,10 +155,11 @@
     def _is_normal_among_peers(self, now_s: float) -> bool:
         """Tell whether the latency that was counted as slow is normal for the peers.
 
-        A backend server that is held out gets no summaries of its peers. When its
-        trial begins, the peers' percentiles have adapted to a shared slowness, and
-        the peers count as good. A server on trial gets about 4 of 100 requests of a
-        slow service, so a trial of five requests would last half a minute.
+        If all backend servers became slow together, the peers' percentiles have
+        adapted to it by the time that this server's trial begins, and the peers no
+        longer count as bad. Without this check the server would have to pass its trial:
+        as a server on trial gets about 4 of 100 requests of a slow service, a trial of
+        five requests would last half a minute.
         """
         if not self._slowest_counted_ms or self.evidence.keys() - SLOW_EVIDENCE:
             return False
@@ -168,7 +170,7 @@
         return max(self._slowest_counted_ms, oldest_ms) <= peers_slow_ms
 
     def record_peer_evidence(self, evidence: PeerEvidence, now_s: float) -> None:
-        """Record an ingress's summary of the service's other backend servers."""
+        """Record an ingress's summary of how the service's other servers performed."""
         self._peers.record(evidence, now_s)
 
     def record_start(self, attempt_id: AttemptId, now_s: float) -> None:
@@ -186,7 +188,7 @@
         ----------
         may_learn : bool
             Whether the attempt may change the healthy rates and the percentile of
-            latency: only while the backend server is serving.
+            latency; true only while the backend server is serving.
         """
         attempt = self._in_flight.pop(attempt_id, None)
         if attempt is None:
@@ -211,14 +213,13 @@
         slow_ms = self.slow_ms()
         for attempt in sorted(self._in_flight.values(), key=_times_counted):
             age_ms = (now_s - attempt.started_s) * 1000
-            # A request that hangs would otherwise be counted only when its
-            # timeout ends it.
+            # Count a request that hangs now, rather than when its timeout ends it.
             if age_ms > _SLOW_AGE_FACTORS[attempt.slow_count] * slow_ms:
                 self._count_slow(attempt, "in_flight_too_long", now_s)
         self._detect_standstill(now_s)
 
     def add_failed_probe(self, result: ProbeResult, now_s: float) -> None:
-        """Raise the score; alone to the threshold only if connections are refused."""
+        """Raise the score; only refused connections alone raise it to the threshold."""
         self.evidence[f"probe_{result}"] += 1
         limit = ONE_ATTEMPT_MAX * self.detection.threshold
         increment = bad_request_score(self._error_rates(now_s))
@@ -227,11 +228,11 @@
         self._add_to_score(max(0.0, min(increment, limit)))
 
     def lower_for_trial(self, now_s: float) -> None:
-        """Lower the score to where one more bad request reaches the threshold."""
+        """Lower the score so far that one bad request raises it to the threshold."""
         self._peers.mark_p99_stale()
         if self.detection.independent_errors:
-            # One error ends a trial at any score. With a score above 0 a single
-            # slow answer could end it as well.
+            # Start the trial at a score of 0. One error ends it at any score, but with
+            # a score above 0 a single slow answer could end it as well.
             self._set_score(0.0)
             return
         increments = (
@@ -252,10 +253,12 @@
         return adjust_for_peers(rates, self._peers.bad_share(now_s))
 
     def _rescale_to_peers(self, now_s: float) -> None:
-        """Lower the score in proportion as the peers turn out to be bad, too.
+        """Lower the score when more peers turn out to be bad.
 
         The first bad requests of an overload are scored before summaries show that
-        the peers are bad. They must count for less once that is known.
+        the peers are bad, too. Once that is known, these requests must count as little
+        as new ones, so the score is multiplied by the ratio of what a slow request adds
+        now to what it added before.
         """
         increment = bad_request_score(self._slow_rates(now_s))
         if increment < self._slow_request_score:
@@ -281,8 +284,8 @@
             self._add_to_score(good_request_score(self._slow_rates(now_s)))
             self.evidence[result.value] += 1
         elif result in SLOW_RESULTS:
-            # An attempt without an answer has no latency to compare with the
-            # peers', so its duration counts as infinite.
+            # An attempt without an answer has no latency that could be compared with
+            # the latency of the peers, so its duration counts as infinite.
             is_answered = result is WorkResult.ANSWERED
             took_ms = (now_s - attempt.started_s) * 1000 if is_answered else math.inf
             self._slowest_counted_ms = max(self._slowest_counted_ms, took_ms)
@@ -303,7 +306,7 @@
         self._error_duration_s = max(duration_s, ERROR_DURATION_DECAY * previous_s)
 
     def _count_slow(self, attempt: _InFlight, evidence: str, now_s: float) -> None:
-        """Count a slow attempt, unless it was slow in the same pause as the last one.
+        """Count a slow attempt, unless a pause that is already counted delayed it.
 
         A pause of a backend server makes all requests of that moment slow. It is
         one event, however many requests it delays. If each of them counted, a busy
@@ -321,14 +324,14 @@
         self.evidence[evidence] += 1
 
     def _is_outside_last_pause(self, attempt: _InFlight, now_s: float) -> bool:
-        """Tell whether an attempt was slow apart from the last pause.
-
-        That is so if a good request ended between the pause and the attempt's
-        start, or if a good request that started later ended before it. A good
-        request that ended at the same moment proves nothing: all requests end
-        together at the end of a pause. An attempt that began together with the one
-        last counted is never apart: threads that wait for a processor are delayed
-        for different times.
+        """Tell whether an attempt was slow for another reason than the last pause.
+
+        It was if a good request ended after the pause and before the attempt began, or
+        if a good request began after the attempt and ended before it. A good request
+        that ended at the same moment as the attempt proves nothing: all requests end
+        together at the end of a pause. An attempt that began at the same moment as the
+        attempt last counted always belongs to its pause: threads that wait for a
+        processor are delayed for different times.
         """
         if abs(attempt.started_s - self._last_slow_start_s) < SAME_MOMENT_S:
             return False
@@ -368,7 +371,7 @@
         self._add_to_score(self.detection.threshold)
 
     def _add_bad(self, attempt: _InFlight, increment: float) -> None:
-        """Add to the score for an attempt, up to the bound for one attempt."""
+        """Add an attempt's increment to the score, up to the bound for one attempt."""
         limit = ONE_ATTEMPT_MAX * self.detection.threshold
         increment = min(increment, limit - attempt.score_added)
         attempt.score_added += increment
@@ -389,6 +392,6 @@
     return attempt.slow_count
 
 
-# An attempt in flight counts as slow at these multiples of the slow limit: once at
-# the first, once more at the second, and never again.
+# An attempt in flight counts as slow when its age exceeds these multiples of the slow
+# limit: once at the first, once more at the second, and never again.
 _SLOW_AGE_FACTORS = (1.0, 4.0, float("inf"))
--- a/balsamspindle/backend_servers/heaviest_weight.py
+++ b/balsamspindle/backend_servers/heaviest_weight.py
@@ -1,9 +1,9 @@
-"""Which part of a service's retries is reserved for its heaviest requests."""
+"""Determines the part of a service's retries reserved for heavier requests."""
 
 __all__ = ["RESERVED_FOR_HEAVIER_FRACTION", "HeaviestWeight"]
 
-# Part of a service's retries that lighter requests leave to heavier ones, which may
-# be calls that other requests wait for, or requests of greater value.
+# Part of a service's retries that lighter requests must leave to heavier ones. Heavier
+# requests may be calls that other requests wait for, or requests of greater value.
 RESERVED_FOR_HEAVIER_FRACTION = 0.5
 
 HEAVIEST_WEIGHT_EXPIRY_S = 10.0
@@ -17,7 +17,7 @@
         self._recorded_s = -HEAVIEST_WEIGHT_EXPIRY_S
 
     def record(self, weight: float, now_s: float) -> None:
-        """Raise the maximum to a request's weight, or replace an expired one."""
+        """Record a weight if it is the greatest, or if the recorded one has expired."""
         if (
             weight >= self._weight
             or now_s - self._recorded_s > HEAVIEST_WEIGHT_EXPIRY_S
@@ -25,7 +25,7 @@
             self._weight, self._recorded_s = weight, now_s
 
     def reserved_fraction(self, weight: float) -> float:
-        """Return the part of the retries that a request leaves to heavier ones.
+        """Return the part of the retries that a request must leave to heavier ones.
 
         Between 0 and 1; 0 for the heaviest requests.
         """
--- a/balsamspindle/backend_servers/hold_outs.py
+++ b/balsamspindle/backend_servers/hold_outs.py
@@ -1,9 +1,10 @@
-"""Detection settings whose hold-outs fit the number of backend servers in the zone.
+"""Makes hold-outs longer in zones with many backend servers of a service.
 
-This is for services whose backend servers are often sick for some seconds, several
-at a time. A trial costs its caller a retry, and mostly fails while the sickness
-lasts; a long hold-out costs the zone the slots of that backend server. In a zone
-with few others, the missing slots would send requests to other zones.
+This applies to services whose backend servers are often sick for some seconds, several
+of them at a time (`independent_errors`). A trial mostly fails while the backend server
+is still sick, and then costs its caller a retry, so long hold-outs save retries. But
+during a hold-out the zone lacks the slots of that backend server. In a zone with few
+other backend servers, requests would then have to go to other zones.
 """
 
 from collections.abc import Callable
@@ -14,15 +15,16 @@
 
 __all__ = ["LARGE_ZONE_SERVERS", "ZoneDetection", "adjust_hold_outs"]
 
-# From this many backend servers of a service on, a zone can do without one of them.
+# A zone with at least this many backend servers of a service can do without one.
 LARGE_ZONE_SERVERS = 6
-# In such a zone, hold_out_growth and hold_out_max_s are multiplied by these.
+# Factors by which `hold_out_growth` and `hold_out_max_s` are multiplied in a zone with
+# at least `LARGE_ZONE_SERVERS` backend servers of the service.
 LARGE_ZONE_GROWTH_FACTOR = 5.0
 LARGE_ZONE_MAX_FACTOR = 2.0
 
 
 def adjust_hold_outs(detection: Detection, in_zone: int) -> Detection:
-    """Return a service's settings, with longer hold-outs in a large zone.
+    """Return a service's detection settings, with longer hold-outs in a large zone.
 
     Parameters
     ----------
@@ -44,7 +46,7 @@
     Parameters
     ----------
     detection : callable
-        Returns a service's settings.
+        Returns a service's detection settings.
     in_zone : callable
         Returns the number of a service's backend servers in the zone.
     """
@@ -57,7 +59,7 @@
         self._cache: dict[tuple[Detection, bool], Detection] = {}
 
     def __call__(self, service: str) -> Detection:
-        """Return a service's settings."""
+        """Return a service's detection settings, adjusted to the zone."""
         detection = self._detection(service)
         in_zone = self._in_zone(service)
         key = (detection, in_zone >= LARGE_ZONE_SERVERS)
--- a/balsamspindle/backend_servers/ledger.py
+++ b/balsamspindle/backend_servers/ledger.py
@@ -11,9 +11,10 @@
 
 __all__ = ["KEY_RETENTION_S", "EarlierAnswer", "HeldKey", "KeyRefused", "RunLedger"]
 
-# How long a key is remembered after its request ended.
+# How long the ledger keeps a key after the key's request has ended.
 KEY_RETENTION_S = 1800.0
-# Enough for 28 keyed requests a second at each gate with that retention time.
+# Enough for 28 keyed requests a second at each gate if each key is kept for
+# `KEY_RETENTION_S`.
 KEYS_MAX = 50_000
 ANSWERS_MAX_BYTES = 16 * 1024 * 1024
 
@@ -30,7 +31,7 @@
 
 @dataclass(frozen=True)
 class EarlierAnswer:
-    """The answer of the key's first attempt, to be sent again."""
+    """The answer to the first attempt of the key, which is to be sent again."""
 
     reply: Reply
 
@@ -51,7 +52,7 @@
 
 @dataclass
 class _Entry:
-    """A key that is running, ran or may have run."""
+    """A key whose request is running, ran or may have run at this gate."""
 
     fingerprint: tuple[str, str, int]
     claimed_s: float
@@ -63,15 +64,15 @@
 class RunLedger:
     """Records which keys ran at this gate, and their answers.
 
-    A key's claim names the only gate, and the incarnation of that gate, that may run
-    it. If the claim is younger than `KEY_RETENTION_S` and the ledger has no entry for
-    the key, the key never ran: its entry would still be there. If the claim is older,
-    the key may have run, and the outcome is `unknown`.
+    The claim of a key names the only gate, and the incarnation of that gate, that may
+    run the key's request. If the claim is younger than `KEY_RETENTION_S` and the ledger
+    has no entry for the key, the request never ran: the entry would still be there. If
+    the claim is older, the request may have run, and the outcome is `unknown`.
 
     Parameters
     ----------
     node_id, incarnation
-        Of this gate.
+        Identify this gate.
     """
 
     def __init__(self, node_id: str, incarnation: int) -> None:
@@ -80,15 +81,16 @@
         self._lock = threading.Lock()
         self._entries: dict[Key, _Entry] = {}
         # The highest version of each key's claim for which this gate replied
-        # 'not run'. Another gate may have claimed the key since.
+        # 'not run'. Another gate may have claimed the key since, so the key must not
+        # run under a claim of this version or a lower one.
         self._released_versions: dict[Key, int] = {}
         # Sizes of the stored answers, oldest first.
         self._answers: OrderedDict[Key, int] = OrderedDict()
         self._answers_bytes = 0
-        # The store may have lost claims of lower versions.
+        # Claims of lower versions are refused, as the store may have lost them.
         self._version_min = 0
-        # Times at which items expire, with the version of a released claim, or 0 for
-        # an entry.
+        # Time of expiry, key and version of each item that will expire. The version is
+        # that of a released claim, or 0 for an item of `_entries`.
         self._expiries: list[tuple[float, Key, int]] = []
 
     def begin(
@@ -161,8 +163,8 @@
         if claim.version <= self._released_versions.get(key, 0):
             return KeyRefused(Outcome.NOT_RUN, Reason.CLAIM_MOVED)
         if len(self._entries) + len(self._released_versions) >= KEYS_MAX:
-            # After 'not run' another gate may claim the key, and there is no room left
-            # to record that this claim no longer counts.
+            # The outcome must not be 'not run': another gate could then claim the key,
+            # and there is no room to record that this claim no longer counts.
             return KeyRefused(Outcome.UNKNOWN, Reason.NO_FREE_SLOT)
         return None
 
--- a/balsamspindle/backend_servers/lifetimes.py
+++ b/balsamspindle/backend_servers/lifetimes.py
@@ -2,7 +2,8 @@
 
 Announcements may arrive seconds late and out of order. A late one must not bring back
 a start that has ended, and a late "ready" must not undo a "draining". A backend server
-may restart under the same id: the time of its start tells the two starts apart.
+may restart under the same id: each announcement gives the time of the start, which
+tells the two starts apart.
 """
 
 import threading
@@ -17,11 +18,13 @@
 
 __all__ = ["AnnouncedStatus", "Lifetimes"]
 
-# Starts that are remembered; enough, as a node has one backend server at a time.
+# Number of backend servers whose latest start is remembered. It is enough, as a node
+# has one backend server at a time.
 LIFETIMES_MAX = 1000
-# A start that was replaced by another one counts again when the other has been silent
-# for this time: then the announcement of the other was the late one. Announcements are
-# sent every second or two.
+# After a start has been silent for this long, announcements count again that it had
+# replaced: those of an earlier start, or of another backend server at the address. The
+# announcement that replaced them was then the late one. Announcements are sent every
+# second or two.
 REPLACED_SILENT_S = 4.0
 _EARLIER_START = "the backend server has started again since"
 
@@ -32,11 +35,12 @@
     Attributes
     ----------
     sequence : int
-        Rises with each announcement, and restarts with each start.
+        Rises with each announcement, and begins anew at each start.
     cold_s : float
         How long the backend server will still be slow because of its start.
     start_unix_ms : int
-        Unix time of its start by its own clock, in milliseconds; 0 if not reported.
+        Unix time of the backend server's start by its own clock, in milliseconds; 0 if
+        not reported.
     """
 
     sequence: int
@@ -56,11 +60,12 @@
     is_draining: bool = False
 
     def outranks_earlier(self, now_s: float) -> bool:
-        """Return whether announcements with an earlier start time are late ones.
+        """Return whether announcements with an earlier start time are ignored as late.
 
-        The clock of a backend server may be set back before it restarts. By its start
-        time alone the new start would never get work, so it counts once this one is
-        silent. A start that left or drains is never replaced in this way.
+        If the clock of a backend server is set back before it restarts, its new start
+        has the earlier start time, but must get work. The announcements of that start
+        therefore count once this start has been silent for `REPLACED_SILENT_S`. A start
+        that has left or drains is never replaced by a start with an earlier time.
         """
         is_silent = now_s - self.announced_s >= REPLACED_SILENT_S
         return self.has_left or self.is_draining or not is_silent
@@ -74,7 +79,7 @@
         self._events = events
         self._lock = threading.Lock()
         self._lifetimes: OrderedDict[str, _Lifetime] = OrderedDict()
-        # The id of the backend server that has each address.
+        # For each address, the id of the backend server that has it now.
         self._address_holders: dict[str, str] = {}
 
     def announce(
@@ -84,7 +89,11 @@
         status: AnnouncedStatus,
         now_s: float,
     ) -> None:
-        """Apply an announcement unless it is late; replaces its `boot_id`."""
+        """Apply an announcement unless it is late.
+
+        Its `boot_id` is replaced by one made from the backend server's id and the time
+        of its start.
+        """
         with self._lock:
             cause = self._ignore_cause(server_id, announcement, status, now_s)
             if cause is not None:
@@ -114,7 +123,7 @@
             self._emit("backend_server_leaving", server_id, cause)
 
     def record_misdirected(self, server_id: str) -> None:
-        """Record that a request reached another backend server at this address."""
+        """Record that a request to this address reached another backend server."""
         self.record_leave(server_id, "another backend server has its address")
 
     def _ignore_cause(
@@ -164,7 +173,8 @@
         self._address_holders[announcement.address] = server_id
         lifetime.sequence, lifetime.announced_s = status.sequence, now_s
         if replaced not in (None, server_id) and not lifetime.is_draining:
-            # A late announcement of the other one may have drained this one before.
+            # A late announcement of the replaced backend server may have drained this
+            # one before.
             self._servers.undrain(server_id)
         announcement = msgspec.structs.replace(
             announcement, boot_id=_boot_id(server_id, status.start_unix_ms)
--- a/balsamspindle/backend_servers/link_server.py
+++ b/balsamspindle/backend_servers/link_server.py
@@ -37,11 +37,12 @@
 MESSAGES_PER_POLL_MAX = 1000
 STOP_TIMEOUT_S = 5.0
 LINGER_MS = 2000
-# How long a connection stays open after the last reply. A peer that reads the reply
-# and the end of the connection at once drops the reply.
+# How long the connections stay open after the last reply. A peer that reads a reply
+# together with the end of the connection drops the reply.
 LAST_REPLY_DELAY_S = 0.05
-# The number of the executor's threads. One more attempt would wait in the executor's
-# queue, which is unbounded and ignores deadlines.
+# The most attempts that are handled at the same time: the number of the executor's
+# threads. Further attempts would wait in the executor's queue, which is unbounded and
+# ignores deadlines.
 PENDING_MAX = 256
 
 
@@ -68,16 +69,18 @@
         self._handlers: dict[type, Callable[[Any], LinkMessage | None]] = {}
         self._stopped = threading.Event()
         self._thread_sockets = threading.local()
-        # Attempts whose reply `run` has not received yet; only `run` changes it.
+        # Number of attempts whose reply `run` has not received from the executor's
+        # threads yet; changed only in the thread of `run`.
         self._pending = 0
-        # The peers of pending attempts. An entry is removed when its peer is notified
-        # that this node may end before the attempt does.
+        # The peers of pending attempts. An entry is removed at the end of its attempt,
+        # or when its peer is notified that this node may end before the attempt.
         self._peers: dict[AttemptId, bytes] = {}
         self._replied_s = 0.0
-        # When the ingresses of attempts end, for attempts unknown to the gate so far.
+        # When the ingresses of attempts end, for attempts that the gate does not know
+        # yet.
         self._ends_s: dict[AttemptId, float] = {}
         self._router = context.socket(zmq.ROUTER)
-        # Replies that are still queued are sent when the node stops.
+        # When the socket is closed, queued replies are still sent for this long.
         self._router.setsockopt(zmq.LINGER, LINGER_MS)
         protect_listener(self._router, keys)
         self._router.bind(f"tcp://{address}")
@@ -132,8 +135,8 @@
     def _send_replies(self) -> None:
         for frames in _receive_ready(self._replies):
             self._pending -= 1
-            # Without a reply there is only the peer: the attempt was a duplicate, or
-            # it raised an exception.
+            # A message that names only the peer has no reply to send: the attempt was a
+            # duplicate, or handling it raised an exception.
             if len(frames) > 1:
                 self._router.send_multipart(frames, copy=False)
                 self._replied_s = time.monotonic()
@@ -141,9 +144,9 @@
     def _notify_node_ending(self, now_s: float) -> None:
         """Notify ingresses of attempts that may not finish before this node ends.
 
-        An ingress that learns of it only when the run is cut starts to look for another
-        backend server when most of the caller's time is gone, and its own node may be
-        about to leave as well.
+        If an ingress learned that only when the run is interrupted, it would look for
+        another backend server when most of the caller's time is gone, and its own node
+        might be about to leave as well.
         """
         for attempt_id in self._gate.outlasting_attempts(now_s):
             peer = self._peers.pop(attempt_id, None)
@@ -153,9 +156,9 @@
     def _pass_ingress_ends(self, now_s: float) -> None:
         """Tell the gate when ingresses end, also for attempts that begin later.
 
-        The message can arrive while its attempt still waits for a thread, unknown to
-        the gate. If it were dropped, the attempt could start just before its ingress
-        ends.
+        An ingress's `IngressEnding` message can arrive while its attempt still waits
+        for a thread, unknown to the gate. If the message were dropped, the attempt
+        could start just before its ingress ends.
         """
         for attempt_id, ends_s in list(self._ends_s.items()):
             is_over = now_s >= ends_s + ATTEMPT_RETENTION_S
@@ -165,7 +168,7 @@
     def _receive_all(self) -> None:
         """Receive all queued messages and handle cancellations before attempts.
 
-        After the process was suspended, attempts are queued with their cancellations
+        After the process was suspended, attempts may be queued with their cancellations
         behind them. Attempts that were cancelled meanwhile must not begin.
         """
         received_s = time.monotonic()
@@ -234,7 +237,8 @@
             if reply is not None:
                 frames.append(_encode_now(reply))
         except Exception as error:
-            # The ingress gets no reply, so the outcome is 'unknown', which is correct.
+            # The ingress gets no reply, so it reports the outcome 'unknown', which is
+            # correct: the request may have run.
             self._events.emit("attempt_failed", cause=repr(error))
             raise
         finally:
--- a/balsamspindle/backend_servers/probes.py
+++ b/balsamspindle/backend_servers/probes.py
@@ -28,12 +28,12 @@
 
 
 class Prober:
-    """Probes this node's idle backend servers while they are in demand.
+    """Probes the backend servers of this node that lack evidence from requests.
 
     Parameters
     ----------
     probe_path : callable
-        Returns the health endpoint's path of a service.
+        Returns the path of a service's health endpoint.
     """
 
     def __init__(
@@ -53,8 +53,8 @@
         """Probe until `stop` is called."""
         with ThreadPoolExecutor(PROBE_THREADS_MAX, "probe") as executor:
             while not self._stopped.wait(PROBE_INTERVAL_S):
-                # Waits for all probes of the round. Otherwise the probes of a
-                # hanging backend server would accumulate in the queue.
+                # `list` waits for all probes of the round. Otherwise the probes of a
+                # hanging backend server would accumulate in the executor's queue.
                 wanted = self._monitor.servers_to_probe(time.monotonic())
                 list(executor.map(self._probe, wanted))
 
--- a/balsamspindle/backend_servers/queue.py
+++ b/balsamspindle/backend_servers/queue.py
@@ -1,8 +1,8 @@
 """The short queue of attempts that wait for a slot at one gate.
 
 There is one queue per service. It decides which attempts start, wait or are shed. The
-waiting itself is done by the threads that handle the attempts; they ask again after
-each change. All calls are made under the gate's lock.
+waiting itself is done by the threads that handle the attempts; they request a slot
+again after each change. All calls are made under the gate's lock.
 """
 
 from collections import Counter
@@ -16,18 +16,19 @@
 __all__ = ["Order", "SlotQueue", "Ticket", "Verdict"]
 
 
-# Service times vary, so an answer is likely to be in time only if at least this many
-# times the mean service time is left.
+# Service times vary, so an answer is likely to meet its latency target only if at least
+# this many times the mean service time is left until then.
 IN_TIME_FACTOR = 1.5
-# Assumed until the backend server has answered once.
+# Mean service time that is assumed until the backend server has answered once.
 DEFAULT_SERVICE_TIME_S = 0.1
 # A waiting attempt is refused after this many times its permitted wait, so that it can
-# go to another gate. Above 1 because each such move costs its place in a queue.
+# go to another gate. The factor is above 1 because an attempt that moves loses its
+# place in this queue.
 WAIT_OVERRUN_FACTOR = 1.3
 
 
 class Order(StrEnum):
-    """Which attempt starts first if weight, turn and target are the same."""
+    """Which attempt starts first if weight, customer turn and target are equal."""
 
     FIFO = "fifo"
     LIFO = "lifo"
@@ -41,9 +42,9 @@
     # The queue is full of attempts that take precedence, or a later attempt has taken
     # the place of this one.
     SHED = "shed"
-    # It could not be finished before its deadline any more.
+    # The attempt could not end before its deadline any more.
     TOO_LATE = "too_late"
-    # It would wait, or has waited, longer than its `wait_max_s` permits.
+    # The attempt would wait, or has waited, longer than its `wait_max_s` permits.
     WAIT_TOO_LONG = "too_long"
 
 
@@ -51,7 +52,19 @@
 
 
 class OrderKey(NamedTuple):
-    """Sort key of a waiting ticket: the smallest starts first."""
+    """Sort key of a waiting ticket: the ticket with the smallest key starts first.
+
+    Attributes
+    ----------
+    lightness : float
+        The negative weight.
+    turn : int
+        Turn of the customer; see `CustomerTurns`.
+    target_s : float
+        Latency target with the ticket's rank added; 0 without a target.
+    sequence : int
+        Number of the arrival, negative for `Order.LIFO`.
+    """
 
     lightness: float
     turn: int
@@ -66,7 +79,7 @@
     Attributes
     ----------
     weight : float
-        Weight of its route; the lightest is shed first.
+        Weight of the attempt's route; a full queue sheds the lightest attempts first.
     deadline_s : float
         When its caller stops waiting.
     is_shed : bool
@@ -80,13 +93,14 @@
     enqueued_s : float
         When it began to wait.
     expected_wait_s : float
-        Wait as estimated by the last decision.
+        Its wait for a slot, as estimated at the last decision.
     route_time_s : float
         Mean service time of its route; 0 when unknown.
     was_cut : bool
-        Whether an earlier run of it was lost with a node that left.
+        Whether an earlier run of the request was lost with a node that left.
     rank_s : float
-        Added to its target, to sort it behind other attempts due at the same time.
+        Added to the target when sorting. It is the same for all calls made for one
+        request, so that they start together; 0 for other attempts.
     customer : str
         Customer that sent the request; empty when there is none.
     """
@@ -111,15 +125,16 @@
 
     The heaviest attempt starts first, so lighter attempts never make it miss its
     deadline. Among attempts of the same weight customers take turns, so a customer with
-    many requests delays its own requests only. Among those of the same turn the
-    earliest target starts first, then `order` decides.
+    many requests delays its own requests only. Among attempts of the same turn, the
+    attempt with the earliest latency target starts first; if these are equal, `order`
+    decides. Attempts that will miss their target go behind the others of their weight.
 
     Parameters
     ----------
     queue_max : int
         Maximum number of waiting attempts.
     on_change : callable, default=nothing
-        Called when the waiting attempts have to ask again.
+        Called when the waiting attempts have to request a slot again.
     """
 
     def __init__(
@@ -179,9 +194,9 @@
         service_time_s: float,
         now_s: float,
     ) -> Verdict:
-        """Return the verdict for a ticket that is not to be enqueued.
+        """Return the verdict that a ticket would get, without enqueueing it.
 
-        Unlike `request_slot` it leaves the queue as it is and sheds no other attempt.
+        Unlike `request_slot`, it does not change the queue and sheds no other attempt.
         """
         verdict = self._judge(
             ticket, free_slots, effective_slots, service_time_s, now_s
@@ -217,9 +232,9 @@
         wait_s = _expected_wait_s(ahead, free_slots, effective_slots, service_time_s)
         run_time_s = ticket.route_time_s or service_time_s
         ends_s = now_s + wait_s + run_time_s
-        # The service time is an estimate that only completed attempts can correct.
-        # Without competing attempts one starts whatever the estimate says; otherwise
-        # an estimate that is far too high would refuse all attempts for good.
+        # An attempt that has a slot and no competitors starts even if the estimate says
+        # that it would end too late. Only completed attempts can correct the estimate;
+        # if it is far too high, all attempts would otherwise be refused for good.
         has_slot = ahead < free_slots
         if ends_s > ticket.deadline_s and (competing or not has_slot):
             return Verdict.TOO_LATE
@@ -238,7 +253,8 @@
         Returns
         -------
         tuple of int
-            Those that start before the ticket, and all of them.
+            The number of these attempts that start before the ticket, and the number of
+            all of them.
         """
         key = _current_order(ticket, ticket.key or self._next_key(ticket), now_s)
         ahead = competing = 0
@@ -251,10 +267,12 @@
         return ahead, competing
 
     def _next_key(self, ticket: Ticket) -> OrderKey:
-        """Return a ticket's key: heaviest first, then by turn, target and arrival.
+        """Return the key that sorts a ticket among the waiting ones.
 
-        Because of the target, a short request whose answer is due soon starts before
-        a long one that has time. Tickets without a target sort by arrival.
+        It sorts by weight (the heaviest first), then by the customer's turn, by latency
+        target and by arrival. Because of the target, a short request whose answer is
+        due soon starts before a long request that has time. Tickets without a target
+        sort by arrival.
         """
         sequence = self._sequence + 1
         target_s = 0.0 if ticket.target_s is None else ticket.target_s + ticket.rank_s
@@ -276,11 +294,12 @@
         return Verdict.WAIT
 
     def _shed_for(self, ticket: Ticket) -> bool:
-        """Shed one of the lightest waiting attempts in favour of the ticket.
+        """Shed one of the lightest waiting attempts to make room for the ticket.
 
-        It is the newest one of the customer with the most attempts of that weight. It
-        has to be lighter than the ticket, or, at the same weight, its customer must
-        have more attempts waiting than the ticket's customer would have.
+        Among the lightest attempts it selects the newest one of the customer that has
+        the most of them. This attempt is shed if it is lighter than the ticket, or if
+        it has the same weight and its customer has more attempts of that weight waiting
+        than the ticket's customer would have with the ticket.
 
         Returns
         -------
@@ -312,23 +331,23 @@
 ) -> tuple[float, bool, int, float, int]:
     """Return a ticket's sort key at this moment; late tickets go behind others.
 
-    Under overload, serving the earliest target first makes each answer just too late:
-    with three quarters of the slots that all attempts need, no answer would be in time.
-    So an attempt whose answer will be late in any case goes behind those of its weight
-    that can still meet their target.
+    If the earliest target always started first, each answer would be slightly too late
+    under overload: with three quarters of the slots that all attempts need, no answer
+    would be in time. So an attempt whose answer will be late in any case goes behind
+    the attempts of its weight that can still meet their targets.
     """
     weight, turn, target_s, sequence = key
     return weight, _is_late(ticket, now_s), turn, target_s, sequence
 
 
 def _is_late(ticket: Ticket, now_s: float) -> bool:
-    # An attempt whose earlier run was cut is late for that reason, and had its turn
-    # already. Behind all new attempts it would not be served at all.
+    # An attempt whose earlier run was lost with a node is late because of that, and has
+    # already waited for a slot once. Behind all new attempts it would never start.
     if ticket.target_s is None or ticket.was_cut:
         return False
-    # Ranked attempts are calls made for one request, which needs all of their answers,
-    # late or not. If they went behind new attempts when late, those calls would be late
-    # at one gate and not at another.
+    # Attempts with a rank are calls made for one request, which needs all of their
+    # answers, late or not. If late calls went behind new attempts, some calls of the
+    # request would be late at one gate, and others not late at another gate.
     if ticket.rank_s:
         return False
     return now_s + IN_TIME_FACTOR * ticket.route_time_s > ticket.target_s
@@ -351,5 +370,6 @@
         return False
     if ticket.key is None:
         return ticket.expected_wait_s > ticket.wait_max_s
-    # The estimate made when it was enqueued was too low; another gate may be better.
+    # The wait that was estimated when the ticket was enqueued was too short. Refuse the
+    # ticket, because another gate may be faster.
     return now_s - ticket.enqueued_s > WAIT_OVERRUN_FACTOR * ticket.wait_max_s
--- a/balsamspindle/backend_servers/refusals.py
+++ b/balsamspindle/backend_servers/refusals.py
@@ -1,9 +1,9 @@
-"""Interprets refusals of backend servers: was the request not run?
+"""Decides whether an error answer proves that a backend server did not run a request.
 
 If the deployment has a header by which backend servers mark requests that they did
 not run, only that header counts as proof: a failing backend server may answer 503 to
-a request that it has already run. Without such a header, refusals are passed on as
-answers.
+a request that it has already run. If the deployment has no such header, error answers
+are passed on to the caller like all other answers.
 """
 
 from http import HTTPStatus
@@ -37,7 +37,7 @@
 
 
 def is_unproven_refusal(answer: BackendAnswer, names: HeaderNames) -> bool:
-    """Return whether the status implies "not run" to a caller without proof of it.
+    """Return whether the status suggests "not run", but the answer does not prove it.
 
     Call it only for answers for which `proves_not_run` is false.
     """
@@ -47,7 +47,10 @@
 def classify_result(
     result: BackendAnswer | BackendFailure, has_restarted: bool, names: HeaderNames
 ) -> BackendAnswer | BackendFailure:
-    """Return a call's result, with a refusal replaced by the failure that it means.
+    """Return a call's result, as a failure if the backend server refused the request.
+
+    A cancelled call becomes a broken answer if the backend server was restarted during
+    the call. All other results are returned unchanged.
 
     Parameters
     ----------
--- a/balsamspindle/backend_servers/retry_grants.py
+++ b/balsamspindle/backend_servers/retry_grants.py
@@ -3,11 +3,12 @@
 A repeat is a retry of a request that reached a backend server before, or may have.
 
 A service's retry budget includes a fixed number that does not depend on the request
-rate, and each node that grants retries needs a share of it. Shared among all nodes that
-callers use, the shares are too small: less than two retries each in a fleet of 35, most
-of them unused at nodes that need none while other nodes refuse retries. A service has
-only a few gates, every repeat arrives at one of them, and a gate whose share is used up
-refuses the repeat, which then goes to the next gate.
+rate, and each node that grants retries needs a share of it. If all nodes that callers
+use granted retries, the shares would be too small: less than two retries each in a
+fleet of 35, most of them unused at nodes that need none while other nodes refuse
+retries. Therefore gates grant them. A service has only a few gates, every repeat
+arrives at one of them, and a gate whose share is used up refuses the repeat, which then
+goes to the next gate.
 
 A run that is a repeat also makes its own calls to other services again. At those
 services the calls are repeats, but they look like new requests. The node beside the
@@ -24,7 +25,8 @@
 
 __all__ = ["RetryGrants"]
 
-# Fraction of a service's repeats that last-resort attempts leave to other attempts.
+# Fraction of a service's repeats that last-resort attempts, which go to suspected
+# backend servers, must leave to other attempts.
 RESERVED_FROM_LAST_RESORTS_FRACTION = 0.5
 
 
@@ -66,10 +68,9 @@
         Parameters
         ----------
         may_repeat : bool
-            Whether the request may be repeated. No repeats are reserved for heavier
-            requests that must not run twice. Otherwise half of all grants can stay
-            unused while lighter requests are refused a repeat, for example 67 of
-            them within 15 s.
+            Whether the request may be repeated. If not, no repeats are reserved for
+            requests of its weight. Otherwise half of all grants could stay unused while
+            lighter requests are refused repeats, for example 67 of them within 15 s.
         repeat_fraction : float
             Probability that the request is a call made by a run that is a repeat.
         """
@@ -113,17 +114,18 @@
         Parameters
         ----------
         is_last_resort : bool
-            Whether the attempt goes to a suspected backend server. About 70% of such
-            runs fail, while their repeats could succeed at healthy backend servers.
-            Half of all repeats are therefore reserved for other attempts.
+            Whether the attempt goes to a suspected backend server. About 70% of the
+            runs there fail, while the same repeats could succeed at healthy backend
+            servers. Half of all repeats are therefore reserved for other attempts.
         was_cut : bool
-            Whether an earlier run of the request was lost with a node that left. It
-            may use the repeats reserved for heavier requests: these failed at their
-            backend servers, while this one would have been answered.
+            Whether an earlier run of the request was lost with a node that left. Such a
+            request may use the repeats reserved for heavier requests: heavier requests
+            are repeated because they failed at their backend servers, while this
+            request would have been answered.
         """
         budget = self._budget(service, now_s)
         if not budget.fleet_per_s_min:
-            # The budget has no share for gates: the sending node counts its repeats.
+            # The budget has no share for gates: each sending node limits its repeats.
             return True
         with self._lock:
             state = self._state(service)
@@ -141,7 +143,7 @@
         """Take back the grant of a repeat that did not run.
 
         Otherwise an overload would use up the budget without a single run, because
-        each granted repeat is then refused by a busy gate.
+        a busy gate refuses each granted repeat for lack of a slot.
         """
         with self._lock:
             self._state(service).window.refund()
--- a/balsamspindle/backend_servers/retry_window.py
+++ b/balsamspindle/backend_servers/retry_window.py
@@ -3,8 +3,9 @@
 Over any ten seconds, all nodes together may retry a fraction of a service's requests
 plus a fixed number. Each gate limits itself to that fraction of the requests that it
 sees, plus its share of the fixed number, so the total stays within the limit
-whatever the other gates do. A token bucket could use only half of its share: it may be
-full at the start of a window and be refilled before the window ends.
+whatever the other gates do. A token bucket could hold only half of the gate's share: it
+may be full at the start of a window and be filled again before the window ends, so that
+twice its size is spent within one window.
 """
 
 from collections import deque
@@ -15,7 +16,7 @@
 
 WINDOW_S = 10.0
 # Events are counted in steps of this length. Retries count for one step longer than
-# the window and requests for one step less, so that rounding never allows more.
+# the window and requests for one step less, so that rounding never allows more retries.
 STEP_S = 0.5
 
 
--- a/balsamspindle/backend_servers/runner.py
+++ b/balsamspindle/backend_servers/runner.py
@@ -115,8 +115,8 @@
     def _evidence(self, result: BackendAnswer | BackendFailure | None) -> WorkResult:
         """Return what a call's end shows about the backend server's health.
 
-        An error that may follow from a failed call that the backend server itself made
-        does not count against it.
+        An error does not count against the backend server if it may follow from the
+        failure of a call that the backend server made itself.
         """
         evidence = work_result(result)
         is_explained = self._failed_calls.explains_error(time.monotonic())
@@ -127,9 +127,9 @@
     def _classify(
         self, server: LocalBackendServer, result: BackendAnswer | BackendFailure
     ) -> BackendAnswer | BackendFailure:
-        """Return the result with a refusal replaced by the failure that it means.
+        """Return a call's result as `classify_result` does.
 
-        Reports a backend server whose address now belongs to another one.
+        Also reports the backend server if its address now belongs to another one.
         """
         if isinstance(result, BackendAnswer) and is_misdirected(result, self._names):
             self._on_misdirected(server.backend_server_id)
--- a/balsamspindle/backend_servers/servers.py
+++ b/balsamspindle/backend_servers/servers.py
@@ -29,7 +29,7 @@
 
     READY = "ready"
     DRAINING = "draining"
-    # Its announcements stopped while requests were running there.
+    # The backend server's announcements stopped while it was running requests.
     SILENT = "silent"
 
 
@@ -62,9 +62,10 @@
     running : set of CancelToken
         Tokens of its attempts that have a slot.
     has_restarted : bool
-        The backend server has restarted; requests of this start get no answer.
+        Whether the backend server has restarted since; requests sent to it before the
+        restart get no answer.
     is_replaced : bool
-        Another backend server has its address, though this one was not draining.
+        Whether another backend server took its address while it was not draining.
     """
 
     def __init__(self, backend_server_id, announcement, now_s, cold_s=0.0):
@@ -73,7 +74,7 @@
         self.state = BackendServerState.READY
         self.started_s: float = now_s
         self.announced_s: float = now_s
-        # By its own announcement it is slower than usual until then.
+        # The backend server announced that it is slower than usual until this time.
         self.cold_until_s: float = now_s + cold_s
         self.in_flight = 0
         self.running: set[CancelToken] = set()
@@ -83,11 +84,11 @@
         self.suspicion = 0.0
 
     def cancel_runs(self) -> None:
-        """Cancel all attempts that run here, as this start has ended.
+        """Cancel all attempts that run here, as the backend server has restarted.
 
         A backend server that loses power does not reset its connections, so attempts
-        would wait until their deadline for an answer that cannot come. Cancelled now,
-        they can be repeated while there is time if their route allows it.
+        would wait until their deadline for an answer that cannot come. If they are
+        cancelled now, there is time to repeat them where their route allows it.
         """
         self.has_restarted = True
         for token in self.running:
@@ -123,7 +124,7 @@
     Attributes
     ----------
     changed : threading.Condition
-        Its lock guards all backend servers; it is notified of each change.
+        Its lock guards all backend servers; the condition is notified of each change.
     version : int
         Rises with each change that must be sent to the other nodes.
     on_replaced : callable
@@ -215,14 +216,15 @@
     def remove_silent(self, now_s: float) -> list[str]:
         """Remove backend servers whose announcements stopped.
 
-        One with running requests gets no new ones, and is removed once they have ended.
-        If it still got new requests, a backend server that left without notice would
-        keep getting them for as long as at least one request is running there.
+        A silent backend server with running requests gets no new requests, and is
+        removed once the running ones have ended. If it still got new requests, a
+        backend server that left without notice would keep getting them for as long as
+        at least one request is running there.
 
         Returns
         -------
         list of str
-            Ids of those that turned silent since the last call.
+            Ids of the backend servers that turned silent since the last call.
         """
         with self.changed:
             silent = [
--- a/balsamspindle/backend_servers/slots.py
+++ b/balsamspindle/backend_servers/slots.py
@@ -10,16 +10,19 @@
 # Weight of the newest sample in the moving averages of service times.
 SAMPLE_SHARE = 0.1
 ROUTES_MAX = 1000
-# Time constant of the average load of each weight. It is long enough for a steady
-# average at a few requests per second.
+# Time constant of the moving averages of the slots that the requests of each weight
+# occupy (their load). It is long enough for a steady average at a few requests per
+# second.
 LOAD_AVERAGING_S = 3.0
-# A load is rounded up to a whole reserved slot unless its fraction is below 0.3.
-# Reserving one of three slots for a load of 0.2 slots leaves that slot idle for 80%
-# of the time while lighter requests are refused.
+# The slots reserved for heavier requests are their load plus this, rounded down, so the
+# load is rounded up unless its fraction is below 0.3. Reserving one of three slots for
+# a load of 0.2 slots would leave that slot idle for 80% of the time while lighter
+# requests are refused.
 LOAD_ROUNDING = 0.7
-# The average load is off by a few tenths of a slot, so at least this much is always
-# assumed to be left.
+# Heavier requests are assumed to leave at least this many slots to lighter requests,
+# because the average load is off by a few tenths of a slot.
 EFFECTIVE_SLOTS_MIN = 0.25
+# Bounds of the time for which a slot stays occupied after `WorkEnd.IN_DOUBT`.
 HOLD_MIN_S = 0.1
 HOLD_MAX_S = 5.0
 
@@ -54,7 +57,8 @@
 class _LoadAverages:
     """Average number of slots occupied by the requests of each weight.
 
-    Busy times decay exponentially with the time constant `LOAD_AVERAGING_S`.
+    The time that slots were occupied is summed by weight, and each sum decays
+    exponentially with the time constant `LOAD_AVERAGING_S`.
     """
 
     def __init__(self) -> None:
@@ -114,11 +118,11 @@
     def reserved_for_heavier(self, weight: float, slots: int, now_s: float) -> int:
         """Return how many free slots a request must leave to heavier requests.
 
-        Otherwise long light requests can occupy all slots. Short heavy requests, on
-        whose answers other requests depend, would then be too late although they are
-        first in the queue, because no slot becomes free before a long request ends.
-        So the slots that heavier requests occupy on average are reserved for them,
-        up to half of all slots.
+        If no slots were reserved, long light requests could occupy all of them. Short
+        heavy requests, on whose answers other requests depend, would then be too late
+        although they are first in the queue, because no slot becomes free before a long
+        request ends. So the slots that heavier requests occupy on average are reserved
+        for heavier requests, up to half of all slots.
         """
         reserved = int(self._loads.heavier_than(weight, now_s) + LOAD_ROUNDING)
         running = sum(
@@ -129,9 +133,10 @@
     def effective_slots(self, weight: float, slots: int, now_s: float) -> float:
         """Return how many slots requests heavier than `weight` leave free on average.
 
-        Heavier requests that arrive later are served first, too. An estimate from the
-        present queue alone would let a light request wait at a gate whose slots are
-        always occupied by heavier ones, until its time is over.
+        The result serves to estimate the wait of a request. Heavier requests that
+        arrive later are served first, too. An estimate from the present queue alone
+        would let a light request wait until its deadline at a gate whose slots are
+        always occupied by heavier requests.
         """
         return max(EFFECTIVE_SLOTS_MIN, slots - self._loads.heavier_than(weight, now_s))
 
--- a/balsamspindle/backend_servers/suspect_runs.py
+++ b/balsamspindle/backend_servers/suspect_runs.py
@@ -1,4 +1,4 @@
-"""Runs of suspected requests: different ones never share a backend server.
+"""Ensures that different suspected requests never run at the same backend server.
 
 If two requests are always lost in the same crashes, it is impossible to tell which of
 them causes the crashes. When they run separately, the next crash identifies the cause,
@@ -19,7 +19,7 @@
         self._running: dict[str, Counter[int]] = {}
 
     def begin(self, backend_server_id: str, content_hash: int) -> bool:
-        """Register a run; return False if another suspected request runs there."""
+        """Register a run; return False if a different suspected request runs there."""
         with self._lock:
             running = self._running.setdefault(backend_server_id, Counter())
             if any(other != content_hash for other in running):
--- a/balsamspindle/backend_servers/work_ends.py
+++ b/balsamspindle/backend_servers/work_ends.py
@@ -1,7 +1,7 @@
-"""What follows from the result of a call to a backend server.
+"""Interprets the result of a call to a backend server.
 
-Translates the result into the caller's outcome, evidence of health, whether the
-slot is free, and evidence of a crash.
+A result determines the caller's outcome, whether the slot is free, and the evidence
+about the backend server's health and about a crash.
 """
 
 import msgspec
@@ -22,7 +22,7 @@
 def work_result(result: BackendAnswer | BackendFailure | None) -> WorkResult:
     """Return a call's result as evidence of the backend server's health.
 
-    A result of None is a fault of this node, which is no evidence about the
+    None as the result stands for a fault of this node, which is no evidence about the
     backend server.
     """
     match result:
