--- a/balsamspindle/requests/admission_queries.py
+++ b/balsamspindle/requests/admission_queries.py
@@ -1,14 +1,14 @@
-"""Queries whether a gate would admit an attempt, before the attempt is sent.
+"""Asks a gate whether it would admit an attempt, before the attempt is sent.
 
 Gates in other zones refuse two of three attempts that look for a free slot. An
 attempt carries its whole request, at least 0.7 KB, and traffic between zones is paid
-for by the byte. A query and its answer take 0.2 KB and a round trip. The gate
-reserves nothing: if the slot is taken by the time the attempt arrives, it is refused.
+for by the byte. A query and its answer take 0.2 KB and a round trip. The gate does not
+reserve the slot: if another attempt takes it first, the gate refuses this one.
 
-Attempts with large bodies are preceded by a query within the zone, too. Gates of a
-busy service refuse three of four attempts. With bodies of 60 KB on 10 Mbit/s links,
-the refused attempts fill a quarter of each gate's link. Queries and short requests
-are then delayed by a quarter of a second, and the gate is taken for unreachable.
+An attempt with a large body is preceded by a query within the own zone, too. Gates of
+a busy service refuse three of four attempts. With bodies of 60 KB on 10 Mbit/s links,
+the refused attempts fill a quarter of each gate's link. Queries and short requests are
+then delayed by a quarter of a second, and the gate is considered unreachable.
 """
 
 import itertools
@@ -35,7 +35,8 @@
 # On a 10 Mbit/s link a body of this size takes as long as a query and its answer
 # within a zone, including the processing at both ends.
 LARGE_BODY_BYTES = 8 * 1024
-# Several round trips; a query costs the gate almost no work.
+# Longest wait for the answer to a query. It is several round trips, and a gate needs
+# almost no time to answer.
 QUERY_TIMEOUT_S = 0.25
 
 
@@ -45,10 +46,10 @@
     Attributes
     ----------
     reason : Reason
-        ``UNREACHABLE`` if the gate did not answer.
+        Why the gate would refuse the attempt; ``UNREACHABLE`` if it did not answer.
     wait_ms : float
-        Expected wait for a slot, or how long the request stays blocked as one that
-        crashes backend servers; 0 with other reasons.
+        Expected wait for a slot or, if the request crashes backend servers, how long
+        it stays blocked; 0 with other reasons.
     held_out : HoldOut
         The hold-out of the backend server, as the gate reported it.
     """
@@ -77,8 +78,10 @@
     def should_query(self, forwarded: ForwardedRequest, placement: Placement) -> bool:
         """Return whether to query the gate before the attempt is sent.
 
-        Last-resort attempts are rarely refused, and an attempt that queues is refused
-        only later. In both cases a query pays off only for a large body.
+        A query is sent for a large body, and for an attempt that looks for a free slot
+        in another zone. For smaller bodies, a query does not pay off with last-resort
+        attempts, which are rarely refused, nor with attempts that wait in a queue,
+        which are refused only later.
         """
         if len(forwarded.request.body) >= LARGE_BODY_BYTES:
             return True
@@ -89,7 +92,7 @@
     def query(
         self, forwarded: ForwardedRequest, placement: Placement
     ) -> Link | DeclinedAttempt:
-        """Return the link for sending the attempt, or why it must not be sent."""
+        """Query a gate; return the link for the attempt, or why it must not be sent."""
         now_s = self._clock()
         link = self._links.acquire(
             placement, forwarded.route.execution, forwarded.deadline_s, now_s
--- a/balsamspindle/requests/admissions.py
+++ b/balsamspindle/requests/admissions.py
@@ -1,7 +1,7 @@
-"""Admits or refuses a request by its head, before its body is read.
+"""Admits or refuses requests by their heads, before their bodies are read.
 
-Callers may send large bodies, or send them slowly. The body of a refused request is not
-read, and the request does not count against its customer's limit.
+Bodies may be large or arrive slowly, so the body of a refused request is not read. A
+refused request does not count against its customer's limit.
 """
 
 from balsamspindle.customers import Admitted, CustomerAdmission, Refused
@@ -29,10 +29,10 @@
         self._customers = customers
 
     def admit(self, request: CallerRequest, now_s: float) -> Admitted | Refused:
-        """Find the route and the customer; count the request against the limit.
+        """Find a request's route and customer; count it against the customer's limit.
 
-        May block for a moment, until the node that grants the customer's requests
-        replies.
+        May block for a moment, while the node that grants requests of this customer
+        is asked.
         """
         match self._route(request):
             case RouteDocument() as route:
@@ -41,11 +41,11 @@
                 return refused
 
     def refuse_on_head(self, request: CallerRequest, now_s: float) -> Refused | None:
-        """Return the refusal of a request without its body yet; None if it may run.
+        """Return the refusal of a request whose body was not read; None if it may run.
 
-        The request is not counted against the customer's limit meanwhile: requests
-        that were counted before their bodies arrived could all run at the same moment
-        afterwards, above the limit.
+        An admitted request is not counted against its customer's limit until its body
+        has arrived. Otherwise requests that were counted at different times could all
+        run at the same moment, when their bodies have arrived, and exceed the limit.
         """
         match self.admit(request, now_s):
             case Refused() as refused:
@@ -55,7 +55,7 @@
         return None
 
     def refund(self, admitted: Admitted) -> None:
-        """Uncount an admitted request that did not run."""
+        """Subtract an admitted request that did not run from its customer's count."""
         self._customers.refund(admitted)
 
     def _route(self, request: CallerRequest) -> RouteDocument | Refused:
--- a/balsamspindle/requests/attempt_outcomes.py
+++ b/balsamspindle/requests/attempt_outcomes.py
@@ -29,7 +29,7 @@
     Parameters
     ----------
     is_given_up : callable
-        Returns whether the node has stopped waiting for all replies.
+        Returns whether the node has stopped waiting for replies to all attempts.
     """
 
     def __init__(
@@ -48,9 +48,10 @@
         attempts: list[SentAttempt],
         waited: WaitResult | None,
     ) -> Reply:
-        """Return the reply for a group of attempts at one request.
+        """Return the reply with which the wait for one request's attempts ended.
 
-        Without any reply this is an `unknown` outcome with reason `silence`.
+        If none of the attempts got a reply, log each of them and return the outcome
+        `unknown` with reason `silence`.
         """
         if waited is None:
             for sent in attempts:
@@ -71,7 +72,7 @@
     def cancel_cause(
         self, forwarded: ForwardedRequest, waited: WaitResult | None = None
     ) -> CancelCause:
-        """Return the cause to give when the remaining attempts are cancelled."""
+        """Return the cause with which attempts that are still open are cancelled."""
         if is_answered(waited):
             return CancelCause.ANSWERED_ELSEWHERE
         if forwarded.caller.caller_gone():
--- a/balsamspindle/requests/attempts.py
+++ b/balsamspindle/requests/attempts.py
@@ -1,4 +1,4 @@
-"""Attempts at a request: at this node's own gate, or over links to others."""
+"""Sends attempts to this node's own gate, or over links to other nodes' gates."""
 
 import itertools
 import time
@@ -40,8 +40,8 @@
     Parameters
     ----------
     on_suspect : callable, optional
-        Called with a gate's node, a backend server's id, the hold-out that the gate
-        reported in a reply and the time.
+        Called after each reply with the gate's node, the backend server's id, the
+        hold-out that the gate reported (0 ms if there is none) and the present time.
     """
 
     def __init__(
@@ -80,7 +80,7 @@
 
     @property
     def link_hold_outs(self) -> HoldOuts:
-        """Nodes that this node could not reach, by id."""
+        """Nodes that this node could not reach and avoids for a while, by id."""
         return self._links.hold_outs
 
     def next_id(self) -> AttemptId:
@@ -88,7 +88,7 @@
         return AttemptId(self._own.node_id, self._own.incarnation, next(self._sequence))
 
     def end_by(self, ends_s: float) -> None:
-        """Set when this node ends; gates start only requests that finish by then."""
+        """Set when this node stops; gates then start only attempts that end before."""
         self._link_attempts.end_by(ends_s)
 
     def give_up(self) -> None:
@@ -96,10 +96,11 @@
         self._link_attempts.give_up()
 
     def parked_reply(self, forwarded: ForwardedRequest) -> Reply | None:
-        """Return a reply to a parked attempt, after all other attempts failed.
+        """Return the reply to a parked attempt; None if no attempt is parked.
 
-        Waits for it if it has not arrived. None if no attempt was parked. A run that
-        was cut may be tried again: other backend servers may have free slots by now.
+        Called when all other attempts have failed; waits for the reply if it has not
+        arrived. If a leaving gate cancelled the run, the request may be sent again, as
+        other backend servers may have free slots by now.
         """
         if forwarded.parked_replies:
             return forwarded.parked_replies.pop()
@@ -122,7 +123,7 @@
         wait_max_ms: float | None = None,
         hedge: Hedge | None = None,
     ) -> Reply:
-        """Make an attempt, and a second one in parallel if no reply comes.
+        """Make an attempt, and a second one in parallel if the first gets no reply.
 
         Parameters
         ----------
@@ -143,7 +144,7 @@
     def _build_dispatch(
         self, forwarded: ForwardedRequest, placement: Placement, deadline_s: float
     ) -> Dispatch:
-        """Count and log an attempt; return the message for it."""
+        """Count and log an attempt; return the message that starts it at the gate."""
         request, route = forwarded.request, forwarded.route
         server_id = placement.backend_server.backend_server_id
         is_repeat = forwarded.sends > 0
@@ -196,7 +197,8 @@
 
     def _send_to_own_gate(self, forwarded, placement, hedge: Hedge | None) -> Reply:
         # This thread makes the call to the backend server itself and cannot start a
-        # second attempt in parallel. It ends a silent attempt early instead.
+        # second attempt in parallel. Instead, an attempt that may be hedged ends after
+        # `hedge_delay_s`, so that another one can follow.
         deadline_s = forwarded.deadline_s
         if hedge is not None:
             deadline_s = min(deadline_s, self._clock() + hedge.hedge_delay_s)
@@ -220,7 +222,11 @@
     def _handle_at_own_gate(
         self, forwarded: ForwardedRequest, dispatch: Dispatch
     ) -> tuple[Reply, Reply | None]:
-        """Return the own gate's reply, and a parked attempt's successful reply."""
+        """Run an attempt at the own gate; return its reply and a parked one's answer.
+
+        The second is the successful reply to a parked attempt that came during the
+        run, or None.
+        """
         if not forwarded.parked:
             return self._gate.handle(dispatch, self._clock()), None
         cancel = partial(
--- a/balsamspindle/requests/connection_refuser.py
+++ b/balsamspindle/requests/connection_refuser.py
@@ -1,4 +1,4 @@
-"""Refuses callers' connections beyond those that this node can serve."""
+"""Refuses callers' connections that exceed the number this node can serve."""
 
 import socket
 import threading
@@ -15,7 +15,9 @@
 
 
 class ConnectionRefuser:
-    """Answers refused connections with the reason, up to a limit; closes the others.
+    """Sends the reason of the refusal to refused connections and closes them.
+
+    While `WAITING_MAX` connections wait for that answer, others are closed without it.
 
     Parameters
     ----------
@@ -29,11 +31,11 @@
         self._write_answer = write_answer
         self._events = events
         self._executor = ThreadPoolExecutor(TASKS_MAX, "turn-away")
-        self._places = threading.Semaphore(WAITING_MAX)
+        self._capacity = threading.Semaphore(WAITING_MAX)
 
     def refuse(self, connection: socket.socket) -> None:
-        """Answer a connection in the background, if there is room, and close it."""
-        if self._places.acquire(blocking=False):
+        """Answer a connection in the background if there is capacity; close it."""
+        if self._capacity.acquire(blocking=False):
             submit_logged(
                 self._executor, self._events, self._answer_and_close, connection
             )
@@ -41,7 +43,7 @@
             connection.close()
 
     def shutdown(self) -> None:
-        """Accept no more connections; don't wait for the accepted ones to close."""
+        """Accept no more connections to refuse; don't wait for open ones to close."""
         self._executor.shutdown(wait=False)
 
     def _answer_and_close(self, connection: socket.socket) -> None:
@@ -52,4 +54,4 @@
             pass
         finally:
             close_gracefully(connection)
-            self._places.release()
+            self._capacity.release()
--- a/balsamspindle/requests/forwarded.py
+++ b/balsamspindle/requests/forwarded.py
@@ -24,14 +24,16 @@
 ]
 
 
-# Reasons with which a gate reports that a run was cut or broke off.
+# Reasons with which a gate reports that it cancelled a run (for example because its
+# node stops), or that the run broke off without a complete answer.
 _CUT = frozenset({Reason.CANCELLED, Reason.BROKEN_ANSWER, Reason.SERVER_CRASHED})
 
 
 class Step(IntEnum):
     """Steps of the search for a placement, in their order.
 
-    `balsamspindle.requests.placement_selection` describes which gates each step asks.
+    `balsamspindle.requests.placement_selection` describes which gates get an attempt
+    in each step.
     """
 
     NEAR = 0
@@ -42,7 +44,7 @@
 
 
 class StopReason(StrEnum):
-    """Why no attempt followed a request's last one; used for the event log only.
+    """Why a request gets no further attempt; used for the event log only.
 
     Attributes
     ----------
@@ -53,7 +55,7 @@
     REPEAT_DENIED
         The request may not be retried, or no time or no retry token was left.
     NODE_LEAVING
-        This node leaves and gave up all requests.
+        This node is leaving and no longer waits for replies.
     CALLER_LEFT
         The caller closed its connection.
     CRASHES_SERVERS
@@ -76,13 +78,14 @@
     ----------
     step : Step
     near_tries, far_tries : int
-        Gates of the own zone and of other zones that were asked for a free slot.
+        Number of gates in the own zone, and in other zones, that were asked for a
+        free slot.
     queue_near_until_s : float or None
         Until when the request may wait in queues of its own zone, on the monotonic
-        clock; None before it first looked for one.
+        clock; None before the search first looked for such a queue.
     queue_wait_ms : dict of str to float
-        Wait in the queue of each gate that refused because of it, by backend server
-        id.
+        Waits for a slot, by backend server id, that gates reported when they refused
+        this request or another one because the wait was too long.
     """
 
     step: Step = Step.NEAR
@@ -92,7 +95,7 @@
     queue_wait_ms: dict[str, float] = field(default_factory=dict)
 
     def restart(self) -> None:
-        """Start again at the first step, after an attempt that failed."""
+        """Restart the search at step `NEAR`; discard the reported queue waits."""
         self.step, self.near_tries, self.far_tries = Step.NEAR, 0, 0
         self.queue_near_until_s = None
         self.queue_wait_ms.clear()
@@ -106,45 +109,52 @@
     ----------
     deadline_s : float
     tried : set of str
-        Ids of the backend servers that had an attempt.
+        Ids of the backend servers that had an attempt and get no other in this search.
     may_have_run : bool
-        Whether an attempt ended with the outcome unknown.
+        Whether an attempt had an unknown outcome, so that the request may have run.
     caller_service : str
-        The service beside this node, as reported to backend servers.
+        The service beside this node, whose name backend servers get in a header.
     sends : int
         Attempts that reached, or may have reached, a backend server.
     attempts : int
-        All attempts, those that a gate refused included.
+        All attempts, including those that a gate refused.
     refused_as_suspect : set of str
-        Ids of the backend servers whose gates refused the request because of
-        suspicion.
+        Ids of the backend servers whose gates refused the request because they
+        suspect the backend server to be sick.
     failed : set of str
         Ids of the backend servers at which an attempt failed.
     search_until_s : float or None
-        Until when the request searches again after all gates refused; None before
-        they did.
+        Until when the request is sent to all gates again after they refused it; None
+        before the first time that all of them did.
     is_last_resort : bool
-        Whether suspected backend servers are asked, too, as no others are left.
+        Whether the request may be sent to suspected backend servers, because no others
+        are left.
     target_s : float or None
-        Until when an answer has its full worth; None where the route sets no target.
+        When the route's target time ends, after which an answer is worth less; None
+        where the route sets no target.
     wait_max_ms : float or None
-        The longest time that the present attempt may wait for a slot; None for as
-        long as its deadline allows.
+        The longest time that the present attempt may wait for a slot; None to wait
+        until its deadline.
     queue_until_s : float or None
-        Until when the request may wait in the shortest queues; None before it first
-        looked for one.
+        Until when the request may wait in the queues of step `QUEUE`; None before
+        that step.
     parked : ParkedAttempts
-        Attempts left open at gates whose nodes may stop before the attempts end.
+        Attempts at gates whose nodes may stop before the attempts end. They stay open
+        while the request is sent to other gates.
     parked_replies : list of Reply
-        Replies without success to parked attempts, received during later ones.
+        Unsuccessful replies to parked attempts that arrived during later attempts.
     was_cut : bool
-        Whether a run was lost with its gate's node, or is about to be.
+        Whether a run was lost, or is about to be, because its gate's node stops or
+        its backend server crashed.
     cut_s : float or None
-        When the first reply was received that a run was cut.
+        Arrival time of the first reply with which a gate reported that it cancelled
+        a run or that a run broke off; None before such a reply.
     rank_ms : float
-        Delay of the request's order in queues; see `balsamspindle.requests.siblings`.
+        Added to the request's target time when gates sort their queues; see
+        `balsamspindle.requests.siblings`.
     content_hash : int
-        See `balsamspindle.requests.content`; 0 when it is not known.
+        Hash that is the same for all repeats of the request, from
+        `balsamspindle.requests.content`; 0 when it is not known.
     customer : str
         Empty for a request without a customer.
     stopped_by : StopReason or None
@@ -181,11 +191,11 @@
     stopped_by: StopReason | None = None
 
     def restart_search(self) -> None:
-        """Search for another placement as if no gate had been asked.
+        """Restart the search for a request whose run was lost with its gate's node.
 
-        For a request whose run was lost with the gate's node. The refusals of other
-        gates before that run are seconds old; if these gates were not asked again,
-        the request would be given up although they have free slots.
+        Gates that refused the request before that run may get it again. Their
+        refusals are seconds old; without new attempts there, the request would fail
+        although these gates may have free slots.
         """
         self.was_cut = True
         self.search.restart()
@@ -198,15 +208,15 @@
         return self.sends < self.route.attempts_max
 
     def record_cut(self, reply: Reply, came_s: float) -> None:
-        """Record when the first reply was received that a run was cut."""
+        """Record when the first reply came that reports a cancelled or broken run."""
         is_cut = reply.outcome is Outcome.UNKNOWN and reply.reason in _CUT
         if is_cut and self.cut_s is None:
             self.cut_s = came_s
 
     def target_remaining_ms(self, now_s: float) -> float | None:
-        """Return the time left in which an answer has its full worth.
+        """Return the time left until the route's target time ends.
 
-        Negative after that time; None where the route sets no target.
+        Negative after its end; None where the route sets no target.
         """
         return None if self.target_s is None else (self.target_s - now_s) * 1000
 
@@ -220,12 +230,13 @@
     hedge_delay_s : float
         How long the first attempt runs alone.
     choose_placement : callable
-        Pays for a second attempt and returns its placement; None if there is none
-        or it can't be paid for.
+        Selects a placement for a second attempt and pays for the attempt from the
+        retry budget. Returns the placement; None if there is none, or if the budget
+        is used up.
     is_paid : bool
-        Whether the next attempt is paid for already. An attempt at the own gate is
-        ended after `hedge_delay_s`; were no retry available then, the caller of a slow
-        request would lose an answer that it would have received.
+        Whether the next attempt is already paid for. An attempt at the own gate ends
+        after `hedge_delay_s`, before the next one starts. If that one could not be
+        paid for then, the caller would lose the answer to a merely slow attempt.
     """
 
     hedge_delay_s: float
--- a/balsamspindle/requests/forwarding.py
+++ b/balsamspindle/requests/forwarding.py
@@ -1,4 +1,4 @@
-"""Forwards a request: makes attempts until one is answered or none is allowed."""
+"""Forwards requests: makes attempts until one is answered or no more are allowed."""
 
 import random
 import threading
@@ -40,27 +40,27 @@
 
 __all__ = ["ForwardedRequest", "Forwarder"]
 
-# When all gates have refused a request, it asks them again at this interval (half of
-# a first hold-out), for up to this fraction of its remaining time. Idempotent requests
-# don't wait: by the time they asked again, the queues would be full.
+# A request that all gates refused is sent to them again every SEARCH_AGAIN_S, half of a
+# first hold-out, during this fraction of its remaining time. Idempotent requests don't
+# wait for that, because the gates' queues would be full by then.
 SEARCH_AGAIN_S = 0.25
 SEARCH_AGAIN_FRACTIONS = {Execution.IDEMPOTENT: 0.0, Execution.NON_IDEMPOTENT: 0.1}
-# Reasons of a run that was lost with its gate's node; the backend server did not fail.
+# Reasons for a lost run that point to the gate's node, not to the backend server.
 _LOST_WITH_GATE = frozenset({Reason.GATE_ENDING, Reason.CANCELLED, Reason.SILENCE})
 
 
 class Forwarder:
-    """Makes attempts until a request has its outcome.
+    """Forwards callers' requests in attempts, each sent to one gate.
 
     Parameters
     ----------
-    claims : ClaimsTable, default=one without a platform
-    retries : RetryPolicy, default=one with the default budget
+    claims : ClaimsTable, default=a table without a store
+    retries : RetryPolicy, default=a policy with the default budget
     clock : callable, default=time.monotonic
-        Returns the present time, in s.
+        Returns the present time on the monotonic clock, in s.
     on_suspect : callable, optional
-        Called when a gate holds a backend server out, with the gate's node, the
-        backend server's id, the hold-out and the present time.
+        Called after each reply with the gate's node, the backend server's id, the
+        hold-out that the gate reported (0 ms if there is none) and the present time.
     crash_history : CrashHistory, default=an empty one
         Crashes of backend servers, and the requests quarantined because of them.
     """
@@ -105,20 +105,20 @@
 
     @property
     def held_out_servers(self) -> HeldOutServers:
-        """Backend servers that their gates hold out."""
+        """Backend servers that are held out, as their gates' replies reported."""
         return self._sender.held_out_servers
 
     def end_by(self, ends_s: float) -> None:
-        """Have gates start only attempts that end before this node, at `ends_s`."""
+        """Set when this node stops; gates then start only attempts that end before."""
         self._sender.end_by(ends_s)
 
     def give_up(self) -> None:
-        """Stop all waits; each request ends with the replies it has."""
+        """Stop waiting for replies; each request ends with those received so far."""
         self._given_up.set()
         self._sender.give_up()
 
     def forward(self, forwarded: ForwardedRequest) -> Reply:
-        """Make attempts until one is answered or no other is allowed."""
+        """Make attempts as needed and allowed; return the reply for the caller."""
         if len(forwarded.idempotency_key or "") > IDEMPOTENCY_KEY_MAX_CHARACTERS:
             return self._not_run_reply(Reason.BAD_REQUEST)
         forwarded.claimant = self._claimant(forwarded)
@@ -146,7 +146,7 @@
         )
 
     def _make_attempts(self, forwarded: ForwardedRequest) -> Reply:
-        nowhere = self._not_run_reply(Reason.NO_BACKEND_SERVER)
+        not_run = self._not_run_reply(Reason.NO_BACKEND_SERVER)
         service = forwarded.route.service
         replies: list[Reply] = []
         while True:
@@ -167,11 +167,11 @@
                 forwarded.stopped_by = StopReason.REPEAT_DENIED
                 break
         if not replies and self._given_up.is_set():
-            return msgspec.structs.replace(nowhere, reason=Reason.NODE_STOPPING)
-        return best_reply([*forwarded.parked_replies, *replies]) if replies else nowhere
+            return msgspec.structs.replace(not_run, reason=Reason.NODE_STOPPING)
+        return best_reply([*forwarded.parked_replies, *replies]) if replies else not_run
 
     def _try_gates(self, forwarded: ForwardedRequest, replies: list[Reply]) -> None:
-        """Make attempts until one succeeds or none is allowed; append their replies."""
+        """Make attempts until one succeeds or no more are allowed; extend `replies`."""
         forwarded.stopped_by = None
         while not self._given_up.is_set():
             blocked = self._blocked(forwarded)
@@ -185,8 +185,8 @@
                     continue
                 forwarded.stopped_by = StopReason.NO_PLACE
                 break
-            # With parked attempts, the answer may be that of one which began long
-            # before; its latency is then not recorded.
+            # If an attempt is parked, the answer may be to that one, which started
+            # long before. The latency is then not recorded.
             is_alone = not forwarded.parked
             started_s = self._clock()
             hedge = self._hedge_planner.plan(forwarded, selected, started_s)
@@ -213,7 +213,7 @@
             forwarded.stopped_by = StopReason.NODE_LEAVING
 
     def _blocked(self, forwarded: ForwardedRequest) -> Reply | None:
-        """Return the refusal of a request that crashes backend servers, else None.
+        """Return the refusal if the request crashes backend servers, else None.
 
         Checked before each attempt: earlier attempts, or requests with the same
         content hash, may have crashed backend servers since the request was received.
@@ -233,9 +233,9 @@
     def _record_success(
         self, forwarded: ForwardedRequest, reply: Reply, took_s: float | None
     ) -> None:
-        """Record an answer's latency and size for the estimates of its route."""
+        """Record an answer in the crash history, and its latency and size."""
         route = forwarded.route
-        # The gate's node may stop before it reports the answer to the fleet.
+        # The gate's node reports the answer to the fleet, but may stop before it does.
         self._crash_history.record_answer(forwarded.content_hash, self._clock())
         if took_s is not None:
             self._retries.record_answer(
@@ -246,15 +246,15 @@
     def _record_failure(
         self, forwarded: ForwardedRequest, placement: Placement, reply: Reply
     ) -> None:
-        """Record a backend server that was refused as suspected, or that failed."""
+        """Record that a gate suspects its backend server, or that a run failed."""
         server_id = placement.backend_server.backend_server_id
         if reply.reason is Reason.SUSPECTED:
             forwarded.refused_as_suspect.add(server_id)
         if not is_refusal(reply):
             forwarded.failed.add(server_id)
         if reply.reason is Reason.SERVER_CRASHED:
-            # The run was lost without a fault of the request, as with a node that
-            # left: retries kept for heavier requests are available to it.
+            # The request is not at fault, just as when a run is lost with its node:
+            # it may use the retries that are reserved for heavier requests.
             forwarded.was_cut = True
 
     def _may_retry(
@@ -264,7 +264,7 @@
         hedge: Hedge | None,
         now_s: float,
     ) -> bool:
-        """Return whether another attempt is allowed, and pay for it."""
+        """Return whether another attempt is allowed; if so, pay for it."""
         route = forwarded.route
         is_paid = hedge is not None and hedge.is_paid
         return self._retries.may_retry(
@@ -281,7 +281,7 @@
         )
 
     def _report_retry_denied(self, forwarded: ForwardedRequest, reply: Reply) -> None:
-        """Emit the event that a retry was denied, if the request may be retried."""
+        """Emit `retry_denied`, except for a request that must not run a second time."""
         route = forwarded.route
         if reply.outcome is not Outcome.NOT_RUN and (
             route.execution is Execution.NON_IDEMPOTENT
@@ -302,15 +302,15 @@
         """Prepare another search for a request that all gates refused.
 
         Suspected backend servers are on trial again within a second, so a
-        non-idempotent request searches again for a fraction of its time. After
-        that, or at once if idempotent, it may be sent to a suspected backend server
-        as the last resort: a service whose backend servers are all suspected or busy
-        still answers what it can.
+        non-idempotent request is sent to all gates again for a fraction of its time.
+        After that, or at once if idempotent, it may be sent to a suspected backend
+        server as the last resort. So a service whose backend servers are all
+        suspected or busy still answers some requests.
 
         Returns
         -------
         bool
-            False when there is nothing left to try.
+            Whether to search again.
         """
         now_s = self._clock()
         if forwarded.is_last_resort or not forwarded.may_send():
@@ -324,8 +324,8 @@
             left_s = forwarded.deadline_s - now_s
             forwarded.search_until_s = now_s + fraction * left_s
         if now_s + SEARCH_AGAIN_S < forwarded.search_until_s:
-            # Nothing is sent once the node has given up its requests: its callers'
-            # connections are about to close.
+            # After `give_up` no attempt is sent, because this node is about to close
+            # its callers' connections.
             if self._given_up.wait(SEARCH_AGAIN_S):
                 return False
             return not forwarded.caller.caller_gone()
@@ -333,7 +333,7 @@
         return True
 
     def _has_suspects(self, forwarded: ForwardedRequest, now_s: float) -> bool:
-        """Return whether a suspected backend server could still run a request."""
+        """Return whether a suspected backend server is left for the request."""
         if forwarded.refused_as_suspect:
             return True
         held_out = self._sender.held_out_servers.held_out(now_s)
@@ -357,12 +357,12 @@
         return selected
 
     def _select_at_owner(self, forwarded, claimant: KeyClaimant) -> Selection | None:
-        """Return the only gate that may run the request: the owner of its claim."""
+        """Return the only gate that may run the request, the owner of its claim."""
         placement = self._picker.locate(claimant.owner_id(), forwarded.route.service)
         return None if placement is None else Selection(placement)
 
     def _must_stop(self, forwarded: ForwardedRequest, reply: Reply) -> bool:
-        """Return whether to stop after a failed attempt; restart the search if not."""
+        """Return whether to stop after a failure; restart the search after a run."""
         if not is_refusal(reply):
             if not forwarded.may_send():
                 return True
@@ -380,10 +380,10 @@
         return StopReason.CALLER_LEFT
 
     def _with_retry_after(self, forwarded: ForwardedRequest, reply: Reply) -> Reply:
-        """Add the time after which the caller may retry, if a retry can help."""
+        """Add to a reply when its caller may retry, unless no retry can succeed."""
         if reply.reason is Reason.CRASHES_SERVERS:
-            # A retry won't be served, however few requests the service has, so
-            # that the retry times of other requests don't count this one.
+            # Retries are refused at any load of the service, so this request does
+            # not count for the times after which other callers may retry.
             return reply
         is_answered = reply.outcome is Outcome.ANSWERED
         with self._random_lock:
--- a/balsamspindle/requests/gate_links.py
+++ b/balsamspindle/requests/gate_links.py
@@ -8,8 +8,8 @@
 
 __all__ = ["GateLinks"]
 
-# Time without attempts after a gate could not be reached; doubles with each
-# consecutive failure.
+# How long no attempts are sent to a gate that could not be reached: HOLD_OUT_S after
+# the first failure, twice as long after each further one, up to HOLD_OUT_MAX_S.
 HOLD_OUT_S, HOLD_OUT_MAX_S = 0.5, 30.0
 
 
@@ -19,7 +19,7 @@
     Attributes
     ----------
     hold_outs : HoldOuts
-        Nodes that this node could not reach, by id.
+        Nodes that this node could not reach and avoids for a while, by id.
     """
 
     def __init__(self, links: LinkPool, events: EventLog) -> None:
@@ -34,7 +34,7 @@
         deadline_s: float,
         now_s: float,
     ) -> Link | None:
-        """Return a link that works in both directions, for exclusive use, or None."""
+        """Return a working link for exclusive use; None if the gate is unreachable."""
         link = self._links.acquire(placement.node.link_address, deadline_s, execution)
         if link is None:
             self.record_unreachable(placement, now_s)
@@ -48,7 +48,7 @@
         return link
 
     def record_unreachable(self, placement: Placement, now_s: float) -> None:
-        """Hold out a gate that did not answer."""
+        """Hold out a gate that did not answer; log the first failure in a row."""
         node_id = placement.node.node_id
         if self.hold_outs.record_failure(node_id, now_s):
             self._events.emit("gate_unreachable", gate=node_id)
--- a/balsamspindle/requests/hedging.py
+++ b/balsamspindle/requests/hedging.py
@@ -1,4 +1,4 @@
-"""Hedging: second attempts while the first has no reply, for idempotent requests."""
+"""Plans second attempts at idempotent requests whose first attempt has no reply."""
 
 from collections.abc import Callable
 
@@ -20,15 +20,15 @@
 
 
 class HedgePlanner:
-    """Decides when a second attempt starts beside the first, and where.
+    """Decides when and where a second attempt starts beside the first.
 
     Parameters
     ----------
     select_placement : callable
-        Returns the next placement for a request, None where there is none.
+        Returns the next placement for a request; None if there is none.
     blocked : callable
-        Returns the refusal of a request that crashes backend servers, None for
-        any other request.
+        Returns the refusal of a request that crashes backend servers; None for any
+        other request.
     clock : callable
         Returns the present time on the monotonic clock, in s.
     """
@@ -68,8 +68,8 @@
         hedge_delay_s = self._retries.hedge_delay_s(
             route.service, is_own, left_s, now_s, route_id(route)
         )
-        # The time that the attempt waits for a slot says nothing about its backend
-        # server.
+        # The time that the first attempt may wait for a slot is added, because such a
+        # wait does not mean that the backend server is slow.
         hedge_delay_s = min(
             left_s, hedge_delay_s + (selected.wait_max_ms or 0.0) / 1000
         )
--- a/balsamspindle/requests/link_attempts.py
+++ b/balsamspindle/requests/link_attempts.py
@@ -30,13 +30,14 @@
 
 __all__ = ["LinkAttempts"]
 
-# A leaving node announces its end to gates this much early. A gate's refusal that
-# arrives after the node's end is lost, and the caller gets `unknown`, not `not_run`.
+# A leaving node announces an end that is this much earlier than its real one. A gate's
+# refusal that arrives after the real end is lost: the caller gets `unknown`, not
+# `not_run`.
 REPLY_RESERVE_S = 0.2
 
 
 class ParkedResult:
-    """What arrived for a parked attempt: `answer`, a successful reply, or None."""
+    """The successful reply to a parked attempt, in `answer`; None without one."""
 
     def __init__(self) -> None:
         self.answer: Reply | None = None
@@ -48,9 +49,9 @@
     Parameters
     ----------
     build_dispatch : callable
-        Counts an attempt at a placement; returns its message, given a deadline.
+        Counts an attempt with a deadline; returns the message that starts it.
     track : callable
-        Starts the tracking of an attempt at a placement.
+        Starts to track an attempt at a placement for this ingress's estimates.
     next_id : callable
         Returns a new attempt id.
     """
@@ -78,11 +79,11 @@
         self._outcomes = AttemptOutcomes(events, clock, lambda: self._given_up)
 
     def end_by(self, ends_s: float) -> None:
-        """Set when this node ends; gates start only requests that finish by then."""
+        """Set when this node stops; gates then start only attempts that end before."""
         self._announced_end_s = ends_s - REPLY_RESERVE_S
 
     def left_ms(self) -> float | None:
-        """Return the time until this node's announced end; None if not leaving."""
+        """Return the time until this node's announced end; None without one."""
         if math.isinf(self._announced_end_s):
             return None
         return (self._announced_end_s - self._clock()) * 1000
@@ -94,7 +95,7 @@
     def send(
         self, forwarded: ForwardedRequest, placement: Placement, hedge: Hedge | None
     ) -> Reply:
-        """Make an attempt, and a second one in parallel if no reply comes.
+        """Make an attempt, and a second one in parallel if the first gets no reply.
 
         The reply has reason `gate_ending` if the attempt was parked.
         """
@@ -120,7 +121,7 @@
         return self._park(forwarded, parked)
 
     def _park(self, forwarded: ForwardedRequest, sent: SentAttempt) -> Reply:
-        """Park an attempt; return the reply that sends its request elsewhere."""
+        """Park an attempt; return a reply after which its request is sent elsewhere."""
         forwarded.parked.add(sent)
         self._events.emit(
             "attempt_left_open",
@@ -157,11 +158,11 @@
         )
 
     def _may_park(self, forwarded: ForwardedRequest) -> bool:
-        """Return whether an attempt may be parked while others are made.
+        """Return whether an attempt may stay open while its request is sent elsewhere.
 
-        A leaving node cuts its runs when its time is over. Without parking, a long
-        read is sent to another gate only after that cut; the time is lost, and the
-        ingress's own node may be leaving by then.
+        A leaving node cancels its runs when it stops. Without parking, a long read
+        would be sent to another gate only then. The time before would be lost, and the
+        ingress's own node might be leaving by then.
         """
         return (
             forwarded.route.execution is Execution.IDEMPOTENT
@@ -175,7 +176,11 @@
         attempts: list[SentAttempt],
         waited: WaitResult | None,
     ) -> SentAttempt | None:
-        """Return the only unanswered attempt if it can and may be parked."""
+        """Return the only attempt without a reply if it is to be parked, else None.
+
+        It is parked if its gate's node may stop before the attempt ends, no other
+        attempt was answered, and the request may be sent to another gate.
+        """
         replies = {} if waited is None else waited.replies
         unanswered = [sent for sent in attempts if sent.link not in replies]
         if len(unanswered) != 1 or not unanswered[0].is_ending():
@@ -195,7 +200,7 @@
         forwarded.parked.cancel(cause)
 
     def wait_parked(self, forwarded: ForwardedRequest) -> Reply:
-        """Wait for the parked attempt when no other attempt can be made."""
+        """Wait for the parked attempt's reply, after all other attempts have failed."""
         attempts = forwarded.parked.all()
         waited = self._wait(forwarded, attempts, forwarded.deadline_s)
         self._end_attempts(forwarded, [], waited)
@@ -207,24 +212,24 @@
     def listening_for_parked(
         self, forwarded: ForwardedRequest, on_answer: Callable[[], None]
     ) -> Iterator[ParkedResult]:
-        """Receive the reply to the parked attempt while the caller's task works.
+        """Receive the parked attempt's reply while this thread makes another attempt.
 
-        The gate's node is about to end, and ZeroMQ drops replies that have not been
-        read when their connection closes.
+        The reply must be read as soon as it arrives: the gate's node is about to stop,
+        and ZeroMQ drops unread replies when their connection closes.
 
         Parameters
         ----------
         on_answer : callable
-            Called in another thread when a successful reply arrives.
+            Called in another thread when the reply arrives, if it is a success.
         """
         result = ParkedResult()
-        near, far = socket.socketpair()
+        listener_end, own_end = socket.socketpair()
 
         def listen() -> None:
             attempts = forwarded.parked.all()
-            # The task closes `far` when its work is done, which ends the wait.
+            # `own_end` is closed after the other attempt, which ends this wait.
             wait = self._build_wait(
-                forwarded, forwarded.deadline_s, near.fileno(), lambda: True
+                forwarded, forwarded.deadline_s, listener_end.fileno(), lambda: True
             )
             waited = wait_first({sent.link: sent.attempt_id for sent in attempts}, wait)
             self._end_attempts(forwarded, [], waited)
@@ -238,12 +243,12 @@
                 forwarded.parked_replies.append(reply)
 
         listener = threading.Thread(target=listen, name="left-open", daemon=True)
-        with near:
+        with listener_end:
             listener.start()
             try:
                 yield result
             finally:
-                far.close()
+                own_end.close()
                 listener.join()
 
     def _start_hedge(self, forwarded, hedge) -> list[SentAttempt]:
@@ -264,7 +269,7 @@
         return [second]
 
     def _declined_reply(self, forwarded, placement, declined: DeclinedAttempt) -> Reply:
-        """Count an attempt that was not sent as tried; return a reply for it."""
+        """Record an attempt that was declined before it was sent; return its reply."""
         forwarded.tried.add(placement.backend_server.backend_server_id)
         forwarded.attempts += 1
         reply = Reply(
@@ -282,7 +287,7 @@
     def _start(
         self, forwarded, placement, link: Link | None = None
     ) -> SentAttempt | Reply:
-        """Send an attempt over a link; return a reply if nothing was sent."""
+        """Send an attempt over a link; return a reply instead if it was not sent."""
         node_id = placement.node.node_id
         dispatch = self._build_dispatch(forwarded, placement, forwarded.deadline_s)
         unreachable = Reply(dispatch.attempt_id, Outcome.NOT_RUN, Reason.UNREACHABLE)
@@ -294,8 +299,8 @@
             return unreachable
         if self._given_up:
             return self._release_unused(forwarded, dispatch, link)
-        # Claim the key only once the gate is known to be alive: a claim for a dead
-        # gate would block the key for ever.
+        # The idempotency key is claimed only once the gate is known to be alive: a
+        # claim for a dead gate would block the key for ever.
         gate_time_s = link.gate_clock.at(self._clock())
         claimed = with_claim(
             forwarded.claimant, dispatch, GateIdentity(*link.gate), gate_time_s
@@ -315,7 +320,7 @@
     def _release_unused(
         self, forwarded: ForwardedRequest, dispatch: Dispatch, link: Link
     ) -> Reply:
-        """Release a link unused because the node gave up while it was opened."""
+        """Release a link without a dispatch, as this node has given up all requests."""
         self._links.release(link)
         forwarded.sends -= 1
         return Reply(dispatch.attempt_id, Outcome.NOT_RUN, Reason.NODE_STOPPING)
@@ -334,7 +339,7 @@
         descriptor: int,
         is_over: Callable[[], bool],
     ) -> WaitOptions:
-        """Return a wait that checks `is_over` when `descriptor` is readable."""
+        """Return options for a wait; a readable `descriptor` ends it if `is_over()`."""
         return WaitOptions(
             until_s,
             descriptor,
@@ -348,7 +353,7 @@
         )
 
     def _on_parked(self, forwarded: ForwardedRequest, link: Link, reply: Reply) -> None:
-        """Keep an unsuccessful reply to a parked attempt as a fallback."""
+        """Keep a parked attempt's unsuccessful reply, in case no other one succeeds."""
         forwarded.parked_replies.append(reply)
         self._finish_parked(forwarded, {link: reply})
 
@@ -367,13 +372,13 @@
         attempts: list[SentAttempt],
         waited: WaitResult | None,
     ) -> None:
-        """Return the links of answered attempts to the pool; end the others.
+        """Release the links of attempts that got replies; end the other attempts.
 
-        A silent attempt is not cancelled when another one was answered, only its
-        link is closed: its gate uses the duration of the run to detect a backend
-        server that hangs. After a cancellation that server would have no work in
-        flight and would look healthy. If the answer came from a parked attempt, the
-        other attempt may be recent and not silent, so it is cancelled.
+        If another attempt was answered, an attempt without a reply is not cancelled;
+        only its link is closed. Its gate uses the duration of the run to detect a
+        backend server that hangs. After a cancellation, that server would have no work
+        in flight and would look healthy. If an attempt is parked, the answer may be to
+        that one, and the other may have just started; the other is then cancelled.
         """
         replies = {} if waited is None else waited.replies
         is_silent = is_answered(waited) and not forwarded.parked
--- a/balsamspindle/requests/links.py
+++ b/balsamspindle/requests/links.py
@@ -1,7 +1,7 @@
 """Links from this node's ingress to other nodes' gates.
 
-A link is a ZeroMQ DEALER socket. A task takes a link from the pool, uses it
-exclusively and gives it back. The pool's lock is the memory barrier that ZeroMQ
+A link is a ZeroMQ DEALER socket. A task acquires a link from the pool, uses it
+exclusively and releases it. The pool's lock is the memory barrier that ZeroMQ
 requires when a socket moves between threads.
 """
 
@@ -39,9 +39,9 @@
 __all__ = ["GateClock", "Link", "LinkPool", "poll_timeout_ms"]
 
 CONNECT_TIMEOUT_S = 0.25
-# A link on which nothing was received for longer is checked before use, because one
-# direction of the network may have been cut in the meantime. The check costs a round
-# trip, so it is made less often for idempotent requests, which can be retried.
+# A link over which nothing was received for longer than this is checked before use,
+# because one direction of the network may have failed in the meantime. The check costs
+# a round trip, so it is made less often for idempotent requests, which can be retried.
 CHECK_VALID_S = {Execution.NON_IDEMPOTENT: 1.0, Execution.IDEMPOTENT: 10.0}
 IDLE_LINKS_PER_PEER_MAX = 8
 CANCEL_LINGER_MS = 1000
@@ -50,11 +50,12 @@
 
 
 class GateClock:
-    """An estimate of a gate's monotonic clock at the other end of a link.
+    """An estimate of the monotonic clock of the gate at the other end of a link.
 
     The gate's time in a message is out of date when the message arrives, so the
-    estimate is never ahead of the gate's clock. A deadline converted with it is
-    never late, and early by at most the delay of one message from the gate.
+    estimate is never ahead of the gate's clock. A deadline that is converted to the
+    gate's time is never too late, and too early by at most the delay of one message
+    from the gate.
     """
 
     def __init__(self) -> None:
@@ -68,7 +69,7 @@
         self._updated_s = now_s
 
     def at(self, local_s: float) -> float:
-        """Convert a local time to the gate's time, or slightly less."""
+        """Convert a local time to the gate's time, or to a slightly earlier one."""
         drift_s = max(0.0, local_s - self._updated_s) * CLOCK_DRIFT_MAX
         return local_s + self._offset_s - drift_s
 
@@ -92,13 +93,13 @@
         self._last_received_s = float("-inf")
         self._gate_deadline_s: float | None = None
         self._ending_sent = False
-        # The attempt that the gate's node may not be able to answer before it ends.
+        # The attempt of which the gate announced that it may outlast the gate's node.
         self._ending_attempt_id: AttemptId | None = None
         self._socket = context.socket(zmq.DEALER)
         self._socket.setsockopt(zmq.LINGER, 0)
-        # IMMEDIATE: otherwise a message to an absent peer is queued and delivered
-        # when the peer comes up, after the request was reported as not run.
-        # No reconnects: no message outlives its connection.
+        # IMMEDIATE rejects messages to an absent peer. Otherwise they would be queued
+        # and delivered when the peer comes up, after their requests were reported as
+        # not run. Without reconnects, no message outlives its connection.
         self._socket.setsockopt(zmq.IMMEDIATE, 1)
         self._socket.setsockopt(zmq.RECONNECT_IVL, -1)
         self._disconnect_monitor = self._socket.get_monitor_socket(
@@ -119,11 +120,11 @@
     def check_ready(
         self, now_s: float, timeout: PeerTimeout, execution: Execution
     ) -> bool:
-        """Return whether both directions work.
+        """Return whether the link works in both directions.
 
         Exchanges a greeting with the gate unless a message came recently. A request
-        sent over a link that only looks open would end as `unknown`. If the check
-        fails, the request is known not to have run.
+        that is sent over a broken link which still looks open would end as `unknown`.
+        If the check finds the link broken first, the request is known not to have run.
         """
         if now_s - self._last_received_s < CHECK_VALID_S[execution]:
             return self.connected()
@@ -140,11 +141,11 @@
         return False
 
     def _wait(self, event: int, give_up_s: float) -> bool:
-        """Wait for an event; False on a time-out or when the connection ended."""
+        """Wait for an event; return False at the timeout or if the connection ended."""
         return self._socket in self._poll(event, poll_timeout_ms(give_up_s))
 
     def _wait_for_peer(self, event: int, timeout: PeerTimeout) -> bool:
-        """Wait as `_wait` does, not counting time in which this process was stopped."""
+        """Wait as `_wait` does, not counting time in which this process was stalled."""
         events: dict = {}
 
         def poll(step_s: float) -> bool:
@@ -197,7 +198,7 @@
         return self._ending_attempt_id == attempt_id
 
     def notify_ending(self, attempt_id: AttemptId, left_s: float) -> None:
-        """Tell the gate once that this node ends in `left_s`."""
+        """Notify the gate, once per attempt, that this node stops in `left_s`."""
         if self._ending_sent:
             return
         self._ending_sent = True
@@ -226,7 +227,7 @@
         poller.unregister(self._disconnect_monitor)
 
     def receive_reply(self, ready, attempt_id, on_dropped) -> Reply | None:
-        """Read a message if the poller reports one; return it if it is the reply."""
+        """Read one message if there is any; return it if it is the attempt's reply."""
         if self._socket not in ready:
             return None
         return self._matching_reply(attempt_id, on_dropped)
@@ -257,7 +258,7 @@
                     self._metrics.record(Hop.LINK, self._last_received_s - self._sent_s)
                     return _verify_checksum(reply)
                 # A late reply to an earlier attempt over this link. It must not be
-                # passed to the present caller, whose answer it is not.
+                # passed to the caller of the present attempt as its answer.
                 on_dropped("reply to another attempt")
             case GateEnding(ending_id):
                 self._ending_attempt_id = ending_id
@@ -286,7 +287,7 @@
         deadline_s: float,
         execution: Execution = Execution.NON_IDEMPOTENT,
     ) -> Link | None:
-        """Return a link that works in both directions, for exclusive use, or None."""
+        """Return a working link for exclusive use; None if the peer is unreachable."""
         timeout = PeerTimeout(CONNECT_TIMEOUT_S, deadline_s)
         while True:
             with self._lock:
@@ -298,8 +299,8 @@
             )
             if link.check_ready(time.monotonic(), timeout, execution):
                 return link
-            # A link that is open but gets no reply means that the others to this
-            # peer do not work either.
+            # If a new link fails, or a connected one gets no reply, the idle links to
+            # this peer don't work either and are closed.
             is_silent = link.connected()
             link.close()
             if is_new or is_silent:
@@ -313,7 +314,7 @@
             link.close()
 
     def release(self, link: Link) -> None:
-        """Keep a link for reuse, or close it if enough are idle."""
+        """Keep a link for reuse; close it if enough links to its peer are idle."""
         with self._lock:
             idle = self._idle.setdefault(link.address, [])
             if len(idle) < IDLE_LINKS_PER_PEER_MAX:
@@ -330,8 +331,8 @@
 def _verify_checksum(reply: Reply) -> Reply:
     """Return a reply, or an `unknown` one if its body was damaged in transit.
 
-    This precedes all use of the reply: a damaged success would otherwise end another
-    attempt that is still running.
+    The checksum is verified before any use of the reply: a damaged answer would
+    otherwise count as a success and end another attempt that is still running.
     """
     if reply.outcome is not Outcome.ANSWERED:
         return reply
@@ -341,5 +342,5 @@
 
 
 def poll_timeout_ms(deadline_s: float) -> int:
-    """Return the time until a deadline, rounded up so that no poll ends early."""
+    """Return the time until a deadline, rounded up so that no poll ends before it."""
     return max(0, int((deadline_s - time.monotonic()) * 1000) + 1)
--- a/balsamspindle/requests/peer_timeout.py
+++ b/balsamspindle/requests/peer_timeout.py
@@ -1,14 +1,15 @@
 """Timeout for a peer's reply that excludes time in which this process was stalled.
 
 On a VM that is paused or short of CPU time, a timeout may pass before the process can
-read a reply that arrived in time. The peer must not be given up for that.
+read a reply that arrived in time. The peer must not count as unreachable then.
 """
 
 from collections.abc import Callable
 
 __all__ = ["PeerTimeout"]
 
-# Time beyond this in one poll is a stall of this process, not a delay of the peer.
+# Longest time that one poll waits. If a poll takes longer, this process was stalled;
+# the excess does not count as a delay of the peer.
 POLL_STEP_S = 0.05
 
 
@@ -18,9 +19,9 @@
     Parameters
     ----------
     timeout_s : float
-        Timeout in time during which this process ran.
+        Time for the reply, without the time in which this process was stalled.
     deadline_s : float
-        When the timeout ends in any case, on the monotonic clock.
+        When the wait ends in any case, stalls included, on the monotonic clock.
     """
 
     def __init__(self, timeout_s: float, deadline_s: float) -> None:
@@ -28,7 +29,7 @@
         self._deadline_s = deadline_s
 
     def wait(self, poll: Callable[[float], bool], clock: Callable[[], float]) -> bool:
-        """Poll in short steps until the timeout; return whether a poll was true.
+        """Poll in short steps; return True at the awaited event, False at the timeout.
 
         Parameters
         ----------
--- a/balsamspindle/requests/placement_selection.py
+++ b/balsamspindle/requests/placement_selection.py
@@ -1,32 +1,32 @@
 """Selects the backend server for a request's next attempt and its maximum queue wait.
 
-It is designed for services with a few backend servers in each zone, of which a third
-are unhealthy at any time, at a utilization of two thirds or more. Only a gate knows its
-free slots; what an ingress knows of them is seconds old. To ask a gate takes a round
-trip, and in other zones also traffic that is paid for. So each attempt carries the
-longest time that it may wait for a slot, and the gate refuses it at once when its
-queue is longer:
+The selection suits services with a few backend servers in each zone, a third of which
+are unhealthy at any time, at a utilization of two thirds or more. Only a gate knows how
+many of its slots are free; what an ingress knows of them is seconds old. Asking a gate
+takes a round trip and, if the gate is in another zone, also traffic that is paid for.
+So each attempt carries the longest time that it may wait for a slot, and the gate
+refuses the attempt at once if it expects a longer wait:
 
 ========== ===================================== ==============================
-step       gates asked                           maximum wait for a slot
+step       gates that get an attempt             maximum wait for a slot
 ========== ===================================== ==============================
-NEAR       a few in the own VM and zone, most    none
-           free slots first
-NEAR_QUEUE of these, the one with the shortest   `near_wait_ms`
-           queue
-FAR        a few in other zones, most free       `near_wait_ms`
-           slots first
-QUEUE      of all that refused, the one with     `QUEUE_WAIT_FRACTION` of the
-           the shortest queue                    time left
+NEAR       a few in the own zone, those with     none
+           most free slots first
+NEAR_QUEUE of the gates that refused in NEAR,    `near_wait_ms`
+           the one with the shortest queue
+FAR        a few in other zones, those with      `near_wait_ms`
+           most free slots first
+QUEUE      of all gates that refused, the one    `QUEUE_WAIT_FRACTION` of the
+           with the shortest queue               time left
 ========== ===================================== ==============================
 
-In NEAR_QUEUE a queue of up to `near_wait_ms` is joined, and the attempt may wait a
-little longer than the gate reported (`QUEUE_MARGIN`).
+In NEAR_QUEUE, an attempt joins a queue whose reported wait is at most `near_wait_ms`,
+and may then wait a little longer than the gate reported (`QUEUE_MARGIN`).
 
-A short queue in the own zone is preferred to a free slot in another zone, as the
-traffic between zones costs more than the delay; a long queue is not. Where every queue
-is longer than a request may wait, the request is refused at once, so that its caller
-has time left to retry.
+A short queue in the own zone is preferred to a free slot in another zone, because the
+traffic between zones costs more than the delay; a long queue is not. If every queue is
+longer than a request may wait, the request is refused at once, so that its caller has
+time left to retry.
 """
 
 import random
@@ -44,40 +44,46 @@
 __all__ = ["PlacementSelector", "Selection", "near_wait_ms"]
 
 # Fraction of the route's target time that a request may wait for a slot in its own
-# zone before other zones are asked. The work itself takes a quarter to a third of the
-# target time, so that the answer is still in time. A megabyte between zones costs as
-# much as a hundred requests are worth: an answer of 5 KB half of what its request is
-# worth, an answer of 400 bytes next to nothing.
+# zone before other zones are asked. It grows with the size of the route's answers up to
+# LARGE_ANSWER_BYTES. A run takes a quarter to a third of the target time, so an answer
+# is in time even after the longest of these waits. A megabyte of traffic between zones
+# costs as much as a hundred requests are worth: an answer of 5 KB costs half of what
+# its request is worth, an answer of 400 bytes next to nothing.
 NEAR_WAIT_FRACTION_MIN, NEAR_WAIT_FRACTION_MAX = 0.1, 0.6
 LARGE_ANSWER_BYTES = 5000
-# Gates of the own zone that are asked for a free slot, most free slots first. Where
-# five have none, the zone is full; asking all sixteen gates of a large zone with two
-# slots each takes seven attempts for each run, of which six are refused.
+# Maximum number of gates in the own zone that a request asks for a free slot. If five
+# gates have none, the zone is full. If requests asked all gates in a zone of sixteen
+# gates with two slots each, each run would take seven attempts, six of which are
+# refused.
 NEAR_TRIES_MAX = 5
-# Gates of other zones that are asked before the request joins a queue.
+# Maximum number of gates in other zones that a request asks before it joins one of the
+# long queues (step QUEUE).
 FAR_TRIES_MAX = 3
-# A gate's estimate of its wait is off by about the duration of one request. With a
-# maximum wait of just this estimate, the gate would refuse half of the attempts.
+# In step NEAR_QUEUE, an attempt may wait for QUEUE_MARGIN times the wait that the gate
+# reported, and QUEUE_MARGIN_MS more. The reported wait is off by about the duration of
+# one request; if it were the maximum wait, the gate would refuse half of the attempts.
 QUEUE_MARGIN = 1.5
 QUEUE_MARGIN_MS = 50.0
-# Fraction of a request's remaining time that it may wait in the shortest queue. At an
-# overload of 50 %, requests that may wait until their deadline are refused only then,
-# too late for their callers to retry; the time after this fraction is enough for that.
+# Fraction of a request's remaining time that it may wait in the queues of step QUEUE.
+# At an overload of 50 %, requests that may wait until their deadline are refused only
+# at the deadline, too late for their callers to retry. The time that remains after
+# this fraction is enough for a retry.
 QUEUE_WAIT_FRACTION = 0.5
-# Fraction of that wait up to which a queue reported to another request is joined. A
+# A request joins a queue whose wait a gate reported when it refused another request, if
+# that wait is at most this fraction of the time that the request may wait in queues. A
 # longer queue indicates an overload, in which a suspected backend server is the better
 # choice.
 SHORT_QUEUE_FRACTION = 0.5
 
 
 class Selection(NamedTuple):
-    """Where one attempt is sent.
+    """Where one attempt is sent, and how long it may wait there.
 
     Attributes
     ----------
     wait_max_ms : float or None
-        The longest time that the attempt may wait for a slot there; None for as
-        long as its deadline allows.
+        The longest time that the attempt may wait for a slot at the gate; None to
+        wait until its deadline.
     """
 
     placement: Placement
@@ -85,7 +91,7 @@
 
 
 def near_wait_ms(target_ms: float, answer_bytes: float) -> float:
-    """Return the wait up to which the own zone is preferred to a free slot elsewhere.
+    """Return how long a request may wait in its own zone before others are asked.
 
     Parameters
     ----------
@@ -118,17 +124,17 @@
         self._lock = threading.Lock()
 
     def select(self, forwarded: ForwardedRequest, now_s: float) -> Selection | None:
-        """Return the next placement; None when none is left to try."""
+        """Return where to send the next attempt; None when no placement is left."""
         cut_off = self._behind_broken_links(forwarded.route.service, now_s)
         tried, held_out_servers = set(forwarded.tried), self._sender.held_out_servers
         if forwarded.is_last_resort:
-            # Only suspected backend servers are left. First those with a single
-            # error: one that fails all its work has all of its slots free and
-            # would be selected for that.
+            # Only suspected backend servers are left. Those with several errors in a
+            # row are selected in the second pass only: a backend server that fails
+            # all requests has all of its slots free and would always be preferred.
             passes = [tried | held_out_servers.failing(now_s) | cut_off, tried]
         else:
             suspected = tried | held_out_servers.held_out(now_s)
-            # The second pass includes links that may be broken.
+            # Backend servers behind broken links are selected in the second pass only.
             passes = [suspected | cut_off, suspected]
         with self._lock:
             selected = self._select(forwarded, passes[0], now_s)
@@ -161,15 +167,15 @@
                 search.near_tries += 1
                 return self._select_freest(near, excluded, 0.0, now_s)
             case Step.NEAR_QUEUE:
-                # The wait in all queues of the own zone together is limited. A
-                # request could otherwise join queues that are longer than reported
-                # for half of its time, while other zones have free slots.
+                # The total wait in the queues of the own zone is limited. Otherwise a
+                # request could spend half of its time in one queue after the other,
+                # each longer than reported, while other zones have free slots.
                 near_ms = _near_wait_left_ms(search, wait_ms, now_s)
                 return self._select_shortest_queue(near, near_ms, search)
             case Step.FAR if search.far_tries < FAR_TRIES_MAX:
                 search.far_tries += 1
-                # A gate that just reported a longer queue would refuse again, at
-                # the cost of traffic between zones.
+                # Gates that just reported a longer wait are left out: they would
+                # refuse again, at the cost of traffic between zones.
                 busy = self._sender.queue_hints.longer_than(wait_ms, now_s)
                 return self._select_freest(far, excluded | busy, wait_ms, now_s)
             case Step.QUEUE:
@@ -187,12 +193,12 @@
         left_ms: float,
         now_s: float,
     ) -> None:
-        """Add the short queues that gates just reported to other requests.
+        """Add to a search the short queues of gates that just refused other requests.
 
-        A gate that reported a queue is not asked again for a while. Without these
-        queues, a request that asked no gate itself would be sent to a suspected
-        backend server, where 37 of 100 calls fail, although a healthy one has a
-        queue of only 0.2 s.
+        A gate that reported a queue is left out for a while in step FAR. A request
+        that therefore asked no gate itself would know of no queue. It would be sent
+        to a suspected backend server, where 37 of 100 calls fail, although the wait
+        for a healthy one is only 0.2 s.
         """
         for place in places:
             server_id = place.backend_server.backend_server_id
@@ -218,27 +224,29 @@
         far: Iterable[Placement] = (),
         far_ms: float = 0.0,
     ) -> Selection | None:
-        """Return the placement with the shortest queue, if it is short enough.
+        """Return the placement with the shortest queue; None if all are too long.
 
         Parameters
         ----------
+        wait_max_ms : float
+            The longest wait with which a queue is joined.
         far_ms : float
-            How much shorter a queue in another zone must be than one in the own
-            zone. With 0 the traffic between zones grows by a quarter under high
-            load.
+            How much shorter the wait in another zone must be than in the own zone
+            for that other zone to be selected. With 0, the traffic between zones
+            grows by a quarter under high load.
         """
-        told_ms = search.queue_wait_ms
+        reported_ms = search.queue_wait_ms
         queues = [
-            (told_ms[place.backend_server.backend_server_id], handicap_ms, place)
+            (reported_ms[place.backend_server.backend_server_id], handicap_ms, place)
             for places, handicap_ms in ((near, 0.0), (far, far_ms))
             for place in places
-            if place.backend_server.backend_server_id in told_ms
+            if place.backend_server.backend_server_id in reported_ms
         ]
         queues = [queue for queue in queues if queue[0] <= wait_max_ms]
         if not queues:
             return None
         shortest_ms, _, placement = min(queues, key=lambda queue: queue[0] + queue[1])
-        told_ms.pop(placement.backend_server.backend_server_id)
+        reported_ms.pop(placement.backend_server.backend_server_id)
         if search.step is Step.QUEUE:
             return Selection(placement, wait_max_ms)
         return Selection(placement, shortest_ms * QUEUE_MARGIN + QUEUE_MARGIN_MS)
@@ -254,7 +262,7 @@
         return None if placement is None else Selection(placement)
 
     def _behind_broken_links(self, service: str, now_s: float) -> set[str]:
-        """Return the backend servers at nodes that were unreachable just now."""
+        """Return the ids of the backend servers at nodes held out as unreachable."""
         hold_outs = self._sender.link_hold_outs
         if not hold_outs:
             return set()
@@ -266,14 +274,20 @@
 
 
 def _near_wait_left_ms(search: Search, wait_ms: float, now_s: float) -> float:
-    """Return how much longer a request may wait in queues of its own zone."""
+    """Return how much longer a request may wait in queues of its own zone.
+
+    The first call in a search starts that time.
+    """
     if search.queue_near_until_s is None:
         search.queue_near_until_s = now_s + wait_ms / 1000
     return (search.queue_near_until_s - now_s) * 1000
 
 
 def _queue_wait_left_ms(forwarded: ForwardedRequest, now_s: float) -> float:
-    """Return how much longer a request may wait in the shortest queues."""
+    """Return how much longer a request may wait in the queues of step QUEUE.
+
+    The first call for a request starts that time.
+    """
     if forwarded.queue_until_s is None:
         left_s = forwarded.deadline_s - now_s
         forwarded.queue_until_s = now_s + QUEUE_WAIT_FRACTION * left_s
--- a/balsamspindle/requests/reply_wait.py
+++ b/balsamspindle/requests/reply_wait.py
@@ -15,7 +15,8 @@
 
 __all__ = ["WaitOptions", "WaitResult", "wait_first"]
 
-# Interval at which a waiting task checks whether this node gives up or stops soon.
+# Interval at which a waiting task checks whether this node has given up all requests
+# or is about to stop.
 CHECK_INTERVAL_MS = 100
 
 
@@ -34,26 +35,26 @@
     Attributes
     ----------
     deadline_s : float
-        On the monotonic clock.
+        When the wait ends, on the monotonic clock.
     caller_fd : int
-        Descriptor that is readable when the caller sent more or closed its
-        connection.
+        File descriptor that is readable when the caller has sent more data or closed
+        its connection.
     caller_gone : callable
         Returns whether the caller closed its connection.
     on_dropped : callable
-        Called with the cause when a message is dropped that is not a reply to the
-        attempt.
+        Called with the cause for each message that is dropped because it is not a
+        reply to the attempt.
     given_up : callable, default=never
-        Returns whether this node has given up all its waits.
+        Returns whether this node has given up all requests.
     node_ends_s : callable, default=infinity
-        Returns when this node stops, on the monotonic clock. It is sent to the gates,
-        which then start nothing whose reply would come too late.
+        Returns when this node stops, on the monotonic clock. Once finite, the time is
+        sent to the gates, which then start no run whose reply would come too late.
     ends_at_notice : callable, default=never
         Returns whether the wait ends when only one attempt is left and its gate gave
         notice that its node may stop before the attempt ends.
     parked_attempts : mapping of Link to AttemptId, default=none
-        Parked attempts of the same request. The wait ends when one succeeds, but
-        doesn't last for their replies alone.
+        Attempts of the same request that stay open at gates of leaving nodes. The
+        wait ends when a parked attempt succeeds, or when only parked ones are left.
     on_parked : callable, default=nothing
         Called with the link and the reply when a parked attempt ends without
         success.
@@ -71,12 +72,12 @@
 
 
 class WaitResult(NamedTuple):
-    """The reply that a wait ended with, and the link that it came over.
+    """The reply that a wait returned, and the link over which that reply came.
 
     Attributes
     ----------
     replies : dict of Link to Reply
-        All replies received, this one included.
+        All replies received during the wait, including `reply`.
     """
 
     link: Link
@@ -92,9 +93,10 @@
     Returns
     -------
     WaitResult or None
-        The first answer, else the last other reply. None if the wait ended without
-        any: at the deadline, when the links or the caller's connection closed, when
-        this node gave up, or at a gate's notice.
+        The first answer; without one, the last other reply. None if the wait ended
+        without any reply: at the deadline, when the links or the caller's connection
+        closed, when this node gave up all requests, or at a gate's notice that its
+        node may stop before the attempt ends.
     """
     waiting = {**wait.parked_attempts, **attempts}
     poller = zmq.Poller()
@@ -105,8 +107,8 @@
     replies: dict[Link, Reply] = {}
     is_end_sent = False
     while waiting.keys() & attempts.keys():
-        # Polled past the deadline, too: a reply that has arrived counts, however long
-        # this process was stalled.
+        # The links are polled at least once, even after the deadline: a reply that
+        # has arrived counts, however long this process was stalled.
         remaining_ms = poll_timeout_ms(wait.deadline_s)
         ready = dict(poller.poll(min(remaining_ms, CHECK_INTERVAL_MS)))
         for link in list(waiting):
@@ -136,7 +138,7 @@
         if wait.caller_fd in ready:
             if wait.caller_gone():
                 return last
-            # The caller pipelined its next request, which is read after this one.
+            # The caller has already sent its next request, which is read later.
             poller.unregister(wait.caller_fd)
     return last
 
@@ -149,6 +151,6 @@
 def _is_last_ending(
     waiting: Mapping[Link, AttemptId], attempts: Mapping[Link, AttemptId]
 ) -> bool:
-    """Return whether the only attempt left is at a gate whose node may stop first."""
+    """Return whether only one attempt is left and may outlast its gate's node."""
     left = [link for link in waiting if link in attempts]
     return len(left) == 1 and left[0].is_ending(attempts[left[0]])
--- a/balsamspindle/requests/retries.py
+++ b/balsamspindle/requests/retries.py
@@ -1,8 +1,8 @@
 """Decides whether a request is retried and when its caller may send it again.
 
-A fixed number of attempts per request multiplies the load when all backend servers of
-a service fail. The retries of a service are therefore limited to a fraction of its
-requests.
+If the only limit were a number of attempts per request, retries would multiply the load
+while all backend servers of a service fail. The retries of a service are therefore
+limited to a fraction of its requests.
 """
 
 import random
@@ -21,34 +21,36 @@
 
 __all__ = ["RetryPolicy", "best_reply", "is_shed", "is_success"]
 
-# Refusals for a reason of `_TRY_ELSEWHERE_REASONS` after which one request is given up;
-# each costs a round trip.
+# Number of refusals with a reason of `_TRY_ELSEWHERE_REASONS` after which a request
+# gets no further attempt. Each refusal costs a round trip.
 TRY_ELSEWHERE_MAX = 120
 ERROR_STATUS_MIN = 500
 ROUTES_MAX = 1000
 SHED_STATUSES = frozenset({429, 503})
-# Gates that may deny a request's retry because their retry budget is used up. Where
-# three of some ten gates have none left, the others hardly have any.
+# Number of gates that deny a request's retry, because their retry budgets are used up,
+# after which the request gets no further attempt. If three of about ten gates have no
+# retries left, the others hardly have any.
 DENIALS_MAX = 3
 
 
 class RetryCost(StrEnum):
-    """What another attempt costs after a reply."""
+    """What another attempt costs in retry tokens after a reply."""
 
     # No other attempt is allowed.
     FINAL = "final"
-    # Nothing ran: the gate was selected with outdated information.
+    # No token, for example because the gate was selected with outdated information.
     FREE = "free"
-    # Nothing ran, but all gates may be busy: the first retry after such a reply is
-    # free, further ones are paid for.
+    # No token after the first reply with this reason, one token after each further
+    # reply with it. Nothing ran, but all gates may be busy.
     FIRST_FREE = "first_free"
+    # One token.
     PAID = "paid"
 
 
 _REFUSAL_COSTS = {
     Reason.NO_BACKEND_SERVER: RetryCost.FREE,
     Reason.DRAINING: RetryCost.FREE,
-    # The backend server is too slow for the time until a node stops; others may not be.
+    # The run would not end before a node stops; at a faster backend server it may.
     Reason.NODE_STOPPING: RetryCost.FREE,
     Reason.UNREACHABLE: RetryCost.FREE,
     Reason.DAMAGED: RetryCost.FREE,
@@ -63,10 +65,10 @@
 }
 
 
-# Runs that a leaving gate cuts, or is about to cut. The retry budget protects a failing
-# service from more load; here nothing failed, and there are at most as many retries as
-# the gate has slots. Paid for, the retries of all runs that one leaving node cuts would
-# use the budget up, and requests with time left would fail.
+# Costs of a retry after the gate of a leaving node has cancelled the run, or is about
+# to. The retry budget protects a failing service from more load; here no backend server
+# failed, and there are at most as many retries as the gate has slots. If these retries
+# cost tokens, they would use the budget up, and requests with time left would fail.
 _LOST_RUN_COSTS = {Reason.GATE_ENDING: RetryCost.FREE, Reason.CANCELLED: RetryCost.FREE}
 
 _TRY_ELSEWHERE_REASONS = frozenset(
@@ -75,30 +77,30 @@
 
 
 def is_shed(reply: Reply) -> bool:
-    """Return whether the backend server itself refused because of overload."""
+    """Return whether the backend server refused the request because of overload."""
     return reply.outcome is Outcome.ANSWERED and reply.status in SHED_STATUSES
 
 
 def is_success(reply: Reply) -> bool:
     """Return whether a reply is an answer with a status below 500 other than 429.
 
-    Only the latency of such an answer counts for the estimate.
+    The latency estimate uses such answers only.
     """
     is_answer = reply.outcome is Outcome.ANSWERED and not is_shed(reply)
     return is_answer and reply.status < ERROR_STATUS_MIN
 
 
 def best_reply(replies: list[Reply]) -> Reply:
-    """Return the reply for the caller: the last answer, even a 503, else the last."""
+    """Return the last answer of a backend server, even a 503; else the last reply."""
     answers = [reply for reply in replies if reply.outcome is Outcome.ANSWERED]
     return answers[-1] if answers else replies[-1]
 
 
 def _retry_cost(reply: Reply, execution: Execution, retries_errors: bool) -> RetryCost:
-    """Return what another attempt costs.
+    """Return what another attempt costs after a reply.
 
-    A non-idempotent request is retried only if it is proven that it did not run.
-    Without a reply it may have run, and a backend server's 503 is no proof.
+    A non-idempotent request is retried only if it is proven that it did not run. An
+    attempt without a reply may have run, and a backend server's 503 is no proof either.
     """
     match reply.outcome:
         case Outcome.NOT_RUN:
@@ -113,30 +115,31 @@
 
 def _is_below_limits(replies: list[Reply], attempts_max: int, denials_max: int) -> bool:
     """Return whether a request's attempts are below all of their limits."""
-    hints = sum(reply.reason in _TRY_ELSEWHERE_REASONS for reply in replies)
+    try_elsewhere = sum(reply.reason in _TRY_ELSEWHERE_REASONS for reply in replies)
     denials = sum(reply.reason is Reason.RETRY_BUDGET for reply in replies)
-    # A notice stands for an attempt that was left open, whose own reply follows.
+    # A notice that a gate's node is leaving is no result of the attempt, which stays
+    # open. The attempt is counted when its own reply comes.
     notices = sum(reply.reason is Reason.GATE_ENDING for reply in replies)
     sent = len(replies) - sum(map(is_refusal, replies)) - notices
     return (
         sent < attempts_max
         and denials < denials_max
-        and len(replies) - hints < ATTEMPTS_MAX
-        and hints < TRY_ELSEWHERE_MAX
+        and len(replies) - try_elsewhere < ATTEMPTS_MAX
+        and try_elsewhere < TRY_ELSEWHERE_MAX
     )
 
 
 class _ServiceState:
-    """What this ingress knows of one service."""
+    """The retry tokens and the estimates of one service at this ingress."""
 
     def __init__(self) -> None:
         self.tokens = RetryTokens()
         self.latencies: dict[int, LatencyEstimate] = {}
-        self.returns = RetryAfterEstimator()
+        self.retry_after = RetryAfterEstimator()
         self.heaviest = HeaviestWeight()
 
     def latency(self, route_id: int) -> LatencyEstimate:
-        """Return the latency estimate of a route, a new one if it has none."""
+        """Return the latency estimate of a route; create it if there is none."""
         latency = self.latencies.get(route_id)
         if latency is None:
             if len(self.latencies) >= ROUTES_MAX:
@@ -151,15 +154,16 @@
     Parameters
     ----------
     budget : callable
-        Returns the retry budget of a service that is in force.
+        Returns the retry budget that the settings now give a service.
     """
 
-    # A second attempt starts when the first takes this many times the 95th percentile
-    # of the latency, at the latest after this fraction of the time left.
+    # A second attempt starts when the first has taken SLOW_FACTOR times the 95th
+    # percentile of the latency, or HEDGE_LATEST_FRACTION of the request's remaining
+    # time if that is shorter.
     SLOW_FACTOR = 2.0
     HEDGE_LATEST_FRACTION = 1 / 3
-    # Multiple of the gate's limit for a slow answer after which an attempt at the own
-    # gate ends. Gates count an attempt as slow well before.
+    # An attempt at the own gate is ended early only after SLOWEST_FACTOR times the 99th
+    # percentile that the gate reported, so that the gate has counted it as slow before.
     SLOWEST_FACTOR = 3.0
 
     def __init__(self, budget: Callable[[str], RetryBudget]) -> None:
@@ -177,10 +181,10 @@
     def record_answer(
         self, service: str, took_s: float, p99_ms: float = 0.0, route_id: int = 0
     ) -> None:
-        """Record an answered attempt's latency and its gate's limit for a slow answer.
+        """Record an answer's latency and the 99th percentile that its gate reported.
 
-        Latency is recorded by route: the routes of one service may differ tenfold, and
-        the time for a second attempt with them.
+        The latency is recorded per route, because latencies within a service may
+        differ tenfold, and the delay before a second attempt has to differ as much.
         """
         with self._lock:
             self._state(service).latency(route_id).record(took_s, p99_ms)
@@ -198,22 +202,22 @@
         weight: float = 1.0,
         was_cut: bool = False,
     ) -> bool:
-        """Return whether a request may have another attempt, and pay for it.
+        """Return whether a request may have another attempt; if so, pay for it.
 
         Parameters
         ----------
         replies : list of Reply
-            Replies to its attempts so far.
+            Replies to the request's attempts so far, in order.
         is_paid : bool
-            Whether the attempt was paid for before. The token is given back where
-            none is needed.
+            Whether a token was already spent on the attempt. It is refunded if the
+            attempt costs none or is not allowed.
         attempts_max : int
-            Attempts that may reach a backend server.
+            Maximum number of attempts that reach a backend server.
         weight : float
             Weight of the route.
         was_cut : bool
-            Whether a run was lost with a node that left. Then all gates are asked
-            for the retry, not just `DENIALS_MAX` of them.
+            Whether a run was lost with its node or in a crash. All gates may then be
+            asked for the retry, even after `DENIALS_MAX` of them denied it.
         """
         denials_max = TRY_ELSEWHERE_MAX if was_cut else DENIALS_MAX
         with self._lock:
@@ -224,15 +228,15 @@
             if is_late or not _is_below_limits(replies, attempts_max, denials_max):
                 cost = RetryCost.FINAL
             if cost is not RetryCost.FINAL and budget.fleet_per_s_min:
-                # Each gate grants the retries that reach its backend server.
+                # The gates limit the service's retries instead of this ingress.
                 cost = RetryCost.FREE
             if cost is RetryCost.FIRST_FREE:
                 reasons = [reply.reason for reply in replies]
                 is_first = reasons.count(replies[-1].reason) == 1
                 cost = RetryCost.FREE if is_first else RetryCost.PAID
             if cost is RetryCost.PAID:
-                kept_part = state.heaviest.reserved_fraction(weight)
-                return is_paid or state.tokens.take(budget, now_s, kept_part)
+                reserved = state.heaviest.reserved_fraction(weight)
+                return is_paid or state.tokens.take(budget, now_s, reserved)
             if is_paid:
                 state.tokens.refund()
             return cost is RetryCost.FREE
@@ -243,7 +247,7 @@
             self._state(service).tokens.refund()
 
     def is_final(self, service: str, reply: Reply) -> bool:
-        """Return whether a reply goes to the caller whatever other attempts bring."""
+        """Return whether a reply goes to the caller at once, despite open attempts."""
         is_error = reply.outcome is Outcome.ANSWERED and not is_shed(reply)
         return is_success(reply) or (is_error and not self._budget(service).on_errors)
 
@@ -252,7 +256,7 @@
         return bool(self._budget(service).fleet_per_s_min)
 
     def may_hedge(self, service: str, now_s: float, weight: float = 1.0) -> bool:
-        """Return whether a second attempt beside a slow one is allowed; pay for it."""
+        """Pay for a second attempt beside a slow one; return False if not allowed."""
         if self.granted_by_gates(service):
             return True
         with self._lock:
@@ -268,7 +272,7 @@
     def tokens_left(self, service: str, now_s: float) -> float:
         """Return the number of retry tokens that a service has now."""
         with self._lock:
-            return self._state(service).tokens.left(self._budget(service), now_s)
+            return self._state(service).tokens.remaining(self._budget(service), now_s)
 
     def hedge_delay_s(
         self,
@@ -278,29 +282,29 @@
         now_s: float,
         route_id: int = 0,
     ) -> float:
-        """Return how long an idempotent request waits for its first attempt alone.
+        """Return how long an idempotent request's first attempt runs alone.
 
         Parameters
         ----------
         is_own : bool
-            Whether the attempt is at this node's own gate, where it ends after this
-            time. The time is then longer than the gate's limit for a slow answer: a
-            shorter silence would not count as evidence, and a backend server that
-            hangs would not be detected.
+            Whether the attempt is at this node's own gate, where it ends after the
+            returned time. That time is then longer than the 99th percentile of latency
+            that the gate reported: otherwise the gate would not count the attempt as
+            slow, and would not detect a backend server that hangs.
         left_s : float
             Time until the request's deadline.
 
         Returns
         -------
         float
-            `left_s` if no retry could be paid for, or none would end in time.
+            `left_s` if no retry can be paid for, or if a retry would not end in time.
         """
         with self._lock:
             state = self._state(service)
             latency = state.latency(route_id)
             if self.granted_by_gates(service):
                 if is_own:
-                    # Were the attempt ended before, all gates might deny its retry.
+                    # If the attempt ended early, all gates might deny its retry.
                     return left_s
             elif not state.tokens.available(self._budget(service), now_s):
                 return left_s
@@ -323,17 +327,17 @@
     ) -> float:
         """Record a request's end; return after how many ms its caller may retry.
 
-        0 for a request that was answered.
+        Returns 0 for a request that was answered.
 
         Parameters
         ----------
         earliest_ms : float
-            The shortest time to return.
+            Lower bound of the returned time.
         """
         with self._lock:
-            returns = self._state(service).returns
-            returns.record(is_answered, now_s)
-            return 0.0 if is_answered else returns.suggest_ms(earliest_ms, rng)
+            retry_after = self._state(service).retry_after
+            retry_after.record(is_answered, now_s)
+            return 0.0 if is_answered else retry_after.suggest_ms(earliest_ms, rng)
 
     def _state(self, service: str) -> _ServiceState:
         state = self._services.get(service)
--- a/balsamspindle/requests/retry_tokens.py
+++ b/balsamspindle/requests/retry_tokens.py
@@ -6,18 +6,18 @@
 
 __all__ = ["FLOOR_BURST_S", "WINDOW_S", "RetryTokens"]
 
-# Time constant of the decay of earned tokens.
+# Time constant of the exponential decay of the tokens that requests add.
 WINDOW_S = 10.0
-# The tokens that come with time accumulate for at most this long.
+# Unused tokens of the budget's minimum rate accumulate for at most this long.
 FLOOR_BURST_S = 2.0
 
 
 class RetryTokens:
     """The retries that are available to one service at one ingress.
 
-    Each request adds the budget's fraction of a token; these tokens decay
-    exponentially over `WINDOW_S`. The budget's `per_s_min` tokens are added every
-    second besides, so that a service with few requests can retry at all.
+    Each request adds the budget's `fraction` of a token; the tokens added by requests
+    decay exponentially over `WINDOW_S`. Besides, `per_s_min` tokens are added every
+    second, so that a service with few requests can make retries, too.
     """
 
     def __init__(self) -> None:
@@ -30,7 +30,7 @@
         self._advance_time(budget, now_s)
         self._earned += budget.fraction
 
-    def left(self, budget: RetryBudget, now_s: float) -> float:
+    def remaining(self, budget: RetryBudget, now_s: float) -> float:
         """Return the number of tokens available."""
         self._advance_time(budget, now_s)
         return self._floor + self._earned
@@ -40,17 +40,17 @@
         self._advance_time(budget, now_s)
         return self._floor >= 1 or self._earned >= 1
 
-    def take(self, budget: RetryBudget, now_s: float, kept_part: float = 0.0) -> bool:
-        """Take a token for a retry; return False if none may be taken.
+    def take(self, budget: RetryBudget, now_s: float, reserved: float = 0.0) -> bool:
+        """Spend a token on a retry; return False if this request may not spend one.
 
         Parameters
         ----------
-        kept_part : float
-            Fraction of the available tokens that this request may not use.
+        reserved : float
+            Fraction of the available tokens that is reserved for other requests.
         """
         if not self.available(budget, now_s):
             return False
-        if kept_part and (self._floor + self._earned) * (1 - kept_part) < 1:
+        if reserved and (self._floor + self._earned) * (1 - reserved) < 1:
             return False
         if self._floor >= 1:
             self._floor -= 1
@@ -59,7 +59,7 @@
         return True
 
     def refund(self) -> None:
-        """Return a token that was spent on a retry which was not made."""
+        """Add back a token that was spent on a retry which was not made."""
         self._floor += 1
 
     def _advance_time(self, budget: RetryBudget, now_s: float) -> None:
--- a/balsamspindle/requests/sent_attempts.py
+++ b/balsamspindle/requests/sent_attempts.py
@@ -1,4 +1,4 @@
-"""Attempts in flight over links, and those that are parked."""
+"""Attempts in flight over links, including parked ones."""
 
 from collections.abc import Callable, Mapping
 from dataclasses import dataclass
@@ -19,7 +19,7 @@
     gate : str
         Id of the gate's node.
     on_end : callable
-        Called with the attempt's reply; with None if none came.
+        Called when the attempt ends, with its reply; with None if no reply came.
     """
 
     link: Link
@@ -37,15 +37,15 @@
         self.link.cancel(self.attempt_id, self.dispatch.hlc, cause)
 
     def is_ending(self) -> bool:
-        """Return whether the gate announced that its node may end first."""
+        """Return whether the gate announced that the attempt may outlast its node."""
         return self.link.is_ending(self.attempt_id)
 
 
 class ParkedAttempts:
-    """One request's attempts at gates whose nodes may end before the attempts do.
+    """One request's attempts at gates whose nodes may stop before the attempts end.
 
-    They stay open while the request is sent to other gates. The first successful
-    answer is used.
+    The parked attempts stay open while the request is sent to other gates. The first
+    successful answer is used.
     """
 
     def __init__(self) -> None:
@@ -69,7 +69,7 @@
     def finish(
         self, replies: Mapping[Link, Reply], release: Callable[[Link], None]
     ) -> None:
-        """Remove the attempts that got replies, and give their links back."""
+        """Remove the attempts that got replies, and release their links."""
         for sent in self.all():
             if sent.link in replies:
                 self._sent.remove(sent)
--- a/balsamspindle/requests/siblings.py
+++ b/balsamspindle/requests/siblings.py
@@ -1,4 +1,4 @@
-"""Gives the calls of one request a common rank, so that gates serve all or none.
+"""Gives the calls of one request a common rank: gates serve all of them or none.
 
 While it handles a request, a backend server may make two or more calls of its own at
 the same time, and answers with an error when one of them fails. All these calls arrive
@@ -20,28 +20,31 @@
 
 __all__ = ["SiblingRanks"]
 
-# Calls of one request are made within 1 ms of each other; the rest allows for delays on
-# a shared CPU.
+# Calls that arrive within this time of each other may belong to one request. The calls
+# of one request are made within 1 ms; the other 19 ms allow for delays on a shared CPU.
 TOGETHER_S = 0.02
-# All calls of one request have the deadline of that request.
+# Calls whose deadlines differ by more than this belong to different requests, as all
+# calls of one request have the deadline of that request.
 SAME_DEADLINE_S = 0.02
-# Requests of a route are ranked if at least this fraction of them arrives together with
-# the request before: of calls in pairs a half does, of callers' requests at one node
-# next to none. Without ranks, requests are served by deadline, and fewer are late.
+# Requests of a route are ranked if at least this fraction of them arrive together with
+# the previous request. Half of the calls made in pairs do, and almost none of the
+# callers' requests at one node. Requests without ranks are served by deadline, and
+# fewer of them are late.
 GROUPED_FRACTION_MIN = 0.25
-# Weight of the newest request in that fraction, an exponential moving average; it
-# follows a route's kind of requests within some twenty requests.
+# Weight of the newest request in the fraction of requests that arrive together, an
+# exponential moving average. If a route's requests change, the average follows within
+# about twenty requests.
 SMOOTHING_FACTOR = 0.1
-# Delay of the highest rank behind the lowest, in target times of the route. About the
-# longest time that requests wait for a slot: with a smaller spread, requests that
-# arrived far apart are served in order of arrival, and ranks decide less the longer the
-# queue is.
+# Difference between the due times of requests with the highest and the lowest rank, as
+# a multiple of the route's target time. It is about the longest time that requests wait
+# for a slot. With a smaller spread, requests that arrived far apart are served in order
+# of arrival, and the longer the queue is, the less the ranks decide.
 RANK_SPREAD = 1.0
 ROUTES_MAX = 1000
 
 
 class _Route:
-    """The last request of one route, and how often its requests arrive together."""
+    """The last request of a route, and how often its requests arrive together."""
 
     def __init__(self) -> None:
         self.arrived_s = float("-inf")
@@ -59,7 +62,7 @@
         self._routes: dict[int, _Route] = {}
 
     def rank_ms(self, route: RouteDocument, deadline_s: float, now_s: float) -> float:
-        """Return the delay of an arriving request's order in queues, by its rank.
+        """Return by how much its rank delays an arriving request's due time in queues.
 
         0 where the route's requests are not ranked.
 
--- a/balsamspindle/requests/zone_hints.py
+++ b/balsamspindle/requests/zone_hints.py
@@ -1,8 +1,8 @@
 """Shares hold-outs of other zones' backend servers among the nodes of one zone.
 
 A gate reports a hold-out with its refusal, and each refusal from another zone costs
-traffic between zones. Traffic within the zone is free: one refusal is shared there with
-the other nodes, so that they don't ask the same gate.
+traffic between zones. Traffic within a zone is free, so a node that was refused shares
+the hold-out with the other nodes of its zone, and they don't ask the same gate.
 """
 
 import random
@@ -16,11 +16,11 @@
 
 __all__ = ["ZoneHints"]
 
-# Nodes of the zone that receive a hint: all nodes of a small zone; of a large zone, as
-# many as use the same backend server within a second.
+# Maximum number of nodes to which a hold-out is sent: all nodes of a small zone, and in
+# a large zone about as many as use the same backend server within a second.
 PEERS_MAX = 12
-# A hold-out is shared again only if it was extended by at least this much. The few ms
-# that each further reply adds are not worth a message.
+# A hold-out is shared again only if it was extended by at least this much. Each further
+# reply extends it by a few ms, which are not worth a message.
 EXTENSION_MIN_MS = 150.0
 REPORTED_MAX = 1000
 
@@ -33,7 +33,8 @@
     send : callable
         Sends a message to a member address; safe from any thread.
     held_out_servers : callable
-        Returns the held-out backend servers to which received hints are added.
+        Returns the record of held-out backend servers, to which received hints are
+        added.
     """
 
     def __init__(
