--- a/balsamspindle/backend_servers/health_peers.py
+++ b/balsamspindle/backend_servers/health_peers.py
@@ -55,7 +55,7 @@
     def mark_p99_stale(self) -> None:
         """Let the next summary with a higher percentile replace the average.
 
-        A backend server that is held out gets no dispatches, and so no summaries of
+        A backend server that is held out gets no dispatches, and so few summaries of
         its peers: the average is stale when the hold-out ends. If all peers have become
         slow meanwhile, the average would follow only by a tenth of the difference with
         each summary. A backend server that is as slow as its peers would be held out
--- a/balsamspindle/backend_servers/queue.py
+++ b/balsamspindle/backend_servers/queue.py
@@ -196,7 +196,8 @@
     ) -> Verdict:
         """Return the verdict that a ticket would get, without enqueueing it.
 
-        Unlike `request_slot`, it does not change the queue and sheds no other attempt.
+        Unlike `request_slot`, it does not change the queue. If the queue is full, it
+        returns ``SHED`` even if `request_slot` would shed another attempt instead.
         """
         verdict = self._judge(
             ticket, free_slots, effective_slots, service_time_s, now_s
