--- a/bench/capacity/__init__.py
+++ b/bench/capacity/__init__.py
@@ -1,4 +1,4 @@
-"""What each role costs at the long-run size, worked out from measured slopes.
+"""Costs of each role at the long-run fleet size, extrapolated from measurements.
 
 ::
 
--- a/bench/capacity/__main__.py
+++ b/bench/capacity/__main__.py
@@ -1,4 +1,4 @@
-"""``python -m bench.capacity``: run the parts and keep their figures."""
+"""``python -m bench.capacity``: measure the parts and write their figures."""
 
 import json
 import platform
@@ -60,10 +60,10 @@
         figures[name] = PARTS[name]()
     typer.echo(json.dumps(figures, indent=2))
     if write:
-        _write(figures)
+        _write_baseline(figures)
 
 
-def _write(figures: dict) -> None:
+def _write_baseline(figures: dict) -> None:
     baseline = json.loads(BASELINE.read_text()) if BASELINE.exists() else {}
     baseline["python"] = platform.python_version()
     baseline.setdefault("measured", {}).update(figures)
--- a/bench/capacity/bad_day_rows.py
+++ b/bench/capacity/bad_day_rows.py
@@ -1,4 +1,4 @@
-"""The table of bad days: run through the mirror, or worked out from slopes."""
+"""The table of bad days: simulated with `Mirror`, or calculated from other parts."""
 
 from typing import NamedTuple
 
@@ -11,25 +11,27 @@
 __all__ = ["BadDay", "bad_day_rows"]
 
 HOUR_S = 3600.0
-# Answers of routine importance may use half of a node's bytes.
-ROUTINE_SHARE = 0.5
+# Fraction of a node's byte cap that messages of `Importance.ROUTINE` may use.
+ROUTINE_FRACTION = 0.5
 
 
 class BadDay(NamedTuple):
-    """One event at one node.
+    """Cost of one fleet event at one node.
 
     Attributes
     ----------
+    incoming : str
+        What the node receives because of the event.
     sent_bytes_per_s : float
-        While it lasts; the cap is the whole fleet's.
+        Rate while the event lasts; at most the cap, which is the same at all nodes.
     settled_s : float
-        Until the node has passed on all of it.
+        Time until the node has sent on all news of the event.
     source : str
-        ``run`` through the mirror, or ``worked out``.
+        ``run`` if simulated or measured, ``worked out`` if calculated.
     """
 
     event: str
-    comes: str
+    incoming: str
     cpu_percent: float
     sent_bytes_per_s: float
     settled_s: float
@@ -38,19 +40,22 @@
 
 
 def bad_day_rows(measured: dict[str, dict[str, float]]) -> list[BadDay]:
-    """Return all rows."""
+    """Return the rows in the order of the page.
+
+    `measured` holds the figures of the baseline by part and name.
+    """
     return [
-        *_runs(measured["bad_days"]),
-        _regions(measured["members"]),
-        *_joins(measured["joining"], measured["settings"], measured["members"]),
+        *_simulated_rows(measured["bad_days"]),
+        _regions_apart_row(measured["members"]),
+        *_join_rows(measured["joining"], measured["settings"], measured["members"]),
     ]
 
 
-def _runs(figures) -> list[BadDay]:
-    def run(name: str, event: str, comes: str, remark: str) -> BadDay:
+def _simulated_rows(figures) -> list[BadDay]:
+    def run(name: str, event: str, incoming: str, remark: str) -> BadDay:
         return BadDay(
             event,
-            comes,
+            incoming,
             figures[f"{name}_cpu_percent"],
             figures[f"{name}_sent_bytes_per_s"],
             figures[f"{name}_settled_s"],
@@ -60,7 +65,7 @@
 
     rack, zone = RACK_NODES, ZONE_NODES
     per_node = LONG_RUN.backend_servers_per_node
-    waiting = figures["burst_waiting_items"]
+    waiting_items = figures["burst_waiting_items"]
     return [
         run("rack_lost", "a rack lost", f"{rack} nodes' deaths", "urgent news"),
         run("rack_back", "a rack back", f"{rack * per_node} backend servers", ""),
@@ -75,35 +80,37 @@
             "burst",
             "45,000 replacements within an hour",
             f"{figures['burst_changes_per_s']:.0f} changes/s",
-            f"at the cap: after 5 minutes {waiting:,.0f} items wait at each node;"
+            f"at the cap: after 5 minutes {waiting_items:,.0f} items wait at each node;"
             " drains go first, the rest by digests; the time is after the burst's end",
         ),
     ]
 
 
-def _regions(members) -> BadDay:
-    far = 1 - 1 / LONG_RUN.regions
-    changes = RECORD_CHANGES_PER_S * HOUR_S * far
+def _regions_apart_row(members) -> BadDay:
+    other_regions_fraction = 1 - 1 / LONG_RUN.regions
+    changes = RECORD_CHANGES_PER_S * HOUR_S * other_regions_fraction
     missed_bytes = changes * members["page_bytes_per_entry"]
-    free = ROUTINE_SHARE * LIMITS.control_bytes_per_s
+    free_bytes_per_s = ROUTINE_FRACTION * LIMITS.control_bytes_per_s
     return BadDay(
         "regions apart for an hour",
         f"{changes:,.0f} changes of the others, {missed_bytes / 1000:,.0f} kB",
         members["cpu_percent"],
         members["sent_bytes_per_s"],
-        missed_bytes / free,
+        missed_bytes / free_bytes_per_s,
         "worked out",
         "no region judges another's nodes while apart; then digests, each node"
         " half of its bytes",
     )
 
 
-def _joins(joining, settings, members) -> list[BadDay]:
-    pages = settings["all_pages_bytes"]
-    missed = SETTINGS_CHANGES_PER_S * HOUR_S
-    zone_bytes = joining["received_bytes"] * ZONE_NODES
-    others = LONG_RUN.nodes - ZONE_NODES
-    spread_s = zone_bytes / others / (ROUTINE_SHARE * LIMITS.control_bytes_per_s)
+def _join_rows(joining, settings, members) -> list[BadDay]:
+    pages_bytes = settings["all_pages_bytes"]
+    missed_changes = SETTINGS_CHANGES_PER_S * HOUR_S
+    join_bytes = joining["received_bytes"] * ZONE_NODES
+    other_nodes = LONG_RUN.nodes - ZONE_NODES
+    spread_s = (
+        join_bytes / other_nodes / (ROUTINE_FRACTION * LIMITS.control_bytes_per_s)
+    )
     sent = joining["sent_bytes"] / joining["known_s"]
     return [
         BadDay(
@@ -118,7 +125,7 @@
         ),
         BadDay(
             "a zone's nodes join at once",
-            f"{zone_bytes / 1e6:,.0f} MB from all others",
+            f"{join_bytes / 1e6:,.0f} MB from all others",
             members["cpu_percent"],
             LIMITS.control_bytes_per_s,
             max(joining["known_s"], spread_s),
@@ -127,10 +134,10 @@
         ),
         BadDay(
             "platform away, a node replaced",
-            f"{pages / 1000:,.0f} kB of settings from {OFFERS_WANTED} peers",
+            f"{pages_bytes / 1000:,.0f} kB of settings from {OFFERS_WANTED} peers",
             members["cpu_percent"],
             LIMITS.control_bytes_per_s,
-            pages / OFFERS_WANTED / LIMITS.control_bytes_per_s,
+            pages_bytes / OFFERS_WANTED / LIMITS.control_bytes_per_s,
             "worked out",
             "refuses with not_run until then",
         ),
@@ -146,10 +153,10 @@
         ),
         BadDay(
             "a region without the platform for an hour",
-            f"{missed:,.0f} changes; {CHANGES_MAX} are kept for peers",
+            f"{missed_changes:,.0f} changes; {CHANGES_MAX} are kept for peers",
             members["cpu_percent"],
             LIMITS.control_bytes_per_s,
-            pages / LIMITS.control_bytes_per_s,
+            pages_bytes / LIMITS.control_bytes_per_s,
             "worked out",
             "all settings anew, from peers within the cap or from the change log;"
             " over the 3 s of a single change",
--- a/bench/capacity/customers.py
+++ b/bench/capacity/customers.py
@@ -1,6 +1,7 @@
-"""What customers cost a node, by how many there are: two keys each.
+"""Memory and processor time that customers cost a node, by number of customers.
 
-Each size is filled in a fresh interpreter, as in `bench.capacity.memory`.
+Each customer has two keys. Each number of customers is loaded in a fresh
+interpreter, for the reason given in `bench.capacity.memory`.
 """
 
 import gc
@@ -23,14 +24,17 @@
 __all__ = ["measure"]
 
 CHAIN = "0" * 32
-SHARES = (0.1, 0.25, 0.5)
+SIZE_FRACTIONS = (0.1, 0.25, 0.5)
 CHANGES = 20
-FINDS = 10_000
+KEY_LOOK_UPS = 10_000
 
 
 def measure() -> dict[str, float]:
-    """Return memory, load and the cost of one changed key at the long-run size."""
-    samples = [_in_fresh_process(round(LONG_RUN.customers * x)) for x in SHARES]
+    """Return memory, and processor times to load, change and find keys."""
+    samples = [
+        _measure_in_fresh_process(round(LONG_RUN.customers * fraction))
+        for fraction in SIZE_FRACTIONS
+    ]
     memory, load, change = (
         fit_line([(s["customers"], s[name]) for s in samples])
         for name in ("state_bytes", "load_cpu_s", "change_cpu_ms")
@@ -45,14 +49,14 @@
     }
 
 
-def _in_fresh_process(customers: int) -> dict[str, float]:
+def _measure_in_fresh_process(customers: int) -> dict[str, float]:
     command = [sys.executable, "-m", "bench.capacity.customers", str(customers)]
-    answer = subprocess.run(command, check=True, capture_output=True, text=True)
-    return json.loads(answer.stdout)
+    completed = subprocess.run(command, check=True, capture_output=True, text=True)
+    return json.loads(completed.stdout)
 
 
 def _document(number: int, generation: int = 0) -> tuple[str, bytes]:
-    keys = [key_digest(f"key-{number}-{one}-{generation}") for one in range(2)]
+    keys = [key_digest(f"key-{number}-{index}-{generation}") for index in range(2)]
     document = {
         "name": f"customer-{number:07d}",
         "key_digests": keys,
@@ -63,9 +67,9 @@
     return path, msgspec.json.encode(document)
 
 
-def _sample(customers: int) -> dict[str, float]:
+def _measure_sample(customers: int) -> dict[str, float]:
     gc.collect()
-    imported = resident_bytes()
+    imported_bytes = resident_bytes()
     documents = dict(_document(number) for number in range(customers))
     configuration = CurrentConfiguration()
     started_s = time.process_time()
@@ -75,7 +79,7 @@
     gc.collect()
     return {
         "customers": customers,
-        "state_bytes": resident_bytes() - imported,
+        "state_bytes": resident_bytes() - imported_bytes,
         "load_cpu_s": load_cpu_s,
         "change_cpu_ms": _change_cpu_ms(configuration),
         "find_us": _find_us(configuration, customers),
@@ -95,7 +99,7 @@
 
 def _find_us(configuration: CurrentConfiguration, customers: int) -> float:
     table = configuration.get().customers
-    step = max(1, customers // FINDS)
+    step = max(1, customers // KEY_LOOK_UPS)
     digests = [
         key_digest(f"key-{number}-1-0") for number in range(CHANGES, customers, step)
     ]
@@ -106,5 +110,5 @@
 
 
 if __name__ == "__main__":
-    assert NodeProcess, "the whole node is imported, as in a real process"
-    print(json.dumps(_sample(int(sys.argv[1]))))
+    assert NodeProcess, "the whole node must be imported, as in a node process"
+    print(json.dumps(_measure_sample(int(sys.argv[1]))))
--- a/bench/capacity/joining.py
+++ b/bench/capacity/joining.py
@@ -1,8 +1,9 @@
-"""How long a replaced node takes to know the fleet, and what that costs.
+"""Time and bytes that a replaced node needs to learn the records of the fleet.
 
-The joiner and one source are real members; the source stands for all peers,
-since a joiner asks another one each time. So its byte cap is lifted: the time
-is what the joiner's own cap and pace allow.
+Two members are real: the joiner and one source. The source replies in place of
+all peers, since a joiner sends each request to another peer. Therefore the
+source has no effective byte cap, and only the joiner's own cap and its request
+intervals limit the time.
 """
 
 import msgspec
@@ -20,20 +21,20 @@
 
 __all__ = ["Join", "measure"]
 
-NODES = (700, 1400, 2800, 5600)
-GIVE_UP_S = 3600.0
-KNOWN_SHARE = 0.999
+NODE_COUNTS = (700, 1400, 2800, 5600)
+JOIN_TIMEOUT_S = 3600.0
+KNOWN_NODES_FRACTION = 0.999
 UNCAPPED_BYTES_PER_S = 1e9
 _decode_ping = msgspec.msgpack.Decoder(Ping).decode
 
 
 def measure() -> dict[str, float]:
-    """Return time and bytes of a join, from its slopes."""
-    joins = [(nodes, Join(LONG_RUN.scaled(nodes))) for nodes in NODES]
+    """Return time and bytes of a join into the largest fleet, and the time's slope."""
+    joins = [(nodes, Join(LONG_RUN.scaled(nodes))) for nodes in NODE_COUNTS]
     times = [(nodes, join.run()) for nodes, join in joins]
     largest = joins[-1][1]
     return {
-        "measured_nodes": NODES[-1],
+        "measured_nodes": NODE_COUNTS[-1],
         "known_s": times[-1][1],
         "known_s_per_1000_nodes": fit_line(times).slope * 1000,
         "received_bytes": largest.received_bytes,
@@ -42,7 +43,7 @@
 
 
 class Join:
-    """One joiner before one source, on a clock of their own."""
+    """The join of one node from one source, on a simulated clock."""
 
     def __init__(self, size: FleetSize) -> None:
         self.now_s = 1000.0
@@ -56,30 +57,40 @@
             for record in records[1:]
         }
         self._source_address = records[1].member_address
-        full = Directory()
+        full_directory = Directory()
         for record in records:
-            full.update(record, self.now_s)
-        self._asked: list[tuple[str, bytes]] = []
-        self._answered: list[bytes] = []
-        self._source = self._member(records[1], full, UNCAPPED_BYTES_PER_S)
+            full_directory.update(record, self.now_s)
+        self._joiner_frames: list[tuple[str, bytes]] = []
+        self._source_frames: list[bytes] = []
+        self._source = self._make_member(
+            records[1], full_directory, UNCAPPED_BYTES_PER_S
+        )
         self.directory = Directory()
         own = msgspec.structs.replace(records[0], backend_servers=())
-        self.joiner = self._member(own, self.directory, LIMITS.control_bytes_per_s)
+        self.joiner = self._make_member(own, self.directory, LIMITS.control_bytes_per_s)
 
     def run(self) -> float:
-        """Return the time until the joiner knows nearly all of the fleet."""
+        """Return the simulated seconds until the joiner knows 99.9 % of the nodes.
+
+        Raises
+        ------
+        TimeoutError
+            When the join takes longer than an hour.
+        """
         start_s = self.now_s
-        while len(self.directory.alive()) < KNOWN_SHARE * self._nodes:
-            if self.now_s - start_s > GIVE_UP_S:
-                raise TimeoutError(f"{len(self.directory.alive())} nodes known")
+        while len(self.directory.alive()) < KNOWN_NODES_FRACTION * self._nodes:
+            if self.now_s - start_s > JOIN_TIMEOUT_S:
+                raise TimeoutError(
+                    f"{len(self.directory.alive())} nodes known at the time limit"
+                )
             self.now_s += TICK_S
             self.joiner.tick(self.now_s)
-            # A question and its answer take less than a tick.
+            # A request and its reply arrive within one tick.
             for _ in range(3):
-                self._carry()
+                self._deliver_frames()
         return self.now_s - start_s
 
-    def _member(self, own, directory, bytes_per_s) -> Member:
+    def _make_member(self, own, directory, bytes_per_s) -> Member:
         settings = NodeSettings(
             own.node_id,
             own.region,
@@ -101,32 +112,32 @@
         )
 
     def post(self, source: str, target: str, frame: bytes, opened: bool = False):
-        """Take what one of the two sends."""
+        """Queue a frame of the source or the joiner, in place of the network."""
         if source == self._source_address:
-            self._answered.append(frame)
+            self._source_frames.append(frame)
         else:
-            self._asked.append((target, frame))
+            self._joiner_frames.append((target, frame))
 
-    def _carry(self) -> None:
-        asked, self._asked = self._asked, []
-        for address, frame in asked:
-            self._ask(address, frame)
-        answered, self._answered = self._answered, []
-        for frame in answered:
-            self._receive(self._source_address, frame)
+    def _deliver_frames(self) -> None:
+        joiner_frames, self._joiner_frames = self._joiner_frames, []
+        for address, frame in joiner_frames:
+            self._deliver_to_peer(address, frame)
+        source_frames, self._source_frames = self._source_frames, []
+        for frame in source_frames:
+            self._deliver_to_joiner(self._source_address, frame)
 
-    def _ask(self, address: str, frame: bytes) -> None:
+    def _deliver_to_peer(self, address: str, frame: bytes) -> None:
         envelope = decode_member(frame).ok
         if envelope.kind == "ping":
-            # Each peer answers for itself; its news is not needed here.
+            # The pinged peer sends the ack, without news: pages carry the records.
             ack = Ack(_decode_ping(envelope.body).sequence)
             peer = self._peers[address]
-            self._receive(address, encode_member("ack", peer, ack))
+            self._deliver_to_joiner(address, encode_member("ack", peer, ack))
         elif envelope.kind in ("sync_request", "pull", "page"):
             route = Route(routing_id=b"joiner")
             self._source.channel.receive_frame(route, frame, self.now_s)
 
-    def _receive(self, address: str, frame: bytes) -> None:
+    def _deliver_to_joiner(self, address: str, frame: bytes) -> None:
         self.received_bytes += len(frame)
         route = Route(routing_id=address.encode())
         self.joiner.channel.receive_frame(route, frame, self.now_s)
--- a/bench/capacity/ledgers.py
+++ b/bench/capacity/ledgers.py
@@ -1,4 +1,4 @@
-"""The bounded memories of a node, each full: what a long busy day leaves."""
+"""A node's bounded tables of past requests and events, filled to their bounds."""
 
 from typing import NamedTuple
 
@@ -17,13 +17,13 @@
 __all__ = ["Ledgers", "fill_ledgers"]
 
 ANSWER = b'{"signed": "' + b"x" * 290 + b'"}'
-# Of the gate's attempts, the longest that a default route lets one live.
+# The default time-out of a route, and the gate's `ATTEMPT_RETENTION_S` after it.
 ATTEMPT_LIFE_S = 2.0 + 5.0
 EVENT_PADDING = "x" * 200
 
 
 class Ledgers(NamedTuple):
-    """All of them."""
+    """Idempotency keys and attempts of a gate, and the recent events of a node."""
 
     keys: RunLedger
     attempts: AttemptTable
@@ -31,45 +31,47 @@
 
 
 def fill_ledgers() -> Ledgers:
-    """Return ledgers that are as full as a node at its request rate has them."""
-    return Ledgers(_keys(), _attempts(), _events())
+    """Return ledgers as full as those of a node at `requests_per_s_per_node`."""
+    return Ledgers(_fill_keys(), _fill_attempts(), _fill_events())
 
 
-def _keys() -> RunLedger:
+def _fill_keys() -> RunLedger:
     ledger = RunLedger("node-00-00000", 1)
     for number in range(KEYS_MAX):
-        dispatch = _dispatch(number)
+        dispatch = _make_dispatch(number)
         assert ledger.begin(dispatch, now_s=1.0) is None
-        reply = Reply(dispatch.attempt_id, Outcome.ANSWERED, status=200, body=_body())
+        reply = Reply(
+            dispatch.attempt_id, Outcome.ANSWERED, status=200, body=_copy_body()
+        )
         ledger.end(dispatch, reply, now_s=1.0)
     return ledger
 
 
-def _attempts() -> AttemptTable:
+def _fill_attempts() -> AttemptTable:
     table = AttemptTable()
     for number in range(int(ATTEMPT_LIFE_S * LIMITS.requests_per_s_per_node)):
-        table.begin(_attempt_id(number), CancelToken(), 10.0, now_s=1.0)
+        table.begin(_make_attempt_id(number), CancelToken(), 10.0, now_s=1.0)
     return table
 
 
-def _events() -> RecentEvents:
+def _fill_events() -> RecentEvents:
     events = RecentEvents()
     for number in range(CONTROL_EVENTS_MAX + REQUEST_EVENTS_MAX):
         events.add(f"{number} {EVENT_PADDING}", number >= CONTROL_EVENTS_MAX)
     return events
 
 
-def _attempt_id(number: int) -> AttemptId:
+def _make_attempt_id(number: int) -> AttemptId:
     return AttemptId(f"node-{number % 23:02d}-{number:05d}", 1, number)
 
 
-def _body() -> bytes:
+def _copy_body() -> bytes:
     return bytes(bytearray(ANSWER))
 
 
-def _dispatch(number: int) -> Dispatch:
+def _make_dispatch(number: int) -> Dispatch:
     return Dispatch(
-        attempt_id=_attempt_id(number),
+        attempt_id=_make_attempt_id(number),
         request_id=f"{number:032x}",
         service=f"team-{number % 25:03d}/service-{number % 25:04d}",
         backend_server_id="server-00000-00",
--- a/bench/capacity/look_ups.py
+++ b/bench/capacity/look_ups.py
@@ -1,4 +1,4 @@
-"""Processor time of the decisions that each request takes, by fleet size."""
+"""Processor time of finding a route and picking a placement, by fleet size."""
 
 import random
 import time
@@ -16,15 +16,17 @@
 
 __all__ = ["cpu_us_per_call", "measure"]
 
-CALLS = 3000
+CALLS_PER_ROUND = 3000
 ROUNDS = 5
 SMALL_NODES = 56
-# The long run has some 22 backend servers a service; a large one has 500.
+# Backend servers of an average service in the long-run fleet, and of a large one.
 SERVICE_SIZES = (22, 500)
 
 
-def cpu_us_per_call(function: Callable[[int], object], calls: int = CALLS) -> float:
-    """Return the processor time of one call: the least of a few rounds."""
+def cpu_us_per_call(
+    function: Callable[[int], object], calls: int = CALLS_PER_ROUND
+) -> float:
+    """Return the processor time of one call: the smallest mean of several rounds."""
     rounds = []
     for _ in range(ROUNDS):
         started_s = time.process_time()
@@ -35,30 +37,32 @@
 
 
 def measure() -> dict[str, float]:
-    """Return microseconds of processor time for each look-up."""
+    """Return microseconds of processor time by look-up."""
     figures = {}
     for name, size in (
         ("few_routes", LONG_RUN.scaled(SMALL_NODES)),
         ("all_routes", LONG_RUN),
     ):
         table = Configuration(1, synthetic.documents(size)).routes
-        figures[f"route_{name}_us"] = cpu_us_per_call(_route_call(table, size.routes))
+        figures[f"route_{name}_us"] = cpu_us_per_call(
+            _make_route_call(table, size.routes)
+        )
     for servers in SERVICE_SIZES:
-        figures |= _picks(servers)
+        figures |= _pick_costs(servers)
     return figures
 
 
-def _route_call(table: RouteTable, routes: int) -> Callable[[int], object]:
+def _make_route_call(table: RouteTable, routes: int) -> Callable[[int], object]:
     def call(number: int) -> object:
-        wanted = number * 7919 % routes
-        host = f"host-{wanted // 50:04d}.example"
-        return table.find(host, f"/part-{wanted % 50}/items/4711", "GET")
+        route_number = number * 7919 % routes
+        host = f"host-{route_number // 50:04d}.example"
+        return table.find(host, f"/part-{route_number % 50}/items/4711", "GET")
 
     return call
 
 
-def _picks(servers: int) -> dict[str, float]:
-    """Return the cost of a pick, and of a view made anew for a change."""
+def _pick_costs(servers: int) -> dict[str, float]:
+    """Return the cost of a pick, and of the new view that each change requires."""
     size = LONG_RUN._replace(nodes=servers, backend_servers=servers, services=1)
     directory = Directory()
     for record in synthetic.node_records(size):
--- a/bench/capacity/members.py
+++ b/bench/capacity/members.py
@@ -1,4 +1,4 @@
-"""What news of members costs a node: processor time and bytes, by fleet size."""
+"""Processor time and bytes that news of members cost a node, by fleet size."""
 
 import time
 
@@ -15,17 +15,17 @@
 NODES = (700, 1400, 2800, 5600)
 WARM_UP_S = 40.0
 MEASURED_S = 120.0
-NEWS = 500
+NEWS_COUNT = 500
 ENTRIES_PER_PAGE = 300
 
 
 def measure() -> dict[str, float]:
-    """Return a member's costs on an ordinary day, from its slopes."""
-    cpu, sent = [], []
+    """Return a member's costs on an ordinary day, and their slopes over nodes."""
+    cpu_points, sent_points = [], []
     for nodes in NODES:
         cpu_percent, bytes_per_s = ordinary_costs(nodes, RECORD_CHANGES_PER_S)
-        cpu.append((nodes, cpu_percent))
-        sent.append((nodes, bytes_per_s))
+        cpu_points.append((nodes, cpu_percent))
+        sent_points.append((nodes, bytes_per_s))
     quiet_cpu_percent, quiet_bytes_per_s = ordinary_costs(NODES[-1], 0.0)
     busy_cpu_percent, busy_bytes_per_s = ordinary_costs(
         NODES[-1], 2 * RECORD_CHANGES_PER_S
@@ -33,15 +33,15 @@
     return {
         "measured_nodes": NODES[-1],
         "apply_us": _apply_us(),
-        "cpu_percent": cpu[-1][1],
-        "cpu_percent_per_1000_nodes": fit_line(cpu).slope * 1000,
+        "cpu_percent": cpu_points[-1][1],
+        "cpu_percent_per_1000_nodes": fit_line(cpu_points).slope * 1000,
         "cpu_percent_quiet": quiet_cpu_percent,
         "cpu_us_per_change": (busy_cpu_percent - quiet_cpu_percent)
         / (2 * RECORD_CHANGES_PER_S)
         * 1e4,
-        "sent_bytes_per_s": sent[-1][1],
-        "sent_bytes_per_s_smallest": sent[0][1],
-        "sent_bytes_per_s_per_1000_nodes": fit_line(sent).slope * 1000,
+        "sent_bytes_per_s": sent_points[-1][1],
+        "sent_bytes_per_s_smallest": sent_points[0][1],
+        "sent_bytes_per_s_per_1000_nodes": fit_line(sent_points).slope * 1000,
         "sent_bytes_per_s_quiet": quiet_bytes_per_s,
         "sent_bytes_per_change": (busy_bytes_per_s - quiet_bytes_per_s)
         / (2 * RECORD_CHANGES_PER_S),
@@ -50,10 +50,10 @@
 
 
 def ordinary_costs(nodes: int, changes_per_s: float) -> tuple[float, float]:
-    """Return percent of a core and bytes sent a second.
+    """Return the percentage of a core and the bytes sent per second.
 
-    The number of changes stays that of the long run, so that the slope over
-    nodes is that of the fleet's size alone.
+    `changes_per_s` is not scaled with `nodes`, so that the slope over nodes
+    shows the effect of the fleet's size alone.
     """
     mirror = Mirror(LONG_RUN.scaled(nodes), changes_per_s)
     mirror.run(WARM_UP_S)
@@ -64,31 +64,31 @@
 
 
 def _apply_us() -> float:
-    """Return the cost of taking one changed backend server, at full size."""
+    """Return the cost of applying one changed backend server at the long-run size."""
     directory = Directory()
     for record in synthetic.node_records(LONG_RUN):
         directory.update(record, now_s=0.0)
     changed = [
         view.news(0).servers[0]
-        for view in (directory.view(one.node_id) for one in directory.alive()[:NEWS])
+        for view in (directory.view(r.node_id) for r in directory.alive()[:NEWS_COUNT])
     ]
     news = [
-        (one.node_id, one.incarnation, entry._replace(version=2))
-        for one, entry in zip(directory.alive(), changed, strict=False)
+        (node.node_id, node.incarnation, entry._replace(version=2))
+        for node, entry in zip(directory.alive(), changed, strict=False)
     ]
     started_s = time.process_time()
     for node_id, incarnation, entry in news:
         message = synthetic.entry_news(node_id, incarnation, entry)
         assert directory.apply(message, now_s=1.0).any
-    return (time.process_time() - started_s) / NEWS * 1e6
+    return (time.process_time() - started_s) / NEWS_COUNT * 1e6
 
 
 def _page_bytes_per_entry() -> float:
-    """Return what an entry takes in a page of anti-entropy."""
+    """Return the bytes that a backend server takes in a page of anti-entropy."""
     size = LONG_RUN.scaled(ENTRIES_PER_PAGE // LONG_RUN.backend_servers_per_node)
     directory = Directory()
     for record in synthetic.node_records(size):
         directory.update(record, now_s=0.0)
-    news = [directory.view(one.node_id).news() for one in directory.alive()]
+    news = [directory.view(r.node_id).news() for r in directory.alive()]
     sender = Sender("node-00000", 1, "10.0.0.1:7002")
     return len(encode_member("page", sender, Page(news))) / ENTRIES_PER_PAGE
--- a/bench/capacity/memory.py
+++ b/bench/capacity/memory.py
@@ -1,7 +1,8 @@
-"""Resident memory of one node's state, in a process of its own.
+"""Resident memory of one node's state, by fleet size.
 
-Each size is filled in a fresh interpreter that has imported the whole node,
-because memory that was once taken does not go back to the kernel.
+Each state is filled in a fresh interpreter that has imported the whole node,
+because a process does not return freed memory to the kernel: a second state in
+the same process would reuse it and seem too small.
 """
 
 import gc
@@ -26,38 +27,43 @@
 __all__ = ["measure", "resident_bytes"]
 
 CHAIN = "0" * 32
-SHARES = (0.25, 0.5, 1.0)
+SIZE_FRACTIONS = (0.25, 0.5, 1.0)
 PAGE_BYTES = os.sysconf("SC_PAGE_SIZE")
 
 
 def resident_bytes(pid: int | str = "self") -> int:
-    """Return the resident set of a process."""
+    """Return the resident set size of a process."""
     return int(Path(f"/proc/{pid}/statm").read_text().split()[1]) * PAGE_BYTES
 
 
 def measure() -> dict[str, float]:
-    """Return bytes per record and the whole state at the long-run size."""
+    """Return bytes per record, and the memory of all state at the long-run size."""
     samples = {
-        state: [_in_fresh_process(state, round(LONG_RUN.nodes * x)) for x in SHARES]
+        state: [
+            _measure_in_fresh_process(state, round(LONG_RUN.nodes * fraction))
+            for fraction in SIZE_FRACTIONS
+        ]
         for state in _FILLS
     }
-    nodes = _line(samples["directory"], "nodes")
-    bare = _line(samples["bare_directory"], "nodes")
-    views = _line(samples["views"], "nodes")
-    routes = _line(samples["settings"], "routes")
+    directory = _fit_state_bytes(samples["directory"], "nodes")
+    bare_directory = _fit_state_bytes(samples["bare_directory"], "nodes")
+    views = _fit_state_bytes(samples["views"], "nodes")
+    routes = _fit_state_bytes(samples["settings"], "routes")
     whole = samples["whole"][-1]
     peak = fit_line([(s["nodes"], s["peak_bytes"]) for s in samples["whole"]])
-    per_server = (nodes.slope - bare.slope) / LONG_RUN.backend_servers_per_node
+    per_server = (
+        directory.slope - bare_directory.slope
+    ) / LONG_RUN.backend_servers_per_node
     return {
         "measured_nodes": whole["nodes"],
         "imported_mb": whole["imported_bytes"] / 1e6,
-        "node_record_bytes": bare.slope,
+        "node_record_bytes": bare_directory.slope,
         "backend_server_record_bytes": per_server,
-        "directory_mb": nodes.at(LONG_RUN.nodes) / 1e6,
+        "directory_mb": directory.at(LONG_RUN.nodes) / 1e6,
         "directory_fill_cpu_s": samples["directory"][-1]["cpu_s"],
         "directory_fill_cpu_s_at_half": samples["directory"][-2]["cpu_s"],
         "views_of_all_services_mb": views.at(LONG_RUN.nodes) / 1e6
-        - nodes.at(LONG_RUN.nodes) / 1e6,
+        - directory.at(LONG_RUN.nodes) / 1e6,
         "ledgers_mb": samples["ledgers"][-1]["state_bytes"] / 1e6,
         "settings_mb": routes.at(LONG_RUN.routes) / 1e6,
         "settings_bytes_per_route": routes.slope,
@@ -68,14 +74,14 @@
     }
 
 
-def _line(samples: list[dict[str, float]], size_name: str) -> Line:
+def _fit_state_bytes(samples: list[dict[str, float]], size_name: str) -> Line:
     return fit_line([(s[size_name], s["state_bytes"]) for s in samples])
 
 
-def _in_fresh_process(state: str, nodes: int) -> dict[str, float]:
+def _measure_in_fresh_process(state: str, nodes: int) -> dict[str, float]:
     command = [sys.executable, "-m", "bench.capacity.memory", state, str(nodes)]
-    answer = subprocess.run(command, check=True, capture_output=True, text=True)
-    return json.loads(answer.stdout)
+    completed = subprocess.run(command, check=True, capture_output=True, text=True)
+    return json.loads(completed.stdout)
 
 
 def _fill_directory(size: FleetSize) -> Directory:
@@ -97,7 +103,7 @@
 
 
 def _fill_views(size: FleetSize) -> Picker:
-    """Fill a directory and ask for every service, as callers of all would."""
+    """Fill a directory and build the view of every service, as requests to each do."""
     directory = _fill_directory(size)
     own = synthetic.node_record(0, size)
     picker = Picker(own, directory, CurrentConfiguration())
@@ -106,8 +112,8 @@
     return picker
 
 
-def _fill_whole(size: FleetSize) -> tuple:
-    """Fill everything, then put one more revision in force beside the old."""
+def _fill_all(size: FleetSize) -> tuple:
+    """Fill all state, then apply one more revision while the previous one is held."""
     picker = _fill_views(size)
     ledgers = fill_ledgers()
     configuration = _fill_settings(size)
@@ -125,14 +131,14 @@
     "views": _fill_views,
     "settings": _fill_settings,
     "ledgers": lambda size: fill_ledgers(),
-    "whole": _fill_whole,
+    "whole": _fill_all,
 }
 
 
-def _sample(state: str, nodes: int) -> dict[str, float]:
+def _measure_sample(state: str, nodes: int) -> dict[str, float]:
     size = LONG_RUN.scaled(nodes)
     gc.collect()
-    imported = resident_bytes()
+    imported_bytes = resident_bytes()
     started_s = time.process_time()
     filled = _FILLS[state](size)
     cpu_s = time.process_time() - started_s
@@ -145,8 +151,8 @@
     return {
         "nodes": size.nodes,
         "routes": size.routes,
-        "imported_bytes": imported,
-        "state_bytes": resident - imported,
+        "imported_bytes": imported_bytes,
+        "state_bytes": resident - imported_bytes,
         "rss_bytes": resident,
         "peak_bytes": resource.getrusage(resource.RUSAGE_SELF).ru_maxrss * 1024,
         "cpu_s": cpu_s,
@@ -155,5 +161,5 @@
 
 
 if __name__ == "__main__":
-    assert NodeProcess, "the whole node is imported, as in a real process"
-    print(json.dumps(_sample(sys.argv[1], int(sys.argv[2]))))
+    assert NodeProcess, "the whole node must be imported, as in a node process"
+    print(json.dumps(_measure_sample(sys.argv[1], int(sys.argv[2]))))
--- a/bench/capacity/mirror.py
+++ b/bench/capacity/mirror.py
@@ -1,10 +1,10 @@
-"""One real member before a fleet that does as it does.
+"""Simulates a fleet around one real member, whose messages are sent back to it.
 
-A fleet of equals is symmetric: on average each node receives what it sends.
-So a single `Member` with the records of the whole fleet is enough to see what
-the fleet costs one node: what it sends comes back to it as if from random
-peers, peers answer its probes, and news of changes reaches it at the fleet's
-rate. Nothing else of the fleet is simulated.
+All nodes behave alike, so on average each node receives as much as it sends.
+Therefore one real `Member` with the records of the whole fleet shows the cost
+of the fleet to one node: the messages that it sends return to it as if from
+random peers, its probes are answered, and news of changes arrives at the rate
+of the fleet. Nothing else of the fleet is simulated.
 """
 
 import random
@@ -35,7 +35,7 @@
 
 __all__ = ["Mirror"]
 
-# Digest buckets in which two nodes differ while news is on its way.
+# Digest buckets in which two nodes differ because news has not reached both yet.
 DIFFERING_BUCKETS = 10
 _STATES = ("draining", "gone", "ready", "ready")
 _decoders = {
@@ -45,12 +45,12 @@
 
 
 class Mirror:
-    """A member of a full fleet, on a clock of its own.
+    """One member with the records of a whole fleet, on a simulated clock.
 
     Attributes
     ----------
     cpu_s : float
-        Processor time of the member alone.
+        Processor time of the member, without that of the simulation.
     """
 
     def __init__(self, size: FleetSize, changes_per_s: float, seed: int = 1) -> None:
@@ -63,7 +63,7 @@
         self._changes_due = 0.0
         self._ack_news: list[News] = []
         self._turned: list[tuple[str, bytes]] = []
-        self._steps: dict[str, int] = {}
+        self._change_counts: dict[str, int] = {}
         records = list(synthetic.node_records(size))
         for record in records:
             self.directory.update(record, self.now_s)
@@ -72,26 +72,29 @@
             Sender(record.node_id, record.incarnation, record.member_address, -1)
             for record in records[1:]
         ]
-        self._by_address = {peer.address: peer for peer in self.peers}
+        self._peer_by_address = {peer.address: peer for peer in self.peers}
         self.member = self._make_member(records[0])
 
     def run(self, duration_s: float) -> None:
-        """Let a time of the mirror's clock pass."""
+        """Advance the simulated clock by `duration_s`, in ticks of the member."""
         end_s = self.now_s + duration_s
         while self.now_s < end_s:
             self.now_s += TICK_S
             self._feed_changes()
-            self._turn_around()
+            self._return_frames()
             started_s = time.process_time()
             self.member.tick(self.now_s)
             self.cpu_s += time.process_time() - started_s
 
     def post(self, source: str, target: str, frame: bytes, opened: bool = False):
-        """Take what the member sends, for `run` to turn around."""
+        """Queue a frame that the member sends, in place of the network.
+
+        `run` sends the queued frames back.
+        """
         self._sent.append((target, frame))
 
-    def take(self, kind: str, message, peer: Sender | None = None) -> None:
-        """Have a message reach the member."""
+    def deliver(self, kind: str, message, peer: Sender | None = None) -> None:
+        """Deliver a message to the member, from a random peer unless one is given."""
         peer = peer or self._random.choice(self.peers)
         frame = encode_member(kind, peer, message)
         route = Route(routing_id=peer.address.encode())
@@ -99,30 +102,31 @@
         self.member.channel.receive_frame(route, frame, self.now_s)
         self.cpu_s += time.process_time() - started_s
 
-    def change(self) -> NodeNews:
-        """Return fresh news of one backend server of a random node."""
+    def make_change(self) -> NodeNews:
+        """Return news of a changed state of a random node's backend server."""
         view = self.directory.view(self._random.choice(self.peers).node_id)
         server_id = self._random.choice(sorted(view.entries))
-        step = self._steps.get(server_id, 0)
-        self._steps[server_id] = step + 1
+        change_count = self._change_counts.get(server_id, 0)
+        self._change_counts[server_id] = change_count + 1
         record = view.entries[server_id].record._replace(
-            state=_STATES[step % len(_STATES)], boot_id=f"{step // 2:032x}"
+            state=_STATES[change_count % len(_STATES)],
+            boot_id=f"{change_count // 2:032x}",
         )
         entry = ServerEntry(view.version + 1, record)
         return NodeNews(view.record.node_id, view.record.incarnation, servers=[entry])
 
-    def _make_member(self, own) -> Member:
-        address = own.member_address
+    def _make_member(self, record) -> Member:
+        address = record.member_address
         settings = NodeSettings(
-            own.node_id, own.region, own.availability_zone, *[address] * 4
+            record.node_id, record.region, record.availability_zone, *[address] * 4
         )
         return Member(
             None,
             settings,
-            msgspec.structs.replace(own, incarnation=own.incarnation + 1),
+            msgspec.structs.replace(record, incarnation=record.incarnation + 1),
             self.directory,
             CurrentConfiguration(),
-            lambda: own.backend_servers,
+            lambda: record.backend_servers,
             RecordedEvents(),
             MemoryTransport(self, address),
             lambda: self.now_s,
@@ -132,10 +136,10 @@
         self._changes_due += self.changes_per_s * TICK_S
         while self._changes_due >= 1:
             self._changes_due -= 1
-            self.take("gossip", Gossip([self.change()]))
+            self.deliver("gossip", Gossip([self.make_change()]))
 
-    def _turn_around(self) -> None:
-        """Give back what was sent, as its like from other nodes."""
+    def _return_frames(self) -> None:
+        """Answer or return each queued frame, as the peers of a fleet would."""
         sent, self._sent = self._sent, []
         for address, frame in sent:
             envelope = decode_member(frame).ok
@@ -143,20 +147,22 @@
             message = decoder.decode(envelope.body) if decoder else None
             match message:
                 case Ping():
-                    # Its answer, and the ping that some peer sends us.
-                    peer = self._by_address.get(address)
-                    self.take("ack", Ack(message.sequence, news=self._ack_news), peer)
-                    self.take("ping", Ping(1, self.member.state.own.node_id))
-                    self.take("gossip", Gossip(message.news))
+                    # The ack of the pinged peer, and a ping from a random peer.
+                    peer = self._peer_by_address.get(address)
+                    self.deliver(
+                        "ack", Ack(message.sequence, news=self._ack_news), peer
+                    )
+                    self.deliver("ping", Ping(1, self.member.state.own.node_id))
+                    self.deliver("gossip", Gossip(message.news))
                 case Ack():
                     self._ack_news = message.news
                 case Gossip():
-                    self.take("gossip", message)
+                    self.deliver("gossip", message)
                 case _ if envelope.kind == "sync_request":
-                    self.take("sync_request", self._other_digests())
+                    self.deliver("sync_request", self._peer_digests())
 
-    def _other_digests(self) -> SyncRequest:
-        """Return a peer's digests: ours but for some buckets."""
+    def _peer_digests(self) -> SyncRequest:
+        """Return a peer's digests: the member's own, with some buckets changed."""
         digests = bytearray(self.directory.digests())
         for bucket in self._random.sample(range(len(digests) // 4), DIFFERING_BUCKETS):
             digests[4 * bucket] ^= 1
--- a/bench/capacity/page.py
+++ b/bench/capacity/page.py
@@ -1,4 +1,4 @@
-"""Writes the table of docs/CAPACITY.md from the baseline's figures."""
+"""Writes the tables of docs/CAPACITY.md from the figures of the baseline."""
 
 from pathlib import Path
 
@@ -8,9 +8,9 @@
 __all__ = ["PAGE", "render_tables", "update"]
 
 PAGE = Path(__file__).parent.parent.parent / "docs" / "CAPACITY.md"
-BEGIN = "<!-- from bench/baselines/capacity.json; do not edit by hand -->\n"
-END = "<!-- end of generated tables -->\n"
-_TITLES = (
+BEGIN_MARK = "<!-- from bench/baselines/capacity.json; do not edit by hand -->\n"
+END_MARK = "<!-- end of generated tables -->\n"
+_ROW_TITLES = (
     "role",
     "quantity",
     "unit",
@@ -35,11 +35,13 @@
 
 
 def render_tables(measured: dict) -> str:
-    """Return the generated part of the page."""
+    """Return the generated part of the page as Markdown."""
     tables = (
-        _table(_TITLES, [_cells(row) for row in capacity_rows(measured)]),
-        _table(_DAY_TITLES, [_day_cells(day) for day in bad_day_rows(measured)]),
-        _table(("figure", "value"), _figures(measured)),
+        _format_table(
+            _ROW_TITLES, [_row_cells(row) for row in capacity_rows(measured)]
+        ),
+        _format_table(_DAY_TITLES, [_day_cells(day) for day in bad_day_rows(measured)]),
+        _format_table(("figure", "value"), _figure_cells(measured)),
     )
     return "\n".join(
         f"## {title}\n\n{table}" for title, table in zip(_HEADINGS, tables, strict=True)
@@ -47,19 +49,21 @@
 
 
 def update(measured: dict) -> None:
-    """Put new tables between the page's two marks."""
-    head, _, rest = PAGE.read_text().partition(BEGIN)
-    _, _, tail = rest.partition(END)
-    PAGE.write_text(head + BEGIN + "\n" + render_tables(measured) + "\n" + END + tail)
+    """Replace the tables between the two marks of the page file."""
+    head, _, rest = PAGE.read_text().partition(BEGIN_MARK)
+    _, _, tail = rest.partition(END_MARK)
+    PAGE.write_text(
+        head + BEGIN_MARK + "\n" + render_tables(measured) + "\n" + END_MARK + tail
+    )
 
 
-def _cells(row: Row) -> tuple[str, ...]:
+def _row_cells(row: Row) -> tuple[str, ...]:
     return (
         row.role,
         row.quantity,
         row.unit,
-        _number(row.target),
-        _number(row.extrapolated),
+        _format_number(row.target),
+        _format_number(row.extrapolated),
         row.margin,
         row.mechanism,
         row.measured_up_to,
@@ -70,27 +74,27 @@
 def _day_cells(day: BadDay) -> tuple[str, ...]:
     return (
         day.event,
-        day.comes,
-        _number(day.cpu_percent),
-        _number(day.sent_bytes_per_s),
-        _number(day.settled_s),
+        day.incoming,
+        _format_number(day.cpu_percent),
+        _format_number(day.sent_bytes_per_s),
+        _format_number(day.settled_s),
         day.source,
         day.remark,
     )
 
 
-def _figures(measured: dict) -> list[tuple[str, str]]:
+def _figure_cells(measured: dict) -> list[tuple[str, str]]:
     return [
-        (f"`{part}.{name}`", _number(value))
+        (f"`{part}.{name}`", _format_number(value))
         for part, figures in sorted(measured.items())
         for name, value in sorted(figures.items())
     ]
 
 
-def _number(value: float) -> str:
+def _format_number(value: float) -> str:
     return f"{value:,.0f}" if abs(value) >= 100 else f"{value:.3g}"
 
 
-def _table(titles, rows) -> str:
+def _format_table(titles, rows) -> str:
     lines = [titles, ["---"] * len(titles), *rows]
     return "".join(f"| {' | '.join(cells)} |\n" for cells in lines)
--- a/bench/capacity/processes.py
+++ b/bench/capacity/processes.py
@@ -1,4 +1,4 @@
-"""A real node process: its memory, threads and files, and its cost a request."""
+"""Memory, threads, open files and processor time per request of node processes."""
 
 import time
 from pathlib import Path
@@ -25,7 +25,7 @@
 
 
 def measure() -> dict[str, float]:
-    """Return figures of an ingress and a gate, each a process of its own."""
+    """Return figures of an ingress and a gate that run in separate processes."""
     with Fleet() as fleet:
         fleet.start_platform()
         fleet.put_settings(SETTINGS)
@@ -33,52 +33,54 @@
         ingress = fleet.start_node("ingress-0", "zone-1")
         server = fleet.start_backend("board-0", SERVICE, gate, slots=50)
         fleet.wait_ready([gate, ingress], ["board-0"])
-        figures = _idle(ingress)
-        figures.update(_requests(ingress, gate, server.address))
-        figures.update(_connections(ingress))
+        figures = _measure_idle(ingress)
+        figures.update(_measure_requests(ingress, gate, server.address))
+        figures.update(_measure_connections(ingress))
         return figures
 
 
-def _threads(node: NodeProgram) -> int:
+def _count_threads(node: NodeProgram) -> int:
     return len(list(Path(f"/proc/{node.process.pid}/task").iterdir()))
 
 
-def _files(node: NodeProgram) -> int:
+def _count_files(node: NodeProgram) -> int:
     return len(list(Path(f"/proc/{node.process.pid}/fd").iterdir()))
 
 
-def _idle(node: NodeProgram) -> dict[str, float]:
+def _measure_idle(node: NodeProgram) -> dict[str, float]:
     before_s = cpu_s(node.process.pid)
     time.sleep(IDLE_S)
     return {
         "idle_cpu_percent": (cpu_s(node.process.pid) - before_s) / IDLE_S * 100,
         "idle_rss_mb": resident_bytes(node.process.pid) / 1e6,
-        "idle_threads": _threads(node),
-        "idle_files": _files(node),
+        "idle_threads": _count_threads(node),
+        "idle_files": _count_files(node),
     }
 
 
-def _requests(ingress: NodeProgram, gate: NodeProgram, direct: str) -> dict:
-    """Send paced requests, through both nodes and past them."""
+def _measure_requests(
+    ingress: NodeProgram, gate: NodeProgram, server_address: str
+) -> dict:
+    """Send paced requests, through both nodes and directly to the backend server."""
     before_s = cpu_s(ingress.process.pid), cpu_s(gate.process.pid)
-    through, done = _latency(ingress.caller_address)
-    used_s = cpu_s(ingress.process.pid), cpu_s(gate.process.pid)
-    past, _ = _latency(direct)
+    through, done = _measure_latency(ingress.caller_address)
+    after_s = cpu_s(ingress.process.pid), cpu_s(gate.process.pid)
+    direct, _ = _measure_latency(server_address)
     return {
-        "ingress_cpu_us_per_request": (used_s[0] - before_s[0]) / done * 1e6,
-        "gate_cpu_us_per_request": (used_s[1] - before_s[1]) / done * 1e6,
+        "ingress_cpu_us_per_request": (after_s[0] - before_s[0]) / done * 1e6,
+        "gate_cpu_us_per_request": (after_s[1] - before_s[1]) / done * 1e6,
         "load_requests_per_s": done / LOAD_S,
     } | {
         f"added_p{percentile}_ms": (
             through.get_value_at_percentile(percentile)
-            - past.get_value_at_percentile(percentile)
+            - direct.get_value_at_percentile(percentile)
         )
         / 1000
         for percentile in (50, 99)
     }
 
 
-def _latency(address: str) -> tuple[HdrHistogram, int]:
+def _measure_latency(address: str) -> tuple[HdrHistogram, int]:
     calls = PacedCalls(
         Target(address, "/board/7"),
         LOAD_CONNECTIONS,
@@ -91,19 +93,19 @@
     return calls.histogram, done
 
 
-def _connections(node: NodeProgram) -> dict[str, float]:
-    """Open connections, one request each, and see what they hold when idle."""
-    first_bytes = resident_bytes(node.process.pid)
+def _measure_connections(node: NodeProgram) -> dict[str, float]:
+    """Open connections with one request each, and measure their resources when idle."""
+    before_bytes = resident_bytes(node.process.pid)
     target = Target(node.caller_address, "/board/7")
     calls = PacedCalls(target, CONNECTIONS, CONNECTIONS, seed=1)
     assert calls.run(1.0) == CONNECTIONS and not calls.failures
     connected_bytes = resident_bytes(node.process.pid)
     figures = {
         "connections": CONNECTIONS,
-        "connection_rss_bytes": (connected_bytes - first_bytes) / CONNECTIONS,
+        "connection_rss_bytes": (connected_bytes - before_bytes) / CONNECTIONS,
         "connected_rss_mb": connected_bytes / 1e6,
-        "connected_threads": _threads(node),
-        "connected_files": _files(node),
+        "connected_threads": _count_threads(node),
+        "connected_files": _count_files(node),
     }
     calls.close()
     return figures
--- a/bench/capacity/rows.py
+++ b/bench/capacity/rows.py
@@ -1,7 +1,7 @@
-"""The capacity table: each target against what the measured slopes give.
+"""The capacity table: each target, and the cost extrapolated from measurements.
 
-Every row is computed here from the figures of the baseline, so that a row
-can't say what no run has shown.
+Every row is calculated from the figures of the baseline, so that no row claims
+more than a run has shown.
 """
 
 from typing import NamedTuple
@@ -23,42 +23,42 @@
 ]
 
 DAY_S = 86_400
-# A replaced VM: drains, goes, is announced, has warmed up.
+# When a VM is replaced: draining, gone, announced, warmed up.
 RECORD_CHANGES_PER_REPLACEMENT = 4
 RECORD_CHANGES_PER_S = (
     LONG_RUN.replacements_per_day * RECORD_CHANGES_PER_REPLACEMENT / DAY_S
 )
 SETTINGS_CHANGES_PER_S = LONG_RUN.changes_per_day / DAY_S
-# One core, less a fifth for what comes in bursts.
-REQUEST_CPU_PERCENT = 80.0
-# An edit reads its subtree, its operation and the fleet's revision.
+# One core, of which a fifth is reserved for bursts.
+REQUEST_CPU_MAX_PERCENT = 80.0
+# An edit reads the rows of its subtree, its operation and the fleet's revision.
 READS_PER_EDIT = 3
-# It writes these, its change's row as well.
-PUTS_PER_EDIT = 4
-# An assumption: what callers send is not known yet.
-KEYED_SHARE = 0.001
-# A part of a request's time that nobody notices.
-LOOK_UP_US = 100.0
-# Open files that most distributions let a process have.
-FILES_MAX = 1024
-# All changes of a day would take the whole of what control may take.
-CHANGED_KEY_MS = LIMITS.control_cpu_percent / 100 * 1000 / SETTINGS_CHANGES_PER_S
+# An edit writes the same three rows and the row of its change.
+WRITES_PER_EDIT = 4
+# Assumed, since the number of callers that send an Idempotency-Key is unknown.
+KEYED_REQUESTS_FRACTION = 0.001
+# Negligible against the duration of a request.
+LOOK_UP_MAX_US = 100.0
+# Default limit of open files per process in most distributions.
+OPEN_FILES_MAX = 1024
+# At this cost per change, a day's changes use the whole `control_cpu_percent`.
+CHANGED_KEY_MAX_MS = LIMITS.control_cpu_percent / 100 * 1000 / SETTINGS_CHANGES_PER_S
 
 
 class Row(NamedTuple):
-    """One target and how the fleet stands to it.
+    """One target and the extrapolated cost of the fleet.
 
     Attributes
     ----------
     target : float
-        Not to be passed.
+        Largest acceptable value.
     extrapolated : float
-        At the long-run size, in the unit of the target.
+        Value at the long-run size, in the unit of the target.
     measured_up_to : str
-        The largest size that a run has seen.
+        Largest size that a run has measured.
     breaks_first : str
-        What gives way first as the size grows, or the next step of a row
-        that misses.
+        What exceeds its bound first as the fleet grows, or the next step if the
+        target is missed.
     """
 
     role: str
@@ -72,19 +72,19 @@
 
     @property
     def met(self) -> bool:
-        """Tell whether the target is kept."""
+        """Whether the extrapolated value is within the target."""
         return self.extrapolated <= self.target
 
     @property
     def margin(self) -> str:
-        """Say by how much the target is kept or missed."""
+        """Factor by which the target is met or missed, as text of the page."""
         if self.met:
             return f"{self.target / max(self.extrapolated, 1e-9):.2g}x"
         return f"**missed** {self.extrapolated / self.target:.2g}x"
 
 
 def capacity_rows(measured: dict[str, dict[str, float]]) -> list[Row]:
-    """Return all rows, role by role."""
+    """Return the rows in the order of the page."""
     return [
         *_request_rows(measured["processes"], measured["look_ups"]),
         *_node_rows(measured["processes"], measured["memory"]),
@@ -100,10 +100,10 @@
 
 def _request_rows(processes, look_ups) -> list[Row]:
     per_s = LIMITS.requests_per_s_per_node
-    ingress = processes["ingress_cpu_us_per_request"] * per_s / 1e4
-    gate = processes["gate_cpu_us_per_request"] * per_s / 1e4
-    look_up = look_ups["route_all_routes_us"] + look_ups["pick_of_22_us"]
-    paced = f"{processes['load_requests_per_s']:.0f} requests/s, 8 connections"
+    ingress_percent = processes["ingress_cpu_us_per_request"] * per_s / 1e4
+    gate_percent = processes["gate_cpu_us_per_request"] * per_s / 1e4
+    look_up_us = look_ups["route_all_routes_us"] + look_ups["pick_of_22_us"]
+    measured = f"{processes['load_requests_per_s']:.0f} requests/s, 8 connections"
     return [
         Row(
             "ingress and gate",
@@ -112,25 +112,25 @@
             LIMITS.added_latency_p99_ms,
             processes["added_p99_ms"],
             "one link and one hand-over of a thread between caller and backend server",
-            paced + ", a shared machine",
+            measured + ", a shared machine",
             "threads that wait for the interpreter lock; next: fewer hand-overs",
         ),
         Row(
             "ingress and gate",
             "processor at 320 requests/s",
             "% of a core",
-            REQUEST_CPU_PERCENT,
-            ingress + gate,
+            REQUEST_CPU_MAX_PERCENT,
+            ingress_percent + gate_percent,
             "one task a connection; ingress and gate in one process",
-            paced,
+            measured,
             "the interpreter lock: one core is all that a process has",
         ),
         Row(
             "ingress",
             "route look-up and pick",
             "us a request",
-            LOOK_UP_US,
-            look_up,
+            LOOK_UP_MAX_US,
+            look_up_us,
             "one dictionary access a path segment; two draws from a ready view",
             "49,000 routes; services of 22 and 500",
             f"a service's view made anew: {look_ups['view_of_500_us']:.0f} us for 500"
@@ -140,9 +140,9 @@
 
 
 def _node_rows(processes, memory) -> list[Row]:
-    beside = processes["idle_rss_mb"] - memory["imported_mb"]
-    connections = processes["connected_rss_mb"] - processes["idle_rss_mb"]
-    ordinary = memory["whole_rss_peak_mb"] - memory["ledgers_mb"]
+    process_mb = processes["idle_rss_mb"] - memory["imported_mb"]
+    connections_mb = processes["connected_rss_mb"] - processes["idle_rss_mb"]
+    ordinary_mb = memory["whole_rss_peak_mb"] - memory["ledgers_mb"]
     per_server = f"{memory['backend_server_record_bytes']:.0f} bytes"
     per_route = f"{memory['settings_bytes_per_route']:.0f} bytes"
     measured = f"{memory['measured_nodes']:.0f} nodes of state in one process"
@@ -152,7 +152,7 @@
             "memory at a settings change, 400 connections",
             "MB",
             LIMITS.memory_mb,
-            ordinary + beside + connections,
+            ordinary_mb + process_mb + connections_mb,
             "records and documents decoded once, equal strings shared",
             measured,
             f"backend server records ({per_server} each), routes ({per_route} each)",
@@ -162,7 +162,7 @@
             "the same with every ledger full",
             "MB",
             LIMITS.memory_mb,
-            memory["whole_rss_peak_mb"] + beside + connections,
+            memory["whole_rss_peak_mb"] + process_mb + connections_mb,
             "ledgers bounded by count, time and bytes",
             measured,
             f"50,000 keys of one gate ({memory['ledgers_mb']:.0f} MB): 28 keyed"
@@ -172,7 +172,7 @@
             "node",
             "open files at 400 connections",
             "files",
-            FILES_MAX,
+            OPEN_FILES_MAX,
             processes["connected_files"],
             "bounds on connections, on member links (64) and on a gate's links (8)",
             f"{processes['connections']:.0f} connections",
@@ -200,7 +200,7 @@
             "node",
             "processor for one changed key",
             "ms",
-            CHANGED_KEY_MS,
+            CHANGED_KEY_MAX_MS,
             customers["change_cpu_ms"],
             "the table of keys is shared, changes lie beside it",
             measured,
@@ -212,7 +212,7 @@
 def _member_rows(members, bad_days) -> list[Row]:
     measured = f"{members['measured_nodes']:.0f} nodes of state, one member"
     cap = LIMITS.control_bytes_per_s
-    carried = (cap - members["sent_bytes_per_s_quiet"]) / members[
+    changes_per_s = (cap - members["sent_bytes_per_s_quiet"]) / members[
         "sent_bytes_per_change"
     ]
     return [
@@ -236,7 +236,7 @@
             "news passed on a number of times that grows with the logarithm; a cap",
             measured,
             f"changes: {members['sent_bytes_per_change']:.0f} bytes each;"
-            f" the cap carries {carried:.1f} a second",
+            f" the cap carries {changes_per_s:.1f} a second",
         ),
         Row(
             "member",
@@ -265,7 +265,7 @@
     change_ms = settings["change_cpu_ms"] + settings["choose_peers_cpu_ms"]
     cpu_percent = change_ms * SETTINGS_CHANGES_PER_S / 10
     reader_percent = settings["poll_wait_cpu_ms"] / POLL_INTERVAL_S / 10
-    sent = settings["change_sent_bytes"] * SETTINGS_CHANGES_PER_S
+    sent_bytes_per_s = settings["change_sent_bytes"] * SETTINGS_CHANGES_PER_S
     measured = f"{settings['measured_routes']:,.0f} routes"
     return [
         Row(
@@ -297,7 +297,7 @@
             "control in all: bytes sent on an ordinary day",
             "bytes/s",
             LIMITS.control_bytes_per_s,
-            members["sent_bytes_per_s"] + sent,
+            members["sent_bytes_per_s"] + sent_bytes_per_s,
             "one cap over both; a change travels to each node once",
             "5,600 nodes of state; message sizes",
             f"fresh connections: {settings['change_sent_bytes']:,.0f} bytes a change,"
@@ -343,10 +343,10 @@
 
 def _platform_rows(settings) -> list[Row]:
     readers = READERS_PER_ZONE * LONG_RUN.availability_zones
-    ordinary = readers * (1 / POLL_INTERVAL_S + SETTINGS_CHANGES_PER_S)
-    spare = LONG_RUN.nodes / NON_READER_POLL_INTERVAL_S
-    edits = SETTINGS_CHANGES_PER_S * READS_PER_EDIT
-    alone = LONG_RUN.nodes / POLL_INTERVAL_MAX_S
+    reader_reads_per_s = readers * (1 / POLL_INTERVAL_S + SETTINGS_CHANGES_PER_S)
+    other_reads_per_s = LONG_RUN.nodes / NON_READER_POLL_INTERVAL_S
+    edit_reads_per_s = SETTINGS_CHANGES_PER_S * READS_PER_EDIT
+    alone_reads_per_s = LONG_RUN.nodes / POLL_INTERVAL_MAX_S
     row_bytes = settings["subtree_row_bytes"]
     return [
         Row(
@@ -354,7 +354,7 @@
             "reads on an ordinary day",
             "reads/s",
             LIMITS.platform_reads_per_s,
-            ordinary + spare + edits,
+            reader_reads_per_s + other_reads_per_s + edit_reads_per_s,
             "two readers a zone; all others look once a minute",
             "by count from the intervals",
             "nothing that grows with the nodes but one look a minute",
@@ -364,7 +364,7 @@
             "reads when each node believes itself alone",
             "reads/s",
             LIMITS.platform_reads_per_s,
-            alone,
+            alone_reads_per_s,
             "a reader that sees fewer nodes polls as much more slowly, to 3 s",
             "by count from the intervals",
             "6,000 nodes: the bound of 3 s would have to grow",
@@ -374,7 +374,7 @@
             "row writes for settings",
             "writes/s",
             LIMITS.platform_writes_per_s,
-            SETTINGS_CHANGES_PER_S * PUTS_PER_EDIT,
+            SETTINGS_CHANGES_PER_S * WRITES_PER_EDIT,
             "one transaction of four rows a change",
             "by count",
             f"a team's row ({row_bytes / 1000:.0f} kB) is written whole at each change;"
@@ -385,7 +385,7 @@
             "claims, if 1 in 1,000 requests has an Idempotency-Key",
             "writes/s",
             LIMITS.platform_writes_per_s,
-            LONG_RUN.requests_per_s * KEYED_SHARE,
+            LONG_RUN.requests_per_s * KEYED_REQUESTS_FRACTION,
             "one row written for each key; beyond that refused with not_run",
             "by count",
             "next: a home gate for each key, and a row only where the home changes",
--- a/bench/capacity/settings.py
+++ b/bench/capacity/settings.py
@@ -1,7 +1,7 @@
-"""What one accepted change of the settings costs, by the number of routes.
+"""Costs of one accepted change of the settings, by number of routes.
 
-Every node is told of a change by as many peers as it tells itself, pulls the
-change once and on average sends it once.
+On average, a node receives as many notices of a change as it sends. It pulls
+the change once, and on average sends it to one node.
 """
 
 import time
@@ -35,7 +35,7 @@
 
 __all__ = ["measure"]
 
-SHARES = (0.25, 0.5, 1.0)
+SIZE_FRACTIONS = (0.25, 0.5, 1.0)
 CHANGES = 20
 CALLS = 20
 ADDRESS = "10.12.113.114:7002"
@@ -43,20 +43,23 @@
 
 
 def measure() -> dict[str, float]:
-    """Return processor time and bytes of a change of one route."""
-    cpu = [
+    """Return processor time and bytes of a change of one route, and sizes of rows."""
+    cpu_points = [
         (size.routes, _change_cpu_ms(synthetic.documents(size)))
-        for size in (LONG_RUN.scaled(round(LONG_RUN.nodes * x)) for x in SHARES)
+        for size in (
+            LONG_RUN.scaled(round(LONG_RUN.nodes * fraction))
+            for fraction in SIZE_FRACTIONS
+        )
     ]
     documents = synthetic.documents(LONG_RUN)
     pages = pages_of_documents(documents)
-    choose_ms, wait_ms = _peers_cpu_ms(LONG_RUN)
+    notices_ms, plan_ms = _gossip_cpu_ms(LONG_RUN)
     return {
-        "measured_routes": cpu[-1][0],
-        "change_cpu_ms": cpu[-1][1],
-        "change_cpu_ms_per_1000_routes": fit_line(cpu).slope * 1000,
-        "choose_peers_cpu_ms": choose_ms,
-        "poll_wait_cpu_ms": wait_ms,
+        "measured_routes": cpu_points[-1][0],
+        "change_cpu_ms": cpu_points[-1][1],
+        "change_cpu_ms_per_1000_routes": fit_line(cpu_points).slope * 1000,
+        "choose_peers_cpu_ms": notices_ms,
+        "poll_wait_cpu_ms": plan_ms,
         "change_sent_bytes": _change_sent_bytes(documents),
         "all_pages": len(pages),
         "all_pages_bytes": sum(map(len, pages)),
@@ -66,7 +69,7 @@
 
 
 def _change_cpu_ms(documents: dict[str, bytes]) -> float:
-    """Return the cost of putting one changed document in force."""
+    """Return the cost of applying one changed document."""
     configuration = CurrentConfiguration()
     assert configuration.offer(1, documents, CHAIN) is ApplyResult.IN_FORCE
     paths = [path for path in documents if "/routes/" in path][:CHANGES]
@@ -80,8 +83,8 @@
     return (time.process_time() - started_s) / CHANGES * 1000
 
 
-def _peers_cpu_ms(size: FleetSize) -> tuple[float, float]:
-    """Return the cost of choosing whom to tell, and when to poll."""
+def _gossip_cpu_ms(size: FleetSize) -> tuple[float, float]:
+    """Return the cost of sending notices to selected peers, and of planning a poll."""
     headers = list(synthetic.node_records(size._replace(backend_servers=0)))
     sent: list[Any] = []
     configuration = CurrentConfiguration()
@@ -97,37 +100,39 @@
     for number in range(CALLS):
         configuration.offer(2 + number, {}, CHAIN)
         gossip.tick(float(number))
-    told_s = time.process_time() - started_s
+    notices_cpu_s = time.process_time() - started_s
     assert len(sent) == CALLS * (FANOUT_ZONE + FANOUT_OTHER_ZONES)
     plan = PollPlan(headers[0], lambda: headers)
     started_s = time.process_time()
     for _ in range(CALLS):
         plan.next_wait_s(True)
-    return told_s / CALLS * 1000, (time.process_time() - started_s) / CALLS * 1000
+    return notices_cpu_s / CALLS * 1000, (
+        time.process_time() - started_s
+    ) / CALLS * 1000
 
 
 def _change_sent_bytes(documents: dict[str, bytes]) -> float:
-    """Return what a node sends for a change, each connection a fresh one."""
+    """Return the bytes that a node sends per change, if each connection is new."""
     path = next(path for path in documents if "/routes/" in path)
     delta = SettingsDelta(50_000, CHAIN, CHAIN, {path: documents[path]}, 1)
     notices = FANOUT_ZONE + FANOUT_OTHER_ZONES
     return (
-        notices * _cost("settings_notice", SettingsNotice(ADDRESS, 50_000))
-        + _cost("settings_pull", SettingsPull(ADDRESS, 49_999))
-        + _cost("settings_deltas", SettingsDeltas(ADDRESS, 50_000, [delta]))
+        notices * _sent_bytes("settings_notice", SettingsNotice(ADDRESS, 50_000))
+        + _sent_bytes("settings_pull", SettingsPull(ADDRESS, 49_999))
+        + _sent_bytes("settings_deltas", SettingsDeltas(ADDRESS, 50_000, [delta]))
     )
 
 
-def _cost(kind: str, message: Any) -> int:
+def _sent_bytes(kind: str, message: Any) -> int:
     frame = encode_member(kind, Sender("node-00-00000", 1, ADDRESS), message)
     return len(frame) + MESSAGE_OVERHEAD_BYTES + CONNECT_OVERHEAD_BYTES
 
 
 def _largest_row_bytes(documents: dict[str, bytes]) -> int:
-    """Return the largest team's row, which an edit reads and writes whole."""
+    """Return the size of the largest team's row, which each edit reads and rewrites."""
     teams: dict[str, dict[str, Any]] = {}
     for path, document in documents.items():
         team = path.partition("/")[0]
         teams.setdefault(team, {})[path] = msgspec.json.decode(document)
-    rows = (msgspec.json.encode(SubtreeRow(one)) for one in teams.values())
+    rows = (msgspec.json.encode(SubtreeRow(t)) for t in teams.values())
     return max(map(len, rows))
--- a/bench/capacity/sizes.py
+++ b/bench/capacity/sizes.py
@@ -1,4 +1,8 @@
-"""The long-run size and what a node may spend on control."""
+"""The long-run size of the fleet, and the limits of a node and of the platform.
+
+The capacity table is calculated for the long-run size. The limits `control_*` apply
+to the work of a node besides requests: membership and settings.
+"""
 
 from typing import NamedTuple
 
@@ -6,7 +10,15 @@
 
 
 class FleetSize(NamedTuple):
-    """How large a fleet is."""
+    """Numbers of a fleet; the defaults are the long-run size.
+
+    Attributes
+    ----------
+    changes_per_day : int
+        Accepted changes of the settings.
+    replacements_per_day : int
+        Replaced VMs of backend servers.
+    """
 
     nodes: int = 5_600
     backend_servers: int = 140_000
@@ -21,22 +33,26 @@
 
     @property
     def backend_servers_per_node(self) -> int:
-        """Backend servers beside one node."""
+        """Number of backend servers attached to one node, rounded down."""
         return self.backend_servers // self.nodes
 
     def scaled(self, nodes: int) -> "FleetSize":
-        """Return a fleet of the same shape with fewer nodes."""
-        share = nodes / self.nodes
+        """Return the size with `nodes` nodes and proportional servers and settings.
+
+        Services and routes are rounded, to at least one; customers, regions, zones
+        and rates stay.
+        """
+        fraction = nodes / self.nodes
         return self._replace(
             nodes=nodes,
             backend_servers=nodes * self.backend_servers_per_node,
-            services=max(1, round(self.services * share)),
-            routes=max(1, round(self.routes * share)),
+            services=max(1, round(self.services * fraction)),
+            routes=max(1, round(self.routes * fraction)),
         )
 
 
 class Limits(NamedTuple):
-    """What one node may spend, and what the platform gives in all."""
+    """Limits of one node, and of the platform for the whole fleet (`platform_*`)."""
 
     control_cpu_percent: float = 2.0
     memory_mb: float = 256.0
--- a/bench/capacity/slopes.py
+++ b/bench/capacity/slopes.py
@@ -1,4 +1,4 @@
-"""Straight lines through measured points."""
+"""Least-squares lines through measured points, for extrapolation."""
 
 from collections.abc import Sequence
 from typing import NamedTuple
@@ -7,14 +7,15 @@
 
 
 class Line(NamedTuple):
-    """``intercept + slope * x``.
+    """The line ``intercept + slope * x``.
 
     Attributes
     ----------
     largest_x : float
-        The largest size that was measured.
+        Largest measured size.
     residual : float
-        Largest distance of a point from the line, as a part of its value.
+        Largest vertical distance of a point from the line, as a fraction of the
+        point's value.
     """
 
     intercept: float
@@ -33,15 +34,15 @@
     Raises
     ------
     ValueError
-        When there are fewer than two sizes.
+        When all points have the same size.
     """
     sizes = {x for x, _ in points}
     if len(sizes) < 2:
-        raise ValueError("a line needs two sizes")
+        raise ValueError("fitting a line needs points of at least two different sizes")
     mean_x = sum(x for x, _ in points) / len(points)
     mean_y = sum(y for _, y in points) / len(points)
-    spread = sum((x - mean_x) ** 2 for x, _ in points)
-    slope = sum((x - mean_x) * (y - mean_y) for x, y in points) / spread
+    square_sum = sum((x - mean_x) ** 2 for x, _ in points)
+    slope = sum((x - mean_x) * (y - mean_y) for x, y in points) / square_sum
     intercept = mean_y - slope * mean_x
     residual = max(
         abs(intercept + slope * x - y) / max(abs(y), 1e-9) for x, y in points
--- a/bench/capacity/synthetic.py
+++ b/bench/capacity/synthetic.py
@@ -1,7 +1,7 @@
-"""Synthetic state of a fleet of a given size, as it comes off the wire.
+"""Synthetic records and settings documents of a fleet of a given size.
 
-Records are encoded and decoded again, so that their strings are as many
-separate objects as a real node would hold.
+Records are encoded and decoded, so that they hold as many separate string
+objects as records that a real node receives.
 """
 
 import uuid
@@ -28,12 +28,12 @@
 
 
 def service_name(number: int) -> str:
-    """Return the name of a service; its team owns some fifty."""
+    """Return the name of a service; at the long-run size a team owns fifty."""
     return f"team-{number % TEAMS:03d}/service-{number:04d}"
 
 
 def node_record(number: int, size: FleetSize, version: int = 1) -> NodeRecord:
-    """Return one node's record, as decoded from the wire."""
+    """Return one node's record with its backend servers, decoded from the wire form."""
     rng = Random(number)
     zone = number % size.availability_zones
     address = f"10.{zone}.{number // 250 % 250}.{number % 250}"
@@ -63,28 +63,28 @@
 
 
 def node_records(size: FleetSize) -> Iterator[NodeRecord]:
-    """Yield the records of all nodes."""
+    """Yield the records of all nodes, by ascending number."""
     for number in range(size.nodes):
         yield node_record(number, size)
 
 
 def entry_news(node_id: str, incarnation: int, entry: ServerEntry) -> NodeNews:
-    """Return news of one backend server."""
+    """Return the message that reports one changed backend server of a node."""
     return NodeNews(node_id, incarnation, servers=[entry])
 
 
 def documents(size: FleetSize) -> dict[str, bytes]:
-    """Return the settings documents of all services and routes."""
-    found: dict[str, bytes] = {}
+    """Return the settings documents of all services and routes, as JSON by path."""
+    encoded: dict[str, bytes] = {}
     for number in range(size.services):
         team, _, name = service_name(number).partition("/")
-        found[f"{team}/services/{name}"] = msgspec.json.encode(
+        encoded[f"{team}/services/{name}"] = msgspec.json.encode(
             {"floor_fraction": 0.6, "queue_max": 32}
         )
     for number in range(size.routes):
         service = service_name(number % size.services)
         team = service.partition("/")[0]
-        found[f"{team}/routes/route-{number:05d}"] = msgspec.json.encode(
+        encoded[f"{team}/routes/route-{number:05d}"] = msgspec.json.encode(
             {
                 "service": service,
                 "execution": "idempotent" if number % 4 else "non_idempotent",
@@ -94,4 +94,4 @@
                 "timeout_ms": 2000.0,
             }
         )
-    return found
+    return encoded
