--- a/bench/capacity/joining.py
+++ b/bench/capacity/joining.py
@@ -19,7 +19,7 @@
 from bench.capacity.slopes import fit_line
 from tests.member_network import MemoryTransport, RecordedEvents
 
-__all__ = ["Join", "measure"]
+__all__ = ["JoinSimulation", "measure"]
 
 NODE_COUNTS = (700, 1400, 2800, 5600)
 JOIN_TIMEOUT_S = 3600.0
@@ -30,7 +30,7 @@
 
 def measure() -> dict[str, float]:
     """Return time and bytes of a join into the largest fleet, and the time's slope."""
-    joins = [(nodes, Join(LONG_RUN.scaled(nodes))) for nodes in NODE_COUNTS]
+    joins = [(nodes, JoinSimulation(LONG_RUN.scaled(nodes))) for nodes in NODE_COUNTS]
     times = [(nodes, join.run()) for nodes, join in joins]
     largest = joins[-1][1]
     return {
@@ -42,7 +42,7 @@
     }
 
 
-class Join:
+class JoinSimulation:
     """The join of one node from one source, on a simulated clock."""
 
     def __init__(self, size: FleetSize) -> None:
--- a/bench/capacity/members.py
+++ b/bench/capacity/members.py
@@ -10,9 +10,9 @@
 from bench.capacity.sizes import LONG_RUN
 from bench.capacity.slopes import fit_line
 
-__all__ = ["NODES", "measure", "ordinary_costs"]
+__all__ = ["NODE_COUNTS", "measure", "ordinary_costs"]
 
-NODES = (700, 1400, 2800, 5600)
+NODE_COUNTS = (700, 1400, 2800, 5600)
 WARM_UP_S = 40.0
 MEASURED_S = 120.0
 NEWS_COUNT = 500
@@ -22,16 +22,16 @@
 def measure() -> dict[str, float]:
     """Return a member's costs on an ordinary day, and their slopes over nodes."""
     cpu_points, sent_points = [], []
-    for nodes in NODES:
+    for nodes in NODE_COUNTS:
         cpu_percent, bytes_per_s = ordinary_costs(nodes, RECORD_CHANGES_PER_S)
         cpu_points.append((nodes, cpu_percent))
         sent_points.append((nodes, bytes_per_s))
-    quiet_cpu_percent, quiet_bytes_per_s = ordinary_costs(NODES[-1], 0.0)
+    quiet_cpu_percent, quiet_bytes_per_s = ordinary_costs(NODE_COUNTS[-1], 0.0)
     busy_cpu_percent, busy_bytes_per_s = ordinary_costs(
-        NODES[-1], 2 * RECORD_CHANGES_PER_S
+        NODE_COUNTS[-1], 2 * RECORD_CHANGES_PER_S
     )
     return {
-        "measured_nodes": NODES[-1],
+        "measured_nodes": NODE_COUNTS[-1],
         "apply_us": _apply_us(),
         "cpu_percent": cpu_points[-1][1],
         "cpu_percent_per_1000_nodes": fit_line(cpu_points).slope * 1000,
--- a/tests/test_capacity_page.py
+++ b/tests/test_capacity_page.py
@@ -5,7 +5,7 @@
 from testtools import TestCase
 
 from bench.capacity.__main__ import BASELINE, PARTS
-from bench.capacity.members import NODES, ordinary_costs
+from bench.capacity.members import NODE_COUNTS, ordinary_costs
 from bench.capacity.page import PAGE, render_tables
 from bench.capacity.rows import RECORD_CHANGES_PER_S, Row
 from bench.capacity.slopes import fit_line
@@ -35,7 +35,7 @@
         # More bytes for each change are not seen in a small fleet; at the
         # long run they fill the cap, and news comes late everywhere. Bytes on
         # the mirror's clock are the same in every run.
-        _, bytes_per_s = ordinary_costs(NODES[0], RECORD_CHANGES_PER_S)
+        _, bytes_per_s = ordinary_costs(NODE_COUNTS[0], RECORD_CHANGES_PER_S)
         baseline = self.measured["members"]["sent_bytes_per_s_smallest"]
         self.assertLess(bytes_per_s, SENT_BYTES_BOUND * baseline)
 
--- a/tests/test_join_at_size.py
+++ b/tests/test_join_at_size.py
@@ -2,7 +2,7 @@
 
 from testtools import TestCase
 
-from bench.capacity.joining import Join
+from bench.capacity.joining import JoinSimulation
 from bench.capacity.sizes import LONG_RUN
 
 NODES = 1_400
@@ -14,7 +14,7 @@
         # Guards against a joining node whose comparisons with several peers use up
         # its byte budget: it pulls no records, compares again, and for ten minutes
         # refuses requests for services that it does not know yet with not_run.
-        join = Join(LONG_RUN.scaled(NODES))
+        join = JoinSimulation(LONG_RUN.scaled(NODES))
         self.assertLess(join.run(), JOIN_MAX_S)
         counts = join.joiner.channel.counts
         self.assertLess(counts["over_cap"], counts["sent"])
