--- a/tests/claim_world.py
+++ b/tests/claim_world.py
@@ -1,4 +1,4 @@
-"""Processes that claim keys in a store which comes back from older copies."""
+"""Simulated nodes that claim keys in a store that is restored from older copies."""
 
 import io
 import random
@@ -16,7 +16,7 @@
 __all__ = ["KEY", "SERVICE", "Process", "World", "dispatch_of", "reply"]
 
 SERVICE, KEY = "crew/contracts", "sign-7"
-# Long enough that each process knows its fleet.
+# Later than `FLEET_KNOWN_AFTER_S` after the start of each process.
 STARTED_S = 100.0
 
 
@@ -32,7 +32,7 @@
 
 
 class ThreadlessClaimsTable(ClaimsTable):
-    """Calls a store that never hangs, without a thread."""
+    """Calls the store without a thread, since the simulated store never hangs."""
 
     def _call_store(self, deadline_s, call):
         return call()
@@ -42,7 +42,7 @@
 
 
 class Process:
-    """One node: the gate's ledger, the ingress's claims, and the restorer."""
+    """One node with the ledger of its gate, its claims table and its restorer."""
 
     def __init__(
         self, name: str, incarnation: int, world: "World", rng: random.Random
@@ -58,7 +58,9 @@
             eras,
             self.ledger.begin_era,
             self.claims.take_written_claims,
-            lambda: [ClaimHolder(*one.gate) for one in world.processes.values()],
+            lambda: [
+                ClaimHolder(*process.gate) for process in world.processes.values()
+            ],
             lambda: False,
             EVENTS,
         )
@@ -68,7 +70,7 @@
 
 
 class World:
-    """A store and a few processes that have known each other for a while."""
+    """A store and a few nodes, after their start has completed."""
 
     def __init__(self, seed: int = 0, names: str = "abc") -> None:
         self.rng = random.Random(seed)
@@ -86,16 +88,16 @@
             process.restorer.request_era(era)
 
     def replace(self, name: str) -> None:
-        """End a process and start another one in its place."""
+        """Replace a process by a new one with the next incarnation."""
         before = self.processes.get(name)
         incarnation = before.gate.incarnation + 1 if before else 1
         self.processes[name] = Process(name, incarnation, self, self.rng)
 
     def step_all(self) -> None:
-        """Let each process follow the store, a second after the last time."""
+        """Advance the clock by a second and let each process read the store."""
         self.now_s += 1.0
         for process in self.processes.values():
-            # As the settings do, from time to time.
+            # Nodes also read the store for their settings, which shows them its era.
             process.view.read("settings", ["any"])
             process.restorer.step(self.now_s)
 
--- a/tests/ejection_utils.py
+++ b/tests/ejection_utils.py
@@ -1,4 +1,4 @@
-"""Real processes under work, with the platform down, for ejection tests."""
+"""Real processes under load, with the platform down, for ejection tests."""
 
 import threading
 
@@ -8,7 +8,7 @@
 from tests.utils import Fleet, call, free_address, try_call
 
 
-def settings(hold_out_s: float) -> dict:
+def make_settings(hold_out_s: float) -> dict:
     return {
         "crew/services/contracts": {
             "floor_fraction": 0.6,
@@ -26,7 +26,7 @@
 SERVERS = 5
 FLOOR_SLOTS = 0.6 * SERVERS * 6
 CALLERS = 3
-PACE_S = 0.02
+REQUEST_INTERVAL_S = 0.02
 
 
 class FleetUnderWork(TestCase):
@@ -37,7 +37,7 @@
         self.fleet = Fleet()
         self.addCleanup(self.fleet.__exit__)
         platform = self.fleet.start_platform()
-        self.fleet.put_settings(settings(self.hold_out_s))
+        self.fleet.put_settings(make_settings(self.hold_out_s))
         link_address = free_address()
         self.relay = Relay(link_address)
         self.addCleanup(self.relay.close)
@@ -67,8 +67,8 @@
             threading.Thread(target=self._call, daemon=True).start()
 
     def _call(self):
-        """Ask through the node that has no backend server beside it."""
-        while not self._done.wait(PACE_S):
+        """Send requests through the node that has no backend server beside it."""
+        while not self._done.wait(REQUEST_INTERVAL_S):
             try_call(self.nodes[2].caller_address, "/contracts/7", timeout_s=5)
             self.calls += 1
 
--- a/tests/health_driver.py
+++ b/tests/health_driver.py
@@ -1,4 +1,4 @@
-"""Evidence for the health of one backend server, in steps of time."""
+"""A driver that feeds requests to the health of one backend server."""
 
 from balsamspindle.backend_servers.evidence import WorkResult
 from balsamspindle.backend_servers.health import ServerHealth
@@ -14,7 +14,7 @@
 
 
 class Driver:
-    """Feeds one `ServerHealth` a request every `INTERVAL_S`."""
+    """Feeds one `ServerHealth` requests, with `INTERVAL_S` after each."""
 
     def __init__(self, detection=None, peers=PEERS_WELL) -> None:
         self.health = ServerHealth(detection or Detection(threshold=7.0), 0.0)
@@ -30,7 +30,7 @@
         return attempt_id
 
     def work(self, result=ANSWERED, latency_ms=20.0, times=1) -> Verdict:
-        """Run requests one after the other."""
+        """Run requests one after the other; return the verdict on the last."""
         for _ in range(times):
             attempt_id = self.start()
             self.now_s += latency_ms / 1000
--- a/tests/kept_caller.py
+++ b/tests/persistent_caller.py
@@ -1,4 +1,4 @@
-"""A caller that sends on its connection until that is gone."""
+"""A caller that reuses one connection until it closes."""
 
 import http.client
 import itertools
@@ -8,29 +8,31 @@
 
 from tests.utils import HttpAnswer
 
-__all__ = ["NO_ANSWER", "NOT_SENT", "Exchange", "KeptCaller"]
+__all__ = ["NO_ANSWER", "NOT_SENT", "Exchange", "PersistentCaller"]
 
 CALL_TIMEOUT_S = 10.0
-# The connection ended, or stayed silent, after the request was sent.
+# After the request was sent the connection closed, or no answer came within the
+# timeout.
 NO_ANSWER = "no answer"
-# No node took a connection: nothing was sent.
+# No node accepted a connection, so nothing was sent.
 NOT_SENT = "not sent"
 
 
 class Exchange(NamedTuple):
-    """One request and what its caller was told.
+    """One request and the answer that its caller received.
 
     Attributes
     ----------
     outcome : str
-        The fleet's word, with the status of a refusal or error that was passed
-        on, or that there was no answer.
+        The outcome header of the answer; "answered" is followed by the status when
+        a refusal or error of the backend server was passed on. `NO_ANSWER` or
+        `NOT_SENT` when there is no answer.
     reason : str
-        The fleet's, where it made the answer.
+        Why the fleet refused or failed the request; empty for other answers.
     address : str
-        Of the ingress.
+        Address of the ingress.
     sent_s, ended_s : float
-        Wall time, as in the events of nodes.
+        Wall-clock time, comparable with `wall_s` in the events of nodes.
     """
 
     outcome: str
@@ -40,24 +42,25 @@
     ended_s: float
 
 
-class KeptCaller:
-    """One caller that sends on its connection until that is gone.
+class PersistentCaller:
+    """One caller that reuses its connection until it closes.
 
     Parameters
     ----------
     addresses : sequence of str
-        Of ingresses. After the end of a connection the next one is taken.
+        Addresses of ingresses. When a connection closes, the caller connects to
+        the next address.
     path : str
-        Of the requests, before their run key.
+        Path prefix of the requests; the run key follows it.
     headers : dict of str to str
-        Of each request.
+        Additional headers of each request.
 
     Attributes
     ----------
-    told : dict of str to Exchange
-        What it was told of each request, by run key.
-    faults : list of str
-        Broken promises that it saw itself.
+    exchanges : dict of str to Exchange
+        All requests with their answers, by run key.
+    violations : list of str
+        Answers that belong to another request.
     """
 
     def __init__(
@@ -71,15 +74,15 @@
         self._name, self._path, self._timeout_s = name, path, timeout_s
         self._headers = headers or {}
         self._addresses = itertools.cycle(addresses)
-        self._tries = len(addresses)
+        self._address_count = len(addresses)
         self._address = ""
         self._connection: http.client.HTTPConnection | None = None
         self._number = 0
-        self.told: dict[str, Exchange] = {}
-        self.faults: list[str] = []
+        self.exchanges: dict[str, Exchange] = {}
+        self.violations: list[str] = []
 
     def send(self) -> str:
-        """Send one request; return what was told, or that nothing was."""
+        """Send one request and return its outcome, see `Exchange.outcome`."""
         key = f"{self._name}.{self._number}"
         self._number += 1
         is_open = self._connection is not None or self._connect()
@@ -87,22 +90,26 @@
         answer = self._exchange(key) if is_open else None
         outcome = (answer and answer.outcome) or (NO_ANSWER if is_open else NOT_SENT)
         if answer is not None and answer.status == 200:
-            self._check_own(key, answer)
+            self._check_belongs(key, answer)
         elif outcome == "answered":
-            # The backend server's own refusal or error, passed on.
+            # A refusal or error of the backend server that the fleet passed on.
             outcome = f"answered {answer.status}"
         reason = "" if answer is None else answer.json().get("reason", "")
-        self.told[key] = Exchange(outcome, reason, self._address, sent_s, time.time())
+        self.exchanges[key] = Exchange(
+            outcome, reason, self._address, sent_s, time.time()
+        )
         return outcome
 
-    def _check_own(self, key: str, answer: HttpAnswer) -> None:
+    def _check_belongs(self, key: str, answer: HttpAnswer) -> None:
         body = answer.json()
         if (body["run_key"], body["body"]) != (key, key):
-            self.faults.append(f"{key} got another one's answer: {body}")
+            self.violations.append(
+                f"{key} received the answer to another request: {body}"
+            )
 
     def _connect(self) -> bool:
-        """Connect to the next ingress that takes connections, if any does."""
-        for address in itertools.islice(self._addresses, self._tries):
+        """Connect to the next ingress that accepts; False when none does."""
+        for address in itertools.islice(self._addresses, self._address_count):
             self._address = address
             connection = http.client.HTTPConnection(address, timeout=self._timeout_s)
             try:
@@ -132,7 +139,7 @@
         return answer
 
     def close(self) -> None:
-        """End the connection; the next request opens another one."""
+        """Close the connection; the next request opens a new one."""
         if self._connection is not None:
             self._connection.close()
             self._connection = None
--- a/tests/restart_fleet.py
+++ b/tests/restart_fleet.py
@@ -1,4 +1,4 @@
-"""A fleet whose nodes and backend servers are replaced while callers use it."""
+"""A fleet whose nodes and backend servers are restarted while callers use it."""
 
 import signal
 import threading
@@ -9,37 +9,43 @@
 
 from tests.utils import Fleet, NodeProgram, free_address, wait_until
 
-__all__ = ["SERVICES", "SHUTDOWN_TIMEOUT_S", "SLOTS", "WORKS", "RestartFleet", "Work"]
+__all__ = [
+    "SERVICES",
+    "SHUTDOWN_TIMEOUT_S",
+    "SLOTS",
+    "WORK_CLASSES",
+    "RestartFleet",
+    "WorkClass",
+]
 
-# Nodes have their backend servers in turn, so that requests of one half of the
-# callers are for another node's backend server.
+# The nodes' backend servers alternate between the services, so that each ingress
+# also gets requests that only the backend server of another node can run.
 SERVICES = ("front", "back")
 SHUTDOWN_TIMEOUT_S = 4.0
-# More than a fleet's callers use, also when only a few backend servers are left.
+# More than all callers use, even when only a few backend servers are left.
 SLOTS = 256
-# Nodes of each service that are left alone at any time, with their backend servers.
-WELL_MIN = 1
-PLACE_TIMEOUT_S = 60.0
-END_TIMEOUT_S = 30.0
+# Nodes of each service that are untouched at any time, with their backend servers.
+UNAFFECTED_MIN = 1
+TURN_TIMEOUT_S = 60.0
+STOP_TIMEOUT_S = 30.0
 READY_TIMEOUT_S = 40.0
-# From a node's or backend server's return until all others count on it.
+# From the return of a node or backend server until all nodes use it again.
 SETTLE_S = 1.5
 BURST_PAUSE_S = 0.05
-# Characters of a log's end.
-LOG_SHOWN = 500
+LOG_TAIL_CHARS = 500
 
 
-class Work(NamedTuple):
-    """One class of callers' requests, with a route of its own.
+class WorkClass(NamedTuple):
+    """One class of requests, with a route of its own.
 
     Attributes
     ----------
     work_ms : int
-        Time that a backend server takes for each.
+        Time that a backend server takes for each request.
     timeout_ms : int
-        Of the route.
+        Timeout of the route.
     connections : int
-        Of its callers, as a multiple of other classes'.
+        Number of connections, as a multiple of that of an ordinary class.
     """
 
     service: str
@@ -50,9 +56,9 @@
     connections: int = 1
 
 
-# Some of it lasts longer than a node's time for an orderly end.
-WORKS = [
-    Work(service, f"{service}-{name}", *kind)
+# Some of these last longer than `SHUTDOWN_TIMEOUT_S`.
+WORK_CLASSES = [
+    WorkClass(service, f"{service}-{name}", *kind)
     for service in SERVICES
     for name, *kind in (
         ("read", True, 60, 4_000),
@@ -70,17 +76,17 @@
         "methods": ["POST"],
         "timeout_ms": work.timeout_ms,
     }
-    for work in WORKS
+    for work in WORK_CLASSES
 }
 
 
 class Outage(NamedTuple):
-    """When a node or the backend server beside it is not counted on.
+    """A time in which a node or the backend server beside it may be unavailable.
 
     Attributes
     ----------
     from_s, to_s : float
-        Wall time, from the signal until the settled return.
+        Wall-clock time, from the signal until all nodes use the target again.
     """
 
     target: str
@@ -88,20 +94,24 @@
     from_s: float
     to_s: float
 
-    def lasts(self, at_s: float) -> bool:
-        """Tell whether it lasts at a time."""
+    def covers(self, at_s: float) -> bool:
+        """Tell whether a time is within the outage."""
         return self.from_s <= at_s <= self.to_s
 
 
 class RestartFleet(Fleet):
-    """Platform, and nodes with one backend server each.
+    """A platform, and nodes with one backend server each.
 
     Attributes
     ----------
     services : dict of str to str
-        Of the backend server beside each node.
+        Service of the backend server beside each node, by the node's name.
+    nodes : dict of str to NodeProgram
+        By name.
+    servers : dict of str to BackendProgram
+        By the name of the node beside them.
     outages : list of Outage
-        Those that are over.
+        Outages that have ended.
     """
 
     def __init__(self, nodes: int) -> None:
@@ -111,7 +121,7 @@
         self.nodes: dict[str, NodeProgram] = {}
         self.servers = {}
         self.outages: list[Outage] = []
-        self._out: set[str] = set()
+        self._affected: set[str] = set()
         self._changed = threading.Condition()
         self._settings_lock = threading.Lock()
 
@@ -136,8 +146,11 @@
                 READY_TIMEOUT_S,
             )
 
-    def play(self, kind: str, target: str, hold_s: float) -> None:
-        """Play one outage to its end, or a burst of changes of settings."""
+    def run_step(self, kind: str, target: str, hold_s: float) -> None:
+        """Run one outage to its end, or make a burst of settings changes.
+
+        `hold_s` is how long a freeze, the time after a kill, or the burst lasts.
+        """
         if kind == "settings":
             self._change_settings(round(hold_s / BURST_PAUSE_S))
             return
@@ -149,10 +162,12 @@
                     time.sleep(hold_s)
                     server.signal(signal.SIGCONT)
                 case "replace":
-                    server.stop(END_TIMEOUT_S)
+                    server.stop(STOP_TIMEOUT_S)
                     self._start_server(target, server.address)
                 case "restart":
-                    assert node.stop(END_TIMEOUT_S) == 0, f"{target} failed at its end"
+                    assert node.stop(STOP_TIMEOUT_S) == 0, (
+                        f"{target} failed to shut down"
+                    )
                 case "kill":
                     node.kill()
                     time.sleep(hold_s)
@@ -165,23 +180,25 @@
 
     @contextmanager
     def _outage(self, kind: str, target: str) -> Iterator[None]:
-        """Wait until a node may go, and keep the time until it is back."""
+        """Wait until a node may be taken down, then record its outage."""
         with self._changed:
             assert self._changed.wait_for(
-                lambda: self._may_go(target), PLACE_TIMEOUT_S
-            ), f"no place for {kind} of {target}"
-            self._out.add(target)
+                lambda: self._may_take_down(target), TURN_TIMEOUT_S
+            ), f"no turn for {kind} of {target}"
+            self._affected.add(target)
         from_s = time.time()
         yield
         with self._changed:
             self.outages.append(Outage(target, kind, from_s, time.time()))
-            self._out.discard(target)
+            self._affected.discard(target)
             self._changed.notify_all()
 
-    def _may_go(self, target: str) -> bool:
-        of = self.services
-        well = {name for name in of if of[name] == of[target]} - self._out
-        return target in well and len(well) > WELL_MIN
+    def _may_take_down(self, target: str) -> bool:
+        services = self.services
+        unaffected = {
+            name for name in services if services[name] == services[target]
+        } - self._affected
+        return target in unaffected and len(unaffected) > UNAFFECTED_MIN
 
     def _start_server(self, name: str, address: str) -> None:
         self.servers[name] = self.start_backend(
@@ -195,7 +212,7 @@
     def _is_back(self, name: str) -> bool:
         node = self.nodes[name]
         assert node.process.poll() is None, (
-            f"{name} ended: {node.log_path.read_text()[-LOG_SHOWN:]}"
+            f"{name} ended: {node.log_path.read_text()[-LOG_TAIL_CHARS:]}"
         )
         status = node.status() or {"accepting": False}
         return status["accepting"] and any(
@@ -203,7 +220,7 @@
         )
 
     def _change_settings(self, changes: int) -> None:
-        """Write documents in quick succession; no request needs any of them."""
+        """Write settings in quick succession that change no caller's requests."""
         spare = ROUTES["crew/routes/front-read"] | {"path_prefix": "/spare"}
         with self._settings_lock:
             for number in range(changes):
--- a/tests/soak_crashes.py
+++ b/tests/soak_crashes.py
@@ -1,18 +1,19 @@
-"""A randomized soak of requests that crash backend servers, beside other faults.
-
-``python -m tests.soak_crashes --seeds 50`` plays that many seeds, `--first` names the
-first one. A seed that ever failed is listed in `REGRESSION_SEEDS` with its cause.
-
-Each seed draws one to three requests that crash whatever runs them, after a time of
-their own, and sends each again and again at random nodes, as a new request. Beside them
-others run, some for seconds, again with the same path each time. Meanwhile backend
-servers crash for no reason, one or several at once, nodes are killed, stopped and
-started again, and the store is away. What must hold:
-
-- later than `KNOWN_S` after its third crash a request reaches at most
-  `RUNS_AFTER_MAX` backend servers through nodes that nothing has disturbed for so long;
-- nobody who ran beside it is refused as if it were the cause;
-- at the end all others are served by all nodes.
+"""A randomized soak of requests that crash backend servers, among other faults.
+
+``python -m tests.soak_crashes --seeds 50`` runs that many seeds, starting at
+`--first`. Seeds that found a fault are listed in `REGRESSION_SEEDS` with its cause.
+
+Each seed draws one to three paths whose requests crash the backend server that runs
+them, after a time drawn for the path. Callers keep sending new requests of each path to
+random nodes. Other callers do so for paths of harmless requests, some of which run for
+seconds. Meanwhile backend servers crash for other reasons, one or several at once,
+nodes are killed, paused and restarted, and the store is unavailable. The soak checks
+that
+
+- more than `KNOWN_S` after its third crash, a path runs at most `RUNS_AFTER_MAX`
+  times through nodes that were undisturbed for `KNOWN_S`;
+- no harmless request is refused as the cause of a crash;
+- all nodes serve all harmless requests at the end.
 """
 
 import argparse
@@ -33,9 +34,9 @@
 from tests.platform_fleet import PlatformFleet, PlatformNode
 from tests.utils import wait_until
 
-__all__ = ["REGRESSION_SEEDS", "play"]
+__all__ = ["REGRESSION_SEEDS", "run_seed"]
 
-# Seeds that failed once, with the cause.
+# Seeds that found a fault, with its cause.
 REGRESSION_SEEDS: dict[int, str] = {
     4: "five crashes of other reasons struck a request of seconds, and were enough",
     11: "a cause that was once lost with another one had to crash three more",
@@ -45,15 +46,15 @@
 
 HOST = "crew.example"
 NODES, SLOTS = 6, 4
-PLAYED_S = 16.0
+LOAD_S = 16.0
 KNOWN_S, RUNS_AFTER_MAX = 3.0, 3
 CAUSES_MAX = 3
-INNOCENTS = 8
-WORKS_S = (0.05, 0.3, 1.0, 2.0)
+HARMLESS_COUNT = 8
+WORK_TIMES_S = (0.05, 0.3, 1.0, 2.0)
 RESEND_MIN_S, RESEND_MAX_S = 0.1, 0.6
-GAP_MAX_S, HOLD_MIN_S, HOLD_MAX_S = 1.5, 0.3, 2.0
+GAP_MAX_S, FAULT_MIN_S, FAULT_MAX_S = 1.5, 0.3, 2.0
 CALL_TIMEOUT_S = 11.0
-SERVED_WITHIN_S = 30.0
+SERVED_TIMEOUT_S = 30.0
 VERDICT_EVENTS = re.compile(
     r"backend_server_crash|request_quarantined|quarantine_lifted"
 )
@@ -61,22 +62,22 @@
 
 @dataclass
 class Cause:
-    """A request that crashes backend servers."""
+    """A path whose requests crash backend servers, with the times of the crashes."""
 
     target: str
     crashes_after_s: float
     crashed_s: list[float] = field(default_factory=list)
 
 
-class KeptConnection:
-    """A caller's connection to one node, used until it is gone."""
+class PersistentConnection:
+    """A caller's connection to one node, reused until it closes."""
 
     def __init__(self, node: PlatformNode) -> None:
         self._node = node
         self._connection: http.client.HTTPConnection | None = None
 
     def send(self, target: str, request_id: str) -> tuple[int, bytes]:
-        """Send a request; return its status and body, 0 where nobody answered."""
+        """Send a request; return its status and body; status 0 without an answer."""
         if self._connection is None:
             self._connection = http.client.HTTPConnection(
                 self._node.caller_address, timeout=CALL_TIMEOUT_S
@@ -97,16 +98,16 @@
 
 
 class CrashSoak:
-    """One seed's requests and faults against one fleet."""
+    """The requests and faults of one seed, applied to one fleet."""
 
-    def __init__(self, seed: int, played_s: float = PLAYED_S) -> None:
+    def __init__(self, seed: int, load_s: float = LOAD_S) -> None:
         self._random = random.Random(seed)
-        self._played_s = played_s
+        self._load_s = load_s
         self._done = threading.Event()
         self._lock = threading.Lock()
         self._numbers = itertools.count()
-        # When each node was disturbed last, by its number.
-        self._disturbed: list[list[tuple[float, float]]] = [[] for _ in range(NODES)]
+        # Start and end of the disturbances of each node, by its number.
+        self._disturbances: list[list[tuple[float, float]]] = [[] for _ in range(NODES)]
         self._busy: set[str] = set()
         self.causes = {
             f"/vacancies/broken-{number}": Cause(
@@ -114,21 +115,22 @@
             )
             for number in range(self._random.randint(1, CAUSES_MAX))
         }
-        self._works_s = {
-            f"/vacancies/whole-{number}": self._random.choice(WORKS_S)
-            for number in range(INNOCENTS)
+        self._work_time_s = {
+            f"/vacancies/whole-{number}": self._random.choice(WORK_TIMES_S)
+            for number in range(HARMLESS_COUNT)
         }
-        self.played: list[str] = []
-        self.told: Counter[str] = Counter()
-        self.faults: list[str] = []
+        self.injected: list[str] = []
+        self.answer_counts: Counter[str] = Counter()
+        self.violations: list[str] = []
 
     def run(self) -> None:
-        """Play the seed.
+        """Run the seed.
 
         Raises
         ------
         AssertionError
-            When a promise was broken.
+            When a harmless request was refused or not served, or a path ran too
+            often after its third crash.
         """
         with PlatformFleet() as fleet:
             fleet.put_configuration(_configuration())
@@ -136,7 +138,7 @@
             self._servers = [self._start_server(node) for node in self._nodes]
             try:
                 self._wait_served()
-                self._play()
+                self._run_load()
                 self._check()
                 self._wait_served()
             except AssertionError:
@@ -151,7 +153,7 @@
             node.announce_address,
             "crew",
             SLOTS,
-            lambda target: self._works_s.get(target, 0.0),
+            lambda target: self._work_time_s.get(target, 0.0),
             self._crashes_after_s,
             down_s=0.8,
         )
@@ -165,44 +167,44 @@
         return cause.crashes_after_s
 
     def _wait_served(self) -> None:
-        """Wait until each node serves each request that crashes nothing."""
+        """Wait until each node serves each harmless request."""
         with ThreadPoolExecutor(NODES) as executor:
             list(executor.map(self._wait_served_by, self._nodes))
 
     def _wait_served_by(self, node: PlatformNode) -> None:
-        connection = KeptConnection(node)
-        for target in self._works_s:
+        connection = PersistentConnection(node)
+        for target in self._work_time_s:
             wait_until(
                 lambda target=target: (
                     connection.send(target, self._next_id("w"))[0] == 200
                 ),
-                f"{target} is served after {self.played}",
-                SERVED_WITHIN_S,
+                f"{target} is served after {self.injected}",
+                SERVED_TIMEOUT_S,
             )
 
     def _next_id(self, who: str) -> str:
         return f"{who}-{next(self._numbers):08d}"
 
-    def _play(self) -> None:
-        callers = len(self.causes) + len(self._works_s)
-        # Drawn before the callers start, so that a seed always draws the same.
+    def _run_load(self) -> None:
+        callers = len(self.causes) + len(self._work_time_s)
+        # Drawn before the callers start, so that a seed always gives the same values.
         seeds = [self._random.random() for _ in range(callers)]
-        targets = [*self.causes, *self._works_s]
+        targets = [*self.causes, *self._work_time_s]
         with ThreadPoolExecutor(callers + 4) as executor:
             sending = [
                 executor.submit(self._send_all, target, random.Random(seed))
                 for target, seed in zip(targets, seeds, strict=True)
             ]
             try:
-                self._strike_all(executor)
+                self._inject_all(executor)
             finally:
                 self._done.set()
-            for one in sending:
-                one.result()
+            for future in sending:
+                future.result()
 
     def _send_all(self, target: str, rng: random.Random) -> None:
-        """Send one request again and again, at random nodes, on kept connections."""
-        connections = [KeptConnection(node) for node in self._nodes]
+        """Send requests of one path to random nodes, on persistent connections."""
+        connections = [PersistentConnection(node) for node in self._nodes]
         is_cause = target in self.causes
         while not self._done.wait(rng.uniform(RESEND_MIN_S, RESEND_MAX_S)):
             number = rng.randrange(NODES)
@@ -210,106 +212,106 @@
             is_refused = b"crashes_servers" in body
             with self._lock:
                 kind = "cause" if is_cause else "other"
-                self.told[f"{kind}-{'refused' if is_refused else status}"] += 1
+                self.answer_counts[f"{kind}-{'refused' if is_refused else status}"] += 1
                 if is_refused and not is_cause:
-                    self.faults.append(f"{target} was refused: {body.decode()}")
+                    self.violations.append(f"{target} was refused: {body.decode()}")
 
-    def _strike_all(self, executor: ThreadPoolExecutor) -> None:
-        end_s = time.monotonic() + self._played_s
-        striking = []
+    def _inject_all(self, executor: ThreadPoolExecutor) -> None:
+        end_s = time.monotonic() + self._load_s
+        injecting = []
         while time.monotonic() < end_s:
             time.sleep(self._random.uniform(0.1, GAP_MAX_S))
-            name, target, strike = self._random.choice(self._catalogue())
-            hold_s = self._random.uniform(HOLD_MIN_S, HOLD_MAX_S)
+            name, target, inject = self._random.choice(self._possible_faults())
+            fault_s = self._random.uniform(FAULT_MIN_S, FAULT_MAX_S)
             with self._lock:
                 if target in self._busy or len(self._busy) >= 2:
                     continue
                 self._busy.add(target)
-            self.played.append(name)
-            striking.append(executor.submit(self._strike, target, strike, hold_s))
-        for one in striking:
-            one.result()
+            self.injected.append(name)
+            injecting.append(executor.submit(self._inject, target, inject, fault_s))
+        for future in injecting:
+            future.result()
 
-    def _strike(self, target: str, strike: Callable, hold_s: float) -> None:
-        strike(hold_s)
+    def _inject(self, target: str, inject: Callable, fault_s: float) -> None:
+        inject(fault_s)
         with self._lock:
             self._busy.discard(target)
 
-    def _catalogue(self) -> list[tuple[str, str, Callable[[float], None]]]:
-        """Return the faults to draw from: name, what it strikes, and how."""
+    def _possible_faults(self) -> list[tuple[str, str, Callable[[float], None]]]:
+        """Return the faults to draw from: name, target, and function to inject it."""
         faults = [("store-down", "store", self._store_down)]
         for number, server in enumerate(self._servers):
             faults.append(
-                (f"crash-{number}", "servers", lambda hold_s, s=server: s.crash())
+                (f"crash-{number}", "servers", lambda fault_s, s=server: s.crash())
             )
         faults.append(("crash-wave", "servers", self._crash_wave))
         faults.append(("crash-three", "servers", self._crash_three))
         for number in range(NODES):
-            for name, strike in (("kill", self._kill), ("stop", self._stop)):
+            for name, inject in (("kill", self._kill), ("stop", self._pause)):
                 faults.append(
                     (
                         f"{name}-{number}",
                         f"node-{number}",
-                        lambda hold_s, n=number, s=strike: s(n, hold_s),
+                        lambda fault_s, n=number, s=inject: s(n, fault_s),
                     )
                 )
         faults.append(("kill-half", "node-all", self._kill_half))
         return faults
 
-    def _store_down(self, hold_s: float) -> None:
+    def _store_down(self, fault_s: float) -> None:
         self._fleet.store.set_fault(mode="down")
-        time.sleep(hold_s)
+        time.sleep(fault_s)
         self._fleet.store.set_fault(mode="none")
 
-    def _crash_wave(self, hold_s: float) -> None:
-        """End backend servers for no reason, one after the other, over a time."""
-        for server in random.Random(hold_s).sample(self._servers, 4):
+    def _crash_wave(self, fault_s: float) -> None:
+        """Crash four backend servers one after the other, within `fault_s`."""
+        for server in random.Random(fault_s).sample(self._servers, 4):
             server.crash()
-            time.sleep(hold_s / 4)
+            time.sleep(fault_s / 4)
 
-    def _crash_three(self, hold_s: float) -> None:
-        """End three backend servers at one moment, as the loss of a rack does."""
-        for server in random.Random(hold_s).sample(self._servers, 3):
+    def _crash_three(self, fault_s: float) -> None:
+        """Crash three backend servers at once, as the loss of a rack does."""
+        for server in random.Random(fault_s).sample(self._servers, 3):
             server.crash()
 
-    def _kill(self, number: int, hold_s: float) -> None:
+    def _kill(self, number: int, fault_s: float) -> None:
         with self._disturbance(number):
             self._nodes[number].kill()
-            time.sleep(hold_s)
+            time.sleep(fault_s)
             self._nodes[number].start()
 
-    def _kill_half(self, hold_s: float) -> None:
+    def _kill_half(self, fault_s: float) -> None:
         for number in range(0, NODES, 2):
             self._kill(number, 0.0)
 
-    def _stop(self, number: int, hold_s: float) -> None:
+    def _pause(self, number: int, fault_s: float) -> None:
         with self._disturbance(number):
             process = self._nodes[number].process
             process.send_signal(signal.SIGSTOP)
-            time.sleep(hold_s)
+            time.sleep(fault_s)
             process.send_signal(signal.SIGCONT)
 
     def _disturbance(self, number: int) -> "_Disturbance":
-        return _Disturbance(self._disturbed[number])
+        return _Disturbance(self._disturbances[number])
 
     def _check(self) -> None:
-        assert not self.faults, (self.faults[:3], self.played)
+        assert not self.violations, (self.violations[:3], self.injected)
         for cause in self.causes.values():
             after = self._runs_after(cause)
             assert len(after) <= RUNS_AFTER_MAX, (
                 f"{cause.target} ({cause.crashes_after_s:.2f} s) ran {len(after)} "
-                f"times later than {KNOWN_S} s after its third crash: {after}",
-                self.played,
+                f"times more than {KNOWN_S} s after its third crash: {after}",
+                self.injected,
             )
 
     def _print_verdicts(self) -> None:
-        """Print what the nodes' logs tell of crashes and of who was blamed."""
+        """Print the events on crashes and quarantines from the logs of all nodes."""
         for node in self._nodes:
             lines = node.log_path.read_text(errors="replace").splitlines()
-            print(*(one for one in lines if VERDICT_EVENTS.search(one)), sep="\n")
+            print(*(line for line in lines if VERDICT_EVENTS.search(line)), sep="\n")
 
     def _runs_after(self, cause: Cause) -> list[str]:
-        """Return the runs that calm nodes sent on when all had to know."""
+        """Describe runs through undisturbed nodes, `KNOWN_S` after the third crash."""
         crashed_s = sorted(cause.crashed_s)
         if len(crashed_s) < 3:
             return []
@@ -320,31 +322,31 @@
             for run in server.runs
             if run.target == cause.target
             and run.began_s > known_s
-            and self._is_calm(number, run.began_s)
-            and self._is_calm(int(run.request_id.partition("-")[0]), run.began_s)
+            and self._is_undisturbed(number, run.began_s)
+            and self._is_undisturbed(int(run.request_id.partition("-")[0]), run.began_s)
         ]
 
-    def _is_calm(self, number: int, at_s: float) -> bool:
-        """Tell whether a node had run undisturbed for `KNOWN_S` before a moment."""
+    def _is_undisturbed(self, number: int, at_s: float) -> bool:
+        """Tell whether a node was undisturbed at a time and for `KNOWN_S` before it."""
         return not any(
-            began_s <= at_s <= ended_s + KNOWN_S
-            for began_s, ended_s in self._disturbed[number]
+            started_s <= at_s <= ended_s + KNOWN_S
+            for started_s, ended_s in self._disturbances[number]
         )
 
 
 class _Disturbance:
-    """Notes from when to when a node was disturbed."""
+    """Context manager that records the start and end of a node's disturbance."""
 
     def __init__(self, times: list[tuple[float, float]]) -> None:
         self._times = times
 
     def __enter__(self) -> None:
-        self._began_s = time.monotonic()
-        # Until its end is known.
-        self._times.append((self._began_s, float("inf")))
+        self._started_s = time.monotonic()
+        # Replaced when the disturbance ends.
+        self._times.append((self._started_s, float("inf")))
 
     def __exit__(self, *_) -> None:
-        self._times[-1] = (self._began_s, time.monotonic())
+        self._times[-1] = (self._started_s, time.monotonic())
 
 
 def _configuration() -> dict:
@@ -365,9 +367,9 @@
     }
 
 
-def play(seed: int, played_s: float = PLAYED_S) -> str | None:
-    """Play one seed; return what was broken, or None."""
-    soak = CrashSoak(seed, played_s)
+def run_seed(seed: int, load_s: float = LOAD_S) -> str | None:
+    """Run one seed; return a description of its failure, or None."""
+    soak = CrashSoak(seed, load_s)
     started_s = time.monotonic()
     try:
         soak.run()
@@ -375,18 +377,18 @@
         return f"seed {seed}: {error}"
     took_s = time.monotonic() - started_s
     crashes = [len(cause.crashed_s) for cause in soak.causes.values()]
-    print(f"seed {seed}: {took_s:.0f} s", crashes, dict(soak.told), flush=True)
+    print(f"seed {seed}: {took_s:.0f} s", crashes, dict(soak.answer_counts), flush=True)
     return None
 
 
 def main() -> int:
-    """Play seeds by hand; 1 when one of them failed."""
+    """Run the seeds of the command line; return 1 when one of them failed."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--first", type=int, default=1)
     parser.add_argument("--seeds", type=int, default=50)
     arguments = parser.parse_args()
     seeds = range(arguments.first, arguments.first + arguments.seeds)
-    broken = [fault for seed in seeds if (fault := play(seed))]
+    broken = [failure for seed in seeds if (failure := run_seed(seed))]
     print(*broken, f"{len(broken)} of {len(seeds)} seeds failed", sep="\n")
     return 1 if broken else 0
 
--- a/tests/soak_restarts.py
+++ b/tests/soak_restarts.py
@@ -1,14 +1,14 @@
-"""A randomized soak of planned work: restarts that overlap in series.
+"""A randomized soak of planned restarts, in series that overlap.
 
-``python -m tests.soak_restarts --seeds 50`` plays that many seeds, `--first` names
-the first one. A seed that ever failed is listed in `REGRESSION_SEEDS` with its
-cause; `--again` plays these. Each seed draws two series of node restarts, the
-second while the first lasts, replaced backend servers, changes of settings, and now
-and then one unplanned fault. What that one's own requests lose is excused, nothing
-else.
+``python -m tests.soak_restarts --seeds 50`` runs that many seeds, starting at
+`--first`. Seeds that found a fault are listed in `REGRESSION_SEEDS` with its cause;
+`--again` runs these. Each seed draws two series of node restarts, the second of
+which starts during the first, replacements of backend servers, changes of settings,
+and sometimes one unplanned fault. Only requests that the unplanned fault could have
+affected may be lost.
 
-Callers use their connections until these are gone. What they were told is held
-against what backend servers ran and what nodes wrote of each request.
+Callers reuse their connections until these close. The outcomes that they received
+are compared with the runs on backend servers and the events in the logs of nodes.
 """
 
 import argparse
@@ -21,23 +21,23 @@
 from concurrent.futures import ThreadPoolExecutor
 from typing import NamedTuple
 
-from tests.kept_caller import KeptCaller
-from tests.restart_checks import UNPLANNED, Checks
+from tests.persistent_caller import PersistentCaller
+from tests.restart_checks import UNPLANNED, OutcomeChecks
 from tests.restart_fleet import (
-    WORKS,
+    WORK_CLASSES,
     RestartFleet,
-    Work,
+    WorkClass,
 )
 
-__all__ = ["REGRESSION_SEEDS", "play"]
+__all__ = ["REGRESSION_SEEDS", "run_seed"]
 
-# Causes of the seeds that failed once.
+# Faults that the seeds below found.
 _BUDGET = (
     "a leaving gate cut several queries at once; their ingress had no retries left"
 )
 _TOO_LONG = "a leaving ingress sent on work that is longer than its orderly end"
-# Seeds that failed once, with the cause. A seed fixes the steps, and not at which
-# moment of a request they strike: it may take several plays to fail.
+# Seeds that found a fault, with its cause. A seed fixes the steps but not how they
+# coincide with requests, so a fault may show only in some of several runs.
 REGRESSION_SEEDS: dict[int, str] = {
     4: f"{_BUDGET}; {_TOO_LONG}",
     5: _TOO_LONG,
@@ -60,26 +60,27 @@
 }
 
 NODES = 6
-# Connections of each class of work; more of them in a large fleet.
+# Connections of each class of work; a large fleet has more of them.
 CALLERS_MIN = 4
-NODES_FOR_ONE_CALLER = 5
-PACE_S = 0.1
-CALL_RESERVE_S = 10.0
-AT_ONCE_MAX = 3
-NODES_FOR_ONE_AT_ONCE = 8
+NODES_PER_CALLER = 5
+REQUEST_INTERVAL_S = 0.1
+CALL_TIMEOUT_MARGIN_S = 10.0
+# Restarts that begin at the same time; a large fleet allows more of them.
+SIMULTANEOUS_MAX = 3
+NODES_PER_SIMULTANEOUS = 8
 FIRST_STEP_S = 2.0
 GAP_MIN_S, GAP_MAX_S = 0.3, 3.0
 SECOND_SERIES_MIN_S, SECOND_SERIES_MAX_S = 1.0, 5.0
 EXTRA_UNTIL_S = 12.0
-# How long a burst of changes, a freeze or the time after a kill lasts.
+# Bounds of how long a burst of changes, a freeze or the time after a kill lasts.
 HOLDS_S = {"settings": (0.1, 0.5), "freeze": (1.0, 5.0), "kill": (1.0, 5.0)}
-UNPLANNED_SHARE = 0.3
-RECOVERED_TRIES = 10
-FAULTS_SHOWN = 12
+UNPLANNED_PROBABILITY = 0.3
+RECOVERY_ATTEMPTS = 10
+VIOLATIONS_SHOWN = 12
 
 
 class Step(NamedTuple):
-    """One thing to play, at a time from the start."""
+    """A fault or change, `at_s` after the start; see `RestartFleet.run_step`."""
 
     at_s: float
     kind: str
@@ -87,150 +88,159 @@
     hold_s: float
 
 
-def _draw(seed: int, names: list[str]) -> list[Step]:
-    chance = random.Random(seed)
-    steps = list(_series(chance, names, FIRST_STEP_S))
-    delay_s = chance.uniform(SECOND_SERIES_MIN_S, SECOND_SERIES_MAX_S)
-    some = chance.sample(names, max(1, len(names) // 2))
-    steps += _series(chance, some, FIRST_STEP_S + delay_s)
-    kinds = ["settings"] * chance.randint(1, 3) + ["replace"] * chance.randint(0, 2)
-    if chance.random() < UNPLANNED_SHARE:
-        kinds.append(chance.choice(UNPLANNED))
+def _draw_steps(seed: int, names: list[str]) -> list[Step]:
+    rng = random.Random(seed)
+    steps = list(_restart_series(rng, names, FIRST_STEP_S))
+    delay_s = rng.uniform(SECOND_SERIES_MIN_S, SECOND_SERIES_MAX_S)
+    second_names = rng.sample(names, max(1, len(names) // 2))
+    steps += _restart_series(rng, second_names, FIRST_STEP_S + delay_s)
+    kinds = ["settings"] * rng.randint(1, 3) + ["replace"] * rng.randint(0, 2)
+    if rng.random() < UNPLANNED_PROBABILITY:
+        kinds.append(rng.choice(UNPLANNED))
     for kind in kinds:
-        at_s = chance.uniform(0, EXTRA_UNTIL_S)
-        hold_s = chance.uniform(*HOLDS_S.get(kind, (0, 0)))
-        steps.append(Step(at_s, kind, chance.choice(names), hold_s))
+        at_s = rng.uniform(0, EXTRA_UNTIL_S)
+        hold_s = rng.uniform(*HOLDS_S.get(kind, (0, 0)))
+        steps.append(Step(at_s, kind, rng.choice(names), hold_s))
     return sorted(steps)
 
 
-def _series(chance: random.Random, names: list[str], at_s: float) -> Iterator[Step]:
-    """Restart all of these nodes, some at a time."""
-    waiting = chance.sample(names, len(names))
-    at_once_max = max(AT_ONCE_MAX, len(names) // NODES_FOR_ONE_AT_ONCE)
+def _restart_series(
+    rng: random.Random, names: list[str], at_s: float
+) -> Iterator[Step]:
+    """Return steps that restart all of these nodes, a few at a time."""
+    waiting = rng.sample(names, len(names))
+    simultaneous_max = max(SIMULTANEOUS_MAX, len(names) // NODES_PER_SIMULTANEOUS)
     while waiting:
-        for _ in range(min(len(waiting), chance.randint(1, at_once_max))):
+        for _ in range(min(len(waiting), rng.randint(1, simultaneous_max))):
             yield Step(at_s, "restart", waiting.pop(), 0.0)
-        at_s += chance.uniform(GAP_MIN_S, GAP_MAX_S)
+        at_s += rng.uniform(GAP_MIN_S, GAP_MAX_S)
 
 
-class _Seed:
-    """One seed's steps against a fleet, with callers."""
+class _SeedRun:
+    """The steps of one seed, applied to a fleet with callers."""
 
     def __init__(self, seed: int, nodes: int, steps: int | None, works) -> None:
         self._seed, self._works = seed, works
         self._fleet = RestartFleet(nodes)
-        self._steps = _draw(seed, list(self._fleet.services))[:steps]
+        self._steps = _draw_steps(seed, list(self._fleet.services))[:steps]
         self._done = threading.Event()
 
-    def run(self) -> Checks:
-        """Play the steps; return what became of the requests."""
+    def run(self) -> OutcomeChecks:
+        """Run the steps and return the checked outcomes of all requests."""
         with self._fleet as fleet:
             fleet.start()
             callers = self._callers()
-            chance = random.Random(self._seed)
+            rng = random.Random(self._seed)
             with ThreadPoolExecutor(len(callers)) as executor:
                 sending = [
-                    executor.submit(self._send, caller, chance.uniform(0, work.work_ms))
+                    executor.submit(self._send, caller, rng.uniform(0, work.work_ms))
                     for caller, work in callers.items()
                 ]
                 try:
-                    self._play()
+                    self._run_steps()
                 finally:
                     self._done.set()
-                for one in sending:
-                    one.result()
-                checks = Checks(fleet, callers)
+                for future in sending:
+                    future.result()
+                checks = OutcomeChecks(fleet, callers)
                 checks.run()
                 fleet.wait_all_ready()
-                lost = [*executor.map(_answered_again, callers)]
-            checks.faults += [f"not answered again: {name}" for name in lost if name]
+                lost = [*executor.map(_retry_until_answered, callers)]
+            checks.violations += [
+                f"not answered again: {caller}" for caller in lost if caller
+            ]
             return checks
 
-    def _callers(self) -> dict[KeptCaller, Work]:
+    def _callers(self) -> dict[PersistentCaller, WorkClass]:
         addresses = [node.caller_address for node in self._fleet.nodes.values()]
-        count = max(CALLERS_MIN, len(addresses) // NODES_FOR_ONE_CALLER)
-        chance = random.Random(self._seed)
-        # The connections of a class go from node to node together, so that one
-        # node's end meets many at once.
-        orders = {
-            work: chance.sample(addresses, len(addresses)) for work in self._works
-        }
+        count = max(CALLERS_MIN, len(addresses) // NODES_PER_CALLER)
+        rng = random.Random(self._seed)
+        # All connections of a class use the nodes in the same order, so that the
+        # end of one node affects many requests at once.
+        orders = {work: rng.sample(addresses, len(addresses)) for work in self._works}
         return {
-            KeptCaller(
+            PersistentCaller(
                 f"{work.name}-{number}",
                 orders[work],
                 f"/{work.name}",
                 {"X-Work-Ms": str(work.work_ms)},
-                work.timeout_ms / 1000 + CALL_RESERVE_S,
+                work.timeout_ms / 1000 + CALL_TIMEOUT_MARGIN_S,
             ): work
             for work in self._works
             for number in range(count * work.connections)
         }
 
-    def _send(self, caller: KeptCaller, after_ms: float) -> None:
-        # Else all long work would begin and end at the same times.
+    def _send(self, caller: PersistentCaller, after_ms: float) -> None:
+        # Without this delay all long requests would begin and end together.
         self._done.wait(after_ms / 1000)
-        while not self._done.wait(PACE_S):
+        while not self._done.wait(REQUEST_INTERVAL_S):
             caller.send()
 
-    def _play(self) -> None:
+    def _run_steps(self) -> None:
         start_s = time.monotonic()
         with ThreadPoolExecutor(len(self._steps)) as executor:
-            playing = []
+            running = []
             for at_s, *step in self._steps:
                 time.sleep(max(0.0, start_s + at_s - time.monotonic()))
-                playing.append(executor.submit(self._fleet.play, *step))
-            for one in playing:
-                one.result()
+                running.append(executor.submit(self._fleet.run_step, *step))
+            for future in running:
+                future.result()
+
 
+def _retry_until_answered(caller: PersistentCaller) -> str | None:
+    """Return the last exchange of a caller that gets no answer, else None.
 
-def _answered_again(caller: KeptCaller) -> str | None:
-    """Return who is not answered; some connections may still have an old end."""
-    if any(caller.send() == "answered" for _ in range(RECOVERED_TRIES)):
+    The first attempts may fail, since a connection may lead to an ended process.
+    """
+    if any(caller.send() == "answered" for _ in range(RECOVERY_ATTEMPTS)):
         return None
-    return str(list(caller.told.items())[-1])
+    return str(list(caller.exchanges.items())[-1])
 
 
-def play(seed: int, nodes=NODES, steps: int | None = None, works=WORKS) -> str | None:
-    """Play one seed; print its figures; return what was broken, or None.
+def run_seed(
+    seed: int, nodes=NODES, steps: int | None = None, works=WORK_CLASSES
+) -> str | None:
+    """Run one seed and print its counts; return its violations, or None.
 
     Parameters
     ----------
     steps : int, default=all
-        How many of the seed's first steps are played.
-    works : sequence of Work
-        What callers send.
+        Number of the seed's first steps that are run.
+    works : sequence of WorkClass
+        Requests that callers send.
     """
     started_s = time.monotonic()
     try:
-        checks = _Seed(seed, nodes, steps, works).run()
+        checks = _SeedRun(seed, nodes, steps, works).run()
     except (AssertionError, subprocess.TimeoutExpired) as error:
         return f"seed {seed}: {error}"
     print(
         f"seed {seed}: {time.monotonic() - started_s:.0f} s,",
-        f"{len(checks.faults)} faults",
-        dict(sorted(checks.figures.items())),
+        f"{len(checks.violations)} violations",
+        dict(sorted(checks.counts.items())),
         flush=True,
     )
-    if not checks.faults:
+    if not checks.violations:
         return None
-    return "\n  ".join([f"seed {seed}:", *checks.faults[:FAULTS_SHOWN]])
+    return "\n  ".join([f"seed {seed}:", *checks.violations[:VIOLATIONS_SHOWN]])
 
 
 def main() -> int:
-    """Play seeds by hand; 1 when one of them failed."""
+    """Run the seeds of the command line; return 1 when one of them failed."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--first", type=int, default=1)
     parser.add_argument("--seeds", type=int, default=50)
     parser.add_argument("--nodes", type=int, default=NODES)
-    parser.add_argument("--jobs", type=int, default=1, help="seeds at a time")
-    parser.add_argument("--again", action="store_true", help="those that failed")
+    parser.add_argument(
+        "--jobs", type=int, default=1, help="number of seeds run in parallel"
+    )
+    parser.add_argument("--again", action="store_true", help="run the regression seeds")
     arguments = parser.parse_args()
     seeds = range(arguments.first, arguments.first + arguments.seeds)
     seeds = list(REGRESSION_SEEDS) if arguments.again else seeds
     with ThreadPoolExecutor(arguments.jobs) as executor:
-        played = executor.map(lambda seed: play(seed, arguments.nodes), seeds)
-        broken = [fault for fault in played if fault]
+        results = executor.map(lambda seed: run_seed(seed, arguments.nodes), seeds)
+        broken = [failure for failure in results if failure]
     print(*broken, f"{len(broken)} of {len(seeds)} seeds failed", sep="\n")
     return 1 if broken else 0
 
--- a/tests/test_capacity_page.py
+++ b/tests/test_capacity_page.py
@@ -1,4 +1,4 @@
-"""The capacity page says what the baseline's run measured, and no more."""
+"""The figures on the capacity page are those of the recorded baseline."""
 
 import json
 
@@ -19,8 +19,8 @@
         self.measured = json.loads(BASELINE.read_text())["measured"]
 
     def test_the_tables_of_the_page_are_those_of_the_baseline(self):
-        # A reader plans by the page. When somebody measures anew and forgets
-        # the page, or edits a figure by hand, the two say different things.
+        # Guards against a page that differs from the baseline, because the baseline
+        # was recorded again without the page or a figure was edited by hand.
         self.assertIn(render_tables(self.measured), PAGE.read_text())
 
     def test_each_part_has_its_figures(self):
@@ -32,14 +32,14 @@
         self.assertEqual("**missed** 2x", row.margin)
 
     def test_a_member_sends_no_more_than_the_baseline_says(self):
-        # More bytes for each change are not seen in a small fleet; at the
-        # long run they fill the cap, and news comes late everywhere. Bytes on
-        # the mirror's clock are the same in every run.
+        # Guards against more bytes for each change. A small fleet does not show
+        # them, but in a large one they use up the byte budget of members and delay
+        # all news. On the simulated clock each run sends the same number of bytes.
         _, bytes_per_s = ordinary_costs(NODE_COUNTS[0], RECORD_CHANGES_PER_S)
         baseline = self.measured["members"]["sent_bytes_per_s_smallest"]
         self.assertLess(bytes_per_s, SENT_BYTES_BOUND * baseline)
 
-    def test_a_line_goes_on_beyond_the_measured_sizes(self):
+    def test_a_line_extrapolates_beyond_the_measured_sizes(self):
         line = fit_line([(10, 25.0), (20, 45.0)])
         self.assertEqual((5.0, 2.0, 20), line[:3])
         self.assertEqual(2005.0, line.at(1000))
--- a/tests/test_played_days.py
+++ b/tests/test_played_days.py
@@ -1,4 +1,4 @@
-"""Two versions compared on the days and seeds that both played."""
+"""Comparison of two versions on the simulated days and seeds that both ran."""
 
 from testtools import TestCase
 
@@ -8,7 +8,7 @@
 
 
 def entry(*worths, broken=None):
-    """Return a journal entry with a day for each worth."""
+    """Return a journal entry with one day for each worth, broken rules on each."""
     return {
         "days": [
             {
@@ -46,7 +46,7 @@
         low, high = interval([0.05, -0.04, 0.03, -0.02])
         self.assertTrue(low < 0 < high)
 
-    def test_the_charge_for_processor_time_is_given_back(self):
+    def test_the_price_of_processor_time_is_added_back(self):
         [result] = day_results("a", entry(0.40))
         self.assertAlmostEqual(0.41, result.worth)
         self.assertEqual({"store calls": 0.006}, result.prices)
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -1,20 +1,21 @@
-"""A short seeded run of the soak, and each seed that ever failed."""
+"""A short seeded run of the soak, and the seeds that found a fault."""
 
-from tests.soak import REGRESSION_SEEDS, play
+from tests.soak import REGRESSION_SEEDS, run_seed
 
-# A seed whose faults overlap: short enough for each run of the tests.
-SHORT_SEED, SHORT_FAULTS = 7, 6
+# A seed with overlapping faults, and few enough of them for each run of the tests.
+SHORT_SEED, SHORT_FAULT_COUNT = 7, 6
 
 
 def test_a_short_soak_keeps_the_promises():
-    """Callers on kept connections, faults that strike while others last.
+    """Guards against wrong outcomes when faults overlap on persistent connections.
 
-    Nothing runs twice, who was told `not_run` did not run, each answer is whole
-    and its caller's own, and all are answered when the faults are over.
+    No request runs twice, none with the outcome `not_run` ran, each answer is
+    complete and belongs to its request, and all callers are answered after the
+    faults.
     """
-    assert play(SHORT_SEED, SHORT_FAULTS) is None
+    assert run_seed(SHORT_SEED, SHORT_FAULT_COUNT) is None
 
 
 def test_seeds_that_failed_once():
-    """Each with its cause in `REGRESSION_SEEDS`; none so far."""
-    assert [fault for seed in REGRESSION_SEEDS if (fault := play(seed))] == []
+    """`REGRESSION_SEEDS` names the fault that each guards against."""
+    assert [failure for seed in REGRESSION_SEEDS if (failure := run_seed(seed))] == []
--- a/tests/test_soak_limits.py
+++ b/tests/test_soak_limits.py
@@ -1,4 +1,4 @@
-"""A short, seeded soak of customers' limits; the long one is started by hand."""
+"""A short seeded soak of customers' limits; the long one is `tests.soak_limits`."""
 
 from testtools import TestCase
 
@@ -9,7 +9,8 @@
 
 class LimitSoakTests(TestCase):
     def test_no_series_of_faults_lets_a_customer_run_more_than_is_allowed(self):
-        # Guards against faults that overlap: kills, cuts, late news, hot customers.
+        # Guards against requests over a limit while faults overlap: restarted and
+        # isolated nodes, late detection, and customers with a high rate.
         for seed in SEEDS:
-            result = soak_limits.run(seed)
+            result = soak_limits.run_seed(seed)
             self.assertLessEqual(result.largest_window_fraction, 1.0, seed)
--- a/tests/utils.py
+++ b/tests/utils.py
@@ -1,4 +1,4 @@
-"""Fixtures: real processes on loopback, and a small HTTP client."""
+"""Test fixtures: real processes on loopback addresses, and a small HTTP client."""
 
 import http.client
 import json
@@ -21,42 +21,42 @@
 
 ROOT = Path(__file__).resolve().parent.parent
 READY_TIMEOUT_S = 20.0
-# Below the ports that the kernel gives to outgoing connections, so that a
-# client's port never takes one that a process is about to listen on.
+# Below the ephemeral ports of the kernel, so that no outgoing connection gets a port
+# on which a process is about to listen.
 FIRST_PORT, LAST_PORT = 18_000, 32_000
-# Ports that one test process has for itself, of which it holds the first one.
+# Ports reserved for one test process, which does so by binding the first of them.
 BLOCK_PORTS = 50
-_held_blocks: list[socket.socket] = []
+_reserved_blocks: list[socket.socket] = []
 _ports = iter(range(0))
 
 
 def free_port() -> int:
-    """Return a TCP port that nobody listens on now, and no other test process takes.
+    """Return a TCP port that is free and that no other test process is given.
 
-    It may be used later, or again by a process that was killed meanwhile.
+    A test may bind it later, and again after it killed the process that had it.
     """
     global _ports
     while True:
         port = next(_ports, None)
         if port is None:
-            _ports = iter(_hold_block())
+            _ports = iter(_reserve_block())
             continue
         with socket.socket() as probe:
             if _binds(probe, port):
                 return port
 
 
-def _hold_block() -> range:
-    """Take ports that no other test process holds, until this one ends."""
+def _reserve_block() -> range:
+    """Reserve a block of ports until this process ends."""
     firsts = list(range(FIRST_PORT, LAST_PORT, BLOCK_PORTS))
     start = os.getpid() % len(firsts)
     for first in firsts[start:] + firsts[:start]:
         holder = socket.socket()
         if _binds(holder, first):
-            _held_blocks.append(holder)
+            _reserved_blocks.append(holder)
             return range(first + 1, first + BLOCK_PORTS)
         holder.close()
-    raise AssertionError("other processes hold all ports for tests")
+    raise AssertionError("other test processes have reserved all ports")
 
 
 def _binds(probe: socket.socket, port: int) -> bool:
@@ -68,14 +68,14 @@
 
 
 def free_address() -> str:
-    """Return an IP:port that nobody listens on now."""
+    """Return a loopback address with a free port, see `free_port`."""
     return f"127.0.0.1:{free_port()}"
 
 
 def wait_until(condition, what: str, timeout_s: float = READY_TIMEOUT_S):
-    """Return the condition's first true value; fail when it stays false."""
-    give_up_s = time.monotonic() + timeout_s
-    while time.monotonic() < give_up_s:
+    """Return the condition's first true value; raise AssertionError at the timeout."""
+    deadline_s = time.monotonic() + timeout_s
+    while time.monotonic() < deadline_s:
         value = condition()
         if value:
             return value
@@ -84,7 +84,7 @@
 
 
 class HttpAnswer(NamedTuple):
-    """An answer as a caller sees it."""
+    """An HTTP answer; names of headers are in lower case."""
 
     status: int
     headers: dict[str, str]
@@ -92,11 +92,11 @@
 
     @property
     def outcome(self) -> str | None:
-        """What the fleet says of the request."""
+        """Value of the outcome header, None without one."""
         return self.headers.get("x-balsamspindle-outcome")
 
     def json(self):
-        """Return the body as JSON."""
+        """Decode the body as JSON."""
         return json.loads(self.body)
 
 
@@ -108,7 +108,7 @@
     headers: dict[str, str] | None = None,
     timeout_s: float = 10.0,
 ) -> HttpAnswer:
-    """Make one HTTP call on a connection of its own."""
+    """Send one HTTP request on a new connection."""
     connection = http.client.HTTPConnection(address, timeout=timeout_s)
     try:
         connection.request(method, target, body, headers or {})
@@ -120,7 +120,7 @@
 
 
 def try_call(*args, **kwargs) -> HttpAnswer | None:
-    """Make one HTTP call; None when nobody answers."""
+    """Send one HTTP request; return None when there is no answer."""
     try:
         return call(*args, **kwargs)
     except (OSError, http.client.HTTPException):
@@ -128,7 +128,7 @@
 
 
 class Program:
-    """One process of the project, started by a test and ended by its id."""
+    """A process of one of the project's programs, started by a test."""
 
     def __init__(self, module: str, arguments: list[str], log_path: Path) -> None:
         self.log_path = log_path
@@ -146,19 +146,19 @@
         self.process.send_signal(number)
 
     def stop(self, timeout_s: float = 30.0) -> int:
-        """End the process in order and return its exit status."""
+        """Send SIGTERM and return the exit status."""
         self.signal(signal.SIGTERM)
         return self.process.wait(timeout_s)
 
     def kill(self) -> None:
-        """End the process at once."""
+        """Send SIGKILL unless the process has ended, and wait for it."""
         if self.process.poll() is None:
             self.process.kill()
         self.process.wait()
 
 
 class NodeProgram(Program):
-    """A node and its addresses."""
+    """A node process and its addresses."""
 
     def __init__(self, settings: dict, folder: Path) -> None:
         self.settings = settings
@@ -171,12 +171,12 @@
         )
 
     def status(self) -> dict | None:
-        """Return the node's own view, None when it does not answer."""
+        """Return the node's `/status`, None when it does not answer."""
         answer = try_call(self.admin_address, "/status", timeout_s=2)
         return answer.json() if answer and answer.status == 200 else None
 
     def sees(self, backend_server_id: str) -> bool:
-        """Tell whether the node knows of a backend server anywhere."""
+        """Tell whether the node knows a backend server beside any node."""
         status = self.status() or {"nodes": []}
         return any(
             server[0] == backend_server_id
@@ -185,7 +185,13 @@
         )
 
     def is_ready(self, backend_ids, revision: int) -> bool:
-        """Tell whether the node has settings and knows the backend servers."""
+        """Tell whether the node accepts, with these settings and backend servers.
+
+        Raises
+        ------
+        AssertionError
+            When the process has ended.
+        """
         if self.process.poll() is not None:
             raise AssertionError(f"the node ended:\n{self.log_path.read_text()}")
         return (
@@ -195,18 +201,18 @@
         )
 
     def accepts(self) -> bool:
-        """Tell whether callers can connect."""
+        """Tell whether the node accepts connections of callers."""
         status = self.status()
         return status is not None and status["accepting"]
 
     def revision(self) -> int:
-        """Return the revision of the settings in force."""
+        """Return the revision of the settings in force, -1 without an answer."""
         status = self.status()
         return -1 if status is None else status["settings_revision"]
 
 
 class BackendProgram(Program):
-    """A stand-in backend server and its address."""
+    """A stand-in backend server process and its address."""
 
     def __init__(self, name, service, node: NodeProgram, folder: Path, **options):
         self.name = name
@@ -218,16 +224,16 @@
         super().__init__("standin_backend", arguments, folder / f"{name}.log")
 
     def set_fault(self, **switch) -> None:
-        """Set the fault that real work meets."""
+        """Set the fault that affects the requests of callers."""
         call(self.address, "/faults", "POST", json.dumps(switch).encode())
 
     def runs(self) -> dict[str, int]:
-        """Return how often each run key was run."""
+        """Return how often each run key ran."""
         return call(self.address, "/runs").json()["runs"]
 
 
 class Fleet:
-    """Processes of one test; a context manager that ends them all."""
+    """Processes of one test; a context manager that kills them all."""
 
     def __init__(self) -> None:
         self._folder = tempfile.TemporaryDirectory()
@@ -258,7 +264,7 @@
         return program
 
     def put_settings(self, documents: dict[str, dict]) -> None:
-        """Write documents as an operator would, services first."""
+        """Write documents as an operator would, services before their routes."""
         from balsamspindle.platform import HttpTableService
         from balsamspindle.settings.store import SettingsStore
 
@@ -268,7 +274,7 @@
             assert result.is_ok(), result.error
 
     def start_node(self, node_id: str, zone: str, **changes) -> NodeProgram:
-        """Start a node; `changes` replace fields of its settings."""
+        """Start a node; `changes` override fields of its settings."""
         settings = {
             "node_id": node_id,
             "region": "test",
@@ -292,7 +298,7 @@
         return self._add(BackendProgram(name, service, node, self.folder, **options))
 
     def wait_ready(self, nodes, backend_ids, revision: int = 1) -> None:
-        """Wait until each node has settings and knows all backend servers."""
+        """Wait until `NodeProgram.is_ready` holds for each node."""
         for node in nodes:
             wait_until(
                 lambda node=node: node.is_ready(backend_ids, revision),
@@ -305,12 +311,12 @@
 
 
 def encode(value) -> bytes:
-    """Return a value as JSON."""
+    """Encode a value as JSON."""
     return msgspec.json.encode(value)
 
 
 class PlatformInProcess:
-    """The stand-in platform in a thread of the test, at a free address."""
+    """The stand-in platform in a thread of the test process, at a free address."""
 
     def __init__(self) -> None:
         self.address = free_address()
@@ -325,21 +331,21 @@
         threading.Thread(target=self._server.serve_forever, daemon=True).start()
 
     def set_fault(self, **switch) -> None:
-        """Set the fault that calls meet."""
+        """Set the fault that affects calls."""
         call(self.address, "/faults", "POST", json.dumps(switch).encode())
 
     def stop(self) -> None:
-        """End it."""
+        """Stop serving."""
         self._server.shutdown()
 
 
 class _QuietHandler(WSGIRequestHandler):
     def log(self, *_args):
-        """Write nothing for each call."""
+        """Discard the log line of each call."""
 
 
 def start_fleet(case: TestCase, settings: dict) -> Fleet:
-    """Start a platform with these settings; all ends with the test."""
+    """Start a platform with these settings; the test's cleanup kills all processes."""
     fleet = Fleet()
     case.addCleanup(fleet.__exit__)
     fleet.start_platform()
