--- a/tests/restart_checks.py
+++ b/tests/restart_checks.py
@@ -33,7 +33,7 @@
     ----------
     runs : Counter of str
         How often each request ran.
-    gates : dict of str to set of str
+    reached_gates : dict of str to set of str
         Names of the nodes beside whose backend servers a request ran, or to which
         an attempt was sent.
     last_sent_s : dict of str to float
@@ -45,7 +45,7 @@
 
     def __init__(self, fleet: RestartFleet) -> None:
         self.runs: Counter[str] = Counter()
-        self.gates: dict[str, set[str]] = defaultdict(set)
+        self.reached_gates: dict[str, set[str]] = defaultdict(set)
         self.last_sent_s: dict[str, float] = {}
         self.retry_denials: dict[str, str] = {}
         for name, server in fleet.servers.items():
@@ -53,7 +53,7 @@
                 if line.startswith("event=run run_key="):
                     key = line.partition("run_key=")[2]
                     self.runs[key] += 1
-                    self.gates[key].add(name)
+                    self.reached_gates[key].add(name)
         for node in fleet.nodes.values():
             for event in read_events(node.log_path):
                 key = event.get("request", "")
@@ -63,7 +63,7 @@
                     )
                 elif event["event"] == "attempt_sent":
                     gate = event["backend_server"].removeprefix("server-")
-                    self.gates[key].add(gate)
+                    self.reached_gates[key].add(gate)
                     self.last_sent_s[key] = float(event["wall_s"])
 
 
@@ -91,16 +91,16 @@
 
     def run(self) -> None:
         """Check all requests."""
-        exchanges = [
+        requests = [
             (work, key, exchange)
             for caller, work in self._callers.items()
             for key, exchange in caller.exchanges.items()
         ]
-        for work, _, exchange in exchanges:
+        for work, _, exchange in requests:
             if exchange.outcome == "answered":
                 self._answered_s[work, exchange.address].append(exchange.ended_s)
-        for checked in exchanges:
-            self._check(*checked)
+        for request in requests:
+            self._check(*request)
 
     def _check(self, work: WorkClass, key: str, exchange: Exchange) -> None:
         name = work.name.partition("-")[2]
@@ -120,7 +120,7 @@
             return
         if self._is_excused(key, exchange):
             self.counts["excused"] += 1
-        elif exchange.outcome == NO_ANSWER and self._trace.gates[key]:
+        elif exchange.outcome == NO_ANSWER and self._trace.reached_gates[key]:
             self._record_violation("ended_without_answer", key, exchange)
         elif exchange.outcome == NO_ANSWER:
             self.counts["ended_and_not_sent_on"] += 1
@@ -134,14 +134,14 @@
         ingress = self._ingresses[exchange.address]
         since_sigterm_s = {
             gate: round(exchange.ended_s - sigterm_s, 1)
-            for gate in (ingress, *self._trace.gates[key])
+            for gate in (ingress, *self._trace.reached_gates[key])
             if (sigterm_s := self._sigterm_s(gate, exchange)) < math.inf
         }
         self.violations.append(
             f"{name}: {key} {exchange.outcome} {exchange.reason} after"
             f" {exchange.ended_s - exchange.sent_s:.1f} s, ingress {ingress}, gates"
-            f" {sorted(self._trace.gates[key])}, s since SIGTERM {since_sigterm_s},"
-            f" denied after {self._trace.retry_denials.get(key)}"
+            f" {sorted(self._trace.reached_gates[key])}, s since SIGTERM"
+            f" {since_sigterm_s}, denied after {self._trace.retry_denials.get(key)}"
         )
 
     def _check_given_up(self, work: WorkClass, key: str, exchange: Exchange) -> None:
@@ -205,7 +205,7 @@
         )
 
     def _is_gate_leaving(self, key: str, exchange: Exchange) -> bool:
-        gates = self._trace.gates[key] - {self._ingresses[exchange.address]}
+        gates = self._trace.reached_gates[key] - {self._ingresses[exchange.address]}
         return any(self._sigterm_s(gate, exchange) < math.inf for gate in gates)
 
     def _sigterm_s(self, name: str, exchange: Exchange) -> float:
@@ -243,7 +243,7 @@
             outage.from_s <= exchange.ended_s
             and exchange.sent_s <= outage.to_s
             and (
-                outage.target in self._trace.gates[key]
+                outage.target in self._trace.reached_gates[key]
                 or (outage.kind, outage.target) == ("kill", ingress)
             )
             for outage in self._fleet.outages
--- a/tests/restart_fleet.py
+++ b/tests/restart_fleet.py
@@ -146,20 +146,20 @@
                 READY_TIMEOUT_S,
             )
 
-    def run_step(self, kind: str, target: str, hold_s: float) -> None:
+    def run_step(self, kind: str, target: str, duration_s: float) -> None:
         """Run one outage to its end, or make a burst of settings changes.
 
-        `hold_s` is how long a freeze, the time after a kill, or the burst lasts.
+        `duration_s` is how long a freeze, the time after a kill, or the burst lasts.
         """
         if kind == "settings":
-            self._change_settings(round(hold_s / BURST_PAUSE_S))
+            self._change_settings(round(duration_s / BURST_PAUSE_S))
             return
         with self._outage(kind, target):
             node, server = self.nodes[target], self.servers[target]
             match kind:
                 case "freeze":
                     server.signal(signal.SIGSTOP)
-                    time.sleep(hold_s)
+                    time.sleep(duration_s)
                     server.signal(signal.SIGCONT)
                 case "replace":
                     server.stop(STOP_TIMEOUT_S)
@@ -170,7 +170,7 @@
                     )
                 case "kill":
                     node.kill()
-                    time.sleep(hold_s)
+                    time.sleep(duration_s)
             if kind in ("restart", "kill"):
                 self.nodes[target] = self._add(NodeProgram(node.settings, self.folder))
             wait_until(
--- a/tests/soak_restarts.py
+++ b/tests/soak_restarts.py
@@ -73,7 +73,7 @@
 SECOND_SERIES_MIN_S, SECOND_SERIES_MAX_S = 1.0, 5.0
 EXTRA_UNTIL_S = 12.0
 # Bounds of how long a burst of changes, a freeze or the time after a kill lasts.
-HOLDS_S = {"settings": (0.1, 0.5), "freeze": (1.0, 5.0), "kill": (1.0, 5.0)}
+DURATIONS_S = {"settings": (0.1, 0.5), "freeze": (1.0, 5.0), "kill": (1.0, 5.0)}
 UNPLANNED_PROBABILITY = 0.3
 RECOVERY_ATTEMPTS = 10
 VIOLATIONS_SHOWN = 12
@@ -85,7 +85,7 @@
     at_s: float
     kind: str
     target: str
-    hold_s: float
+    duration_s: float
 
 
 def _draw_steps(seed: int, names: list[str]) -> list[Step]:
@@ -99,8 +99,8 @@
         kinds.append(rng.choice(UNPLANNED))
     for kind in kinds:
         at_s = rng.uniform(0, EXTRA_UNTIL_S)
-        hold_s = rng.uniform(*HOLDS_S.get(kind, (0, 0)))
-        steps.append(Step(at_s, kind, rng.choice(names), hold_s))
+        duration_s = rng.uniform(*DURATIONS_S.get(kind, (0, 0)))
+        steps.append(Step(at_s, kind, rng.choice(names), duration_s))
     return sorted(steps)
 
 
@@ -147,7 +147,7 @@
                 fleet.wait_all_ready()
                 lost = [*executor.map(_retry_until_answered, callers)]
             checks.violations += [
-                f"not answered again: {caller}" for caller in lost if caller
+                f"not answered again: {exchange}" for exchange in lost if exchange
             ]
             return checks
 
