--- a/tests/claim_world.py
+++ b/tests/claim_world.py
@@ -13,21 +13,21 @@
 from balsamspindle.wire import AttemptId, Claim, Dispatch, Reply
 from tests.restorable_store import RestorableStore, StoreView
 
-__all__ = ["KEY", "SERVICE", "Process", "World", "dispatch_of", "reply"]
+__all__ = ["KEY", "SERVICE", "Process", "World", "make_dispatch", "make_reply"]
 
 SERVICE, KEY = "crew/contracts", "sign-7"
 # Later than `FLEET_KNOWN_AFTER_S` after the start of each process.
 STARTED_S = 100.0
 
 
-def dispatch_of(claim, key: str = KEY) -> Dispatch:
+def make_dispatch(claim, key: str = KEY) -> Dispatch:
     return Dispatch(
         AttemptId("n", 1, 1), "id", SERVICE, "s", Execution.NON_IDEMPOTENT,
         1.0, 1.0, "POST", "/", [], b"", 0, key, claim=claim,
     )  # fmt: skip
 
 
-def reply(outcome, reason=None) -> Reply:
+def make_reply(outcome, reason=None) -> Reply:
     return Reply(AttemptId("n", 1, 1), outcome, reason)
 
 
@@ -106,7 +106,7 @@
         gate = self.processes[name]
         claim = self.processes[ingress].claimant(key).claim_for(gate.gate, self.now_s)
         assert isinstance(claim, Claim), claim
-        dispatch = dispatch_of(claim, key)
+        dispatch = make_dispatch(claim, key)
         assert gate.ledger.begin(dispatch, self.now_s) is None
-        gate.ledger.end(dispatch, reply(Outcome.ANSWERED), self.now_s)
+        gate.ledger.end(dispatch, make_reply(Outcome.ANSWERED), self.now_s)
         return claim
--- a/tests/ejection_utils.py
+++ b/tests/ejection_utils.py
@@ -29,7 +29,7 @@
 REQUEST_INTERVAL_S = 0.02
 
 
-class FleetUnderWork(TestCase):
+class FleetUnderLoad(TestCase):
     hold_out_s = 60.0
 
     def setUp(self):
@@ -75,7 +75,7 @@
     def explain(self, node) -> dict:
         return call(node.admin_address, "/services/crew/contracts/explain").json()
 
-    def left_out(self, node) -> set[str]:
+    def excluded_servers(self, node) -> set[str]:
         explanation = self.explain(node)
         self.assertGreaterEqual(explanation["in_use_slots"], FLOOR_SLOTS)
         return {
--- a/tests/test_claim_schedules.py
+++ b/tests/test_claim_schedules.py
@@ -9,7 +9,7 @@
 from balsamspindle.protocol.outcomes import Outcome, Reason
 from balsamspindle.requests import claim_eras
 from balsamspindle.wire import Dispatch, Reply
-from tests.claim_world import SERVICE, Process, World, dispatch_of, reply
+from tests.claim_world import SERVICE, Process, World, make_dispatch, make_reply
 
 COPY_INTERVAL_S = claim_eras.COPY_AGE_MAX_S / 2
 # After a few of these steps of time, a key is no longer resent.
@@ -57,7 +57,7 @@
             self.number, self.first_sent_s = self.number + 1, self.world.now_s
         claimant = self._any().claimant(self.key)
         self.replied_not_run = False
-        last = reply(Outcome.NOT_RUN, Reason.NO_BACKEND_SERVER)
+        last = make_reply(Outcome.NOT_RUN, Reason.NO_BACKEND_SERVER)
         if self.rng.random() < 0.2:
             claimant.look_up()
         else:
@@ -75,17 +75,17 @@
         gate = self.world.processes[name]
         claim = claimant.claim_for(gate.gate, self.world.now_s)
         if isinstance(claim, Reason):
-            return reply(Outcome.NOT_RUN, claim)
-        dispatch = dispatch_of(claim, self.key)
+            return make_reply(Outcome.NOT_RUN, claim)
+        dispatch = make_dispatch(claim, self.key)
         match self.rng.choice(["whole", "whole", "not sent", "late", "no reply"]):
             case "not sent":
-                return reply(Outcome.NOT_RUN, Reason.UNREACHABLE)
+                return make_reply(Outcome.NOT_RUN, Reason.UNREACHABLE)
             case "late":
                 self.delayed.append((gate, dispatch))
-                return reply(Outcome.UNKNOWN, Reason.SILENCE)
+                return make_reply(Outcome.UNKNOWN, Reason.SILENCE)
             case "no reply":
                 self.handle_at_gate(gate, dispatch)
-                return reply(Outcome.UNKNOWN, Reason.SILENCE)
+                return make_reply(Outcome.UNKNOWN, Reason.SILENCE)
         got = self.handle_at_gate(gate, dispatch)
         claimant.record_reply(got)
         return got
@@ -99,16 +99,16 @@
     def handle_at_gate(self, gate: Process, dispatch: Dispatch) -> Reply:
         match gate.ledger.begin(dispatch, self.world.now_s):
             case KeyRefused(outcome, reason):
-                return reply(outcome, reason)
+                return make_reply(outcome, reason)
             case ledger.EarlierAnswer(earlier):
                 return earlier
         if self.rng.random() < 0.5:
-            ended = reply(Outcome.NOT_RUN, Reason.NO_FREE_SLOT)
+            ended = make_reply(Outcome.NOT_RUN, Reason.NO_FREE_SLOT)
         else:
             self.runs[dispatch.idempotency_key] += 1
             self.runs_after_restore += self.world.store.era > 1
             self.check()
-            ended = reply(self.rng.choice([Outcome.ANSWERED, Outcome.UNKNOWN]))
+            ended = make_reply(self.rng.choice([Outcome.ANSWERED, Outcome.UNKNOWN]))
         gate.ledger.end(dispatch, ended, self.world.now_s)
         return ended
 
--- a/tests/test_claims_restored.py
+++ b/tests/test_claims_restored.py
@@ -10,7 +10,7 @@
 from balsamspindle.requests.claim_eras import ClaimEras, ClaimHolder, Confirmation
 from balsamspindle.tables.eras import pack_version
 from balsamspindle.wire import Claim
-from tests.claim_world import KEY, World, dispatch_of, reply
+from tests.claim_world import KEY, World, make_dispatch, make_reply
 
 
 class RestoredClaimTests(TestCase):
@@ -21,7 +21,7 @@
     def _resend(self, world: World, ingress: str, gate: str, key: str = KEY):
         claimant = world.processes[ingress].claimant(key)
         claim = claimant.claim_for(world.processes[gate].gate, world.now_s)
-        final = claimant.final_reply(reply(Outcome.NOT_RUN, Reason.CLAIM_MOVED))
+        final = claimant.final_reply(make_reply(Outcome.NOT_RUN, Reason.CLAIM_MOVED))
         return claim, claimant.owner_id(), final.outcome
 
     def test_the_gate_that_ran_a_key_claims_it_again(self):
@@ -100,7 +100,7 @@
         self.assertIs(Reason.CLAIMS_UNAVAILABLE, late.claim_for(gate.gate, 1.0))
         # Another ingress finds that row before the gate that ran the key replaces it.
         claim = world.processes["c"].claimant().claim_for(gate.gate, 1.0)
-        refused = gate.ledger.begin(dispatch_of(claim), world.now_s)
+        refused = gate.ledger.begin(make_dispatch(claim), world.now_s)
         self.assertIsInstance(refused, KeyRefused)
         for _ in range(3):
             world.step_all()
@@ -114,7 +114,7 @@
         claim = world.processes["c"].claimant().claim_for(gate.gate, world.now_s)
         held = gate.ledger.begin_era(pack_version(2, 0), 0.0, world.now_s)
         self.assertEqual([], held)
-        refused = gate.ledger.begin(dispatch_of(claim), world.now_s)
+        refused = gate.ledger.begin(make_dispatch(claim), world.now_s)
         self.assertEqual(KeyRefused(Outcome.NOT_RUN, Reason.CLAIM_MOVED), refused)
 
     def test_not_run_is_not_replied_for_a_key_whose_claim_may_be_lost(self):
@@ -124,7 +124,7 @@
         world.run_at("a")
         world.store.restore()
         world.processes["b"].view.record_era(2)
-        refusal = reply(Outcome.NOT_RUN, Reason.NO_BACKEND_SERVER)
+        refusal = make_reply(Outcome.NOT_RUN, Reason.NO_BACKEND_SERVER)
         final = world.processes["b"].claimant().final_reply(refusal)
         self.assertIs(Outcome.UNKNOWN, final.outcome)
 
--- a/tests/test_ejection.py
+++ b/tests/test_ejection.py
@@ -2,14 +2,14 @@
 
 import time
 
-from tests.ejection_utils import FleetUnderWork
+from tests.ejection_utils import FleetUnderLoad
 from tests.relay import Flow
 from tests.utils import call, wait_until
 
 CUT_S = 5.0
 
 
-class FloorTests(FleetUnderWork):
+class FloorTests(FleetUnderLoad):
     def test_sick_backend_servers_are_left_out_until_the_floor_binds(self):
         """Three of five backend servers fail in turn: by errors, hangs and resets.
 
@@ -26,7 +26,7 @@
                     lambda node=node, sick=sick: set(self.suspicions(node)) == sick,
                     f"{sick} are suspected at {node.settings['node_id']}",
                 )
-                self.assertEqual(min(2, number + 1), len(self.left_out(node)))
+                self.assertEqual(min(2, number + 1), len(self.excluded_servers(node)))
         for node in self.nodes:
             wait_until(
                 lambda node=node: "cause=floor_binds" in node.log_path.read_text(),
@@ -38,17 +38,19 @@
         self.assertIn("error", " ".join(evidence))
 
 
-class ReadmissionTests(FleetUnderWork):
+class ReadmissionTests(FleetUnderLoad):
     hold_out_s = 2.0
 
     def test_a_backend_server_that_recovers_is_readmitted_by_a_trial(self):
         """A backend server fails, is left out and recovers; trials detect that."""
         node = self.nodes[2]
         self.servers[1].set_fault(mode="error")
-        wait_until(lambda: "contract-1" in self.left_out(node), "it is left out")
+        wait_until(
+            lambda: "contract-1" in self.excluded_servers(node), "it is left out"
+        )
         self.servers[1].set_fault(mode="none")
         wait_until(
-            lambda: not self.left_out(node) and not self.suspicions(node),
+            lambda: not self.excluded_servers(node) and not self.suspicions(node),
             "it takes work as before",
         )
         for event in ("suspected", "on_trial", "readmitted"):
@@ -61,7 +63,7 @@
             )
 
 
-class CutLinkTests(FleetUnderWork):
+class CutLinkTests(FleetUnderLoad):
     def test_a_cut_link_causes_no_suspicion(self):
         """Requests to one node's gate are lost, and after that its replies.
 
--- a/tests/test_health.py
+++ b/tests/test_health.py
@@ -16,7 +16,7 @@
 from balsamspindle.requests.retries import RetryPolicy
 from balsamspindle.settings.documents import Detection, RetryBudget
 from balsamspindle.wire import AttemptId, PeerEvidence
-from tests.health_driver import ANSWERED, ERROR, PEERS_WELL, Driver
+from tests.health_driver import ANSWERED, ERROR, HEALTHY_PEERS, HealthDriver
 
 
 @pytest.mark.parametrize(
@@ -29,8 +29,8 @@
     ],
 )
 def test_failing_or_slow_work_ejects_in_a_few_requests(work, requests_max):
-    driver = Driver()
-    driver.work(times=150)
+    driver = HealthDriver()
+    driver.run_requests(times=150)
     assert driver.health.suspicion() == 0
     assert driver.requests_until(HealthPhase.HELD_OUT, **work) <= requests_max
     assert driver.health.suspicion() >= 1
@@ -41,13 +41,13 @@
 
     A single hanging request may be an outlier. Two are evidence of sickness.
     """
-    driver = Driver()
-    driver.work(times=150)
-    driver.start()
-    driver.wait(30)
+    driver = HealthDriver()
+    driver.run_requests(times=150)
+    driver.start_request()
+    driver.advance(30)
     assert driver.health.phase is HealthPhase.SERVING
-    driver.start()
-    driver.wait(1)
+    driver.start_request()
+    driver.advance(1)
     assert driver.health.phase is HealthPhase.HELD_OUT
 
 
@@ -58,8 +58,8 @@
     Guards against hangs that are missed while few latencies are known: with a fixed
     slow limit of 2 s for the first 100 requests, a silence of 0.8 s is not evidence.
     """
-    driver = Driver(peers=PeerEvidence())
-    driver.work(times=known)
+    driver = HealthDriver(peers=PeerEvidence())
+    driver.run_requests(times=known)
     hangs = {"result": WorkResult.SILENCE, "latency_ms": 800.0}
     assert driver.requests_until(HealthPhase.HELD_OUT, **hangs) <= 3
 
@@ -71,10 +71,10 @@
     Guards against a gate that reports no percentile for its first 100 requests: the
     ingress then ends the attempt after 40 ms, too soon for it to count as slow.
     """
-    driver = Driver(peers=PeerEvidence())
+    driver = HealthDriver(peers=PeerEvidence())
     policy = RetryPolicy(lambda service: RetryBudget())
     for _ in range(known):
-        driver.work()
+        driver.run_requests()
         policy.record_answer("service", 0.02, driver.health.own_p99_ms)
     patience_ms = 1000 * policy.hedge_delay_s("service", True, 2.0, driver.now_s)
     assert patience_ms < 2000
@@ -84,54 +84,57 @@
 
 @pytest.mark.parametrize(("known", "latency_ms"), [(1, 1900), (5, 700), (50, 75)])
 def test_the_slow_limit_is_wider_while_few_latencies_are_known(known, latency_ms):
-    driver = Driver(peers=PeerEvidence())
-    driver.work(times=known)
-    assert driver.work(latency_ms=latency_ms) is Verdict.GOOD
+    driver = HealthDriver(peers=PeerEvidence())
+    driver.run_requests(times=known)
+    assert driver.run_requests(latency_ms=latency_ms) is Verdict.GOOD
 
 
 def test_a_standstill_ejects_even_with_a_high_threshold():
     """Two requests hang, and none succeeds for longer than a pause."""
-    careful = Driver(Detection(threshold=14.0))
-    careful.work(times=150)
-    careful.start()
-    careful.start()
-    careful.wait(0.4)
+    careful = HealthDriver(Detection(threshold=14.0))
+    careful.run_requests(times=150)
+    careful.start_request()
+    careful.start_request()
+    careful.advance(0.4)
     assert careful.health.phase is HealthPhase.SERVING
-    careful.wait(0.2)
+    careful.advance(0.2)
     assert careful.health.phase is HealthPhase.HELD_OUT
-    working = Driver(Detection(threshold=14.0))
-    working.work(times=150)
-    working.start()
-    working.start()
-    working.work(times=3)
+    working = HealthDriver(Detection(threshold=14.0))
+    working.run_requests(times=150)
+    working.start_request()
+    working.start_request()
+    working.run_requests(times=3)
     assert working.health.phase is HealthPhase.SERVING
 
 
 @pytest.mark.parametrize("result", [WorkResult.SHED, WorkResult.CANCELLED])
 def test_shed_and_cancelled_work_never_ejects(result):
-    driver = Driver()
-    assert driver.work(result, times=50) is Verdict.NOTHING
+    driver = HealthDriver()
+    assert driver.run_requests(result, times=50) is Verdict.NOTHING
     assert driver.health.phase is HealthPhase.SERVING
 
 
 def test_callers_with_tiny_timeouts_eject_no_backend_server():
     """Each caller times out after 5 ms, so the gate sees silence every time."""
-    driver = Driver()
-    driver.work(times=150)
-    assert driver.work(WorkResult.SILENCE, latency_ms=5, times=50) is Verdict.NOTHING
+    driver = HealthDriver()
+    driver.run_requests(times=150)
+    assert (
+        driver.run_requests(WorkResult.SILENCE, latency_ms=5, times=50)
+        is Verdict.NOTHING
+    )
     assert driver.health.phase is HealthPhase.SERVING
-    driver.work(WorkResult.SILENCE, latency_ms=500, times=3)
+    driver.run_requests(WorkResult.SILENCE, latency_ms=500, times=3)
     assert driver.health.phase is HealthPhase.HELD_OUT
 
 
 def test_slowness_shared_with_most_peers_never_ejects():
     """In an overload all are slow, and each ejection adds load to the others."""
-    overloaded = Driver(
+    overloaded = HealthDriver(
         peers=PeerEvidence(judged_count=5, bad_count=4, median_p99_ms=40.0)
     )
-    overloaded.work(latency_ms=150.0, times=100)
+    overloaded.run_requests(latency_ms=150.0, times=100)
     assert overloaded.health.phase is HealthPhase.SERVING
-    one_peer_bad = Driver(
+    one_peer_bad = HealthDriver(
         peers=PeerEvidence(judged_count=5, bad_count=1, median_p99_ms=40.0)
     )
     assert one_peer_bad.requests_until(HealthPhase.HELD_OUT, latency_ms=150.0) <= 10
@@ -139,14 +142,14 @@
 
 def test_an_ejection_by_an_overload_is_undone_when_the_peers_turn_slow():
     """The first slow requests end before the peers' slowness is known."""
-    driver = Driver()
-    driver.work(times=150)
+    driver = HealthDriver()
+    driver.run_requests(times=150)
     driver.requests_until(HealthPhase.HELD_OUT, latency_ms=150.0)
     driver.peers = PeerEvidence(judged_count=5, bad_count=5, median_p99_ms=40.0)
-    driver.work(latency_ms=150.0, times=8)
+    driver.run_requests(latency_ms=150.0, times=8)
     assert driver.health.phase is HealthPhase.SERVING
-    driver.peers = PEERS_WELL
-    driver.work(times=5)
+    driver.peers = HEALTHY_PEERS
+    driver.run_requests(times=5)
     assert driver.health.phase is HealthPhase.SERVING
 
 
@@ -156,13 +159,13 @@
     Guards against a hold-out that ends within a second because the peers' slowness
     lowers the score, although the failing server's errors have another cause.
     """
-    driver = Driver(Detection(threshold=7.0, hold_out_s=60.0))
-    driver.work(times=30)
+    driver = HealthDriver(Detection(threshold=7.0, hold_out_s=60.0))
+    driver.run_requests(times=30)
     driver.requests_until(HealthPhase.HELD_OUT, result=ERROR)
     a_pause = PeerEvidence(judged_count=5, bad_count=2, median_p99_ms=40.0)
     for _ in range(30):
         driver.health.record_peer_evidence(a_pause, driver.now_s)
-        driver.wait(0.05)
+        driver.advance(0.05)
     assert driver.health.phase is HealthPhase.HELD_OUT
 
 
@@ -172,52 +175,54 @@
     Guards against ingresses that avoid a backend server for the whole reported time,
     although it has restarted and serves well again.
     """
-    driver = Driver(Detection(threshold=7.0, hold_out_s=60.0))
+    driver = HealthDriver(Detection(threshold=7.0, hold_out_s=60.0))
     driver.requests_until(HealthPhase.HELD_OUT, result=ERROR)
     assert driver.health.held_out_ms(driver.now_s) == 0
 
 
 def test_a_backend_server_that_was_always_slow_is_compared_with_its_peers():
-    driver = Driver(peers=PeerEvidence(judged_count=5, bad_count=0, median_p99_ms=10.0))
+    driver = HealthDriver(
+        peers=PeerEvidence(judged_count=5, bad_count=0, median_p99_ms=10.0)
+    )
     assert driver.requests_until(HealthPhase.HELD_OUT, latency_ms=150.0) <= 4
 
 
 def test_without_peers_slowness_is_judged_by_own_latencies():
-    driver = Driver(peers=PeerEvidence())
-    driver.work(times=150)
+    driver = HealthDriver(peers=PeerEvidence())
+    driver.run_requests(times=150)
     assert driver.requests_until(HealthPhase.HELD_OUT, latency_ms=300.0) <= 4
     # If the floor keeps it in use, its latencies must not become the normal ones.
-    driver.work(latency_ms=300.0, times=200)
+    driver.run_requests(latency_ms=300.0, times=200)
     assert driver.health.slow_ms() < 150
 
 
 def test_trials_readmit_only_a_backend_server_that_recovered():
-    driver = Driver()
-    driver.work(ERROR, times=4)
-    driver.wait(5.1)
+    driver = HealthDriver()
+    driver.run_requests(ERROR, times=4)
+    driver.advance(5.1)
     assert driver.health.suspicion() == 0.5
-    driver.work(ERROR)
+    driver.run_requests(ERROR)
     assert driver.health.phase is HealthPhase.HELD_OUT
-    driver.wait(5.1)
+    driver.advance(5.1)
     assert driver.health.phase is HealthPhase.HELD_OUT, "the hold-out has doubled"
-    driver.wait(5.0)
+    driver.advance(5.0)
     assert driver.requests_until(HealthPhase.SERVING) == 5
 
 
 def test_attempts_that_hang_since_before_a_trial_do_not_fail_it():
-    driver = Driver()
-    hanging = [driver.start() for _ in range(3)]
-    driver.wait(6.5)
+    driver = HealthDriver()
+    hanging = [driver.start_request() for _ in range(3)]
+    driver.advance(6.5)
     assert driver.health.phase is HealthPhase.ON_TRIAL
     for attempt_id in hanging:
         driver.health.record_end(attempt_id, WorkResult.SILENCE, driver.now_s)
     assert driver.health.phase is HealthPhase.ON_TRIAL
 
 
-def stand_still(driver: Driver) -> list[AttemptId]:
+def stand_still(driver: HealthDriver) -> list[AttemptId]:
     """Let two requests hang for longer than a pause, so that the server is held out."""
-    hanging = [driver.start() for _ in range(2)]
-    driver.wait(0.6)
+    hanging = [driver.start_request() for _ in range(2)]
+    driver.advance(0.6)
     assert driver.health.phase is HealthPhase.HELD_OUT
     assert "standstill" in driver.health.report(driver.now_s).evidence
     return hanging
@@ -225,23 +230,23 @@
 
 def test_an_ejection_by_a_standstill_is_undone_when_peers_are_as_slow():
     # Guards against a suspicion that stays after all peers have become slow, too.
-    driver = Driver()
+    driver = HealthDriver()
     for attempt_id in stand_still(driver):
         driver.health.record_end(attempt_id, ANSWERED, driver.now_s)
-    driver.wait(5.5)
+    driver.advance(5.5)
     assert driver.health.phase is HealthPhase.ON_TRIAL
     driver.peers = PeerEvidence(judged_count=5, bad_count=0, median_p99_ms=600.0)
-    driver.work(latency_ms=600.0)
+    driver.run_requests(latency_ms=600.0)
     assert driver.health.phase is HealthPhase.SERVING
 
 
 def test_an_ejection_by_a_standstill_that_goes_on_stays_when_peers_are_slow():
     # Guards against readmitting a backend server that hangs while others are slow.
-    driver = Driver()
+    driver = HealthDriver()
     stand_still(driver)
-    driver.wait(5.5)
+    driver.advance(5.5)
     driver.peers = PeerEvidence(judged_count=5, bad_count=0, median_p99_ms=600.0)
-    driver.work(latency_ms=600.0)
+    driver.run_requests(latency_ms=600.0)
     assert driver.health.phase is not HealthPhase.SERVING
 
 
@@ -251,27 +256,27 @@
     Every trial succeeds, so only the growth of the hold-out bounds the cost.
     """
     failures = 0
-    driver = Driver()
+    driver = HealthDriver()
     while driver.now_s < 3600:
         match driver.health.phase:
             case HealthPhase.SERVING:
-                driver.work(ERROR)
+                driver.run_requests(ERROR)
                 failures += 1
             case HealthPhase.ON_TRIAL:
-                driver.work()
+                driver.run_requests()
             case HealthPhase.HELD_OUT:
-                driver.wait(1)
+                driver.advance(1)
     assert failures <= 60
     assert driver.health.phase is HealthPhase.HELD_OUT
 
 
 def test_probes_shorten_a_hold_out_but_do_not_offset_failing_work():
-    driver = Driver()
+    driver = HealthDriver()
     for _ in range(20):
-        driver.work(ERROR)
+        driver.run_requests(ERROR)
         driver.health.record_probe_result(ProbeResult.PASSED, driver.now_s)
     assert driver.health.phase is HealthPhase.HELD_OUT
-    driver.wait(3.0)
+    driver.advance(3.0)
     for _ in range(3):
         driver.health.record_probe_result(ProbeResult.PASSED, driver.now_s)
     assert driver.health.phase is HealthPhase.ON_TRIAL
@@ -282,21 +287,21 @@
 
     Requests are some seconds apart, and the probes between them all fail.
     """
-    driver = Driver()
+    driver = HealthDriver()
     for _ in range(50):
-        driver.work()
+        driver.run_requests()
         for _ in range(5):
-            driver.wait(1.0)
+            driver.advance(1.0)
             driver.health.record_probe_result(ProbeResult.FAILED, driver.now_s)
         assert driver.health.phase is HealthPhase.SERVING
-    driver.work(ERROR)
+    driver.run_requests(ERROR)
     assert driver.health.phase is HealthPhase.HELD_OUT
 
 
 def test_an_idle_backend_server_that_refuses_connections_is_ejected_by_probes():
-    silent = Driver()
+    silent = HealthDriver()
     for _ in range(3):
-        silent.wait(2.1)
+        silent.advance(2.1)
         silent.health.record_probe_result(ProbeResult.UNREACHABLE, silent.now_s)
     assert silent.health.phase is HealthPhase.HELD_OUT
 
--- a/tests/test_health_pauses.py
+++ b/tests/test_health_pauses.py
@@ -4,30 +4,32 @@
 
 from balsamspindle.backend_servers.health_readmission import HealthPhase
 from balsamspindle.wire import PeerEvidence
-from tests.health_driver import ANSWERED, Driver
+from tests.health_driver import ANSWERED, HealthDriver
 
 
 @pytest.mark.parametrize("requests", [2, 10, 40])
 def test_a_pause_of_a_busy_healthy_backend_server_counts_once(requests):
     """All requests of a pause of 0.4 s are slow and end together."""
-    driver = Driver()
-    driver.work(times=150)
-    hanging = [driver.start() for _ in range(requests)]
-    driver.wait(0.4)
+    driver = HealthDriver()
+    driver.run_requests(times=150)
+    hanging = [driver.start_request() for _ in range(requests)]
+    driver.advance(0.4)
     # This request starts late in the pause and is not slow.
-    hanging.insert(0, driver.start())
+    hanging.insert(0, driver.start_request())
     driver.now_s += 0.01
     for attempt_id in hanging:
         driver.health.record_end(attempt_id, ANSWERED, driver.now_s)
     assert driver.health.phase is HealthPhase.SERVING
-    driver.work(times=50)
+    driver.run_requests(times=50)
     assert driver.health.report(driver.now_s).score == 0
 
 
-def _slow_pair(second_begins_ms: float, good_ends_ms: float) -> Driver:
+def _slow_pair(second_begins_ms: float, good_ends_ms: float) -> HealthDriver:
     """Run a slow request of 80 ms, a good one, and a slow one that ends 60 ms later."""
-    driver = Driver(peers=PeerEvidence(judged_count=5, bad_count=0, median_p99_ms=13.0))
-    driver.work(latency_ms=2.0, times=2_000)
+    driver = HealthDriver(
+        peers=PeerEvidence(judged_count=5, bad_count=0, median_p99_ms=13.0)
+    )
+    driver.run_requests(latency_ms=2.0, times=2_000)
     starts_ms = (0.0, second_begins_ms, good_ends_ms - 2.0)
     steps = [(at_ms, number, True) for number, at_ms in enumerate(starts_ms)]
     steps += [(80.0, 0, False), (140.0, 1, False), (good_ends_ms, 2, False)]
@@ -35,7 +37,7 @@
     for at_ms, number, is_start in sorted(steps):
         driver.now_s = began_s + at_ms / 1000
         if is_start:
-            started[number] = driver.start()
+            started[number] = driver.start_request()
         else:
             driver.health.record_end(started[number], ANSWERED, driver.now_s)
     return driver
@@ -56,7 +58,7 @@
     # Guards against suspecting a healthy server whose threads wait for a processor.
     driver = _slow_pair(second_begins_ms, good_ends_ms)
     assert driver.health.phase is HealthPhase.SERVING
-    driver.work(latency_ms=2.0, times=50)
+    driver.run_requests(latency_ms=2.0, times=50)
     assert driver.health.report(driver.now_s).score == 0
 
 
--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -164,7 +164,9 @@
             self.assertEqual(0, server.stop(timeout_s=10))
         gone = set(self.server_ids[:2])
         wait_until(
-            lambda: not any(node.sees(name) for node in self.nodes for name in gone),
+            lambda: (
+                not any(node.knows_server(name) for node in self.nodes for name in gone)
+            ),
             "the nodes removed the backend servers that left",
         )
         calls = self._end_callers()
@@ -251,7 +253,8 @@
         ]
         self.servers[1].kill()
         wait_until(
-            lambda: not self.nodes[1].sees("contract-1"), "contract-1 is removed"
+            lambda: not self.nodes[1].knows_server("contract-1"),
+            "contract-1 is removed",
         )
         self.servers[0].signal(signal.SIGSTOP)
         self.addCleanup(self.servers[0].signal, signal.SIGCONT)
--- a/tests/test_shared_slowness.py
+++ b/tests/test_shared_slowness.py
@@ -2,7 +2,7 @@
 
 import time
 
-from tests.ejection_utils import SERVERS, FleetUnderWork
+from tests.ejection_utils import SERVERS, FleetUnderLoad
 from tests.utils import wait_until
 
 # Enough for each gate to estimate the latencies of its backend server.
@@ -10,7 +10,7 @@
 SLOW_S = 4.0
 
 
-class SharedSlownessTests(FleetUnderWork):
+class SharedSlownessTests(FleetUnderLoad):
     hold_out_s = 5.0
 
     def test_no_backend_server_stays_suspected_when_all_turn_slow(self):
@@ -28,4 +28,4 @@
             wait_until(
                 lambda node=node: not self.suspicions(node), "nobody is suspected"
             )
-            self.assertEqual(set(), self.left_out(node))
+            self.assertEqual(set(), self.excluded_servers(node))
--- a/tests/utils.py
+++ b/tests/utils.py
@@ -175,7 +175,7 @@
         answer = try_call(self.admin_address, "/status", timeout_s=2)
         return answer.json() if answer and answer.status == 200 else None
 
-    def sees(self, backend_server_id: str) -> bool:
+    def knows_server(self, backend_server_id: str) -> bool:
         """Tell whether the node knows a backend server beside any node."""
         status = self.status() or {"nodes": []}
         return any(
@@ -196,7 +196,7 @@
             raise AssertionError(f"the node ended:\n{self.log_path.read_text()}")
         return (
             self.revision() >= revision
-            and all(map(self.sees, backend_ids))
+            and all(map(self.knows_server, backend_ids))
             and self.accepts()
         )
 
