--- a/balsamspindle/membership/__init__.py
+++ b/balsamspindle/membership/__init__.py
@@ -1,8 +1,8 @@
-"""Membership: which nodes the fleet has, and the protocol by which they learn it.
+"""Membership: the protocol by which each node learns which nodes the fleet has.
 
 Start with `member.py`, the task that runs the protocol, and `directory.py`, the
-records that it keeps up to date. `membership_state.py` has the rules by which nodes are
-suspected, declared dead and refute both.
+records of nodes that this task keeps up to date. `membership_state.py` has the rules
+by which a node is suspected or declared dead and by which the node refutes this.
 """
 
 from balsamspindle.membership.directory import Directory, NodeState, Placement
--- a/balsamspindle/membership/budget.py
+++ b/balsamspindle/membership/budget.py
@@ -1,4 +1,4 @@
-"""The byte cap: limits what one node sends in member messages."""
+"""The byte cap: limits the bytes per second that one node sends in member messages."""
 
 import threading
 from enum import IntEnum
@@ -11,16 +11,16 @@
 class Importance(IntEnum):
     """How much of the byte budget a message may use.
 
-    Each level leaves a fraction of the bucket to the levels above it; answers
-    to probes may use all of it. Without these reserves, suspicions and the
-    probes that check them use up the budget and answers to probes are not
-    sent. This causes more suspicions, and the fleet stays in that state after
-    its cause is gone.
+    Each level leaves a fraction of the token bucket to more important messages;
+    answers to probes may use all of the bucket. Without these reserves,
+    suspicions and the probes that check them use up the budget, and answers to
+    probes are not sent. The missing answers cause more suspicions, so the fleet
+    stays overloaded after the original cause is gone.
 
-    Messages of settings use a bucket of their own first, then the common one
-    at level ``URGENT`` (see `Channel`): a change of many routes needs more
-    bytes than the common bucket ever holds, and has to be in force within
-    seconds.
+    Messages with settings spend from a bucket of their own first, and from the
+    common bucket at level ``URGENT`` when their own is empty (see `Channel`). A
+    change of many routes has to be in force within seconds and needs more bytes
+    than the common bucket ever holds.
     """
 
     ROUTINE = 0
@@ -31,6 +31,7 @@
     SETTINGS = 5
 
 
+# Fraction of the bucket that messages of a level must leave unspent.
 RESERVED_FRACTIONS: dict[Importance, float] = {
     Importance.ROUTINE: 0.5,
     Importance.URGENT: 0.3,
@@ -42,14 +43,14 @@
 
 
 class ByteBudget:
-    """A token bucket of bytes; safe to use from several threads.
+    """A token bucket of bytes; thread-safe.
 
     Parameters
     ----------
     bytes_per_s : float
-        Long-term rate at which the bucket is refilled.
+        Rate at which the bucket is refilled.
     burst_bytes : float or None
-        Size of the bucket; None for `BURST_S` seconds of the long-term rate.
+        Size of the bucket; None for the bytes that `BURST_S` seconds refill.
     """
 
     def __init__(
@@ -76,7 +77,7 @@
             return True
 
     def available_bytes(self, importance: Importance, now_s: float) -> int:
-        """Return the size of the largest message that may be sent now."""
+        """Return the size of the largest message that this level may send now."""
         with self._lock:
             self._refill(now_s)
             reserved_bytes = self._burst_bytes * RESERVED_FRACTIONS[importance]
--- a/balsamspindle/membership/channel.py
+++ b/balsamspindle/membership/channel.py
@@ -1,12 +1,12 @@
 """Typed messages between members, within the byte cap.
 
-Other parts of the node send and receive messages over it::
+Other parts of the node send and receive messages over a `Channel`::
 
     channel.register("settings_pull", SettingsPull, self._answer)
     channel.send(address, SettingsPull("10.0.0.1:7946", 41), now_s)
 
-A handler is called in the member task with the peer, the decoded message and
-the current time on the monotonic clock.
+A handler is called in the member task with the sending peer, the decoded message
+and the current time on the monotonic clock.
 """
 
 import queue
@@ -37,7 +37,7 @@
     address : str
         Member address of the sender.
     settings_revision : int
-        Revision in force at the sender; -1 for none.
+        Revision of the settings in force at the sender; -1 if it has none.
     route : Route
         Connection on which the message was received.
     crash_digest : int
@@ -69,12 +69,12 @@
     Parameters
     ----------
     sender : callable
-        Returns the `Sender` that each message carries.
+        Returns the `Sender` to include in the next message.
     budget : ByteBudget
         Byte cap of all messages.
     settings_budget : ByteBudget or None
-        Bytes that only messages of settings may use. They use `budget` only
-        when these are spent.
+        Bytes that only messages with settings may use. These messages use
+        `budget` only when `settings_budget` is spent.
 
     Attributes
     ----------
@@ -105,14 +105,17 @@
         self.counts: Counter[str] = Counter()
 
     def register(self, kind: str, message_type: type, handler: Handler) -> None:
-        """Register a kind of message and its handler, before the member task runs."""
+        """Register a kind of message and its handler.
+
+        Call it before the member task runs.
+        """
         self._kinds[kind] = _MessageKind(msgspec.msgpack.Decoder(message_type), handler)
         self._kinds_by_type[message_type] = kind
 
     def on_peer(self, handler: Callable[[Peer, float], None]) -> None:
         """Register a handler that is called with the sender of each message.
 
-        It runs before the message's own handler.
+        It runs before the handler that was registered for the kind of message.
         """
         self._peer_handlers.append(handler)
 
@@ -128,8 +131,8 @@
         Returns
         -------
         bool
-            False when the byte cap or the connection refused the message. It
-            is not retried.
+            False when the byte cap or the connection refused the message. The
+            message is not sent again.
         """
         frame = self._frame(message)
         cost_bytes = self._transport.cost_bytes(address, len(frame))
@@ -144,7 +147,10 @@
         now_s: float,
         importance: Importance = Importance.ROUTINE,
     ) -> bool:
-        """Send a message on the connection that the peer's message came on."""
+        """Send a message on the connection on which the peer's message came.
+
+        Returns False when the byte cap or the connection refused the message.
+        """
         frame = self._frame(message)
         cost_bytes = self._transport.cost_bytes(peer.route.address, len(frame))
         return self._spend(cost_bytes, now_s, importance) and self._count_sent(
@@ -152,18 +158,18 @@
         )
 
     def available_bytes(self, importance: Importance, now_s: float) -> int:
-        """Return the size of the largest message that may be sent now."""
+        """Return the size of the largest message that this level may send now."""
         return self._budget.available_bytes(importance, now_s)
 
     def call_soon(self, function: Callable[[], None]) -> None:
-        """Schedule a call in the member task; callable from any thread."""
+        """Make the member task call a function soon; callable from any thread."""
         self._calls.put(function)
         self._transport.wake()
 
     def receive(self, wait_s: float, now_s: Callable[[], float]) -> int:
-        """Wait for frames, handle them and return their number.
+        """Wait up to `wait_s` for frames, handle them and return their number.
 
-        Also runs the calls that were scheduled with `call_soon`.
+        Also calls the functions that were passed to `call_soon`.
         """
         received = self._transport.receive(wait_s)
         while not self._calls.empty():
@@ -173,7 +179,7 @@
         return len(received)
 
     def receive_frame(self, route: Route, frame: bytes, now_s: float) -> None:
-        """Handle one frame; one that cannot be decoded is counted and dropped."""
+        """Handle one frame; count and drop it if it cannot be decoded."""
         match decode_member(frame):
             case Result(tag="ok", ok=envelope):
                 self._handle_envelope(route, envelope, now_s)
@@ -181,7 +187,7 @@
                 self.record_drop("garbage", error.message, now_s)
 
     def record_drop(self, why: str, cause: str, now_s: float) -> None:
-        """Count a dropped message and emit an event, at most one a second."""
+        """Count a dropped message; emit an event at most once a second."""
         self.counts[f"dropped_{why}"] += 1
         if now_s - self._drop_event_s < DROP_EVENT_INTERVAL_S:
             return
--- a/balsamspindle/membership/directory.py
+++ b/balsamspindle/membership/directory.py
@@ -45,10 +45,11 @@
 class Directory:
     """Records of all known nodes; read by every request, so reads are cheap.
 
-    News of a node with a higher incarnation replaces the whole record. Within
-    an incarnation, a higher version replaces the header or the entry of one
-    backend server. The placements of a service are cached; a change discards
-    only those of the services that it affects, and the next read rebuilds them.
+    News with a higher incarnation of a node replaces the node's whole record.
+    Within an incarnation, the header and the entry of each backend server have
+    versions of their own, and a higher version replaces the lower one. The
+    placements of a service are cached; a change discards the cached placements
+    of the services that it affects, and the next read rebuilds them.
     """
 
     def __init__(self) -> None:
@@ -60,12 +61,12 @@
         self._placements: dict[str, tuple[Placement, ...]] = {}
         self._alive: list[NodeRecord] | None = None
         self._dead: dict[str, NodeView] = {}
-        # Kept up to date with each change: counting on demand would walk all nodes
-        # for each of the many deaths when a zone is lost.
+        # Updated with each change of a node. When a zone is lost, many nodes are
+        # declared dead at once, and counting would walk all nodes for each of them.
         self._live_by_region: Counter[str] = Counter()
 
     def update(self, record: NodeRecord, now_s: float) -> bool:
-        """Apply a whole record and return whether any of it was new."""
+        """Apply a whole record; return whether any part of the record was new."""
         header = NodeHeader(
             record.region,
             record.availability_zone,
@@ -86,7 +87,7 @@
             return self.apply(news, now_s).any
 
     def apply(self, news: NodeNews, now_s: float) -> Changes:
-        """Apply a piece of news and return which parts of it were new."""
+        """Apply news of one node; return which parts of the news were new."""
         with self._lock:
             view = self._views.get(news.node_id)
             if view is None or news.incarnation > view.record.incarnation:
@@ -106,13 +107,13 @@
             return Changes(newer_header, changed)
 
     def declare_dead(self, node_id: str, epoch: Epoch, now_s: float) -> bool:
-        """Mark a node as dead, which excludes its backend servers.
+        """Mark a node as dead, which removes its backend servers from `placements`.
 
         Returns
         -------
         bool
-            False when nothing changed: the node is unknown or dead already, or
-            its header is newer than `epoch`.
+            False when nothing changed: the node is unknown or already dead, or
+            its known header is newer than `epoch`.
         """
         with self._lock:
             view = self._views.get(node_id)
@@ -127,7 +128,7 @@
             return True
 
     def remove_dead(self, dead_before_s: float) -> list[str]:
-        """Remove nodes that died before a time and return their ids."""
+        """Remove nodes declared dead before `dead_before_s`; return their ids."""
         with self._lock:
             old = [
                 node_id
@@ -139,7 +140,7 @@
             return old
 
     def view(self, node_id: str) -> NodeView | None:
-        """Return what is known of one node; only the member task may read it."""
+        """Return the view of a node, None if unknown; only for the member task."""
         return self._views.get(node_id)
 
     def alive(self) -> list[NodeRecord]:
@@ -160,19 +161,19 @@
         return self._live_by_region[region]
 
     def dead(self) -> list[NodeView]:
-        """Return the nodes that were declared dead and not removed yet."""
+        """Return the nodes that were declared dead and are not removed yet."""
         with self._lock:
             return list(self._dead.values())
 
     def records(self) -> list[NodeRecord]:
-        """Return the records of all nodes that are not dead, with backend servers."""
+        """Return the full records of all nodes that are not dead."""
         with self._lock:
             return [
                 view.full_record() for view in self._views.values() if not view.is_dead
             ]
 
     def placements(self, service: str) -> tuple[Placement, ...]:
-        """Return the backend servers of a service at nodes that are not dead."""
+        """Return the backend servers of a service whose nodes are not dead."""
         placements = self._placements.get(service)
         return self._build_placements(service) if placements is None else placements
 
@@ -187,9 +188,9 @@
             return self._bucket_digests.encode()
 
     def differing_buckets(self, digests: bytes) -> list[int] | None:
-        """Return the buckets whose digests differ from those of another node.
+        """Return the buckets whose digests differ from another node's digests.
 
-        None when the digests have the wrong size.
+        Returns None when `digests` has the wrong size.
         """
         with self._lock:
             return self._bucket_digests.differing_buckets(digests)
@@ -214,8 +215,9 @@
 
     def _add(self, news: NodeNews, old: NodeView | None) -> Changes:
         if news.header is None:
-            # Entries of an unknown node or incarnation are of no use without its
-            # header, which has the addresses. Anti-entropy delivers both.
+            # Entries of backend servers are of no use without the header of their
+            # node and incarnation, which has the node's addresses. Anti-entropy
+            # delivers the header together with the entries.
             return NO_CHANGES
         if old is not None:
             self._remove(old)
@@ -263,7 +265,10 @@
         return ServerChange(entry, known and known.record)
 
     def _removed_servers(self, record: NodeRecord) -> tuple[BackendServerRecord, ...]:
-        """Return known backend servers that a newer record lacks, in state `GONE`."""
+        """Return, in state `GONE`, the known backend servers that `record` lacks.
+
+        Returns none if `record` is not newer than the known one.
+        """
         view = self._views.get(record.node_id)
         if view is None or view.epoch >= Epoch(record.incarnation, record.version):
             return ()
@@ -275,7 +280,7 @@
         )
 
     def _adjust_server_count(self, view: NodeView, record, change: int) -> None:
-        """Change the number of a service's backend servers at a node."""
+        """Add `change` to the number of backend servers of a service at a node."""
         if record.state == GONE:
             return
         counts = self._server_counts.setdefault(record.service, {})
@@ -301,7 +306,7 @@
                 if entry.record.service == service and entry.record.state != GONE
             )
             # An empty result is not cached: callers can request any number of
-            # services that do not exist, which would fill the memory.
+            # services that do not exist, and the cache would fill the memory.
             if placements:
                 self._placements[service] = placements
             return placements
@@ -327,10 +332,11 @@
 
 
 def _intern_values(record: BackendServerRecord) -> BackendServerRecord:
-    """Return a record that shares its strings and common floats with others.
+    """Return the record with strings and common floats shared between records.
 
-    Each decoded record has string and float objects of its own. In 140,000
-    records the common values of suspicion and capacity alone take megabytes.
+    Each decoded record has string and float objects of its own. With 140,000
+    records, separate objects for the common values of suspicion and capacity
+    alone would take megabytes.
     """
     return record._replace(
         service=sys.intern(record.service),
--- a/balsamspindle/membership/fanout.py
+++ b/balsamspindle/membership/fanout.py
@@ -1,4 +1,4 @@
-"""Selects the peers that receive urgent news which each node forwards once."""
+"""Selects the peers to which a node forwards urgent news; each node does so once."""
 
 import random
 
@@ -7,19 +7,20 @@
 
 __all__ = ["Fanout"]
 
-# If each node forwards news once, to four random peers, it reaches all but two of
-# a hundred nodes. Most of the peers are in the own zone, where traffic is free.
+# If each node forwards an item of news once, to four random peers, the item reaches
+# all but two of a hundred nodes. Three of the four peers are in the node's own zone,
+# since traffic within a zone is free.
 PEERS_OWN_ZONE, PEERS_OTHER_ZONES = 3, 1
 
 
 class Fanout:
-    """Draws random peers; not thread-safe, the caller has to serialize calls.
+    """Selects random peers; not thread-safe, so the caller has to serialize calls.
 
     Parameters
     ----------
     topic : str
-        Part of the random seed, so that different kinds of news go to different
-        peers.
+        Included in the random seed, so that different kinds of news go to
+        different peers.
     """
 
     def __init__(self, own: NodeRecord, directory: Directory, topic: str) -> None:
--- a/balsamspindle/membership/fingerprints.py
+++ b/balsamspindle/membership/fingerprints.py
@@ -1,7 +1,9 @@
 """Digests of buckets of nodes, which two nodes compare before they send records.
 
-The fingerprint of a node is the XOR of the hashes of its header and of each
-entry, each with its version. A change updates it in constant time.
+A bucket is the set of nodes whose ids hash to the same number. The fingerprint of
+a node is the XOR of the hashes of its header and of the entries of its backend
+servers; each hash covers the version. With XOR, a change of one entry updates the
+fingerprint in constant time.
 """
 
 import struct
@@ -17,13 +19,16 @@
 
 
 def entry_hash(node_id: str, incarnation: int, entry: str, version: int) -> int:
-    """Return the hash of an entry at a version; `entry` is "" for the header."""
+    """Return the hash of an entry at a version.
+
+    `entry` is the backend server id, or "" for the node's header.
+    """
     key = f"{node_id}|{incarnation}|{entry}|{version}"
     return xxhash.xxh3_64_intdigest(key.encode())
 
 
 def bucket_of(node_id: str) -> int:
-    """Return the bucket of a node."""
+    """Return the number of the bucket that a node belongs to."""
     return xxhash.xxh3_64_intdigest(node_id.encode()) % BUCKET_COUNT
 
 
@@ -34,7 +39,7 @@
         self._digests = [0] * BUCKET_COUNT
 
     def toggle(self, bucket: int, fingerprint: int) -> None:
-        """Add a fingerprint to a digest, or remove it if it was added before."""
+        """Add a node's fingerprint to the bucket's digest, or remove it again."""
         self._digests[bucket] ^= fingerprint
 
     def encode(self) -> bytes:
@@ -42,9 +47,9 @@
         return _LAYOUT.pack(*(digest & _DIGEST_MASK for digest in self._digests))
 
     def differing_buckets(self, other: bytes) -> list[int] | None:
-        """Return the buckets whose digests differ from those of another node.
+        """Return the buckets whose digests differ from another node's digests.
 
-        None when `other` has the wrong size.
+        Returns None when `other` has the wrong size.
         """
         if len(other) != _LAYOUT.size:
             return None
--- a/balsamspindle/membership/gossip.py
+++ b/balsamspindle/membership/gossip.py
@@ -1,4 +1,4 @@
-"""Gossip: spreads news on probes and acknowledgements, and to a few neighbours."""
+"""Gossip: attaches news to probes and acknowledgements, and sends it to neighbours."""
 
 import random
 
@@ -10,11 +10,14 @@
 
 __all__ = ["Gossiper"]
 
-# Peers of the own zone are among those of the own region and are drawn first.
+# Numbers of neighbours to have. The neighbours of the own zone are selected first and
+# count towards the neighbours of the own region.
 NEIGHBOURS_OWN_ZONE = 4
 NEIGHBOURS_OWN_REGION = 6
 NEIGHBOURS_OTHER_REGIONS = 2
+# Interval at which one random neighbour is replaced.
 NEIGHBOUR_CHANGE_INTERVAL_S = 30.0
+# Largest number of neighbours that receive news in one tick.
 FANOUT = 2
 PIGGYBACK_MAX_BYTES = 500
 GOSSIP_MAX_BYTES = 4000
@@ -25,9 +28,9 @@
 class Gossiper:
     """Sends queued news to peers; used by the member task alone.
 
-    Neighbours are a small random sample of the fleet that changes slowly, so
-    that their connections stay open: a new connection for each message would
-    cost more bytes than the news itself.
+    The neighbours are a small random sample of the fleet. The sample changes
+    slowly, so that connections to neighbours stay open: a new connection for
+    each message would cost more bytes than the news itself.
     """
 
     def __init__(
@@ -42,7 +45,7 @@
         channel.register("gossip", Gossip, self._handle_gossip)
 
     def piggyback(self, now_s: float) -> list[News]:
-        """Return queued news to attach to a message that is sent in any case."""
+        """Return queued news to attach to a probe or acknowledgement."""
         queue = self._state.queue
         if (
             self._channel.available_bytes(Importance.ROUTINE, now_s)
@@ -113,7 +116,7 @@
         self._add_neighbours(other_region_peers, NEIGHBOURS_OTHER_REGIONS)
 
     def _add_neighbours(self, nodes: list[NodeRecord], wanted: int) -> None:
-        """Add random ones of these nodes until `wanted` of them are neighbours."""
+        """Add random nodes of `nodes` until `wanted` of `nodes` are neighbours."""
         node_ids = {node.node_id for node in nodes}
         present = node_ids & {node.node_id for node in self._neighbours}
         for _ in range(2 * wanted):
--- a/balsamspindle/membership/member.py
+++ b/balsamspindle/membership/member.py
@@ -25,16 +25,18 @@
 
 __all__ = ["Member"]
 
+# Interval between two runs of `Member.tick`.
 TICK_S = 0.2
 # A longer gap between two ticks means that the process was suspended; a busy machine
-# does not delay a tick that much.
+# delays a tick by less.
 PAUSE_MIN_S = 2.0
-# Settings have a byte budget of their own. With 45,000 changes a day of 1 KB each,
-# each sent to 1.25 peers on average, a node sends 0.7 KB/s. One change of 2,000
-# routes, sent to five peers, needs 300 to 450 KB at once.
+# Byte budget of settings messages. With 45,000 changes a day of 1 KB each, each sent
+# to 1.25 peers on average, a node sends 0.7 KB/s. One change of 2,000 routes, sent to
+# five peers, needs 300 to 450 KB at once.
 SETTINGS_BYTES_PER_S = 1_000.0
 SETTINGS_BURST_BYTES = 1_000_000.0
-# The usual interval between two scrapes of the metrics.
+# Window of the maximum tick delay: the usual interval between two metrics scrapes, so
+# that each scrape includes the delays since the one before.
 LAG_WINDOW_S = 15.0
 
 
@@ -128,7 +130,7 @@
     def share_crash_digest(
         self, own_digest: Callable[[], int], on_peer: Callable[[str, int, float], None]
     ) -> None:
-        """Send a digest of crash records with each message; receive those of peers.
+        """Send a digest of crash records with each message; receive peers' digests.
 
         Parameters
         ----------
@@ -146,10 +148,11 @@
     def share_store_era(
         self, own_era: Callable[[], int], on_peer: Callable[[int], None]
     ) -> None:
-        """Send the newest store era with each message; receive those of peers.
+        """Send the newest store era with each message; receive peers' eras.
 
-        Most nodes call the store rarely and would otherwise learn of a new era
-        late. `on_peer` is called in the member task with a peer's era.
+        Most nodes call the store rarely, so they would learn late from the store
+        that it has a new era. `on_peer` is called in the member task with the
+        newest era that a peer knows.
         """
         self._store_era = own_era
         self.channel.on_peer(lambda peer, now_s: on_peer(peer.store_era))
@@ -162,15 +165,15 @@
     ) -> None:
         """Send a message of a registered type; callable from any thread.
 
-        The message is dropped when the byte cap refuses it; the caller has to
-        send it again.
+        The message is dropped when the byte cap refuses it, and the caller is
+        not told; a caller that needs delivery has to repeat the message.
         """
         self.channel.call_soon(
             lambda: self.channel.send(address, message, self._now_s(), importance)
         )
 
     def send_settings(self, address: str, message: Any) -> None:
-        """Send a message of settings; callable from any thread."""
+        """Send a message with importance `SETTINGS`; callable from any thread."""
         self.send(address, message, Importance.SETTINGS)
 
     def set_contacts(self, addresses: tuple[str, ...]) -> None:
@@ -181,11 +184,11 @@
 
     @property
     def isolated(self) -> bool:
-        """Whether no peer answered this node within the last few seconds."""
+        """Whether this node got no answer from any peer for a few seconds."""
         return self._prober.isolated
 
     def lag_s(self, now_s: float) -> float:
-        """Return the longest recent delay of a tick; large in an overloaded process."""
+        """Return the longest recent tick delay; large in an overloaded process."""
         return self._lag.value(now_s)
 
     def run(self) -> None:
@@ -226,10 +229,11 @@
     def _resume_after_pause(self, gap_s: float, now_s: float) -> None:
         """Reset this node's state after the process was suspended.
 
-        All timers expired meanwhile, and acting on them would declare healthy
-        nodes dead. The peers may have declared this node dead. So this node
-        discards its probes, suspicions and queued verdicts, announces that it is
-        alive and compares its directory with a peer's soon.
+        The time-outs of probes and suspicions passed while this node did not
+        run; acting on them would declare healthy nodes dead. So this node
+        discards its probes, suspicions and queued verdicts. Peers may have
+        declared this node dead, so it announces that it is alive and soon
+        compares its directory with a peer's.
         """
         self._events.emit("node_woke_up", gap_s=f"{gap_s:.1f}")
         self.state.suspicions.clear()
@@ -239,7 +243,7 @@
         self.anti_entropy.compare_soon(now_s)
 
     def _greet_unknown_peer(self, peer: Peer, now_s: float) -> None:
-        """Start a comparison of directories with a peer that is not known yet."""
+        """Start a comparison of directories with a peer that the directory lacks."""
         if self.state.directory.view(peer.node_id) is None:
             self.anti_entropy.start_comparison(peer, now_s)
 
--- a/balsamspindle/membership/membership_state.py
+++ b/balsamspindle/membership/membership_state.py
@@ -1,4 +1,4 @@
-"""Membership state and the rules of suspicion, death and refutation."""
+"""Rules by which nodes are suspected, declared dead and refute either."""
 
 import msgspec
 
@@ -29,17 +29,18 @@
 
 __all__ = ["MembershipState"]
 
-# Bounds an item of news so that it fits into a small message.
+# Most entries of backend servers in an item of news, so that it fits into a message.
 ENTRIES_PER_ITEM = 8
-# Nodes of a region besides the target. With at least this many, only nodes of that
-# region may suspect the target.
+# If a node's region has at least this many other live nodes, only nodes of its region
+# may suspect it (see `MembershipState._can_judge`).
 REGION_JUDGES_MIN = 2
 RECENT_DEATHS_WINDOW_S = 3600.0
 DEAD_RETENTION_S = 2 * 3600.0
 # Suspicion from which on a backend server is ejected.
 EJECTION_SUSPICION = 1.0
 READY = "ready"
-# Number of outbids after which a conflict of node ids is reported.
+# After news of a higher incarnation of this node came this often, the node reports
+# that another node may use its id.
 CONFLICT_OUTBIDS = 5
 
 
@@ -51,7 +52,7 @@
     Attributes
     ----------
     nodes_to_check : set of str
-        Nodes that a peer suspects and that this node may probe as well.
+        Nodes that a peer suspects and that this node may probe at its next tick.
     disputed_epoch : Epoch or None
         Highest epoch at which peers suspect this node or hold it dead.
     """
@@ -65,8 +66,8 @@
         self.disputed_epoch: Epoch | None = None
         self._events = events
         self._recent_deaths: dict[str, tuple[float, str]] = {}
-        # The directory's list of live nodes, and that list without this node. Valid
-        # as long as the directory returns the same list object.
+        # The directory's list of live nodes, and the same list without this node.
+        # Valid as long as the directory returns the same list object.
         self._cached_peers: tuple[list[NodeRecord] | None, list[NodeRecord]] = (
             None,
             [],
@@ -108,7 +109,7 @@
         self._announce_header(now_s)
 
     def announce_alive(self, now_s: float) -> None:
-        """Announce a higher header version, in case peers hold this node dead."""
+        """Announce a higher header version, in case peers declared this node dead."""
         self.own.refute(self.own.epoch)
         self._announce_header(now_s)
 
@@ -118,8 +119,8 @@
         Parameters
         ----------
         spread : bool
-            Whether to send new items on to other peers. False for records from
-            anti-entropy, which the rest of the fleet knows already.
+            Whether to forward new items to other peers. False for records from
+            anti-entropy, since most of the fleet has them already.
         """
         for item in news:
             match item:
@@ -131,7 +132,7 @@
                     self._handle_node_news(item, now_s, spread)
 
     def record_failed_probe(self, node: NodeRecord, now_s: float) -> None:
-        """Suspect a node that neither this node nor its helpers could reach."""
+        """Suspect a node that neither this node nor the helping peers reached."""
         view = self.directory.view(node.node_id)
         if view is None or view.is_dead:
             return
@@ -142,8 +143,8 @@
             self._declare_dead(ExpiredSuspicion(node.node_id, view.epoch, True), now_s)
             return
         if not self._can_judge(view.record):
-            # Only the link between the regions may be down. The nodes of the other
-            # region detect which of them died.
+            # Possibly only the link between the regions is down. The nodes of the
+            # other region detect themselves which of them died.
             return
         self._suspect(node.node_id, view.epoch, self.own.node_id, now_s)
 
@@ -153,11 +154,11 @@
         return view is not None and view.record.state == NodeState.LEAVING
 
     def record_ack(self, node_id: str) -> None:
-        """Drop the suspicion of a node that acknowledged a probe."""
+        """Remove the suspicion of a node that acknowledged a probe."""
         self.suspicions.drop(node_id)
 
     def verdict_on(self, node_id: str) -> VerdictNews | None:
-        """Return the verdict that a node has to refute, None if there is none."""
+        """Return the verdict on a node, None if it is neither suspected nor dead."""
         view = self.directory.view(node_id)
         if view is None:
             return None
@@ -169,8 +170,9 @@
     def expire(self, now_s: float) -> None:
         """Handle suspicions that timed out and remove nodes that died long ago.
 
-        A node is declared dead if enough nodes suspected it and not too many
-        nodes of its region died recently. Otherwise its suspicion is dropped.
+        A node whose suspicion timed out is declared dead if enough nodes suspected
+        it and not too many nodes of its region died recently. Otherwise the node
+        is no longer suspected.
         """
         others = self.directory.live_count(self.own.region) - 2
         for expired in self.suspicions.expire(min(CONFIRMATIONS, others), now_s):
@@ -182,7 +184,7 @@
             self._events.emit("node_forgotten", peer=node_id)
 
     def _handle_own_news(self, seen: Epoch, now_s: float) -> None:
-        """Outbid news of a higher incarnation of this node (`OwnRecord.refute`)."""
+        """If `seen` has a higher incarnation than this node, start one above it."""
         own = self.own.epoch
         if seen.incarnation <= own.incarnation:
             return
@@ -202,8 +204,8 @@
         if spread and news.header is None and len(changes.servers) < len(news.servers):
             self._record_duplicates(news, changes)
         if changes.dead:
-            # The sender does not know that the node is dead. The verdict informs it,
-            # or makes the node refute its death with a later epoch.
+            # The node is dead, but peers still send news of it. The verdict informs
+            # them; if the node is alive, it refutes the verdict with a later epoch.
             self.queue.add(self.verdict_on(news.node_id), Priority.NORMAL, 1)
             return
         if not changes.any:
@@ -245,7 +247,7 @@
         self._queue_node(msgspec.structs.replace(news, servers=entries), priority)
 
     def _queue_node(self, news: NodeNews, priority: Priority) -> None:
-        """Queue a header and its entries as items that fit into a message each."""
+        """Queue a header and entries, split so that each item fits into a message."""
         for first in range(ENTRIES_PER_ITEM, len(news.servers), ENTRIES_PER_ITEM):
             for entry in news.servers[first : first + ENTRIES_PER_ITEM]:
                 self._queue_entry(
@@ -283,8 +285,8 @@
 
     def _handle_dispute(self, epoch: Epoch, now_s: float) -> None:
         if epoch < self.own.epoch:
-            # Refuted already, but the sender does not know it. The refutation may
-            # have been lost on the same broken link that caused the suspicion.
+            # This node refuted the verdict already, but the sender does not know it:
+            # the broken link that caused the suspicion may have lost the refutation.
             self._announce_header(now_s)
             return
         self.disputed_epoch = max(epoch, self.disputed_epoch or epoch)
@@ -292,9 +294,9 @@
     def confirm_reachable(self, now_s: float) -> None:
         """Refute the verdicts on this node after a peer has reached it.
 
-        Without that check a node that accepts no connections but can open some
-        would refute its death whenever it reads of it. Its peers would hold it
-        dead and alive in turns although no request can reach it.
+        A node that can open connections but accepts none would otherwise refute
+        each verdict that it receives. Its peers would hold it dead and alive in
+        turns although no request can reach it.
         """
         if self.disputed_epoch is None:
             return
@@ -335,12 +337,12 @@
         return VerdictNews(node_id, *epoch, verdict, self.own.node_id)
 
     def _too_many_deaths(self, node_id: str, now_s: float) -> bool:
-        """Return whether a partition is more likely than one more death.
+        """Return whether one more death would mean that over half of a region died.
 
-        Nodes on the smaller side of a partition see most of their region fail
-        at once and confirm each other's suspicions. If they declared more than
-        half of the region dead, their callers would find no backend server even
-        where a link still works.
+        A partition is then the more likely cause. Nodes on its smaller side see
+        most of their region fail at once and confirm each other's suspicions. If
+        they declared the other side dead, their callers would find no backend
+        server even where a link still works.
         """
         region = self.directory.view(node_id).record.region
         recent = 0
@@ -355,11 +357,10 @@
         return True
 
     def _can_judge(self, node: NodeRecord) -> bool:
-        """Return whether a failed probe from here is evidence against a node.
+        """Return whether this node may suspect a node after a failed probe.
 
-        The link between two regions can fail for an hour. If nodes of one
-        region judged those of another, all of them would be declared dead at
-        once.
+        The link between two regions can fail for an hour. If the nodes of each
+        region judged the nodes of the other, all would be declared dead at once.
         """
         if node.region == self.own.region:
             return True
@@ -380,7 +381,7 @@
 
 
 def _priority(change: ServerChange) -> Priority:
-    """Return the priority of news of a change of one backend server."""
+    """Return the priority of the news that a backend server changed."""
     record, before = change.entry.record, change.before
     if record.state != READY or record.suspicion >= EJECTION_SUSPICION:
         stopped = before is None or (before.state, before.boot_id) != (
--- a/balsamspindle/membership/news_queue.py
+++ b/balsamspindle/membership/news_queue.py
@@ -1,9 +1,10 @@
-"""Queue of membership news to send to peers, by priority, each item a few times.
+"""Queue of membership news; each item is sent a few times, by priority.
 
-A newer item about the same subject (a node, a backend server, or one node's
-verdict on another) replaces the older one, so the queue is bounded by the
-number of subjects and not by how often they change. Items that are evicted from
-a full queue are not lost: anti-entropy delivers them later.
+The subject of an item is a node, a backend server, or one node's verdict on
+another. A newer item replaces the queued item about the same subject, so the
+queue is bounded by the number of subjects and not by how often they change.
+Items that are evicted from a full queue still reach the peers later, by
+anti-entropy.
 """
 
 import math
@@ -25,7 +26,7 @@
 
 
 class Priority(IntEnum):
-    """Order in which items are sent when the byte cap does not allow all."""
+    """Order in which items are sent when the byte cap does not allow all of them."""
 
     URGENT = 0
     NORMAL = 1
@@ -45,9 +46,9 @@
     """Return how often each node sends an item in a fleet of `nodes` nodes.
 
     Gossip reaches all but a few nodes after a number of rounds that grows with
-    the logarithm of the fleet's size. Urgent news is sent until it is very
-    unlikely that a node misses it; for other news it is cheaper to let
-    anti-entropy reach the remaining nodes.
+    the logarithm of the fleet's size. Urgent news is sent in more rounds, so that
+    a node is very unlikely to miss it. Other news is sent in fewer rounds, since
+    anti-entropy reaches the remaining nodes at a lower cost.
     """
     digits = math.ceil(math.log10(nodes + 1))
     if priority is Priority.URGENT:
@@ -79,7 +80,7 @@
         return bool(self._items[Priority.URGENT])
 
     def add(self, news: News, priority: Priority, nodes: int) -> None:
-        """Queue an item; it replaces an older one about the same subject."""
+        """Queue an item in place of the queued one about the same subject."""
         key = _key(news)
         self.remove(key)
         if len(self._priorities) >= QUEUED_MAX:
@@ -87,16 +88,16 @@
         item = _Item(news, len(_encoder.encode(news)), transmissions(priority, nodes))
         items = self._items[priority]
         items[key] = item
-        # New items are sent before those that were sent already.
+        # New items are sent before items that were sent already.
         items.move_to_end(key, last=False)
         self._priorities[key] = priority
 
     def record_duplicate(self, news: News) -> None:
-        """Reduce an item's remaining transmissions: a peer sent the same item.
+        """Reduce the remaining transmissions of an item that a peer has sent too.
 
-        That peer does not need it any more. Without this, most transmissions in
-        a burst of news would go to nodes that already have it. Urgent items
-        keep their count.
+        Each received duplicate shows that one more node has the item. Without the
+        reduction, most transmissions in a burst of news would go to nodes that
+        already have the item. Urgent items keep their number of transmissions.
         """
         key = _key(news)
         priority = self._priorities.get(key)
@@ -122,7 +123,7 @@
             self.remove(key)
 
     def next_batch(self, size_max_bytes: int, urgent_only: bool = False) -> list[News]:
-        """Return the items to send now and count this as one transmission of each."""
+        """Return items to send now, and count one transmission of each."""
         batch: list[News] = []
         remaining_bytes = size_max_bytes
         for priority in Priority:
@@ -171,7 +172,7 @@
 
 
 def _merge_entries(batch: list[News]) -> list[News]:
-    """Merge entries of the same node into one item, which has its id only once."""
+    """Merge the entries of a node into one item, which contains the id only once."""
     merged: dict[tuple, News] = {}
     for number, news in enumerate(batch):
         match news:
--- a/balsamspindle/membership/node_view.py
+++ b/balsamspindle/membership/node_view.py
@@ -1,4 +1,4 @@
-"""What is known of one node: header, backend servers, and whether it is dead."""
+"""What this process knows of one node: header, backend servers and death."""
 
 from enum import StrEnum
 from typing import NamedTuple
@@ -16,8 +16,8 @@
 
 __all__ = ["GONE", "Changes", "Epoch", "NodeState", "NodeView", "ServerChange"]
 
-# State of a backend server that its node no longer has. The entry is kept so that
-# late news with an older version is rejected.
+# State of a backend server that its node no longer has. The backend server's entry is
+# kept so that delayed news of it, with an older version, is rejected.
 GONE = "gone"
 
 
@@ -29,14 +29,14 @@
 
 
 class Epoch(NamedTuple):
-    """Orders news and verdicts of a node: by incarnation, then header version."""
+    """Orders news of a node and verdicts on it, by incarnation, then header version."""
 
     incarnation: int
     version: int
 
 
 class ServerChange(NamedTuple):
-    """A backend server's new entry and its former record, None when unknown."""
+    """A backend server's new entry; `before` is the former record or None."""
 
     entry: ServerEntry
     before: BackendServerRecord | None
@@ -48,11 +48,12 @@
     Attributes
     ----------
     header : bool
-        Whether the header was new, as it is for an unknown node.
+        Whether the header was new; any header of an unknown node is.
     servers : list of ServerChange
-        The entries that were new.
+        The entries of backend servers that were new.
     dead : bool
-        Whether the news was rejected: the node is dead, and no newer header came.
+        Whether the news was rejected because the node is dead and the news has
+        no newer header, which would refute the death.
     """
 
     header: bool = False
@@ -61,25 +62,27 @@
 
     @property
     def any(self) -> bool:
-        """Whether anything was new."""
+        """Whether the header or any entry was new."""
         return self.header or bool(self.servers)
 
 
 class NodeView:
-    """One node's header and entries, each replaced by one with a higher version.
+    """One node's header and the entries of its backend servers.
+
+    The header and each entry have a version and are replaced only by a higher one.
 
     Attributes
     ----------
     record : NodeRecord
-        The header at its version, without backend servers.
+        The header and its version; contains no backend servers.
     entries : dict of str to ServerEntry
-        By backend server id, including entries in state `GONE`.
+        Entries by backend server id, including entries in state `GONE`.
     version : int
         The highest version of the header and the entries.
     fingerprint : int
         See `balsamspindle.membership.fingerprints`.
     dead_since_s : float or None
-        Time at which the node was declared dead, None unless it is dead.
+        Time at which the node was declared dead; None if the node is not dead.
     """
 
     __slots__ = (
@@ -112,7 +115,7 @@
     def set_header(self, record: NodeRecord) -> None:
         """Replace the header by a newer one of the same incarnation.
 
-        A node that was declared dead is not dead any more.
+        A newer header refutes a death: the node is no longer marked as dead.
         """
         self.fingerprint ^= self._hash("", self.record.version)
         self.fingerprint ^= self._hash("", record.version)
@@ -121,7 +124,7 @@
         self.dead_since_s = None
 
     def set_entry(self, entry: ServerEntry) -> bool:
-        """Store an entry if it is newer than the known one; return whether it is."""
+        """Store an entry if it is newer than the known one; return whether stored."""
         server_id = entry.record.backend_server_id
         known = self.entries.get(server_id)
         if known is not None:
@@ -146,7 +149,7 @@
         )
 
     def news(self, above_version: int = 0) -> NodeNews:
-        """Return the header and the entries above a version; 0 for all entries."""
+        """Return the header and the entries with versions above `above_version`."""
         record = self.record
         entries = [
             entry for entry in self.entries.values() if entry.version > above_version
@@ -160,7 +163,7 @@
         )
 
     def full_record(self) -> NodeRecord:
-        """Return the record with the backend servers that are not `GONE`."""
+        """Return the record including the backend servers that are not `GONE`."""
         servers = tuple(
             entry.record
             for entry in self.entries.values()
--- a/balsamspindle/membership/own_record.py
+++ b/balsamspindle/membership/own_record.py
@@ -1,4 +1,4 @@
-"""The record that a node publishes of itself and its backend servers."""
+"""The record that a node publishes about itself and its backend servers."""
 
 from collections.abc import Iterable
 
@@ -15,7 +15,8 @@
 
 __all__ = ["OwnRecord"]
 
-# With more entries of past backend servers a new incarnation discards them.
+# When the node's record has more entries of backend servers in state `GONE` than this,
+# the node starts a new incarnation, whose record does not contain these entries.
 GONE_ENTRIES_MAX = 64
 
 
@@ -75,27 +76,30 @@
         return entries
 
     def has_too_many_gone(self) -> bool:
-        """Return whether entries of past backend servers should be discarded."""
+        """Return whether over `GONE_ENTRIES_MAX` backend servers are `GONE`."""
         states = [entry.record.state for entry in self._view.entries.values()]
         return states.count(GONE) > GONE_ENTRIES_MAX
 
     def set_leaving(self) -> None:
-        """Set the state to leaving, under a higher header version."""
+        """Set the node's state to leaving, under a higher header version."""
         self.header = msgspec.structs.replace(
             self.header, state=NodeState.LEAVING.value
         )
         self._set_epoch(Epoch(self.epoch.incarnation, self._view.version + 1))
 
     def refute(self, epoch: Epoch) -> bool:
-        """Raise this node's epoch above one that others have for it.
+        """Raise this node's epoch above `epoch`, which peers have for this node.
+
+        If the wall clock stepped back before a VM was replaced, the new VM's node
+        starts with a lower incarnation than its old records have. Peers would
+        ignore its news as outdated for as long as they keep the old records, so
+        the node starts an incarnation above theirs.
 
         Returns
         -------
         bool
-            True when that needed a new incarnation. When the wall clock stepped
-            back, a replaced VM starts with a lower incarnation than its old
-            records have. Unless it outbids them, peers ignore its news as
-            outdated for as long as they keep the old records.
+            Whether the node started a new incarnation; if False, at most its
+            header version was raised.
         """
         if epoch.incarnation > self.epoch.incarnation:
             self.start_incarnation(epoch.incarnation + 1)
@@ -106,7 +110,7 @@
         return False
 
     def start_incarnation(self, incarnation: int) -> None:
-        """Start a higher incarnation, without entries of past backend servers."""
+        """Start a higher incarnation; entries in state `GONE` are discarded."""
         servers = [
             entry.record
             for entry in self._view.entries.values()
--- a/balsamspindle/membership/peer_selection.py
+++ b/balsamspindle/membership/peer_selection.py
@@ -1,9 +1,9 @@
-"""Selection of peers to send to, mostly in the own availability zone.
+"""Selection of peers to send to, mostly in the node's own availability zone.
 
 Traffic between zones is billed, traffic within a zone is not. With five zones,
-four of five messages to random peers cross zones: 10 MB of the 13 MB that 233 nodes
-send when all start together. Some messages have to cross zones, since a zone learns
-of the other zones, and detects that one is cut off, only by them.
+four of five messages to random peers would cross zones: 10 MB of the 13 MB that 233
+nodes send when all start together. Some messages have to cross zones: only these
+bring news of other zones and show that a zone is cut off.
 """
 
 import heapq
@@ -22,13 +22,13 @@
     "other_zone_targets",
 ]
 
-# One choice in this many is made among the peers of all zones. If fifty nodes of a
-# zone send one probe a second each, about ten a second go to other zones, and news
-# leaves the zone as often.
+# One in this many peers is selected among the peers of all zones, the others in the own
+# zone. If fifty nodes of a zone send one probe a second each, about ten probes a second
+# go to other zones and carry news there.
 OTHER_ZONE_EVERY = 5
-# Number of nodes of other zones that each node probes. A node is probed by as many
-# nodes of other zones on average. Two of a hundred nodes are probed by none; their
-# failure is detected within their own zone.
+# Number of nodes of other zones that each node probes. On average, a node is probed by
+# as many nodes of other zones. Two of a hundred nodes are probed from no other zone;
+# nodes of their own zone detect their failure.
 OTHER_ZONE_TARGET_COUNT = 4
 
 
@@ -44,7 +44,7 @@
 def choose_peer(
     peers: Sequence[NodeRecord], own: NodeHeader, rng: random.Random
 ) -> NodeRecord:
-    """Return a random peer, most often one of the own zone."""
+    """Return a random peer, mostly from the zone of `own`."""
     own_zone = peers_in_zone(peers, own) if rng.randrange(OTHER_ZONE_EVERY) else []
     return rng.choice(own_zone or peers)
 
@@ -52,7 +52,7 @@
 def sample_peers(
     peers: Sequence[NodeRecord], own: NodeHeader, count: int, rng: random.Random
 ) -> list[NodeRecord]:
-    """Return distinct random peers, most of them of the own zone."""
+    """Return up to `count` distinct random peers, mostly from the zone of `own`."""
     chosen: dict[str, NodeRecord] = {}
     while len(chosen) < min(count, len(peers)):
         remaining = [peer for peer in peers if peer.node_id not in chosen]
@@ -64,7 +64,7 @@
 def other_zone_targets(
     peers: Sequence[NodeRecord], own: NodeHeader, own_id: str
 ) -> list[str]:
-    """Return the ids of a few peers of other zones, the same ones on each call."""
+    """Return the ids of a few peers of other zones; the same peers on each call."""
     own_zone = {peer.node_id for peer in peers_in_zone(peers, own)}
     others = (peer.node_id for peer in peers if peer.node_id not in own_zone)
     return heapq.nsmallest(
--- a/balsamspindle/membership/probing.py
+++ b/balsamspindle/membership/probing.py
@@ -1,4 +1,4 @@
-"""Failure detection: pings peers in turn, directly and through other nodes."""
+"""Failure detection: pings one peer after the other, directly or through helpers."""
 
 import itertools
 import random
@@ -23,18 +23,22 @@
 
 PROBE_INTERVAL_S = 1.0
 DIRECT_TIMEOUT_S = 0.5
+# A helper is a peer that pings another node on behalf of this one. The helper waits
+# for `HELPER_TIMEOUT_S`; this node waits for the helpers' answers for
+# `INDIRECT_TIMEOUT_S`.
 HELPER_TIMEOUT_S = 0.5
 INDIRECT_TIMEOUT_S = 1.2
 HELPER_COUNT = 3
 # One regular probe in this many, drawn at random, goes to another region.
 OTHER_REGION_EVERY = 5
-# A node that received no answer for this long considers itself isolated.
+# A node that received no answer from any peer for this long considers itself isolated.
 ISOLATED_AFTER_S = 4.0
+# Interval at which a node pings contact addresses of unknown nodes, and how many.
 CONTACT_INTERVAL_S = 3.0
 CONTACTS_PER_ROUND = 3
-# How often a node that others suspect or declared dead asks peers to ping it.
+# Interval at which a node that peers suspect or declared dead asks peers to ping it.
 SELF_CHECK_INTERVAL_S = 0.6
-# Mean number of nodes that probe a node after they received a suspicion of it.
+# Mean number of nodes that probe a suspected node because a peer suspects it.
 EXPECTED_CHECKERS = 6
 
 
@@ -45,7 +49,7 @@
 
 
 class _RelayedPing(NamedTuple):
-    """A ping that this node sent on behalf of another one, the requester."""
+    """A ping that this node sent on behalf of another node, the requester."""
 
     requester: Peer
     sequence: int
@@ -55,10 +59,10 @@
 class Prober:
     """Detects peers that do not answer; used by the member task alone.
 
-    Only an answer to a message of this node shows that a peer is alive: it
-    proves that both directions work. A message that the peer sent unasked
-    proves only that this node can receive from it, which also holds in a
-    one-way partition in which the peer receives nothing.
+    A peer counts as alive only if it answers a message of this node, which proves
+    that messages pass in both directions. Any other message from the peer proves
+    only that this node can receive from the peer. In a one-way partition, a peer
+    that receives nothing can still send.
     """
 
     def __init__(
@@ -95,7 +99,7 @@
         channel.register("ping_request", PingRequest, self._handle_ping_request)
 
     def tick(self, now_s: float) -> None:
-        """Send the probes that are due and handle those that timed out."""
+        """Send the probes that are due and handle the probes that timed out."""
         self._check_timeouts(now_s)
         self._expire_relayed_pings(now_s)
         self._probe_suspects(now_s)
@@ -109,7 +113,7 @@
             self._reconnect(now_s)
 
     def set_contacts(self, addresses: tuple[str, ...], now_s: float) -> None:
-        """Replace the addresses that are contacted besides the seed addresses."""
+        """Set the addresses to contact besides the seeds, and contact them soon."""
         own_address = self._state.own.header.member_address
         found = dict.fromkeys([*self._seed_addresses, *addresses])
         found.pop(own_address, None)
@@ -117,10 +121,9 @@
         self._next_reconnect_s = now_s
 
     def reset(self, now_s: float) -> None:
-        """Discard all unanswered probes.
+        """Discard all unanswered probes, after the process was suspended.
 
-        Used after the process was suspended: the probes timed out only because
-        this node did not run.
+        Their time-outs show only that this node did not run.
         """
         self._probes.clear()
         self._relayed_pings.clear()
@@ -129,12 +132,13 @@
         self._next_reconnect_s = now_s
 
     def _probe_suspects(self, now_s: float) -> None:
-        """Probe nodes that others suspect.
+        """Probe a random part of the nodes that peers suspect.
 
-        Whether a suspected node is declared dead depends on how many nodes
-        suspect it independently. Each node probes it with a probability that
-        gives `EXPECTED_CHECKERS` probes over all nodes; if all nodes probed,
-        the suspected node would receive thousands of probes at once.
+        A suspected node is declared dead only if several nodes suspect it
+        independently, so other nodes have to probe it. If all nodes did, the
+        suspected node would receive thousands of probes at once. Each node
+        therefore probes with a probability at which `EXPECTED_CHECKERS` nodes of
+        the fleet send a probe on average.
         """
         probed = {probe.node.node_id for probe in self._probes.values()}
         for node_id in sorted(self._state.nodes_to_check - probed):
@@ -167,11 +171,11 @@
     def _new_probe_order(self) -> list[str]:
         """Return the node ids to probe in the next round, in random order.
 
-        A round has each peer of the own zone once, and some peers of other zones.
-        The latter are always the same few, since opening a connection to a
-        different peer each time costs more than the probe itself. Nodes of the
-        same zone detect a node that cannot be reached; nodes of other zones
-        detect a zone that is cut off.
+        A round has each peer of this node's zone once, and some peers of other
+        zones. The peers of other zones are always from the same few, since a new
+        connection for each probe would cost more than the probe itself. Probes
+        within a zone detect a node that cannot be reached; probes from other
+        zones detect that a whole zone is cut off.
         """
         own = self._state.own.header
         peers = self._state.peers()
@@ -191,12 +195,13 @@
     ) -> None:
         sequence = next(self._sequences)
         ping = Ping(sequence, node.node_id, self._news_for(node.node_id, now_s))
-        # A probe that this node's byte cap held back says nothing about the peer.
+        # A probe that this node's byte cap refused was not sent, so a missing answer
+        # would be no evidence against the peer.
         if self._channel.send(node.member_address, ping, now_s, importance):
             self._probes[sequence] = _Probe(node, now_s)
 
     def _news_for(self, node_id: str, now_s: float) -> list[News]:
-        """Return news for a message to a node; a verdict on that node comes first."""
+        """Return news to send to a node, first any verdict on the node itself."""
         verdict = self._state.verdict_on(node_id)
         news = self._gossiper.piggyback(now_s)
         return news if verdict is None else [verdict, *news]
@@ -209,8 +214,8 @@
             if not probe.through_helpers:
                 self._probes[sequence] = probe._replace(through_helpers=True)
                 if not self._request_indirect_pings(sequence, probe.node, now_s):
-                    # This node's byte cap held the requests back: the probe
-                    # says nothing about the peer.
+                    # The byte cap of this node refused the requests to helpers,
+                    # so a missing answer is no evidence against the peer.
                     del self._probes[sequence]
             elif waited_s >= DIRECT_TIMEOUT_S + INDIRECT_TIMEOUT_S:
                 del self._probes[sequence]
@@ -219,8 +224,9 @@
     def _request_indirect_pings(
         self, sequence: int, node: NodeRecord, now_s: float
     ) -> bool:
-        """Ask other peers to ping a node; return False if the byte cap refused."""
-        # The peer may be healthy and only the connection broken.
+        """Ask helpers to ping a node; return False if the byte cap refused to."""
+        # Perhaps the node is healthy and only this connection to it is broken. The
+        # next ping opens a new connection.
         self._transport.disconnect(node.member_address)
         others = [
             peer
@@ -239,8 +245,8 @@
         node = probe.node
         leaving = self._state.is_leaving(node.node_id)
         if not leaving and not self._others_answered(node.node_id, probe.sent_s):
-            # No other peer answered since the probe was sent: it is more likely
-            # that this node is cut off than that the peer failed.
+            # No other peer answered this node since the probe was sent, so this
+            # node is probably cut off and the probed node has not failed.
             self._events.emit("probe_failure_ignored", peer=node.node_id)
             return
         self._state.record_failed_probe(node, now_s)
@@ -260,7 +266,7 @@
                 self._channel.answer(relayed.requester, ack, now_s, Importance.ANSWER)
 
     def _request_self_check(self, now_s: float) -> None:
-        """Ask peers to ping this node while others suspect it or hold it dead."""
+        """Ask peers to ping this node while peers suspect it or hold it dead."""
         if self._state.disputed_epoch is None or now_s < self._next_self_check_s:
             return
         self._next_self_check_s = now_s + SELF_CHECK_INTERVAL_S
@@ -285,8 +291,8 @@
     def _reconnect(self, now_s: float) -> None:
         """Ping contact addresses of unknown nodes, and one dead node.
 
-        Without this, two halves of a partition that declared each other dead
-        would not find each other again once the partition ends.
+        Two sides of a partition may declare each other's nodes dead. Without
+        these pings they would not find each other after the partition ends.
         """
         known = {node.member_address for node in self._state.directory.alive()}
         unknown = [
@@ -306,7 +312,7 @@
         self._state.handle_news(ping.news, now_s, spread=True)
         self._request_self_check(now_s)
         if ping.target not in ("", self._state.own.node_id):
-            # The ping was meant for a node that no longer has this address.
+            # The ping is for another node, which had this address before.
             self._channel.record_drop("other_target", ping.target, now_s)
             return
         ack = Ack(ping.sequence, news=self._news_for(peer.node_id, now_s))
--- a/balsamspindle/membership/recent_max.py
+++ b/balsamspindle/membership/recent_max.py
@@ -1,12 +1,12 @@
-"""Maximum of the recent values of a series."""
+"""Maximum of the values recorded recently."""
 
 __all__ = ["RecentMax"]
 
 
 class RecentMax:
-    """Maximum over the last one to two windows of time.
+    """Maximum of the values recorded within the last one to two windows.
 
-    Only the maxima of the current and of the previous window are kept.
+    Only the maximum of the current window and that of the previous one are kept.
     """
 
     def __init__(self, window_s: float) -> None:
@@ -21,7 +21,7 @@
         self._current_max = max(self._current_max, value)
 
     def value(self, now_s: float) -> float:
-        """Return the maximum; 0 if there are no recent values."""
+        """Return the maximum of the recent values; 0 if there are none."""
         self._rotate(now_s)
         return max(self._previous_max, self._current_max)
 
--- a/balsamspindle/membership/registry.py
+++ b/balsamspindle/membership/registry.py
@@ -1,13 +1,13 @@
-"""Discovery of first peers through a table of the platform.
+"""Discovery of a starting node's first peers through a table of the platform.
 
-Table ``members`` has `SLOTS_PER_ZONE` rows for each availability zone, each with the
-member address of one node. A slot's row is written by the node that ranks first for
-the slot among the nodes of the zone that it knows, and only when the row names
-another node. So the number of rows, reads and writes grows with the zones and not
-with the nodes.
+Table ``members`` has `SLOTS_PER_ZONE` rows for each availability zone, one for each
+slot of the zone. A row has the member address of one node. For each slot, a hash
+ranks the nodes of the zone; the node that ranks first writes the slot's row, and only
+when the row names another node. So the number of rows, reads and writes grows with
+the number of zones and not with the number of nodes.
 
-The table is soft state: a row that is outdated, wrong or lost costs a joining node
-one attempt, and nodes that know a peer do not need the table.
+No node depends on the table's content for more than its first peers. A row that is
+outdated, wrong or missing costs a joining node one failed attempt to contact a peer.
 """
 
 import random
@@ -29,14 +29,15 @@
 
 MEMBERS_TABLE = "members"
 SLOTS_PER_ZONE = 4
-# Short, since a starting node serves no requests until it has found a peer. When a
-# large fleet starts at once, the store refuses some of the reads; these are retried.
+# Longest random delay before a starting node first reads the table. It is short because
+# the node serves no requests until it has found a peer. When a large fleet starts at
+# once, the store refuses some of the reads, and the refused nodes read again.
 FIRST_READ_DELAY_MAX_S = 0.3
 READ_INTERVAL_MIN_S = 0.6
 READ_INTERVAL_MAX_S = 30.0
 UPDATE_INTERVAL_S = 60.0
-# Rounds in which the nodes of the table may answer before a node without peers
-# writes rows itself.
+# A node without peers contacts the nodes in the table for this many rounds. If none of
+# them answers, it writes its own address into the table.
 PEER_REPLY_ROUNDS = 2
 BACKOFF_DOUBLINGS_MAX = 10
 
@@ -49,7 +50,7 @@
 
 
 def slot_owner(zone: str, slot: int, node_ids: Iterable[str]) -> str:
-    """Return the node that writes a slot's row: the first in rendezvous order."""
+    """Return the node that writes a slot's row, by rendezvous hashing."""
     return max(
         node_ids,
         key=lambda node_id: xxhash.xxh3_64_intdigest(
@@ -59,12 +60,12 @@
 
 
 class Registry:
-    """Task that finds first peers and keeps this node's rows up to date.
+    """Task that finds a starting node's peers and writes this node's rows.
 
     Parameters
     ----------
     set_contacts : callable
-        Called with the member addresses to contact; safe from any thread.
+        Called with the member addresses to contact; must be thread-safe.
     is_isolated : callable
         Returns whether no peer answers this node.
     """
@@ -101,10 +102,12 @@
             self._isolated_rounds = 0
             self.update_rows()
             return UPDATE_INTERVAL_S
-        # In its first round a node knows no other node, so it ranks first for all
-        # slots of its zone. When a fleet starts, each node would write all of them.
+        # A node that knows no other node ranks first for all slots of its zone. If it
+        # wrote them before the nodes in the table had time to answer, each node of a
+        # starting fleet would write all rows of its zone.
         if not self.find_peers() or self._isolated_rounds >= PEER_REPLY_ROUNDS:
-            # Written even without peers, so that others find the first node.
+            # The first node of a fleet has no peers. It writes rows all the same, so
+            # that the nodes that start later find it.
             self.update_rows()
         wait_s = READ_INTERVAL_MIN_S * 2 ** min(
             self._isolated_rounds, BACKOFF_DOUBLINGS_MAX
@@ -117,7 +120,7 @@
         self._stopped.set()
 
     def find_peers(self) -> bool:
-        """Read the table, contact its other nodes and return whether there are any."""
+        """Contact the other nodes in the table; return whether there are any."""
         match self._tables.scan(MEMBERS_TABLE):
             case Result(tag="ok", ok=rows):
                 self._record_availability(True, "")
@@ -138,7 +141,7 @@
         return False
 
     def update_rows(self) -> None:
-        """Write those rows of this node's slots that do not name it."""
+        """Write this node's address to the rows of its slots, unless it is there."""
         zone = self._own.availability_zone
         node_ids = {self._own.node_id}
         for node in self._directory.alive():
--- a/balsamspindle/membership/suspicion.py
+++ b/balsamspindle/membership/suspicion.py
@@ -1,4 +1,4 @@
-"""Suspicions: which nodes are suspected to be dead, by which nodes, and until when."""
+"""Suspicions: which nodes are suspected to be dead, by whom, and until when."""
 
 import math
 from typing import NamedTuple
@@ -9,11 +9,11 @@
 
 TIMEOUT_MIN_S = 2.0
 TIMEOUT_MAX_S = 8.0
-# With this many independent suspecters besides the first one, the time-out is at
+# With this many suspecters besides the first one, the time-out of a suspicion is at
 # its minimum.
 CONFIRMATIONS = 3
-# Suspecters needed to declare a node dead. With one, a node with a broken link
-# or a slow member task could have healthy nodes declared dead.
+# Suspecters needed to declare a node dead. If one were enough, a single node with a
+# broken link or a slow member task could have healthy nodes declared dead.
 SUSPECTERS_MIN = 2
 
 
@@ -23,9 +23,10 @@
     Parameters
     ----------
     suspecters : int
-        Nodes that suspect the node, including the first one.
+        Number of nodes that suspect the node, including the first one.
     confirmations : int
-        Further suspecters to expect: `CONFIRMATIONS`, or fewer in a small fleet.
+        Number of suspecters besides the first one at which the time-out is at its
+        minimum: `CONFIRMATIONS`, or fewer in a small fleet.
 
     Notes
     -----
@@ -72,12 +73,12 @@
         return node_id in self._suspicions
 
     def epoch_of(self, node_id: str) -> Epoch | None:
-        """Return the epoch at which a node is suspected, or None."""
+        """Return the epoch at which a node is suspected; None if it is not."""
         suspicion = self._suspicions.get(node_id)
         return None if suspicion is None else suspicion.epoch
 
     def add(self, node_id: str, epoch: Epoch, suspecter_id: str, now_s: float) -> bool:
-        """Record a suspecter; return True if the suspicion should be spread."""
+        """Record that a node suspects another; return whether to tell peers."""
         known = self._suspicions.get(node_id)
         if known is None or epoch > known.epoch:
             self._suspicions[node_id] = _Suspicion(
@@ -96,7 +97,10 @@
         return True
 
     def refute(self, node_id: str, epoch: Epoch) -> bool:
-        """Remove a suspicion older than `epoch`, which the node itself announced."""
+        """Remove the suspicion of a node that announced a later epoch of itself.
+
+        Returns whether there was a suspicion of an epoch before `epoch`.
+        """
         known = self._suspicions.get(node_id)
         if known is None or epoch <= known.epoch:
             return False
--- a/balsamspindle/membership/sync.py
+++ b/balsamspindle/membership/sync.py
@@ -1,12 +1,13 @@
-"""Anti-entropy: two nodes compare digests and exchange what differs.
+"""Anti-entropy: two nodes compare their directories and exchange missing records.
 
-Anti-entropy delivers news that gossip did not, and brings a joining node up to
-date. Records are sent in pages::
+Anti-entropy delivers news that gossip did not deliver, and brings a joining node up
+to date. Nodes are grouped into buckets by a hash of their ids, and first the digests
+of the buckets are compared (see `balsamspindle.membership.fingerprints`)::
 
     A: SyncRequest(digests of all buckets)
-    B: SyncSummary(nodes of some of the buckets that differ)
-    A: Pull(nodes of which B has newer news), Page(news that B lacks)
-    B: Page(records)
+    B: SyncSummary(nodes in some of the buckets whose digests differ)
+    A: Pull(nodes of which B has newer records), Page(records that B lacks)
+    B: Page(the pulled records)
 """
 
 import random
@@ -30,26 +31,30 @@
 
 __all__ = ["AntiEntropy"]
 
+# Mean interval between two comparisons that find no difference.
 SYNC_INTERVAL_S = 10.0
-# Interval and number of peers while much differs, as after a join or a long pause.
+# While a node lacks more records than one exchange holds, as after a join or a long
+# pause, it compares its directory at this interval with this many peers.
 CATCH_UP_INTERVAL_S = 0.4
 CATCH_UP_PEERS = 4
-# Interval after a comparison that found a few differences.
+# Interval after a comparison whose differences fit into one exchange.
 REPAIR_INTERVAL_S = 2.0
 SUMMARY_NODES_MAX = 64
 NODE_PULLS_MAX = 64
 PAGE_MAX_BYTES = 64 * 1024
 # Compression makes a page of records smaller by at least this factor.
 PAGE_COMPRESSION_RATIO_MIN = 2
-# When more buckets than this differ, a node pulls all of them as a whole. More
-# comparisons would spend its byte budget on digests and lists of nodes.
+# When more buckets than this differ, a node pulls the records of all nodes in the
+# differing buckets. Comparing them node by node would spend the byte budget on digests
+# and lists of nodes.
 PULL_ALL_ABOVE_BUCKETS = 64
 PULL_ALL_INTERVAL_S = 300.0
 PULLS_PER_TICK = 4
-# Nodes in the buckets that one pull asks for, on average. Their page, with 100 bytes
-# a node before compression, fits into what a peer may send at once. With one bucket
-# a pull, 233 nodes in 256 buckets spend nine of ten bytes on overhead, and a fleet
-# that starts together needs 19 s until its nodes know each other.
+# One pull requests as many buckets as hold this many nodes on average. The page with
+# their records, 100 bytes a node before compression, fits into what a peer may send at
+# once. If each pull requested one bucket, 233 nodes in 256 buckets would spend nine of
+# ten bytes on overhead, and nodes that all start together would need 19 s to know each
+# other.
 NODES_PER_PULL = 64
 BUCKETS_PER_PULL_MAX = 64
 
@@ -57,14 +62,14 @@
 
 
 class AntiEntropy:
-    """Compares directories with random peers; used by the member task alone.
+    """Compares this node's directory with peers'; used by the member task alone.
 
     Attributes
     ----------
     pages_received : int
         Number of pages received so far.
     is_catching_up : bool
-        Whether a summary or page since the last comparison was incomplete.
+        Whether a summary or page since the last comparison left out records.
     """
 
     def __init__(
@@ -86,14 +91,14 @@
         channel.register("page", Page, self._handle_page)
 
     def tick(self, now_s: float) -> None:
-        """Pull buckets, or start a comparison when one is due."""
+        """Send pulls of buckets, or start a comparison when one is due."""
         peers = self._state.peers()
         if not peers:
             return
         self._pull_buckets(peers, now_s)
         if now_s < self._next_comparison_s or self._buckets_to_pull:
             return
-        # Randomised so that nodes do not stay in step after a common cause.
+        # Random, so that nodes that start together do not all compare at once.
         self._next_comparison_s = now_s + SYNC_INTERVAL_S * self._random.uniform(
             0.5, 1.5
         )
@@ -108,7 +113,10 @@
                 self.compare_soon(now_s, REPAIR_INTERVAL_S)
 
     def _pull_buckets(self, peers: list[NodeRecord], now_s: float) -> None:
-        """Pull whole buckets from random peers, as far as the byte cap allows."""
+        """Pull the records of all nodes in some buckets, within the byte cap.
+
+        Each pull goes to a random peer.
+        """
         for _ in range(PULLS_PER_TICK):
             if not self._buckets_to_pull:
                 return
@@ -119,7 +127,7 @@
             del self._buckets_to_pull[-self._buckets_per_pull :]
 
     def start_comparison(self, peer: Peer, now_s: float) -> None:
-        """Compare with a peer that the directory lacks, at a limited rate."""
+        """Compare directories with an unknown peer, at a limited rate."""
         if now_s < self._next_unknown_peer_s:
             return
         self._next_unknown_peer_s = now_s + CATCH_UP_INTERVAL_S
@@ -156,13 +164,13 @@
         self.compare_soon(
             now_s, CATCH_UP_INTERVAL_S if is_partial else REPAIR_INTERVAL_S
         )
-        # A joining node that knows no peers cannot pull buckets from them. It pulls
-        # the nodes of this summary instead; otherwise it would wait forever.
+        # A node pulls buckets only from peers in its directory. A joining node whose
+        # directory has no peers yet pulls the nodes of this summary instead.
         needs_all = (
             summary.differing_count > PULL_ALL_ABOVE_BUCKETS and self._state.peers()
         )
-        # Once per interval: afterwards only the nodes that did not fit into a page
-        # are missing.
+        # Buckets are pulled once per interval: afterwards only the few nodes are
+        # missing that did not fit into a page.
         if needs_all and now_s >= self._next_pull_all_s:
             self._next_pull_all_s = now_s + PULL_ALL_INTERVAL_S
             wanted = [*summary.buckets, *summary.unlisted_buckets]
@@ -176,9 +184,9 @@
             if node_pull is not None
         ]
         if node_pulls:
-            # Urgent, so that comparisons with other peers do not use up the byte
-            # budget. The pull would not be sent, and the next comparison would find
-            # the same difference again.
+            # Urgent, so that the byte cap does not refuse the pull after comparisons
+            # with other peers used up the routine budget. Without the pull, the next
+            # comparison would find the same difference again.
             pull = Pull(node_pulls[:NODE_PULLS_MAX])
             self._channel.answer(peer, pull, now_s, Importance.URGENT)
         news = self._news_for_peer(summary)
@@ -196,9 +204,9 @@
             return None
         if summary.fingerprint == view.fingerprint:
             return None
-        # Most often only entries above the known version are missing. If an older
-        # one is missing too, the versions are equal at the next comparison, and
-        # all entries are pulled.
+        # Usually only entries above the known version are missing. If an older entry
+        # is missing too, the next comparison finds equal versions with different
+        # fingerprints, and all entries are pulled.
         above = view.version if summary.version > view.version else 0
         return NodePull(summary.node_id, summary.incarnation, above)
 
@@ -238,8 +246,8 @@
     def _limit_to_page(self, news: list[News], now_s: float) -> list[News]:
         """Return the first items that fit into a page and the byte budget.
 
-        A page above the budget is not sent at all. As a later page would be no
-        smaller, the peer would never receive it.
+        The byte cap would refuse a larger page. As the page for the next request
+        would be as large, the peer would never receive any of the items.
         """
         available_bytes = self._channel.available_bytes(Importance.ROUTINE, now_s)
         return _first_fitting(
@@ -255,14 +263,14 @@
 
 
 def _buckets_per_pull(summary: SyncSummary) -> int:
-    """Return the number of buckets per pull, from a summary's nodes per bucket."""
+    """Return how many buckets hold `NODES_PER_PULL` nodes, judged by a summary."""
     nodes_per_bucket = len(summary.nodes) / max(1, len(summary.buckets))
     wanted = int(NODES_PER_PULL / max(1.0, nodes_per_bucket))
     return max(1, min(wanted, BUCKETS_PER_PULL_MAX))
 
 
 def _first_fitting(news: list[News], max_bytes: int) -> list[News]:
-    """Return the first items within a number of bytes, at least one item."""
+    """Return as many of the first items as fit into `max_bytes`, at least one."""
     size_bytes = 0
     for number, item in enumerate(news):
         size_bytes += len(_encoder.encode(item))
--- a/balsamspindle/membership/transport.py
+++ b/balsamspindle/membership/transport.py
@@ -20,24 +20,24 @@
 RECEIVE_QUEUE_MAX = 2000
 RECEIVE_BATCH_MAX = 200
 HANDSHAKE_TIMEOUT_MS = 2000
-# Bytes of a message besides its payload: ZMTP framing, and the TCP and IP headers of
-# the message and of its ACK.
+# Bytes on the network for each message besides its payload: ZMTP framing, and the TCP
+# and IP headers of the message and of its ACK.
 MESSAGE_OVERHEAD_BYTES = 80
-# This node's part of the TCP and ZMTP handshakes of a new connection.
+# Bytes that this node sends in the TCP and ZMTP handshakes of a new connection.
 CONNECT_OVERHEAD_BYTES = 400
-# This node's part of the additional CURVE handshake.
+# Bytes that this node sends in the CURVE handshake of an encrypted connection.
 CURVE_OVERHEAD_BYTES = 500
 
 
 class Route(NamedTuple):
-    """Connection on which a frame was received, used to send an answer.
+    """Connection on which a frame was received and on which to send the answer.
 
     Attributes
     ----------
     address : str
-        Address of the peer, if this node opened the connection; else empty.
+        Address of the peer if this node opened the connection; otherwise empty.
     routing_id : bytes
-        ROUTER id of the peer, if the peer opened the connection; else empty.
+        ROUTER id of the peer if the peer opened the connection; otherwise empty.
     """
 
     address: str = ""
@@ -45,32 +45,32 @@
 
 
 class ReceivedFrame(NamedTuple):
-    """A frame and the connection that it was received on."""
+    """A frame and the connection on which the frame was received."""
 
     route: Route
     frame: bytes
 
 
 class Transport:
-    """Carries frames between members; unreliable, any frame may be lost."""
+    """Sends frames to members and receives theirs; any frame may be lost."""
 
     def cost_bytes(self, address: str, size_bytes: int) -> int:
-        """Return the bytes that sending a frame takes on the network."""
+        """Return the bytes on the network that a frame costs, headers included."""
         raise NotImplementedError
 
     def send(self, address: str, frame: bytes) -> bool:
-        """Send a frame to a member address; return False if it was refused."""
+        """Send a frame to a member address; return False if the frame was refused."""
         raise NotImplementedError
 
     def answer(self, route: Route, frame: bytes) -> bool:
-        """Send a frame on the connection that another one was received on.
+        """Send a frame on the connection on which a peer's frame was received.
 
-        Returns False if it was refused.
+        Returns False if the frame was refused.
         """
         raise NotImplementedError
 
     def receive(self, wait_s: float) -> list[ReceivedFrame]:
-        """Wait up to `wait_s` for a frame or a `wake`; return the received frames."""
+        """Wait up to `wait_s` for frames or a call of `wake`; return the frames."""
         raise NotImplementedError
 
     def disconnect(self, address: str) -> None:
@@ -78,7 +78,7 @@
         raise NotImplementedError
 
     def wake(self) -> None:
-        """Make a waiting `receive` return; callable from any thread."""
+        """Make a running `receive` return; callable from any thread."""
         raise NotImplementedError
 
     def close(self) -> None:
@@ -89,10 +89,10 @@
 class ZmqTransport(Transport):
     """Listens on one ROUTER socket and connects with a DEALER socket per peer.
 
-    A node may send to any of thousands of peers. When more than
-    `OPEN_CONNECTIONS_MAX` connections are open, the least recently used one is
-    closed: without this bound the number of sockets, and the memory of the I/O
-    threads, would grow with the fleet.
+    A node may send to any of thousands of peers. Before it would open more than
+    `OPEN_CONNECTIONS_MAX` connections, it closes the least recently used one.
+    Without this bound, the number of sockets and the memory of the I/O threads
+    would grow with the fleet.
 
     All methods but `wake` must be called from the same thread.
     """
@@ -200,7 +200,7 @@
         socket.setsockopt(zmq.SNDHWM, SEND_QUEUE_MAX)
         socket.setsockopt(zmq.RCVHWM, RECEIVE_QUEUE_MAX)
         socket.setsockopt(zmq.HANDSHAKE_IVL, HANDSHAKE_TIMEOUT_MS)
-        # ZeroMQ closes a connection that sends a larger message, before the
+        # ZeroMQ closes a connection on which a larger message arrives, before the
         # message takes memory in this process.
         socket.setsockopt(zmq.MAXMSGSIZE, MEMBER_MESSAGE_MAX_BYTES)
         return socket
