--- a/balsamspindle/customers/admission.py
+++ b/balsamspindle/customers/admission.py
@@ -37,7 +37,7 @@
 
     @property
     def name(self) -> str:
-        """The customer's name for backend servers; empty without a customer."""
+        """The customer's name as sent to backend servers; empty without a customer."""
         return self.customer.name if self.customer is not None else ""
 
 
--- a/balsamspindle/customers/granters.py
+++ b/balsamspindle/customers/granters.py
@@ -51,7 +51,7 @@
         In any window of this length, a customer may run its rate times the window
         plus its burst. If 0, the burst is available once and refills at the rate.
     over_fraction : float
-        A customer may exceed the number of requests per window by this fraction of it.
+        Fraction by which a customer may exceed its number of requests per window.
     slack : float
         Number of requests by which a customer may exceed its limit in addition.
     """
--- a/balsamspindle/customers/proofs.py
+++ b/balsamspindle/customers/proofs.py
@@ -28,7 +28,7 @@
 
 TICK_S = 0.1
 READERS_PER_ZONE_MIN = 2
-# A zone has one reader for this many nodes.
+# A zone has one reader, a node that reads the store regularly, for this many nodes.
 NODES_PER_READER = 32
 # Interval at which readers read the store.
 READ_INTERVAL_S = 1.5
@@ -36,14 +36,17 @@
 ASK_AT_AGE_S = 1.5
 # Interval at which a node asks peers until it gets a newer proof.
 ASK_INTERVAL_S = 0.4
-# How many questions a node sends to readers of its own zone, and after these to any
-# node of its zone. If it still has no newer proof, it asks readers of all zones.
+# A node that needs a newer proof first sends READER_QUESTIONS questions to readers of
+# its own zone (the nodes that read the store), then ZONE_QUESTIONS questions to any
+# nodes of its zone. If it still has no newer proof, it asks readers of all zones.
 READER_QUESTIONS, ZONE_QUESTIONS = 2, 1
-# Once its proof has this age, a node that is no reader may read the store itself.
+# Once a node's proof has this age, the node may read the store even if it isn't a
+# reader.
 READ_AT_AGE_S = 2.5
-# Interval at which a node that is no reader reads the store, doubled after each read.
-# If peers answer but have no newer proof, the store is probably unavailable to all
-# nodes, and the maximum applies after one read.
+# Interval at which a node that isn't a reader reads the store while it gets no newer
+# proof from peers. The interval is doubled after each read, up to the maximum. If peers
+# answer but have no newer proof, the store is probably unavailable to all nodes, so the
+# interval rises to the maximum after a single read.
 OWN_READ_INTERVAL_S, OWN_READ_INTERVAL_MAX_S = 1.0, 8.0
 OPEN_QUESTIONS_MAX = 16
 
@@ -202,7 +205,7 @@
         """Return the member address of the peer to ask for a newer proof now.
 
         None if no question is due or no peer is known. If a question is due, also
-        schedules the next one.
+        schedules the next question.
         """
         if now_s < self._next_question_s or self._age_s(now_s) < ASK_AT_AGE_S:
             return None
--- a/balsamspindle/requests/admission_queries.py
+++ b/balsamspindle/requests/admission_queries.py
@@ -3,12 +3,14 @@
 Gates in other zones refuse two of three attempts that look for a free slot. An
 attempt carries its whole request, at least 0.7 KB, and traffic between zones is paid
 for by the byte. A query and its answer take 0.2 KB and a round trip. The gate does not
-reserve the slot: if another attempt takes it first, the gate refuses this one.
-
-An attempt with a large body is preceded by a query within the own zone, too. Gates of
-a busy service refuse three of four attempts. With bodies of 60 KB on 10 Mbit/s links,
-the refused attempts fill a quarter of each gate's link. Queries and short requests are
-then delayed by a quarter of a second, and the gate is considered unreachable.
+reserve a slot for the attempt: if another attempt takes the last free slot before this
+one arrives, the gate refuses this one after all.
+
+An attempt with a large body is preceded by a query even to a gate in the own zone.
+Gates of a busy service refuse three of four attempts. With bodies of 60 KB on 10 Mbit/s
+links, the refused attempts would fill a quarter of each gate's link. Queries and short
+requests would be delayed by a quarter of a second, and the gate would be considered
+unreachable.
 """
 
 import itertools
@@ -32,11 +34,12 @@
 
 __all__ = ["DeclinedAttempt", "AdmissionQueries"]
 
-# On a 10 Mbit/s link a body of this size takes as long as a query and its answer
-# within a zone, including the processing at both ends.
+# A gate is always queried before a body of at least this size is sent to it. On a
+# 10 Mbit/s link a body of this size takes as long as a query and its answer within a
+# zone, including the processing at both ends.
 LARGE_BODY_BYTES = 8 * 1024
-# Longest wait for the answer to a query. It is several round trips, and a gate needs
-# almost no time to answer.
+# How long an ingress waits for the answer to a query. That is enough for several round
+# trips; the gate itself needs almost no time to answer.
 QUERY_TIMEOUT_S = 0.25
 
 
@@ -60,7 +63,7 @@
 
 
 class AdmissionQueries:
-    """Sends queries to gates, mostly in other zones."""
+    """Asks gates, mostly in other zones, whether they would admit an attempt."""
 
     def __init__(
         self,
@@ -79,9 +82,9 @@
         """Return whether to query the gate before the attempt is sent.
 
         A query is sent for a large body, and for an attempt that looks for a free slot
-        in another zone. For smaller bodies, a query does not pay off with last-resort
-        attempts, which are rarely refused, nor with attempts that wait in a queue,
-        which are refused only later.
+        in another zone. All other attempts are sent without a query: within the own
+        zone traffic is free, last-resort attempts are rarely refused, and attempts
+        that wait in a queue are refused only later.
         """
         if len(forwarded.request.body) >= LARGE_BODY_BYTES:
             return True
@@ -92,7 +95,11 @@
     def query(
         self, forwarded: ForwardedRequest, placement: Placement
     ) -> Link | DeclinedAttempt:
-        """Query a gate; return the link for the attempt, or why it must not be sent."""
+        """Ask a gate whether it would admit an attempt.
+
+        Returns the link over which to send the attempt if the gate would admit it, and
+        otherwise the reason not to send it.
+        """
         now_s = self._clock()
         link = self._links.acquire(
             placement, forwarded.route.execution, forwarded.deadline_s, now_s
--- a/balsamspindle/requests/admissions.py
+++ b/balsamspindle/requests/admissions.py
@@ -31,8 +31,7 @@
     def admit(self, request: CallerRequest, now_s: float) -> Admitted | Refused:
         """Find a request's route and customer; count it against the customer's limit.
 
-        May block for a moment, while the node that grants requests of this customer
-        is asked.
+        May block for a moment while another node is asked to grant the request.
         """
         match self._route(request):
             case RouteDocument() as route:
@@ -41,11 +40,12 @@
                 return refused
 
     def refuse_on_head(self, request: CallerRequest, now_s: float) -> Refused | None:
-        """Return the refusal of a request whose body was not read; None if it may run.
+        """Return a request's refusal before its body is read; None if it is admitted.
 
-        An admitted request is not counted against its customer's limit until its body
-        has arrived. Otherwise requests that were counted at different times could all
-        run at the same moment, when their bodies have arrived, and exceed the limit.
+        An admitted request is counted against its customer's limit only later, when
+        its body has arrived. If requests were counted by their heads, those counted at
+        different times could all run at the same moment, when their bodies have
+        arrived, and together exceed the limit.
         """
         match self.admit(request, now_s):
             case Refused() as refused:
--- a/balsamspindle/requests/answers.py
+++ b/balsamspindle/requests/answers.py
@@ -19,10 +19,10 @@
 _BODILESS_STATUSES = frozenset({204, 304})
 # Statuses from which callers conclude that the request did not run and never will.
 NOT_RUN_STATUSES = frozenset({408, 421, 429, 503})
-# Replaces a status of NOT_RUN_STATUSES if an earlier attempt may have run.
+# Sent instead of a status in NOT_RUN_STATUSES if an earlier attempt may have run.
 UNKNOWN_STATUS = 502
-# Replaces 502 and 504 if no attempt ran. With these statuses the caller would have to
-# assume that the request may have run, and could not resend a non-idempotent one.
+# Sent instead of 502 or 504 if no attempt ran. From a 502 or 504 the caller would have
+# to assume that the request may have run, and could not resend a non-idempotent one.
 NOT_RUN_STATUS = 503
 _AMBIGUOUS_STATUSES = frozenset({502, 504})
 
@@ -76,9 +76,9 @@
     detail : str, optional
         An additional sentence for the caller about this request.
     allow : tuple of str
-        Methods that the request's target supports, for a 405.
+        Methods that the request's target supports; empty unless the status is 405.
     retry_after_ms : float, default=0
-        Time after which this caller may retry; 0 for the default of the reason.
+        Time after which this caller may retry; 0 for the default time of `reason`.
     retry_after_decimals : int, default=0
         Decimal places of the Retry-After header. The HTTP standard allows only whole
         seconds there, so the JSON body also gives the time in milliseconds.
--- a/balsamspindle/requests/attempt_outcomes.py
+++ b/balsamspindle/requests/attempt_outcomes.py
@@ -14,7 +14,7 @@
 
 __all__ = ["AttemptOutcomes", "is_answered"]
 
-# Causes in the log for attempts that ended without a reply.
+# Causes that the event log gives for attempts that ended without a reply.
 _UNANSWERED_CAUSES = {
     CancelCause.CALLER_LEFT: "the caller left",
     CancelCause.DEADLINE: "no reply in time",
@@ -29,7 +29,7 @@
     Parameters
     ----------
     is_given_up : callable
-        Returns whether the node has stopped waiting for replies to all attempts.
+        Returns whether this node no longer waits for the reply to any attempt.
     """
 
     def __init__(
@@ -59,7 +59,8 @@
             attempt_id = attempts[0].dispatch.attempt_id
             return Reply(attempt_id, Outcome.UNKNOWN, Reason.SILENCE)
         reply = waited.reply
-        # Each other attempt may be running or have run, unless its gate refused it.
+        # An attempt other than the one with this reply may be running or have run,
+        # unless its gate refused it.
         forwarded.may_have_run |= any(
             not _was_refused(waited.replies.get(sent.link))
             for sent in attempts
@@ -84,7 +85,7 @@
         return CancelCause.INGRESS_GAVE_UP
 
     def _log_unanswered(self, forwarded: ForwardedRequest, sent: SentAttempt) -> None:
-        """Log why the outcome of an attempt is unknown."""
+        """Log an attempt that got no reply, and why the wait for the reply ended."""
         self._events.emit(
             "attempt_unanswered",
             request=forwarded.request_id,
--- a/balsamspindle/requests/attempts.py
+++ b/balsamspindle/requests/attempts.py
@@ -80,7 +80,7 @@
 
     @property
     def link_hold_outs(self) -> HoldOuts:
-        """Nodes that this node could not reach and avoids for a while, by id."""
+        """Hold-outs, by node id, of nodes whose gates this node could not reach."""
         return self._links.hold_outs
 
     def next_id(self) -> AttemptId:
@@ -88,19 +88,21 @@
         return AttemptId(self._own.node_id, self._own.incarnation, next(self._sequence))
 
     def end_by(self, ends_s: float) -> None:
-        """Set when this node stops; gates then start only attempts that end before."""
+        """Set this node's stop time; gates then start no run that would end later."""
         self._link_attempts.end_by(ends_s)
 
     def give_up(self) -> None:
-        """Stop waiting for the replies to all attempts, and send no new ones."""
+        """Stop waiting for replies to attempts, and send no new attempts."""
         self._link_attempts.give_up()
 
     def parked_reply(self, forwarded: ForwardedRequest) -> Reply | None:
         """Return the reply to a parked attempt; None if no attempt is parked.
 
-        Called when all other attempts have failed; waits for the reply if it has not
-        arrived. If a leaving gate cancelled the run, the request may be sent again, as
-        other backend servers may have free slots by now.
+        A parked attempt stays open at a gate whose node is leaving, while the request
+        is sent to other gates. This method is called when the attempts at these other
+        gates have failed; it waits for the parked attempt's reply if that has not
+        arrived. If the reply reports that the leaving gate cancelled the run, the
+        request may be sent once more, as backend servers may have free slots by now.
         """
         if forwarded.parked_replies:
             return forwarded.parked_replies.pop()
@@ -109,7 +111,13 @@
         return None
 
     def cancel_parked(self, forwarded: ForwardedRequest, has_answer: bool) -> None:
-        """Cancel the parked attempt if it is still open."""
+        """Cancel the request's parked attempt if it is still open.
+
+        Parameters
+        ----------
+        has_answer : bool
+            Whether the request was answered; the gate gets the cause.
+        """
         self._link_attempts.cancel_parked(forwarded, has_answer)
 
     def is_own(self, placement: Placement) -> bool:
@@ -197,8 +205,8 @@
 
     def _send_to_own_gate(self, forwarded, placement, hedge: Hedge | None) -> Reply:
         # This thread makes the call to the backend server itself and cannot start a
-        # second attempt in parallel. Instead, an attempt that may be hedged ends after
-        # `hedge_delay_s`, so that another one can follow.
+        # second attempt in parallel. So if a second attempt is planned, the first is
+        # ended after `hedge_delay_s`, and the second is made after it.
         deadline_s = forwarded.deadline_s
         if hedge is not None:
             deadline_s = min(deadline_s, self._clock() + hedge.hedge_delay_s)
@@ -222,10 +230,10 @@
     def _handle_at_own_gate(
         self, forwarded: ForwardedRequest, dispatch: Dispatch
     ) -> tuple[Reply, Reply | None]:
-        """Run an attempt at the own gate; return its reply and a parked one's answer.
+        """Run an attempt at the own gate; return two replies.
 
-        The second is the successful reply to a parked attempt that came during the
-        run, or None.
+        The first is the reply to this attempt. The second is the reply to the
+        request's parked attempt if it succeeded during the run, else None.
         """
         if not forwarded.parked:
             return self._gate.handle(dispatch, self._clock()), None
--- a/balsamspindle/requests/caller_protocol.py
+++ b/balsamspindle/requests/caller_protocol.py
@@ -21,7 +21,7 @@
 
 
 def new_request_id() -> str:
-    """Return a random id for a request that has no valid id of its caller."""
+    """Return a random id for a request that came without a valid id."""
     return f"{_request_ids.getrandbits(128):032x}"
 
 
@@ -38,7 +38,8 @@
     def limits(self) -> HttpLimits:
         """Return the limits for callers' connections.
 
-        Limits in the fleet's settings take precedence over this process's limits.
+        Limits in the fleet's settings take precedence over this process's limits,
+        except that a body must never exceed this process's limit.
         """
         settings, configuration = self._settings, self._configuration.get()
         limits = HttpLimits(
--- a/balsamspindle/requests/caller_watch.py
+++ b/balsamspindle/requests/caller_watch.py
@@ -58,8 +58,8 @@
 
     def _cancel_if_gone(self) -> None:
         # While the lock is held, no attempt leaves `watching`, so the callers'
-        # connections stay open. The descriptor of a closed connection might already
-        # belong to another connection.
+        # connections stay open. If one were closed during the check, its file
+        # descriptor might already belong to another connection.
         with self._changed:
             gone = [
                 attempt_id
--- a/balsamspindle/requests/claim_eras.py
+++ b/balsamspindle/requests/claim_eras.py
@@ -1,11 +1,12 @@
-"""Decides whether a key that has no claim in the store is known to be unclaimed.
+"""Decides whether an Idempotency-Key without a claim in the store was never claimed.
 
 A store that is restored from an older copy has lost the claims written after the copy
 was made, and it starts a new era. In that era a key without a claim may have been
 claimed before the restore. The era is settled once every process that may know lost
-claims has written its claims again and has confirmed this: from then on a key without
-a claim is unclaimed. If one of these processes ended before it confirmed, keys without
-a claim are not run until callers can no longer resend the keys of the lost claims.
+claims has written its claims again and has confirmed in the store that it did: from
+then on a key without a claim is unclaimed. If one of these processes ended before it
+confirmed, requests whose keys have no claim are not run until callers can no longer
+resend the keys of the lost claims.
 """
 
 import threading
@@ -33,14 +34,14 @@
 FLEET_KNOWN_AFTER_S = 5.0
 # Minimum time from the start of an era until it is settled. A process that reaches the
 # store but not its peers may be missing among the processes that have to confirm the
-# era. It writes its claims again within this time.
+# era. Such a process writes its claims again within this time.
 RESTORE_MIN_S = 1.0
 # Requests wait for an era to be settled only until this time after the era's start.
 RESTORE_WAIT_S = 2.0
 
 
 class ClaimHolder(NamedTuple):
-    """A process that may know claims, as a gate or as the ingress that wrote them."""
+    """A process that may know claims: its gate ran their keys, or it wrote them."""
 
     node_id: str
     incarnation: int
@@ -113,7 +114,7 @@
                 del self._seen_s[ended]
 
     def begin(self, era: int, now_s: float) -> bool:
-        """Begin an era of the store; return False if it or a later one has begun."""
+        """Begin an era of the store; return False if it or a later one began before."""
         with self._changed:
             if era <= self._era:
                 return False
@@ -139,9 +140,9 @@
     def wait_until_settled(self, era: int, now_s: float, give_up_s: float) -> bool:
         """Wait for an era to be settled; return whether it is.
 
-        The wait ends at `give_up_s`, or earlier, `RESTORE_WAIT_S` after the current era
-        began. Calls after that time do not wait, because a process that has not yet
-        confirmed the era may never do so.
+        The wait ends at `give_up_s`, but no later than `RESTORE_WAIT_S` after the
+        current era began; a call that is made later than that returns at once. A
+        process that has not confirmed the era by then may never confirm it.
         """
         self._on_request(era)
         with self._changed:
@@ -174,8 +175,9 @@
     def can_settle(self, missing: set[ClaimHolder] | None, now_s: float) -> bool:
         """Return whether this process can declare the current era settled.
 
-        It can `RESTORE_MIN_S` after the era began if all processes have confirmed the
-        era, otherwise once callers can no longer resend the keys of lost claims.
+        If all processes have confirmed the era, it can from `RESTORE_MIN_S` after the
+        start of the era. Otherwise it can only when callers can no longer resend the
+        keys of lost claims.
 
         Parameters
         ----------
--- a/balsamspindle/requests/claim_restorer.py
+++ b/balsamspindle/requests/claim_restorer.py
@@ -1,9 +1,10 @@
 """Writes this process's claims again after the store was restored from an older copy.
 
 A process knows the keys that its gate ran and the claims that its ingress wrote. It
-writes their claims again and confirms this in its node's row of a table. Once all
-processes have confirmed, one of them marks the store's new era as settled: from then on
-a key without a claim is unclaimed (see `balsamspindle.requests.claim_eras`).
+writes claims for these keys, and the claims of its ingress, to the store again. Then it
+confirms in its node's row of `CLAIM_ERAS_TABLE` that it did. Once all processes have
+confirmed, one of them marks the store's new era as settled: from then on a key without
+a claim is unclaimed (see `balsamspindle.requests.claim_eras`).
 
 A process that has no claims to write does nothing until a request with a key arrives at
 any node. So a fleet whose callers send no keys makes no calls to the store.
@@ -44,8 +45,8 @@
 # node's row has this key.
 SETTLED_KEY = "_settled"
 CLAIMS_PER_BATCH = 50
-# Tries to write a batch of claims. A try fails if a row of the batch does not have the
-# expected version.
+# Maximum number of tries to write a batch of claims. A try fails if a row of the batch
+# does not have the expected version.
 BATCH_ATTEMPTS_MAX = 8
 # Interval at which `run` checks for a new era of the store when nothing wakes it.
 IDLE_INTERVAL_S = 1.0
@@ -61,8 +62,8 @@
     Attributes
     ----------
     overrides : bool
-        Whether this claim replaces another claim that is found in its row. True if the
-        key ran at this process's gate.
+        Whether this claim replaces another claim that the store has for the key. True
+        if the key ran at this process's gate.
     """
 
     key: str
@@ -154,7 +155,7 @@
         -------
         bool
             True if nothing is left to do until a new era begins or a request waits for
-            this era to be settled; False if the step has to be repeated.
+            the current era to be settled; False if the step has to be repeated.
         """
         era = self._tables.era
         self._update_era(era, now_s)
@@ -174,8 +175,9 @@
     def _update_era(self, era: int, now_s: float) -> None:
         self._eras.begin(era, now_s)
         if era > self._era:
-            # The store had not yet been restored at its last answer, and the copy is at
-            # most COPY_AGE_MAX_S older than that answer.
+            # The store was restored after its last answer in the previous era, from a
+            # copy that is at most COPY_AGE_MAX_S older than that answer. Claims that
+            # were written after the copy was made may be lost.
             oldest_s = self._answered_s - COPY_AGE_MAX_S
             self._lost_after_s = min(self._lost_after_s, oldest_s)
             self._era, self._to_rewrite = era, None
@@ -188,8 +190,8 @@
 
     def _record_fleet(self, now_s: float) -> None:
         self._answered_s = self._tables.answered_s
-        # An isolated process does not see all processes of the fleet. With -inf, it
-        # removes no process that it saw before.
+        # An isolated process does not see all processes of the fleet. With a time of
+        # -inf, `record_holders` removes no process that was seen earlier.
         answered_s = -math.inf if self._is_isolated() else self._answered_s
         self._eras.record_holders([self._own, *self._fleet()], answered_s, now_s)
 
@@ -204,7 +206,8 @@
             for written_claim in self._take_written_claims(after_s, now_s)
             if written_claim.key not in known
         ]
-        # Keep only each key's last claim: earlier claims were moved to another gate.
+        # A key's claim is written anew each time it is moved to another gate. Only the
+        # last one that was written is in force, so earlier ones are dropped.
         return list({claim.key: claim for claim in claims}.values())
 
     def _write_and_confirm(self, claims: list[_ClaimRewrite], era: int) -> bool:
@@ -303,8 +306,9 @@
 def _rewrite_without_run(written_claim: WrittenClaim) -> _ClaimRewrite:
     """Return a claim of this node's ingress, changed so that no gate runs its key.
 
-    The gate that the claim names may have replied 'not run' since, or its process may
-    have ended. A gate that did run the key replaces this claim with its own.
+    The gate that the claim names may have replied 'not run' after the claim was
+    written, or its process may have ended. A gate that did run the key replaces the
+    changed claim with its own.
     """
     stored = msgspec.structs.replace(written_claim.stored, incarnation=NO_INCARNATION)
     return _ClaimRewrite(written_claim.key, stored, False)
--- a/balsamspindle/requests/claims.py
+++ b/balsamspindle/requests/claims.py
@@ -157,7 +157,10 @@
         return claim if self._is_settled() else None
 
     def read(self, key: str, deadline_s: float) -> Result[Claim | None, None]:
-        """Return a key's claim, or None without a claim; an error if it isn't known.
+        """Read a key's claim.
+
+        Returns `Ok` with the claim, or with None if the key has no claim; `Error` if
+        the platform did not answer or may have lost the claim.
 
         While the store's era is not settled, the store may lack claims, and a claim
         that it has may have replaced a lost one. The claim is then returned with
@@ -205,10 +208,10 @@
     def _call_store(self, deadline_s: float, call: Callable):
         """Return the result of a call to the store, made in a thread of the pool.
 
-        None without a platform, or if the deadline passes first: the platform may hang
-        for longer than the request can wait. A write that takes effect after the
-        deadline is harmless: its claim names a gate that may run the key, and a resent
-        request finds that claim.
+        Returns None if the node has no platform, or if the deadline passes before the
+        call ends: the platform may hang for longer than the request can wait. A write
+        that takes effect after the deadline is harmless: its claim names a gate that
+        may run the key, and a resent request finds that claim.
         """
         if self._tables is None:
             return None
@@ -231,7 +234,8 @@
                         self._written.append(WrittenClaim(key, value, self._clock()))
                     return _claim(Row(key, written_version, msgspec.to_builtins(value)))
                 case Result(error=Conflict(rows)):
-                    # If the reply to the previous try was lost, this may be its row.
+                    # If the answer to the previous try was lost, that try may have
+                    # written this row; the claim is then this process's own.
                     return _claim(rows[0])
                 case Result(error=Unknown()):
                     continue
@@ -257,7 +261,8 @@
     Parameters
     ----------
     service, key : str
-        The request's service and its Idempotency-Key, unique only in that service.
+        The request's service, and its Idempotency-Key. Two services may use the same
+        key for different requests.
     deadline_s : float
         Deadline of the request, on the monotonic clock.
     """
@@ -345,7 +350,7 @@
         return msgspec.structs.replace(reply, outcome=Outcome.UNKNOWN, reason=reason)
 
     def _has_moved(self) -> bool:
-        """Return whether another request may have moved the claim."""
+        """Return whether another request may have moved the claim to another gate."""
         if self._claim.version == REPEAT_ONLY_VERSION:
             return True
         match self._claims.read(self._key, self._deadline_s + FINAL_READ_TIMEOUT_S):
--- a/balsamspindle/requests/closing.py
+++ b/balsamspindle/requests/closing.py
@@ -33,12 +33,12 @@
 ) -> None:
     """Close a listener after all connections in its backlog have been accepted.
 
-    After the handshake, a connection waits in the kernel for `accept`. Closing the
-    listener would reset it, possibly after its caller has sent a request. Therefore the
-    kernel is first told to drop new handshakes. Their callers repeat the handshake a
-    little later, when the listener is closed, and are refused before they send a
-    request. Handshakes in progress have `HANDSHAKES_TIMEOUT_S` to complete before the
-    listener is closed.
+    After its handshake, a connection waits in the kernel for `accept`. If the listener
+    were closed then, the kernel would reset the connection, possibly after its caller
+    has sent a request. Therefore the kernel is first told to drop new handshakes. Their
+    callers repeat the handshake a little later, when the listener is closed, and are
+    refused before they send a request. Handshakes in progress have
+    `HANDSHAKES_TIMEOUT_S` to complete before the listener is closed.
 
     Parameters
     ----------
@@ -79,7 +79,7 @@
 
     If this node has not read all bytes from the caller before the close, the kernel
     sends a reset, and the caller loses the answer. Unread bytes can be a request that
-    the caller sent before it read the last answer, or the rest of a refused body.
+    the caller sent before it read the last answer, or the body of a refused request.
     Therefore only the sending side is closed first. Then the caller's bytes are read
     and discarded, up to a limit in time and in bytes.
     """
--- a/balsamspindle/requests/connection_refuser.py
+++ b/balsamspindle/requests/connection_refuser.py
@@ -15,9 +15,10 @@
 
 
 class ConnectionRefuser:
-    """Sends the reason of the refusal to refused connections and closes them.
+    """Answers refused connections with the reason for the refusal, and closes them.
 
-    While `WAITING_MAX` connections wait for that answer, others are closed without it.
+    While `WAITING_MAX` connections wait for their answers, further ones are closed
+    without an answer.
 
     Parameters
     ----------
@@ -43,7 +44,7 @@
             connection.close()
 
     def shutdown(self) -> None:
-        """Accept no more connections to refuse; don't wait for open ones to close."""
+        """Take no more connections; return before the refused ones are closed."""
         self._executor.shutdown(wait=False)
 
     def _answer_and_close(self, connection: socket.socket) -> None:
--- a/balsamspindle/requests/forwarded.py
+++ b/balsamspindle/requests/forwarded.py
@@ -109,11 +109,13 @@
     ----------
     deadline_s : float
     tried : set of str
-        Ids of the backend servers that had an attempt and get no other in this search.
+        Ids of the backend servers that the present search for a placement excludes,
+        because they already had an attempt.
     may_have_run : bool
         Whether an attempt had an unknown outcome, so that the request may have run.
     caller_service : str
-        The service beside this node, whose name backend servers get in a header.
+        Name of the service that runs beside this node and sent the request; backend
+        servers get the name in a header.
     sends : int
         Attempts that reached, or may have reached, a backend server.
     attempts : int
@@ -124,8 +126,8 @@
     failed : set of str
         Ids of the backend servers at which an attempt failed.
     search_until_s : float or None
-        Until when the request is sent to all gates again after they refused it; None
-        before the first time that all of them did.
+        Until when the request, refused by all gates, is sent to them again and again;
+        None until all gates have refused it once.
     is_last_resort : bool
         Whether the request may be sent to suspected backend servers, because no others
         are left.
@@ -144,8 +146,9 @@
     parked_replies : list of Reply
         Unsuccessful replies to parked attempts that arrived during later attempts.
     was_cut : bool
-        Whether a run was lost, or is about to be, because its gate's node stops or
-        its backend server crashed.
+        Whether a run was lost, or is about to be lost, for one of these reasons: its
+        gate cancelled it, announced that its node stops, or did not reply; or the
+        backend server crashed.
     cut_s : float or None
         Arrival time of the first reply with which a gate reported that it cancelled
         a run or that a run broke off; None before such a reply.
@@ -158,7 +161,8 @@
     customer : str
         Empty for a request without a customer.
     stopped_by : StopReason or None
-        None while attempts are made, and after a success.
+        Why the request gets no further attempt; None while attempts are made, and
+        after a success.
     """
 
     request_id: str
@@ -193,9 +197,9 @@
     def restart_search(self) -> None:
         """Restart the search for a request whose run was lost with its gate's node.
 
-        Gates that refused the request before that run may get it again. Their
-        refusals are seconds old; without new attempts there, the request would fail
-        although these gates may have free slots.
+        Gates that refused the request before the lost run may get it again: their
+        refusals are seconds old, and they may have free slots by now. Backend servers
+        at which an attempt failed stay excluded.
         """
         self.was_cut = True
         self.search.restart()
@@ -234,9 +238,10 @@
         retry budget. Returns the placement; None if there is none, or if the budget
         is used up.
     is_paid : bool
-        Whether the next attempt is already paid for. An attempt at the own gate ends
-        after `hedge_delay_s`, before the next one starts. If that one could not be
-        paid for then, the caller would lose the answer to a merely slow attempt.
+        Whether a retry token was already spent on the second attempt. A first attempt
+        at the own gate is ended after `hedge_delay_s`, before the second one starts.
+        If no token were left then, the request would have lost a slow attempt that
+        might still have been answered, and would get no second one.
     """
 
     hedge_delay_s: float
--- a/balsamspindle/requests/forwarding.py
+++ b/balsamspindle/requests/forwarding.py
@@ -40,9 +40,9 @@
 
 __all__ = ["ForwardedRequest", "Forwarder"]
 
-# A request that all gates refused is sent to them again every SEARCH_AGAIN_S, half of a
-# first hold-out, during this fraction of its remaining time. Idempotent requests don't
-# wait for that, because the gates' queues would be full by then.
+# A request refused by all gates is sent to them again every SEARCH_AGAIN_S (half of
+# gate_links.HOLD_OUT_S) for this fraction of its remaining time. For an idempotent one
+# it is 0, as queues would be full by then: it tries suspected backend servers at once.
 SEARCH_AGAIN_S = 0.25
 SEARCH_AGAIN_FRACTIONS = {Execution.IDEMPOTENT: 0.0, Execution.NON_IDEMPOTENT: 0.1}
 # Reasons for a lost run that point to the gate's node, not to the backend server.
@@ -105,15 +105,15 @@
 
     @property
     def held_out_servers(self) -> HeldOutServers:
-        """Backend servers that are held out, as their gates' replies reported."""
+        """Backend servers that their gates reported as held out."""
         return self._sender.held_out_servers
 
     def end_by(self, ends_s: float) -> None:
-        """Set when this node stops; gates then start only attempts that end before."""
+        """Set this node's stop time; gates then start no run that would end later."""
         self._sender.end_by(ends_s)
 
     def give_up(self) -> None:
-        """Stop waiting for replies; each request ends with those received so far."""
+        """Stop waiting for replies; end each request with the replies it has got."""
         self._given_up.set()
         self._sender.give_up()
 
@@ -185,8 +185,8 @@
                     continue
                 forwarded.stopped_by = StopReason.NO_PLACE
                 break
-            # If an attempt is parked, the answer may be to that one, which started
-            # long before. The latency is then not recorded.
+            # If an attempt is parked, the answer may come from the parked attempt,
+            # which started long ago; so no latency is recorded then.
             is_alone = not forwarded.parked
             started_s = self._clock()
             hedge = self._hedge_planner.plan(forwarded, selected, started_s)
@@ -362,7 +362,7 @@
         return None if placement is None else Selection(placement)
 
     def _must_stop(self, forwarded: ForwardedRequest, reply: Reply) -> bool:
-        """Return whether to stop after a failure; restart the search after a run."""
+        """Return whether to stop after a failure; if it ran, restart the search."""
         if not is_refusal(reply):
             if not forwarded.may_send():
                 return True
@@ -380,10 +380,10 @@
         return StopReason.CALLER_LEFT
 
     def _with_retry_after(self, forwarded: ForwardedRequest, reply: Reply) -> Reply:
-        """Add to a reply when its caller may retry, unless no retry can succeed."""
+        """Set when the caller may retry, unless each retry would be refused."""
         if reply.reason is Reason.CRASHES_SERVERS:
-            # Retries are refused at any load of the service, so this request does
-            # not count for the times after which other callers may retry.
+            # Retries are refused at any load of the service, so this request is not
+            # counted in the estimate of when other callers should retry.
             return reply
         is_answered = reply.outcome is Outcome.ANSWERED
         with self._random_lock:
--- a/balsamspindle/requests/gate_links.py
+++ b/balsamspindle/requests/gate_links.py
@@ -19,7 +19,7 @@
     Attributes
     ----------
     hold_outs : HoldOuts
-        Nodes that this node could not reach and avoids for a while, by id.
+        Hold-outs, by node id, of nodes whose gates this node could not reach.
     """
 
     def __init__(self, links: LinkPool, events: EventLog) -> None:
@@ -48,7 +48,7 @@
         return link
 
     def record_unreachable(self, placement: Placement, now_s: float) -> None:
-        """Hold out a gate that did not answer; log the first failure in a row."""
+        """Hold out a gate that did not answer; log only the first failure in a row."""
         node_id = placement.node.node_id
         if self.hold_outs.record_failure(node_id, now_s):
             self._events.emit("gate_unreachable", gate=node_id)
--- a/balsamspindle/requests/heads.py
+++ b/balsamspindle/requests/heads.py
@@ -84,8 +84,8 @@
     control_headers : dict of str to str
         Headers that the proxy itself reads, by lower-case name.
     key_digest : str or None
-        Digest of the customer's key; empty if the header's value can't be a key, None
-        without that header. The key itself is not kept.
+        Digest of the customer's key; None if the request has no key header, empty if
+        the header's value can't be a key. The key itself is not kept.
     """
 
     method: str
@@ -191,8 +191,8 @@
         lower = name.lower()
         if lower in rules.control_headers:
             _add_control_header(lower, value, control_headers, rules.single)
-        # A framework that treats "_" as "-" in names would otherwise read such a header
-        # as one of the fleet's.
+        # A header is also removed if it has "_" in its name where a removed header has
+        # "-": a framework that treats both alike would take it for one of the fleet's.
         if lower.replace("_", "-") not in rules.removed:
             headers.append((name, value))
     if "connection" in control_headers:
--- a/balsamspindle/requests/hedging.py
+++ b/balsamspindle/requests/hedging.py
@@ -1,4 +1,4 @@
-"""Plans second attempts at idempotent requests whose first attempt has no reply."""
+"""Plans second attempts for idempotent requests whose first attempt has no reply."""
 
 from collections.abc import Callable
 
@@ -68,8 +68,8 @@
         hedge_delay_s = self._retries.hedge_delay_s(
             route.service, is_own, left_s, now_s, route_id(route)
         )
-        # The time that the first attempt may wait for a slot is added, because such a
-        # wait does not mean that the backend server is slow.
+        # The time that the first attempt may wait for a slot is added to the delay,
+        # because waiting for a slot does not mean that the backend server is slow.
         hedge_delay_s = min(
             left_s, hedge_delay_s + (selected.wait_max_ms or 0.0) / 1000
         )
--- a/balsamspindle/requests/ingress.py
+++ b/balsamspindle/requests/ingress.py
@@ -33,7 +33,8 @@
 ACCEPT_FAILED_PAUSE_S = 0.05
 BACKLOG = 512
 READY_POLL_S = 0.02
-# How long a node that stops waits for the first requests on open connections.
+# How long a stopping node waits, after its last accepted connection, for the first
+# request on each connection that has not received any.
 FIRST_REQUEST_TIMEOUT_S = 1.0
 ERROR_STATUS_MIN = 500
 
@@ -215,7 +216,7 @@
     def _read(
         self, caller: HttpConnection
     ) -> tuple[CallerRequest | None, Refused | None]:
-        """Read a request; if its head is reason to refuse it, don't read its body."""
+        """Read a request, but not its body if the request is refused by its head."""
         request = caller.read_head()
         if request is None or request.is_whole:
             return request, None
@@ -315,9 +316,10 @@
         )
         reply = self._forwarder.forward(forwarded)
         if reply.outcome is not Outcome.ANSWERED or reply.status >= ERROR_STATUS_MIN:
-            # Called before the answer is sent. The caller may be the backend server
-            # beside this node, which made this call to serve a request. That request
-            # may fail as a result a moment later, and the gate must then know why.
+            # The failure is reported before the answer is sent. The caller may be the
+            # backend server beside this node, which made this call while it served
+            # another request. If that other request fails as a result, this node's gate
+            # must already know of the failed call.
             self._on_failure(time.monotonic())
         if reply.outcome is Outcome.NOT_RUN:
             self._admissions.refund(admitted)
--- a/balsamspindle/requests/latency_estimate.py
+++ b/balsamspindle/requests/latency_estimate.py
@@ -8,7 +8,7 @@
 
     The percentile `high_s` moves up by 19 steps for an answer that took longer than
     `high_s`, and down by one step for any other answer. In the long run, 1 of 20
-    answers takes longer.
+    answers takes longer than `high_s`.
 
     Attributes
     ----------
@@ -31,7 +31,7 @@
     def record(self, took_s: float, p99_ms: float = 0.0) -> None:
         """Record the latency of one answer and the 99th percentile its gate reported.
 
-        If `p99_ms` is 0, the percentile is not known, and `p99_s` is kept.
+        If `p99_ms` is 0, the gate reported no percentile, and `p99_s` is kept.
         """
         self.p99_s = p99_ms / 1000 or self.p99_s
         if self.high_s is None:
--- a/balsamspindle/requests/link_attempts.py
+++ b/balsamspindle/requests/link_attempts.py
@@ -30,9 +30,9 @@
 
 __all__ = ["LinkAttempts"]
 
-# A leaving node announces an end that is this much earlier than its real one. A gate's
-# refusal that arrives after the real end is lost: the caller gets `unknown`, not
-# `not_run`.
+# A leaving node announces to gates that it stops this much earlier than it does, so
+# that their refusals arrive in time. If a refusal is lost, the caller gets `unknown`
+# instead of `not_run`.
 REPLY_RESERVE_S = 0.2
 
 
@@ -49,7 +49,7 @@
     Parameters
     ----------
     build_dispatch : callable
-        Counts an attempt with a deadline; returns the message that starts it.
+        Counts an attempt; returns the message that starts it at the gate.
     track : callable
         Starts to track an attempt at a placement for this ingress's estimates.
     next_id : callable
@@ -79,7 +79,7 @@
         self._outcomes = AttemptOutcomes(events, clock, lambda: self._given_up)
 
     def end_by(self, ends_s: float) -> None:
-        """Set when this node stops; gates then start only attempts that end before."""
+        """Set this node's stop time; gates then start no run that would end later."""
         self._announced_end_s = ends_s - REPLY_RESERVE_S
 
     def left_ms(self) -> float | None:
@@ -89,7 +89,7 @@
         return (self._announced_end_s - self._clock()) * 1000
 
     def give_up(self) -> None:
-        """Stop waiting for the replies to all attempts, and send no new ones."""
+        """Stop waiting for replies to attempts, and send no new attempts."""
         self._given_up = True
 
     def send(
@@ -121,7 +121,7 @@
         return self._park(forwarded, parked)
 
     def _park(self, forwarded: ForwardedRequest, sent: SentAttempt) -> Reply:
-        """Park an attempt; return a reply after which its request is sent elsewhere."""
+        """Park an attempt; return a reply after which `Forwarder` tries another gate."""
         forwarded.parked.add(sent)
         self._events.emit(
             "attempt_left_open",
@@ -161,8 +161,8 @@
         """Return whether an attempt may stay open while its request is sent elsewhere.
 
         A leaving node cancels its runs when it stops. Without parking, a long read
-        would be sent to another gate only then. The time before would be lost, and the
-        ingress's own node might be leaving by then.
+        would be sent to another gate only after that stop. The time until then would
+        be lost, and the ingress's own node might be leaving by then, too.
         """
         return (
             forwarded.route.execution is Execution.IDEMPOTENT
@@ -353,7 +353,7 @@
         )
 
     def _on_parked(self, forwarded: ForwardedRequest, link: Link, reply: Reply) -> None:
-        """Keep a parked attempt's unsuccessful reply, in case no other one succeeds."""
+        """Keep a parked attempt's failed reply, in case all other attempts fail."""
         forwarded.parked_replies.append(reply)
         self._finish_parked(forwarded, {link: reply})
 
@@ -376,9 +376,9 @@
 
         If another attempt was answered, an attempt without a reply is not cancelled;
         only its link is closed. Its gate uses the duration of the run to detect a
-        backend server that hangs. After a cancellation, that server would have no work
-        in flight and would look healthy. If an attempt is parked, the answer may be to
-        that one, and the other may have just started; the other is then cancelled.
+        backend server that hangs; if the run were cancelled, that server would look
+        healthy. While an attempt is parked, though, the answer may be to the parked
+        one; an attempt without a reply may then have just started, and is cancelled.
         """
         replies = {} if waited is None else waited.replies
         is_silent = is_answered(waited) and not forwarded.parked
--- a/balsamspindle/requests/peer_timeout.py
+++ b/balsamspindle/requests/peer_timeout.py
@@ -19,7 +19,8 @@
     Parameters
     ----------
     timeout_s : float
-        Time for the reply, without the time in which this process was stalled.
+        How long to wait for the reply, not counting time in which this process was
+        stalled.
     deadline_s : float
         When the wait ends in any case, stalls included, on the monotonic clock.
     """
--- a/balsamspindle/requests/placement_selection.py
+++ b/balsamspindle/requests/placement_selection.py
@@ -134,7 +134,8 @@
             passes = [tried | held_out_servers.failing(now_s) | cut_off, tried]
         else:
             suspected = tried | held_out_servers.held_out(now_s)
-            # Backend servers behind broken links are selected in the second pass only.
+            # Those at nodes that could not be reached are selected in the second pass
+            # only.
             passes = [suspected | cut_off, suspected]
         with self._lock:
             selected = self._select(forwarded, passes[0], now_s)
--- a/balsamspindle/requests/retries.py
+++ b/balsamspindle/requests/retries.py
@@ -114,7 +114,7 @@
 
 
 def _is_below_limits(replies: list[Reply], attempts_max: int, denials_max: int) -> bool:
-    """Return whether a request's attempts are below all of their limits."""
+    """Return whether a request has reached none of the limits on its attempts."""
     try_elsewhere = sum(reply.reason in _TRY_ELSEWHERE_REASONS for reply in replies)
     denials = sum(reply.reason is Reason.RETRY_BUDGET for reply in replies)
     # A notice that a gate's node is leaving is no result of the attempt, which stays
@@ -158,12 +158,13 @@
     """
 
     # A second attempt starts when the first has taken SLOW_FACTOR times the 95th
-    # percentile of the latency, or HEDGE_LATEST_FRACTION of the request's remaining
-    # time if that is shorter.
+    # percentile of the route's latency, or HEDGE_LATEST_FRACTION of the request's
+    # remaining time if that is shorter.
     SLOW_FACTOR = 2.0
     HEDGE_LATEST_FRACTION = 1 / 3
     # An attempt at the own gate is ended early only after SLOWEST_FACTOR times the 99th
-    # percentile that the gate reported, so that the gate has counted it as slow before.
+    # percentile of latency that the gate reported for the backend server. By then the
+    # gate has counted the attempt as slow.
     SLOWEST_FACTOR = 3.0
 
     def __init__(self, budget: Callable[[str], RetryBudget]) -> None:
@@ -209,15 +210,15 @@
         replies : list of Reply
             Replies to the request's attempts so far, in order.
         is_paid : bool
-            Whether a token was already spent on the attempt. It is refunded if the
-            attempt costs none or is not allowed.
+            Whether a token was already spent on the attempt. The token is refunded if
+            the attempt costs none or is not allowed.
         attempts_max : int
             Maximum number of attempts that reach a backend server.
         weight : float
             Weight of the route.
         was_cut : bool
-            Whether a run was lost with its node or in a crash. All gates may then be
-            asked for the retry, even after `DENIALS_MAX` of them denied it.
+            See `ForwardedRequest.was_cut`. If True, all gates may be asked for the
+            retry, even after `DENIALS_MAX` of them denied it.
         """
         denials_max = TRY_ELSEWHERE_MAX if was_cut else DENIALS_MAX
         with self._lock:
--- a/balsamspindle/requests/retry_after.py
+++ b/balsamspindle/requests/retry_after.py
@@ -7,6 +7,7 @@
 
 # Time constant with which the counts of answered and unanswered requests decay.
 WINDOW_S = 10.0
+# Shortest and longest time over which the retries are spread.
 SPREAD_MIN_S, SPREAD_MAX_S = 2.0, 60.0
 
 
@@ -24,7 +25,7 @@
         self._updated_s = 0.0
 
     def record(self, is_answered: bool, now_s: float) -> None:
-        """Count one request that ended as answered or as unanswered."""
+        """Count one ended request, either as answered or as unanswered."""
         elapsed_s = max(0.0, now_s - self._updated_s)
         self._updated_s = max(now_s, self._updated_s)
         decay = math.exp(-elapsed_s / WINDOW_S)
--- a/balsamspindle/requests/siblings.py
+++ b/balsamspindle/requests/siblings.py
@@ -62,9 +62,9 @@
         self._routes: dict[int, _Route] = {}
 
     def rank_ms(self, route: RouteDocument, deadline_s: float, now_s: float) -> float:
-        """Return by how much its rank delays an arriving request's due time in queues.
+        """Return the delay that an arriving request's rank adds to its due time.
 
-        0 where the route's requests are not ranked.
+        Gates sort their queues by due time. 0 if the route's requests are not ranked.
 
         Parameters
         ----------
--- a/balsamspindle/requests/tracking.py
+++ b/balsamspindle/requests/tracking.py
@@ -14,8 +14,8 @@
 
 __all__ = ["AVOID_AFTER_FAILURE_S", "TrackedAttempt"]
 
-# How long after a failed attempt the backend server counts as busy here. With a longer
-# time, its gate would get too few requests to detect a sick backend server.
+# How long after a failed attempt this ingress treats the backend server as busy. With a
+# longer time, its gate would get too few requests to detect a sick backend server.
 AVOID_AFTER_FAILURE_S = 0.25
 _REASONS_WITHOUT_SLOT_COUNT = frozenset({Reason.SUSPECTED, Reason.RETRY_BUDGET})
 
--- a/balsamspindle/requests/zone_hints.py
+++ b/balsamspindle/requests/zone_hints.py
@@ -2,7 +2,7 @@
 
 A gate reports a hold-out with its refusal, and each refusal from another zone costs
 traffic between zones. Traffic within a zone is free, so a node that was refused shares
-the hold-out with the other nodes of its zone, and they don't ask the same gate.
+the hold-out with the other nodes of its zone, which then don't ask the gate in vain.
 """
 
 import random
@@ -20,7 +20,7 @@
 # a large zone about as many as use the same backend server within a second.
 PEERS_MAX = 12
 # A hold-out is shared again only if it was extended by at least this much. Each further
-# reply extends it by a few ms, which are not worth a message.
+# reply from the gate extends the hold-out by a few ms, which are not worth a message.
 EXTENSION_MIN_MS = 150.0
 REPORTED_MAX = 1000
 
