--- a/balsamspindle/requests/admission_queries.py
+++ b/balsamspindle/requests/admission_queries.py
@@ -82,9 +82,9 @@
         """Return whether to query the gate before the attempt is sent.
 
         A query is sent for a large body, and for an attempt that looks for a free slot
-        in another zone. All other attempts are sent without a query: within the own
-        zone traffic is free, last-resort attempts are rarely refused, and attempts
-        that wait in a queue are refused only later.
+        in another zone and is not a last-resort attempt. Other attempts are sent
+        without a query: within the own zone traffic is free, last-resort attempts are
+        rarely refused, and attempts that wait in a queue are refused only later.
         """
         if len(forwarded.request.body) >= LARGE_BODY_BYTES:
             return True
--- a/balsamspindle/requests/attempt_outcomes.py
+++ b/balsamspindle/requests/attempt_outcomes.py
@@ -73,7 +73,7 @@
     def cancel_cause(
         self, forwarded: ForwardedRequest, waited: WaitResult | None = None
     ) -> CancelCause:
-        """Return the cause with which attempts that are still open are cancelled."""
+        """Return the cause with which a request's open attempts are to be cancelled."""
         if is_answered(waited):
             return CancelCause.ANSWERED_ELSEWHERE
         if forwarded.caller.caller_gone():
--- a/balsamspindle/requests/attempts.py
+++ b/balsamspindle/requests/attempts.py
@@ -116,7 +116,8 @@
         Parameters
         ----------
         has_answer : bool
-            Whether the request was answered; the gate gets the cause.
+            Whether the request was answered by another attempt, which is then the cause
+            of the cancellation that the gate gets.
         """
         self._link_attempts.cancel_parked(forwarded, has_answer)
 
--- a/balsamspindle/requests/claim_eras.py
+++ b/balsamspindle/requests/claim_eras.py
@@ -32,9 +32,9 @@
 COPY_AGE_MAX_S = 60.0
 # Time after its start by which a process knows all other processes of the fleet.
 FLEET_KNOWN_AFTER_S = 5.0
-# Minimum time from the start of an era until it is settled. A process that reaches the
-# store but not its peers may be missing among the processes that have to confirm the
-# era. Such a process writes its claims again within this time.
+# An era is settled no earlier than this time after its start. A process that reaches
+# the store but not its peers may be missing among the processes that have to confirm
+# the era. Such a process writes its claims again within this time.
 RESTORE_MIN_S = 1.0
 # Requests wait for an era to be settled only until this time after the era's start.
 RESTORE_WAIT_S = 2.0
@@ -53,7 +53,7 @@
     Attributes
     ----------
     era : int
-        Era of the store in which the process wrote them.
+        Era of the store in which the process wrote its claims again.
     """
 
     incarnation: int
@@ -101,7 +101,7 @@
         ----------
         answered_s : float
             Time of the store's last answer in the current era. If the store has been
-            restored after this time, the copy is at most `COPY_AGE_MAX_S` older.
+            restored since, its copy is at most `COPY_AGE_MAX_S` older than this time.
         """
         with self._changed:
             if self._first_seen_s is None:
--- a/balsamspindle/requests/claim_restorer.py
+++ b/balsamspindle/requests/claim_restorer.py
@@ -51,8 +51,8 @@
 # Interval at which `run` checks for a new era of the store when nothing wakes it.
 IDLE_INTERVAL_S = 1.0
 RETRY_DELAY_MIN_S, RETRY_DELAY_MAX_S = 0.1, 10.0
-# Incarnation that no process has. A gate does not run a key whose claim has it, but
-# replies that the key may have run.
+# Incarnation that no process has. A gate does not run a key whose claim has this
+# incarnation, but replies that the key may have run.
 NO_INCARNATION = 0
 
 
--- a/balsamspindle/requests/connection_refuser.py
+++ b/balsamspindle/requests/connection_refuser.py
@@ -35,7 +35,7 @@
         self._capacity = threading.Semaphore(WAITING_MAX)
 
     def refuse(self, connection: socket.socket) -> None:
-        """Answer a connection in the background if there is capacity; close it."""
+        """Close a connection; if there is capacity, answer it before, in background."""
         if self._capacity.acquire(blocking=False):
             submit_logged(
                 self._executor, self._events, self._answer_and_close, connection
--- a/balsamspindle/requests/content.py
+++ b/balsamspindle/requests/content.py
@@ -1,4 +1,4 @@
-"""Computes a hash of a request's content by which its repeats are recognized."""
+"""Computes a content hash of a request, by which its repeats are recognized."""
 
 import xxhash
 
--- a/balsamspindle/requests/forwarded.py
+++ b/balsamspindle/requests/forwarded.py
@@ -82,7 +82,7 @@
         free slot.
     queue_near_until_s : float or None
         Until when the request may wait in queues of its own zone, on the monotonic
-        clock; None before the search first looked for such a queue.
+        clock; None until the search first looks for a queue in the own zone.
     queue_wait_ms : dict of str to float
         Waits for a slot, by backend server id, that gates reported when they refused
         this request or another one because the wait was too long.
--- a/balsamspindle/requests/forwarding.py
+++ b/balsamspindle/requests/forwarding.py
@@ -41,8 +41,8 @@
 __all__ = ["ForwardedRequest", "Forwarder"]
 
 # A request refused by all gates is sent to them again every SEARCH_AGAIN_S (half of
-# gate_links.HOLD_OUT_S) for this fraction of its remaining time. For an idempotent one
-# it is 0, as queues would be full by then: it tries suspected backend servers at once.
+# gate_links.HOLD_OUT_S) for a fraction of its remaining time. An idempotent one tries
+# suspected backend servers at once: after a wait, the gates' queues would be full.
 SEARCH_AGAIN_S = 0.25
 SEARCH_AGAIN_FRACTIONS = {Execution.IDEMPOTENT: 0.0, Execution.NON_IDEMPOTENT: 0.1}
 # Reasons for a lost run that point to the gate's node, not to the backend server.
@@ -171,7 +171,7 @@
         return best_reply([*forwarded.parked_replies, *replies]) if replies else not_run
 
     def _try_gates(self, forwarded: ForwardedRequest, replies: list[Reply]) -> None:
-        """Make attempts until one succeeds or no more are allowed; extend `replies`."""
+        """Make attempts until one succeeds or no more are allowed; fill `replies`."""
         forwarded.stopped_by = None
         while not self._given_up.is_set():
             blocked = self._blocked(forwarded)
@@ -235,7 +235,7 @@
     ) -> None:
         """Record an answer in the crash history, and its latency and size."""
         route = forwarded.route
-        # The gate's node reports the answer to the fleet, but may stop before it does.
+        # The gate's node, which reports answers to the fleet, may stop before it does.
         self._crash_history.record_answer(forwarded.content_hash, self._clock())
         if took_s is not None:
             self._retries.record_answer(
@@ -303,8 +303,8 @@
 
         Suspected backend servers are on trial again within a second, so a
         non-idempotent request is sent to all gates again for a fraction of its time.
-        After that, or at once if idempotent, it may be sent to a suspected backend
-        server as the last resort. So a service whose backend servers are all
+        After that time it may be sent to a suspected backend server as the last resort;
+        an idempotent request may at once. So a service whose backend servers are all
         suspected or busy still answers some requests.
 
         Returns
@@ -357,12 +357,12 @@
         return selected
 
     def _select_at_owner(self, forwarded, claimant: KeyClaimant) -> Selection | None:
-        """Return the only gate that may run the request, the owner of its claim."""
+        """Select the gate that the request's claim names; None if it is not known."""
         placement = self._picker.locate(claimant.owner_id(), forwarded.route.service)
         return None if placement is None else Selection(placement)
 
     def _must_stop(self, forwarded: ForwardedRequest, reply: Reply) -> bool:
-        """Return whether to stop after a failure; if it ran, restart the search."""
+        """Return whether to stop; if the failed attempt ran, restart the search."""
         if not is_refusal(reply):
             if not forwarded.may_send():
                 return True
@@ -380,7 +380,7 @@
         return StopReason.CALLER_LEFT
 
     def _with_retry_after(self, forwarded: ForwardedRequest, reply: Reply) -> Reply:
-        """Set when the caller may retry, unless each retry would be refused."""
+        """Add the time to retry to a reply, unless every retry would be refused."""
         if reply.reason is Reason.CRASHES_SERVERS:
             # Retries are refused at any load of the service, so this request is not
             # counted in the estimate of when other callers should retry.
--- a/balsamspindle/requests/http.py
+++ b/balsamspindle/requests/http.py
@@ -193,8 +193,8 @@
         if sent == len(data):
             return
         # The timeout of the socket restarts with each send. Without a limit for the
-        # whole answer, a caller that reads a byte now and then would occupy its task
-        # forever.
+        # whole answer, a caller that reads a byte now and then would forever occupy
+        # the task that serves it.
         give_up_s = time.monotonic() + self._limits.answer_timeout_s
         rest = memoryview(data)[sent:]
         while rest:
--- a/balsamspindle/requests/ingress.py
+++ b/balsamspindle/requests/ingress.py
@@ -208,7 +208,7 @@
                     # The caller may have sent a request just as this node shut the
                     # connection down. That request is never read, and this answer
                     # says that it did not run. After a reset, the caller couldn't
-                    # tell whether it ran.
+                    # tell whether the request ran.
                     self._refuse(caller, self._closing_reason())
                 return
             keep_alive = self._serve_request(caller, request, refused) and not was_shut
@@ -251,8 +251,8 @@
         content_hash = hash_content(request, self._names)
         self._log.received(request_id, request, content_hash)
         if self._is_too_late():
-            # At the shutdown timeout, a long request would be interrupted while a
-            # backend server is working on it.
+            # A long request that is accepted now could still be running at the shutdown
+            # timeout, and would then be interrupted.
             stopping = Refused(Reason.NODE_STOPPING)
             answer = self._encode_refusal(request, request_id, stopping)
             self._write(caller, request_id, answer)
--- a/balsamspindle/requests/link_attempts.py
+++ b/balsamspindle/requests/link_attempts.py
@@ -121,7 +121,7 @@
         return self._park(forwarded, parked)
 
     def _park(self, forwarded: ForwardedRequest, sent: SentAttempt) -> Reply:
-        """Park an attempt; return a reply after which `Forwarder` tries another gate."""
+        """Park an attempt; return the reply that makes `Forwarder` try other gates."""
         forwarded.parked.add(sent)
         self._events.emit(
             "attempt_left_open",
@@ -192,7 +192,7 @@
         return unanswered[0]
 
     def cancel_parked(self, forwarded: ForwardedRequest, has_answer: bool) -> None:
-        """Cancel the parked attempt if it is still open."""
+        """Cancel the request's parked attempt if it is still open."""
         if has_answer:
             cause = CancelCause.ANSWERED_ELSEWHERE
         else:
@@ -227,7 +227,7 @@
 
         def listen() -> None:
             attempts = forwarded.parked.all()
-            # `own_end` is closed after the other attempt, which ends this wait.
+            # This wait ends when `own_end` is closed, after the other attempt.
             wait = self._build_wait(
                 forwarded, forwarded.deadline_s, listener_end.fileno(), lambda: True
             )
@@ -320,7 +320,7 @@
     def _release_unused(
         self, forwarded: ForwardedRequest, dispatch: Dispatch, link: Link
     ) -> Reply:
-        """Release a link without a dispatch, as this node has given up all requests."""
+        """Release an unused link, because this node has given up all requests."""
         self._links.release(link)
         forwarded.sends -= 1
         return Reply(dispatch.attempt_id, Outcome.NOT_RUN, Reason.NODE_STOPPING)
@@ -386,7 +386,7 @@
             reply = replies.get(sent.link)
             sent.on_end(reply)
             if reply is not None:
-                # Read `last_received_s` before another task uses the link.
+                # After the release, another task may change `last_received_s`.
                 forwarded.record_cut(reply, sent.link.last_received_s)
                 self._links.release(sent.link)
             elif is_silent:
--- a/balsamspindle/requests/links.py
+++ b/balsamspindle/requests/links.py
@@ -181,7 +181,7 @@
         self._send(message)
 
     def send_dispatch(self, dispatch: Dispatch, deadline_s: float) -> bool:
-        """Send an attempt; False if there was no connection to send it over."""
+        """Send an attempt; return False if there was no connection to send it over."""
         now_s = time.monotonic()
         self._sent_s = now_s
         self._gate_deadline_s = self.gate_clock.at(deadline_s)
--- a/balsamspindle/requests/placement_selection.py
+++ b/balsamspindle/requests/placement_selection.py
@@ -48,7 +48,8 @@
 # LARGE_ANSWER_BYTES. A run takes a quarter to a third of the target time, so an answer
 # is in time even after the longest of these waits. A megabyte of traffic between zones
 # costs as much as a hundred requests are worth: an answer of 5 KB costs half of what
-# its request is worth, an answer of 400 bytes next to nothing.
+# its request is worth, an answer of 400 bytes next to nothing. So for large answers a
+# longer wait in the own zone pays off.
 NEAR_WAIT_FRACTION_MIN, NEAR_WAIT_FRACTION_MAX = 0.1, 0.6
 LARGE_ANSWER_BYTES = 5000
 # Maximum number of gates in the own zone that a request asks for a free slot. If five
@@ -70,9 +71,9 @@
 # this fraction is enough for a retry.
 QUEUE_WAIT_FRACTION = 0.5
 # A request joins a queue whose wait a gate reported when it refused another request, if
-# that wait is at most this fraction of the time that the request may wait in queues. A
-# longer queue indicates an overload, in which a suspected backend server is the better
-# choice.
+# the reported wait is at most this fraction of the time that the joining request may
+# wait in queues. A longer queue indicates an overload, in which a suspected backend
+# server is the better choice.
 SHORT_QUEUE_FRACTION = 0.5
 
 
@@ -134,8 +135,7 @@
             passes = [tried | held_out_servers.failing(now_s) | cut_off, tried]
         else:
             suspected = tried | held_out_servers.held_out(now_s)
-            # Those at nodes that could not be reached are selected in the second pass
-            # only.
+            # Backend servers at unreachable nodes are selected in the second pass only.
             passes = [suspected | cut_off, suspected]
         with self._lock:
             selected = self._select(forwarded, passes[0], now_s)
@@ -277,7 +277,7 @@
 def _near_wait_left_ms(search: Search, wait_ms: float, now_s: float) -> float:
     """Return how much longer a request may wait in queues of its own zone.
 
-    The first call in a search starts that time.
+    The time for these waits begins with the first call in a search.
     """
     if search.queue_near_until_s is None:
         search.queue_near_until_s = now_s + wait_ms / 1000
@@ -287,7 +287,7 @@
 def _queue_wait_left_ms(forwarded: ForwardedRequest, now_s: float) -> float:
     """Return how much longer a request may wait in the queues of step QUEUE.
 
-    The first call for a request starts that time.
+    The time for these waits begins with the first call for a request.
     """
     if forwarded.queue_until_s is None:
         left_s = forwarded.deadline_s - now_s
--- a/balsamspindle/requests/retries.py
+++ b/balsamspindle/requests/retries.py
@@ -21,15 +21,15 @@
 
 __all__ = ["RetryPolicy", "best_reply", "is_shed", "is_success"]
 
-# Number of refusals with a reason of `_TRY_ELSEWHERE_REASONS` after which a request
-# gets no further attempt. Each refusal costs a round trip.
+# A request gets no further attempt after this many refusals with a reason of
+# `_TRY_ELSEWHERE_REASONS`. Each refusal costs a round trip.
 TRY_ELSEWHERE_MAX = 120
 ERROR_STATUS_MIN = 500
 ROUTES_MAX = 1000
 SHED_STATUSES = frozenset({429, 503})
-# Number of gates that deny a request's retry, because their retry budgets are used up,
-# after which the request gets no further attempt. If three of about ten gates have no
-# retries left, the others hardly have any.
+# A request gets no further attempt after this many gates denied its retry because their
+# retry budgets were used up. If three of about ten gates have no retries left, the
+# others hardly have any.
 DENIALS_MAX = 3
 
 
@@ -99,8 +99,8 @@
 def _retry_cost(reply: Reply, execution: Execution, retries_errors: bool) -> RetryCost:
     """Return what another attempt costs after a reply.
 
-    A non-idempotent request is retried only if it is proven that it did not run. An
-    attempt without a reply may have run, and a backend server's 503 is no proof either.
+    A non-idempotent request is retried only with proof that it did not run. An attempt
+    without a reply may have run, and a backend server's 503 is no proof either.
     """
     match reply.outcome:
         case Outcome.NOT_RUN:
--- a/balsamspindle/requests/tracking.py
+++ b/balsamspindle/requests/tracking.py
@@ -1,4 +1,4 @@
-"""Updates what an ingress knows of backend servers from the ends of its attempts."""
+"""Updates an ingress's estimates of backend servers as its attempts start and end."""
 
 from collections.abc import Callable
 
@@ -15,7 +15,8 @@
 __all__ = ["AVOID_AFTER_FAILURE_S", "TrackedAttempt"]
 
 # How long after a failed attempt this ingress treats the backend server as busy. With a
-# longer time, its gate would get too few requests to detect a sick backend server.
+# longer time, the backend server's gate would get too few requests to detect that the
+# backend server is sick.
 AVOID_AFTER_FAILURE_S = 0.25
 _REASONS_WITHOUT_SLOT_COUNT = frozenset({Reason.SUSPECTED, Reason.RETRY_BUDGET})
 
