--- a/bench/__init__.py
+++ b/bench/__init__.py
@@ -1,1 +1,1 @@
-"""Benchmarks: real processes on loopback, figures as ratios where it helps."""
+"""Benchmarks: processes on loopback, or simulations in virtual time."""
--- a/bench/caller_heads.py
+++ b/bench/caller_heads.py
@@ -1,15 +1,15 @@
-"""Processor time of a caller's request on three ways to read HTTP.
+"""Processor time of a caller's request in three HTTP implementations.
 
-Each way reads one keep-alive request from a socket pair and writes its answer,
-in one thread, with no work behind it:
+Each implementation reads keep-alive requests from a socket pair and writes the
+answers, in one thread and without a backend server:
 
 - ``connection``: `balsamspindle.requests.http.HttpConnection`;
-- ``ingress``: the same with route look-up, events and our headers, before a
-  forwarder that answers at once;
-- ``werkzeug``: werkzeug's own request handler before a small WSGI application.
+- ``ingress``: the same with the ingress's route look-up, events and headers, and a
+  forwarder that answers immediately;
+- ``werkzeug``: werkzeug's request handler with a small WSGI application.
 
-The caller's own send and receive are part of every figure. Besides: how much of a body
-of 1 MB is read before a request that is refused on its head has its answer.
+Each figure includes the caller's own send and receive. The bench also counts how many
+bytes of a 1 MB body are read before a request is answered that was refused on its head.
 
 ::
 
@@ -46,24 +46,24 @@
 
 
 class QuietHandler(WSGIRequestHandler):
-    """werkzeug's handler with HTTP/1.1 and without its log."""
+    """Handler of werkzeug that speaks HTTP/1.1 and logs no requests."""
 
     protocol_version = "HTTP/1.1"
 
     def log_request(self, *_):
-        """Write no line for each request."""
+        """Do nothing: writing a log line would be part of the figure."""
 
 
 @Request.application
 def application(request: Request) -> Response:
-    """Read what an ingress reads and answer."""
+    """Read the parts of a request that an ingress reads, and answer."""
     request.get_data()
     _ = request.host, request.path, request.method, list(request.headers)
     return Response(BODY, headers=HEADERS)
 
 
 def serve_connection(connection: socket.socket) -> Callable[[], None]:
-    """Return a function that serves one request with the bare connection."""
+    """Return a function that serves one request with `HttpConnection`."""
     caller = HttpConnection(connection, HttpLimits())
 
     def serve() -> None:
@@ -96,8 +96,8 @@
 
 
 def cpu_us(serve: Callable[[], None], caller: socket.socket, count: int) -> float:
-    """Return the best round's processor time for a request, in microseconds."""
-    used_us = []
+    """Return the lowest processor time for a request of all rounds, in microseconds."""
+    request_us = []
     for _ in range(ROUNDS):
         before_s = time.thread_time()
         for _ in range(count):
@@ -106,20 +106,20 @@
             answer = caller.recv(RECEIVE_BYTES)
             while not answer.endswith(BODY):
                 answer += caller.recv(RECEIVE_BYTES)
-        used_us.append((time.thread_time() - before_s) / count * 1_000_000)
-    return min(used_us)
+        request_us.append((time.thread_time() - before_s) / count * 1_000_000)
+    return min(request_us)
 
 
 def measure_ingress(count: int) -> float:
-    """Return the time of a request through an ingress.
+    """Return the processor time of a request through an ingress, in microseconds.
 
-    The task that serves a connection is the ingress's own; here it is called
-    for one request at a time by the measuring thread.
+    Calls the ingress's private method for one request, because only the processor
+    time of the measuring thread is counted.
     """
     fixture = IngressFixture()
     caller, served = socket.socketpair()
     try:
-        fixture.forwarder.forward = _answer_at_once
+        fixture.forwarder.forward = _answer_immediately
         connection = HttpConnection(served, HttpLimits())
 
         def serve() -> None:
@@ -127,16 +127,16 @@
             request = connection.read_request()
             fixture.ingress._serve_request(connection, request)
 
-        used_us = cpu_us(serve, caller, count)
+        request_us = cpu_us(serve, caller, count)
     finally:
         fixture.close()
         caller.close()
         served.close()
-    return used_us
+    return request_us
 
 
 def refused_body_bytes() -> int:
-    """Return how much of a body is read before its request's head is refused."""
+    """Return the bytes of a body sent before its request is refused on its head."""
     fixture = IngressFixture()
     caller, served = socket.socketpair()
     with caller, served:
@@ -146,18 +146,18 @@
             caller.sendall(head % LARGE_BODY_BYTES)
             sent = 0
             connection.wait_for_request()
-            request, decided = fixture.ingress._read(connection)
-            while not isinstance(decided, Refused):
+            request, admission = fixture.ingress._read(connection)
+            while not isinstance(admission, Refused):
                 sent += caller.send(bytes(RECEIVE_BYTES))
-                request, decided = fixture.ingress._read(connection)
-            fixture.ingress._serve_request(connection, request, decided)
+                request, admission = fixture.ingress._read(connection)
+            fixture.ingress._serve_request(connection, request, admission)
             assert b" 404 " in caller.recv(RECEIVE_BYTES)
         finally:
             fixture.close()
     return sent
 
 
-def _answer_at_once(forwarded):
+def _answer_immediately(forwarded):
     return Reply(
         AttemptId("bench", 1, 1),
         Outcome.ANSWERED,
@@ -168,12 +168,15 @@
 
 
 def measure(count: int) -> dict[str, float]:
-    """Return the processor time of a request for each way, in microseconds."""
+    """Return the processor time of a request for each implementation, in us."""
     figures = {}
-    for name, make in (("connection", serve_connection), ("werkzeug", serve_werkzeug)):
+    for name, make_serve in (
+        ("connection", serve_connection),
+        ("werkzeug", serve_werkzeug),
+    ):
         caller, served = socket.socketpair()
         with caller, served:
-            figures[name] = round(cpu_us(make(served), caller, count), 1)
+            figures[name] = round(cpu_us(make_serve(served), caller, count), 1)
     figures["ingress"] = round(measure_ingress(count), 1)
     return figures
 
@@ -182,13 +185,13 @@
     count: int = typer.Option(200, help="Requests in each of three rounds."),
     as_json: bool = typer.Option(False, "--json", help="Print JSON."),
 ) -> None:
-    """Measure the CPU of a caller's request, ours and werkzeug's."""
+    """Measure the processor time of a caller's request, with werkzeug as baseline."""
     figures = measure(count)
     if as_json:
         print(json.dumps(figures))
         return
-    for name, used_us in figures.items():
-        print(f"{name:12} {used_us:7.1f} us of CPU for a request")
+    for name, request_us in figures.items():
+        print(f"{name:12} {request_us:7.1f} us of CPU for a request")
     print(f"refused on its head: {refused_body_bytes()} of {LARGE_BODY_BYTES} B read")
 
 
--- a/bench/claims.py
+++ b/bench/claims.py
@@ -1,7 +1,8 @@
-"""What an Idempotency-Key costs: latency and writes at the platform.
+"""Latency and platform writes that an Idempotency-Key adds to a request.
 
-Run: ``python -m bench.claims``. One ingress, one gate at another node, each
-request non-idempotent; sends with and without a key take turns.
+Run: ``python -m bench.claims``. Non-idempotent requests go through one ingress to
+a gate at another node. Each round sends one request without a key, one with a new
+key, and the latter once more.
 """
 
 import http.client
@@ -23,7 +24,7 @@
 
 
 def main() -> None:
-    """Print medians and 99th percentiles, and writes for each request."""
+    """Print the latency of each kind of request, and the writes for each key."""
     with Fleet() as fleet:
         fleet.start_platform()
         fleet.put_settings(SETTINGS)
@@ -32,8 +33,8 @@
         fleet.start_backend("contract", SERVICE, gate)
         fleet.wait_ready([gate, ingress], ["contract"])
         connection = http.client.HTTPConnection(ingress.caller_address)
-        times_ms = {"without key": [], "first send": [], "resend": []}
-        writes_before = _writes(fleet)
+        latencies_ms = {"without key": [], "first send": [], "resend": []}
+        transactions_before = _transactions(fleet)
         for _ in range(REQUESTS):
             key = {"Idempotency-Key": uuid.uuid4().hex}
             for kind, headers in (
@@ -41,15 +42,15 @@
                 ("first send", key),
                 ("resend", key),
             ):
-                times_ms[kind].append(_send_ms(connection, headers))
-        writes = _writes(fleet) - writes_before
-    for kind, values in times_ms.items():
+                latencies_ms[kind].append(_send_ms(connection, headers))
+        transactions = _transactions(fleet) - transactions_before
+    for kind, values in latencies_ms.items():
         values.sort()
         print(
             f"{kind}: p50 {values[len(values) // 2]:.2f} ms, "
             f"p99 {values[len(values) * 99 // 100]:.2f} ms"
         )
-    print(f"transactions for each key sent twice: {writes / REQUESTS:.2f}")
+    print(f"transactions for each key sent twice: {transactions / REQUESTS:.2f}")
 
 
 def _send_ms(connection, headers) -> float:
@@ -61,7 +62,7 @@
     return (time.perf_counter() - start_s) * 1000
 
 
-def _writes(fleet) -> int:
+def _transactions(fleet) -> int:
     return call(fleet.platform_address, "/counts").json().get("transact", 0)
 
 
--- a/bench/deployments.py
+++ b/bench/deployments.py
@@ -1,15 +1,16 @@
-"""Both deployments of the examples under faults, as real processes.
+"""Run both example deployments under faults, with real processes.
 
 ::
 
     python -m bench.deployments --markdown     # both, one after the other
     python -m bench.deployments association --scenario gray
 
-Nodes, backend servers and settings are those of ``examples/``, on addresses
-that are free. All share one machine and its loopback: latencies between
-availability zones are not in it. Each scenario makes another backend server of
-each service sick. Those that an earlier one left held out, whose hold-out
-doubles with each ejection, are not counted as false ejections.
+Nodes, backend servers and settings come from ``examples/``; the addresses are
+free ports of this machine. All processes share its loopback, so that the figures
+contain no latency between availability zones. Each scenario injects its fault
+into a different backend server of each service. A backend server that is still
+held out from an earlier scenario (hold-outs double with each ejection) isn't
+counted as a false ejection.
 """
 
 import json
@@ -40,16 +41,16 @@
 EXAMPLES = Path(__file__).parent.parent / "examples"
 DEPLOYMENTS = ("association", "kelvale")
 WORKERS = 200
-# At three requests a second a backend server that meets none for the quiet time
-# was left on purpose; a hold-out that probes shorten lasts 2.5 s.
+# At 3 requests/s, a backend server without a request for QUIET_S was held out and
+# not just idle. A hold-out that probes shorten lasts 2.5 s: QUIET_S is below it.
 REQUESTS_PER_S_PER_BACKEND_SERVER = 3.0
 QUIET_S = 2.0
-# Of the requests of a service's routes, those of each other than the first.
-LATER_ROUTE_SHARE = 0.3
+# Fraction of a service's requests that each of its routes but the first receives.
+LATER_ROUTE_FRACTION = 0.3
 RUN_S = 20.0
 FAULT_START_S, FAULT_END_S = 4.0, 16.0
 FREEZE_S = 6.0
-READMITTED_WITHIN_S = 10.0
+READMISSION_TIMEOUT_S = 10.0
 CALLER_TIMEOUT_MS = 9000.0
 BODY_BYTES = 400
 GRAY = {"mode": "hang", "delay_s": 20.0, "share": 0.5}
@@ -68,19 +69,26 @@
 
 
 class Scenario(NamedTuple):
-    """What fails between `FAULT_START_S` and `FAULT_END_S`.
+    """Faults between `FAULT_START_S` and `FAULT_END_S`.
 
     Attributes
     ----------
-    sick : dict or None
-        Switch of one backend server of each service.
-    number : int
-        Which one, so that no two scenarios meet the same.
+    backend_fault : dict or None
+        Fault of one backend server of each service, as its stand-in takes it.
+    server_index : int
+        Index of this backend server within its service; differs between scenarios,
+        so that no backend server is ejected for two of them.
+    flap_period_s : float or None
+        Period in which the fault goes on and off; None for a constant fault.
+    platform : dict or None
+        Fault of the platform, as its stand-in takes it.
+    freezes_zone : bool
+        Whether all processes of the last availability zone are stopped.
     """
 
     name: str
-    sick: dict | None = None
-    number: int = 1
+    backend_fault: dict | None = None
+    server_index: int = 1
     flap_period_s: float | None = None
     platform: dict | None = None
     freezes_zone: bool = False
@@ -98,7 +106,7 @@
 
 
 class RunningDeployment:
-    """The processes of one deployment."""
+    """Fleet of one example deployment, with its stand-in platform."""
 
     def __init__(self, fleet: Fleet, name: str) -> None:
         folder = EXAMPLES / name
@@ -111,26 +119,30 @@
             for path in sorted((folder / "nodes").glob("*.json"))
         }
         self.backend_servers = {}
-        self._of_service: dict[str, list[str]] = {}
-        self._beside: dict[str, NodeProgram] = {}
+        self._servers_by_service: dict[str, list[str]] = {}
+        self._node_by_server: dict[str, NodeProgram] = {}
         for server in _read(folder / "backend-servers.json"):
             self._start_backend(server)
         fleet.wait_ready(self.nodes.values(), self.backend_servers)
 
     def run(self, scenario: Scenario, seed: int) -> Report:
-        """Run one scenario."""
+        """Run the load and the faults of one scenario."""
         with self._frozen_zone(scenario):
-            return run_experiment(self._plan(scenario, seed), uuid.uuid4().hex[:12])
+            return run_experiment(
+                self._load_plan(scenario, seed), uuid.uuid4().hex[:12]
+            )
 
-    def held_out(self) -> set[str]:
-        """Return who is held out or on trial, after a wait for readmission."""
-        give_up_s = time.monotonic() + READMITTED_WITHIN_S
+    def wait_for_readmissions(self) -> set[str]:
+        """Wait until no backend server is suspected; return those that still are."""
+        deadline_s = time.monotonic() + READMISSION_TIMEOUT_S
         while True:
-            suspects = {
-                name for node in self.nodes.values() for name in _suspects(node)
+            suspected = {
+                name
+                for node in self.nodes.values()
+                for name in _suspected_servers(node)
             }
-            if not suspects or time.monotonic() > give_up_s:
-                return suspects
+            if not suspected or time.monotonic() > deadline_s:
+                return suspected
             time.sleep(1.0)
 
     def _start_node(self, settings: dict[str, Any]) -> NodeProgram:
@@ -145,8 +157,8 @@
 
     def _start_backend(self, server: dict[str, Any]) -> None:
         name, node = server["name"], self.nodes[server["node"]]
-        self._beside[name] = node
-        self._of_service.setdefault(server["service"], []).append(name)
+        self._node_by_server[name] = node
+        self._servers_by_service.setdefault(server["service"], []).append(name)
         self.backend_servers[name] = self._fleet.start_backend(
             name,
             server["service"],
@@ -155,7 +167,7 @@
             work_ms=server["work_ms"],
         )
 
-    def _plan(self, scenario: Scenario, seed: int) -> LoadPlan:
+    def _load_plan(self, scenario: Scenario, seed: int) -> LoadPlan:
         return LoadPlan(
             nodes={name: node.caller_address for name, node in self.nodes.items()},
             node_admins={name: node.admin_address for name, node in self.nodes.items()},
@@ -165,60 +177,60 @@
             platform=self._fleet.platform_address,
             arrivals=[
                 arrival
-                for service, names in self._of_service.items()
+                for service, names in self._servers_by_service.items()
                 for arrival in self._arrivals(service, len(names))
             ],
             duration_s=RUN_S,
             seed=seed,
-            faults=self._faults(scenario),
+            faults=self._fault_periods(scenario),
             workers=WORKERS,
             quiet_s=QUIET_S,
         )
 
-    def _faults(self, scenario: Scenario) -> list[FaultPeriod]:
+    def _fault_periods(self, scenario: Scenario) -> list[FaultPeriod]:
         period = FAULT_START_S, FAULT_END_S
         faults = []
-        if scenario.sick is not None:
+        if scenario.backend_fault is not None:
             faults += [
                 FaultPeriod(
-                    names[scenario.number],
-                    scenario.sick,
+                    names[scenario.server_index],
+                    scenario.backend_fault,
                     *period,
                     scenario.flap_period_s,
                 )
-                for names in self._of_service.values()
+                for names in self._servers_by_service.values()
             ]
         if scenario.platform is not None:
             faults.append(FaultPeriod("platform", scenario.platform, *period))
         return faults
 
     def _arrivals(self, service: str, servers: int) -> list[Arrival]:
-        """Return what callers send to a service: its routes share the rate."""
+        """Divide the request rate of a service among its routes."""
         routes = [
             (path.rpartition("/")[2], document)
             for path, document in self.settings.items()
             if "/routes/" in path and document["service"] == service
         ]
         rate_per_s = servers * REQUESTS_PER_S_PER_BACKEND_SERVER
-        later = LATER_ROUTE_SHARE * rate_per_s
-        first = rate_per_s - later * (len(routes) - 1)
+        later_rate = LATER_ROUTE_FRACTION * rate_per_s
+        first_rate = rate_per_s - later_rate * (len(routes) - 1)
         return [
             Arrival(
                 name,
                 route["path_prefix"],
-                later if number else first,
+                later_rate if index else first_rate,
                 Execution(route["execution"]),
                 route["methods"][0],
                 weight=route["weight"],
                 body_bytes=0 if route["methods"][0] == "GET" else BODY_BYTES,
                 timeout_ms=CALLER_TIMEOUT_MS,
             )
-            for number, (name, route) in enumerate(routes)
+            for index, (name, route) in enumerate(routes)
         ]
 
     @contextmanager
     def _frozen_zone(self, scenario: Scenario):
-        """Stop the last zone's processes for a time, and let them go on."""
+        """Stop the processes of the last zone for `FREEZE_S`, then continue them."""
         if not scenario.freezes_zone:
             yield
             return
@@ -231,7 +243,7 @@
         frozen = nodes + [
             server
             for name, server in self.backend_servers.items()
-            if self._beside[name] in nodes
+            if self._node_by_server[name] in nodes
         ]
         timers = [
             threading.Timer(FAULT_START_S, _signal, (frozen, signal.SIGSTOP)),
@@ -253,57 +265,61 @@
     return json.loads(path.read_text())
 
 
-def _signal(programs, number) -> None:
+def _signal(programs, signal_number) -> None:
     for program in programs:
-        program.signal(number)
+        program.signal(signal_number)
 
 
-def _suspects(node: NodeProgram) -> list[str]:
+def _suspected_servers(node: NodeProgram) -> list[str]:
     status = node.status()
     records = status["backend_servers"] if status else []
     return [record[0] for record in records if record[5] > 0]
 
 
 def run_deployment(name: str, scenario: str | None, seed: int) -> dict[str, Report]:
-    """Run the scenarios of one deployment and return their reports."""
+    """Run one scenario of a deployment, or all if it is None; return the reports."""
     reports = {}
     with Fleet() as fleet:
         running = RunningDeployment(fleet, name)
-        for each in SCENARIOS:
-            if scenario not in (None, each.name):
+        for item in SCENARIOS:
+            if scenario not in (None, item.name):
                 continue
-            left_over = running.held_out()
-            report = running.run(each, seed)
-            reports[each.name] = _without(report, left_over)
-            typer.echo(f"{name}, {each.name}: done", err=True)
+            held_out_before = running.wait_for_readmissions()
+            report = running.run(item, seed)
+            reports[item.name] = _remove_earlier_ejections(report, held_out_before)
+            typer.echo(f"{name}, {item.name}: done", err=True)
     return reports
 
 
-def _without(report: Report, left_over: set[str]) -> Report:
-    """Leave out ejections that began in an earlier scenario."""
+def _remove_earlier_ejections(report: Report, held_out_before: set[str]) -> Report:
+    """Remove false ejections of backend servers held out since an earlier scenario."""
     false = [
-        one for one in report.ejections.false if one.backend_server not in left_over
+        ejection
+        for ejection in report.ejections.false
+        if ejection.backend_server not in held_out_before
     ]
     ejections = msgspec.structs.replace(report.ejections, false=false)
     return msgspec.structs.replace(report, ejections=ejections)
 
 
-def _markdown(name: str, reports: dict[str, Report]) -> str:
+def _format_markdown(name: str, reports: dict[str, Report]) -> str:
     titles = (
         "scenario | sent | answered, weighted | not_run | unknown | silence"
         " | worst kind's p99 ms | last met s | held out s | met | false ejections"
         " | broken promises"
     )
     lines = [f"| {titles} |", "|" + " --- |" * (titles.count("|") + 1)]
-    lines += [f"| {_cells(scenario, report)} |" for scenario, report in reports.items()]
+    lines += [
+        f"| {_format_cells(scenario, report)} |" for scenario, report in reports.items()
+    ]
     return f"\n{name}:\n\n" + "\n".join(lines)
 
 
-def _cells(scenario: str, report: Report) -> str:
+def _format_cells(scenario: str, report: Report) -> str:
     def total(*names: str) -> int:
         return sum(kind.outcomes.get(n, 0) for kind in report.kinds for n in names)
 
-    truth = msgspec.to_builtins(report.truthfulness)
+    broken_promises = msgspec.to_builtins(report.truthfulness)
     cells = [
         scenario,
         sum(kind.sent for kind in report.kinds),
@@ -312,16 +328,16 @@
         total("unknown"),
         total("no_answer"),
         f"{max(kind.latency_ms.get('p99', 0) for kind in report.kinds):.0f}",
-        _seconds(each.detection_s for each in report.detections),
-        _seconds(each.held_out_s for each in report.detections),
-        ", ".join(str(each.met + each.met_later) for each in report.detections),
+        _format_seconds(item.detection_s for item in report.detections),
+        _format_seconds(item.held_out_s for item in report.detections),
+        ", ".join(str(item.met + item.met_later) for item in report.detections),
         len(report.ejections.false),
-        sum(len(broken) for broken in truth.values()),
+        sum(len(broken) for broken in broken_promises.values()),
     ]
     return " | ".join(map(str, cells))
 
 
-def _seconds(times: Iterable[float | None]) -> str:
+def _format_seconds(times: Iterable[float | None]) -> str:
     return ", ".join("-" if time_s is None else f"{time_s:.1f}" for time_s in times)
 
 
@@ -335,7 +351,7 @@
     for name in deployments or DEPLOYMENTS:
         reports = run_deployment(name, scenario, seed)
         if markdown:
-            typer.echo(_markdown(name, reports))
+            typer.echo(_format_markdown(name, reports))
         else:
             typer.echo(json.dumps({name: msgspec.to_builtins(reports)}))
 
--- a/bench/detection.py
+++ b/bench/detection.py
@@ -1,15 +1,15 @@
-"""Detection time against false ejections, over seeded traces in virtual time.
+"""Detection time against false ejections, on seeded traces in virtual time.
 
 ::
 
     python -m bench.detection            # the curves, some minutes
     python -m bench.detection --short    # the regression bounds, seconds
 
-The project's detector and two baselines judge the same traces of the two
-deployments, and of one service at the rate that the long run expects. Times
-run from a fault's start, with the wait for the first request that meets it; a
-fault that was not detected in two minutes counts as missed and stands at the
-end of the order.
+The project's detector and two baselines judge the same traces: of the two
+example deployments, and of one service at the rate of the full-size fleet. A
+detection time begins with the fault and so includes the wait for the first
+request that meets it. A fault that is not detected within `FAULT_LENGTH_S` counts
+as missed; percentiles take its time as infinite.
 """
 
 import math
@@ -30,36 +30,36 @@
 from bench.detection_runs import RunResult, run_service
 from bench.detection_traces import DEPLOYMENTS, FAULT_START_S, Fault, Service
 
-__all__ = ["Figures", "Setting", "main", "measure", "settings"]
+__all__ = ["Figures", "Setting", "all_settings", "main", "measure"]
 
 FAULT_LENGTH_S = 120.0
-SICK_FAULTS = (Fault.GRAY, Fault.HALF, Fault.SLOW, Fault.FLAPPING)
-# What the baselines can see at all: failures.
+SINGLE_SERVER_FAULTS = (Fault.GRAY, Fault.HALF, Fault.SLOW, Fault.FLAPPING)
+# Faults that the baselines can detect: they judge failures, not latency.
 COMPARED_FAULTS = (Fault.GRAY, Fault.HALF, Fault.FLAPPING)
 THRESHOLDS = (5.0, 7.0, 8.5, 10.0, 11.0, 12.0, 14.0)
-CONSECUTIVE = (1, 2, 3, 4, 5, 7)
+CONSECUTIVE_LIMITS = (1, 2, 3, 4, 5, 7)
 INTERVALS = ((5.0, 0.5), (5.0, 0.8), (10.0, 0.5), (10.0, 0.8), (30.0, 0.5), (30.0, 0.8))
 INTERVAL_REQUESTS_MIN = 3
-# With no event seen in a time, the rate is below this many over that time,
-# with 95% confidence.
+# If no event occurs during a time, the rate of events is below 3 divided by that
+# time, with 95 % confidence.
 RULE_OF_THREE = 3.0
 
 
 class Setting(NamedTuple):
-    """One point of one detector's curve."""
+    """A detector and its parameters: one point of its curve."""
 
     detector: str
     value: tuple[float, ...]
 
-    def make(self, servers: int) -> Detector:
-        """Return a new detector for one service."""
-        return _MAKERS[self.detector](servers, *self.value)
+    def make_detector(self, servers: int) -> Detector:
+        """Return a new detector for a service with this number of backend servers."""
+        return _DETECTOR_FACTORIES[self.detector](servers, *self.value)
 
     def __str__(self) -> str:
         return f"{self.detector} {'/'.join(f'{value:g}' for value in self.value)}"
 
 
-_MAKERS: dict[str, Callable[..., Detector]] = {
+_DETECTOR_FACTORIES: dict[str, Callable[..., Detector]] = {
     "sequential": lambda servers, threshold: Sequential(
         Detection(threshold=threshold), servers
     ),
@@ -71,22 +71,24 @@
 
 
 class Figures(NamedTuple):
-    """What one setting did in one deployment.
+    """Figures of one setting in one deployment.
 
     Attributes
     ----------
     detection_s : dict of Fault to list of float
-        One for each run; infinite when missed.
+        Detection time of each run; infinite for a missed fault.
     false_ejections : int
-        In healthy runs of `healthy_server_h` together.
+        Ejections in all runs without a fault.
+    healthy_server_h : float
+        Duration of these runs, times their backend servers.
     capacity_lost : dict of Fault to float
-        Part of healthy server-time that was suspected.
+        Fraction of the healthy backend servers' time in which they were suspected.
     answered : dict of Fault to float
-        Part of the requests that was answered, weighted by kind.
+        Fraction of the requests that were answered, by weight.
     failed_at_flapping_per_h : float
-        Requests that failed at a flapping backend server, an hour.
+        Requests that fail at a flapping backend server, an hour.
     first_request_s : list of float
-        The wait for the first request that met the gray fault.
+        Time from the gray fault's start to the first request that meets it.
     """
 
     deployment: str
@@ -105,15 +107,15 @@
         return self.false_ejections / self.healthy_server_h
 
     def compared_s(self) -> list[float]:
-        """Return the detection times that baselines can have, too."""
+        """Return the detection times of the faults that the baselines can detect."""
         return [time for fault in COMPARED_FAULTS for time in self.detection_s[fault]]
 
 
-def settings() -> list[Setting]:
-    """Return all points of all curves."""
+def all_settings() -> list[Setting]:
+    """Return the points of all detectors' curves."""
     return [
         *(Setting("sequential", (threshold,)) for threshold in THRESHOLDS),
-        *(Setting("consecutive", (limit,)) for limit in CONSECUTIVE),
+        *(Setting("consecutive", (limit,)) for limit in CONSECUTIVE_LIMITS),
         *(Setting("interval", interval) for interval in INTERVALS),
     ]
 
@@ -121,10 +123,12 @@
 def measure(
     deployment_name: str, setting: Setting, seeds: int, healthy_h: float
 ) -> Figures:
-    """Run one setting over all faults of one deployment.
+    """Run one setting against all faults in one deployment.
 
     Parameters
     ----------
+    seeds : int
+        Runs of each fault.
     healthy_h : float
         Virtual hours without a fault, for false ejections.
     """
@@ -132,7 +136,7 @@
     runs: dict[Fault, list[RunResult]] = {fault: [] for fault in Fault}
 
     def run(service: Service, fault: Fault, seed: str, duration_s: float) -> None:
-        detector = setting.make(service.servers)
+        detector = setting.make_detector(service.servers)
         runs[fault].append(
             run_service(service, deployment.zones, fault, detector, seed, duration_s)
         )
@@ -144,48 +148,50 @@
             for fault in Fault:
                 if fault is not Fault.NONE:
                     run(service, fault, str(seed), FAULT_START_S + FAULT_LENGTH_S)
-    return _figures(deployment.name, setting, runs, len(deployment.services))
+    return _summarize_runs(deployment.name, setting, runs, len(deployment.services))
 
 
-def _figures(deployment, setting, runs, services) -> Figures:
+def _summarize_runs(deployment, setting, runs, services) -> Figures:
     healthy = runs[Fault.NONE]
     hour_long = runs[Fault.FLAPPING][:: len(runs[Fault.FLAPPING]) // services]
     return Figures(
         deployment,
         setting,
-        {fault: _detections(runs[fault]) for fault in SICK_FAULTS},
+        {fault: _detection_times(runs[fault]) for fault in SINGLE_SERVER_FAULTS},
         sum(run.false_ejections for run in healthy),
         sum(run.healthy_server_s for run in healthy) / 3600,
-        {fault: _lost(results) for fault, results in runs.items()},
-        {fault: _answered(results) for fault, results in runs.items()},
-        statistics.mean(run.failed_at_sick for run in hour_long),
+        {fault: _capacity_lost(results) for fault, results in runs.items()},
+        {fault: _answered_fraction(results) for fault, results in runs.items()},
+        statistics.mean(run.failed_at_faulty for run in hour_long),
         [run.first_request_s for run in runs[Fault.GRAY] if run.first_request_s],
     )
 
 
-def _detections(results: list[RunResult]) -> list[float]:
+def _detection_times(results: list[RunResult]) -> list[float]:
     return [math.inf if run.detection_s is None else run.detection_s for run in results]
 
 
-def _lost(results: list[RunResult]) -> float:
+def _capacity_lost(results: list[RunResult]) -> float:
     lost_s = sum(run.capacity_lost_s for run in results)
     return lost_s / sum(run.healthy_server_s for run in results)
 
 
-def _answered(results: list[RunResult]) -> float:
-    return sum(run.answered for run in results) / sum(run.asked for run in results)
+def _answered_fraction(results: list[RunResult]) -> float:
+    return sum(run.answered for run in results) / sum(run.sent for run in results)
 
 
-def percentile(values: list[float], share: float) -> float:
-    """Return a percentile by nearest rank; infinite ones are last."""
+def percentile(values: list[float], fraction: float) -> float:
+    """Return a percentile by nearest rank; infinite values are the largest."""
     ordered = sorted(values)
-    return ordered[min(len(ordered) - 1, math.ceil(share * len(ordered)) - 1)]
+    return ordered[min(len(ordered) - 1, math.ceil(fraction * len(ordered)) - 1)]
 
 
 def _print_figures(figures: list[Figures]) -> None:
     print(
         f"{'deployment':12} {'setting':18}"
-        + "".join(f" {fault.value + ' p50/p95 s':>24}" for fault in SICK_FAULTS)
+        + "".join(
+            f" {fault.value + ' p50/p95 s':>24}" for fault in SINGLE_SERVER_FAULTS
+        )
         + f" {'false/server-h':>15} {'overload lost':>13} {'cut lost':>8}"
         + f" {'answered gray':>13} {'flapping fails/h':>16}"
     )
@@ -193,7 +199,7 @@
         times = "".join(
             f" {percentile(point.detection_s[fault], 0.5):>15.1f}"
             f"/{percentile(point.detection_s[fault], 0.95):>8.1f}"
-            for fault in SICK_FAULTS
+            for fault in SINGLE_SERVER_FAULTS
         )
         print(
             f"{point.deployment:12} {point.setting!s:18}{times}"
@@ -212,8 +218,12 @@
 
 
 def _print_comparison(figures: list[Figures]) -> None:
-    """Hold each baseline point against the detector's nearest ones."""
-    ours = [point for point in figures if point.setting.detector == "sequential"]
+    """Compare each baseline point with the project's detector.
+
+    Once with its fastest point that is as accurate, once with its most accurate
+    point that is as fast.
+    """
+    sequential = [point for point in figures if point.setting.detector == "sequential"]
     first_s = figures[0].first_request_s
     print(
         f"\n{figures[0].deployment}: the first request meets the gray fault after"
@@ -223,37 +233,40 @@
     for baseline in figures:
         if baseline.setting.detector == "sequential":
             continue
-        as_careful = [
-            point for point in ours if point.false_rate <= baseline.false_rate
+        as_accurate = [
+            point for point in sequential if point.false_rate <= baseline.false_rate
         ]
-        its_s = percentile(baseline.compared_s(), 0.5)
+        baseline_s = percentile(baseline.compared_s(), 0.5)
         as_fast = [
-            point for point in ours if percentile(point.compared_s(), 0.5) <= its_s
+            point
+            for point in sequential
+            if percentile(point.compared_s(), 0.5) <= baseline_s
         ]
         print(
-            f"{baseline.deployment:12} {baseline.setting!s:18} median {its_s:5.1f} s,"
-            f" false {_rate_text(baseline)}:"
-            f" {_faster(as_careful, its_s)}; {_safer(as_fast, baseline)}"
+            f"{baseline.deployment:12} {baseline.setting!s:18}"
+            f" median {baseline_s:5.1f} s, false {_rate_text(baseline)}:"
+            f" {_describe_speed(as_accurate, baseline_s)};"
+            f" {_describe_accuracy(as_fast, baseline)}"
         )
 
 
-def _faster(as_careful: list[Figures], its_s: float) -> str:
-    if not as_careful:
+def _describe_speed(as_accurate: list[Figures], baseline_s: float) -> str:
+    if not as_accurate:
         return "none of ours errs as rarely"
-    best = min(as_careful, key=lambda point: percentile(point.compared_s(), 0.5))
+    best = min(as_accurate, key=lambda point: percentile(point.compared_s(), 0.5))
     best_s = percentile(best.compared_s(), 0.5)
-    return f"{best.setting} is {its_s / best_s:.1f} times faster ({best_s:.1f} s)"
+    return f"{best.setting} is {baseline_s / best_s:.1f} times faster ({best_s:.1f} s)"
 
 
-def _safer(as_fast: list[Figures], baseline: Figures) -> str:
+def _describe_accuracy(as_fast: list[Figures], baseline: Figures) -> str:
     if not as_fast:
         return "none of ours is as fast"
     best = min(as_fast, key=lambda point: (point.false_rate, point.setting.value))
     if not baseline.false_ejections:
         return f"{best.setting} is as fast at {_rate_text(best)}"
     if not best.false_ejections:
-        least = baseline.false_ejections / RULE_OF_THREE
-        return f"{best.setting} is as fast with over {least:.1f} times fewer"
+        ratio_min = baseline.false_ejections / RULE_OF_THREE
+        return f"{best.setting} is as fast with over {ratio_min:.1f} times fewer"
     ratio = baseline.false_rate / best.false_rate
     return f"{best.setting} is as fast with {ratio:.1f} times fewer"
 
@@ -266,18 +279,18 @@
     jobs: Annotated[int, typer.Option(help="Processes at once.")] = 2,
     short: Annotated[bool, typer.Option(help="Few seeds, one hour.")] = False,
 ) -> None:
-    """Print the curves of the detector and the baselines."""
+    """Print the curves of the project's detector and of both baselines."""
     if short:
         seeds, healthy_h = 3, 1.0
     figures: list[Figures] = []
     with ProcessPoolExecutor(jobs) as executor:
         for deployment in DEPLOYMENTS:
-            # Equal numbers of requests, whatever a deployment's rates.
-            share = deployment.bench_share
-            runs = max(1, round(seeds * share)), healthy_h * share
+            # Fewer runs at higher rates: about equal numbers of requests.
+            fraction = deployment.run_fraction
+            runs = max(1, round(seeds * fraction)), healthy_h * fraction
             tasks = [
                 executor.submit(measure, deployment.name, setting, *runs)
-                for setting in settings()
+                for setting in all_settings()
             ]
             figures += [task.result() for task in tasks]
     print(f"{seeds} seeds a fault, {healthy_h:g} h without a fault")
--- a/bench/detection_detectors.py
+++ b/bench/detection_detectors.py
@@ -1,8 +1,8 @@
-"""The detector of the project and two baselines, behind one interface.
+"""The project's detector and two baselines, behind one interface.
 
-Baselines judge an ended request by success or failure only, and eject for
-`BASE_HOLD_OUT_S` times the number of ejections so far, as outlier detection
-commonly does.
+The baselines judge an ended request by success or failure only. Like common
+outlier detection they eject a backend server for `BASE_HOLD_OUT_S`, times the
+number of its ejections so far.
 """
 
 import itertools
@@ -28,58 +28,58 @@
         WorkResult.UNREACHABLE,
     }
 )
-SAYS_NOTHING = frozenset({WorkResult.SHED, WorkResult.CANCELLED})
+NOT_JUDGED = frozenset({WorkResult.SHED, WorkResult.CANCELLED})
 
 
 class Detector(Protocol):
-    """Judges the backend servers of one service, numbered from 0."""
+    """Judges the backend servers of one service, numbered from 0.
 
-    uses_ages: bool
+    Attributes
+    ----------
+    needs_ticks : bool
+        Whether it judges requests that are still running, in `tick`.
+    """
 
-    def started(self, server: int, attempt: int, now_s: float) -> None:
-        """A request was dispatched."""
+    needs_ticks: bool
 
-    def ended(self, server: int, attempt: int, result: WorkResult, now_s: float):
-        """A request ended."""
+    def record_start(self, server: int, attempt: int, now_s: float) -> None:
+        """Record a request that was dispatched."""
 
-    def link_failed(self, server: int, now_s: float) -> None:
-        """An ingress could not reach the backend server's gate."""
+    def record_end(self, server: int, attempt: int, result: WorkResult, now_s: float):
+        """Record the result of a request."""
+
+    def record_link_failure(self, server: int, now_s: float) -> None:
+        """Record that an ingress could not reach the backend server's gate."""
 
     def tick(self, server: int, now_s: float) -> None:
-        """Time passed with work in flight, or in an ejection."""
+        """Judge again after time has passed, with work in flight or in an ejection."""
 
     def suspicion(self, server: int, now_s: float) -> float:
-        """Return what the pickers go by."""
+        """Return the suspicion, from 0 to 1, by which pickers choose."""
 
 
 class Sequential:
-    """The project's detector: `ServerHealth` with evidence of peers.
+    """The project's detector: `ServerHealth` with evidence from peers."""
 
-    Parameters
-    ----------
-    detection : Detection
-    servers : int
-    """
-
-    uses_ages = True
+    needs_ticks = True
 
     def __init__(self, detection: Detection, servers: int) -> None:
         self._health = [ServerHealth(detection, 0.0) for _ in range(servers)]
-        # Callers come in through several ingresses; each sees a part.
+        # Requests arrive through several ingresses; each tracks only its own.
         self._trackers = [PeerEvidenceTracker() for _ in range(INGRESSES)]
-        self._round = itertools.count()
+        self._next_ingress = itertools.count()
         self._attempts: dict[int, tuple[PeerEvidenceTracker, float]] = {}
 
-    def started(self, server, attempt, now_s):
+    def record_start(self, server, attempt, now_s):
         """See `Detector`."""
-        tracker = self._trackers[next(self._round) % INGRESSES]
+        tracker = self._trackers[next(self._next_ingress) % INGRESSES]
         health = self._health[server]
         health.record_peer_evidence(tracker.summarize("s", str(server), now_s), now_s)
         health.record_start(AttemptId("", 0, attempt), now_s)
         tracker.record_start("s", str(server), now_s)
         self._attempts[attempt] = tracker, now_s
 
-    def ended(self, server, attempt, result, now_s):
+    def record_end(self, server, attempt, result, now_s):
         """See `Detector`."""
         health = self._health[server]
         verdict = health.record_end(AttemptId("", 0, attempt), result, now_s)
@@ -93,8 +93,8 @@
         )
         tracker.record_end("s", str(server), started_s, reply, now_s)
 
-    def link_failed(self, server, now_s):
-        """Stay with the ingress: it routes around its own link."""
+    def record_link_failure(self, server, now_s):
+        """Ignore the failure: the ingress routes around its own failed link."""
 
     def tick(self, server, now_s):
         """See `Detector`."""
@@ -106,44 +106,46 @@
 
 
 class _HoldOuts:
-    """Ejections of the baselines: for a time, longer with each."""
+    """Ejections by a baseline: each of a backend server lasts longer than the last."""
 
     def __init__(self, servers: int) -> None:
-        self._until_s = [0.0] * servers
-        self._count = [0] * servers
+        self._held_out_until_s = [0.0] * servers
+        self._ejections = [0] * servers
 
     def eject(self, server: int, now_s: float) -> None:
-        if now_s < self._until_s[server]:
+        if now_s < self._held_out_until_s[server]:
             return
-        self._count[server] += 1
-        self._until_s[server] = now_s + BASE_HOLD_OUT_S * self._count[server]
+        self._ejections[server] += 1
+        self._held_out_until_s[server] = (
+            now_s + BASE_HOLD_OUT_S * self._ejections[server]
+        )
 
     def suspicion(self, server: int, now_s: float) -> float:
-        return 1.0 if now_s < self._until_s[server] else 0.0
+        return 1.0 if now_s < self._held_out_until_s[server] else 0.0
 
 
 class ConsecutiveFailures:
-    """Ejects after so many failures in a row."""
+    """Ejects a backend server after `limit` consecutive failures."""
 
-    uses_ages = False
+    needs_ticks = False
 
     def __init__(self, limit: int, servers: int) -> None:
         self._limit = limit
         self._failures = [0] * servers
         self._hold_outs = _HoldOuts(servers)
 
-    def started(self, server, attempt, now_s):
+    def record_start(self, server, attempt, now_s):
         """See `Detector`."""
 
-    def ended(self, server, attempt, result, now_s):
+    def record_end(self, server, attempt, result, now_s):
         """See `Detector`."""
-        if result in SAYS_NOTHING:
+        if result in NOT_JUDGED:
             return
-        self._note(server, result in FAILURES, now_s)
+        self._record(server, result in FAILURES, now_s)
 
-    def link_failed(self, server, now_s):
+    def record_link_failure(self, server, now_s):
         """See `Detector`."""
-        self._note(server, True, now_s)
+        self._record(server, True, now_s)
 
     def tick(self, server, now_s):
         """See `Detector`."""
@@ -152,7 +154,7 @@
         """See `Detector`."""
         return self._hold_outs.suspicion(server, now_s)
 
-    def _note(self, server, failed, now_s):
+    def _record(self, server, failed, now_s):
         self._failures[server] = self._failures[server] + 1 if failed else 0
         if self._failures[server] >= self._limit:
             self._failures[server] = 0
@@ -160,9 +162,9 @@
 
 
 class IntervalSuccessRate:
-    """Ejects after an interval with too small a share of successes."""
+    """Ejects a backend server whose success rate in an interval is too low."""
 
-    uses_ages = False
+    needs_ticks = False
 
     def __init__(
         self, interval_s: float, success_min: float, requests_min: int, servers: int
@@ -170,44 +172,44 @@
         self._interval_s = interval_s
         self._success_min = success_min
         self._requests_min = requests_min
-        self._ends_s = interval_s
+        self._interval_end_s = interval_s
         self._requests = [0] * servers
         self._failures = [0] * servers
         self._hold_outs = _HoldOuts(servers)
 
-    def started(self, server, attempt, now_s):
+    def record_start(self, server, attempt, now_s):
         """See `Detector`."""
-        self._close(now_s)
+        self._judge_intervals(now_s)
 
-    def ended(self, server, attempt, result, now_s):
+    def record_end(self, server, attempt, result, now_s):
         """See `Detector`."""
-        self._close(now_s)
-        if result not in SAYS_NOTHING:
+        self._judge_intervals(now_s)
+        if result not in NOT_JUDGED:
             self._requests[server] += 1
             self._failures[server] += result in FAILURES
 
-    def link_failed(self, server, now_s):
+    def record_link_failure(self, server, now_s):
         """See `Detector`."""
-        self._close(now_s)
+        self._judge_intervals(now_s)
         self._requests[server] += 1
         self._failures[server] += 1
 
     def tick(self, server, now_s):
         """See `Detector`."""
-        self._close(now_s)
+        self._judge_intervals(now_s)
 
     def suspicion(self, server, now_s):
         """See `Detector`."""
         return self._hold_outs.suspicion(server, now_s)
 
-    def _close(self, now_s):
-        """Judge all intervals that are over."""
-        while now_s >= self._ends_s:
+    def _judge_intervals(self, now_s):
+        """Judge all intervals that have ended."""
+        while now_s >= self._interval_end_s:
             for server, requests in enumerate(self._requests):
                 if requests >= self._requests_min:
                     success = 1 - self._failures[server] / requests
                     if success < self._success_min:
-                        self._hold_outs.eject(server, self._ends_s)
+                        self._hold_outs.eject(server, self._interval_end_s)
             self._requests = [0] * len(self._requests)
             self._failures = [0] * len(self._failures)
-            self._ends_s += self._interval_s
+            self._interval_end_s += self._interval_s
--- a/bench/detection_runs.py
+++ b/bench/detection_runs.py
@@ -1,7 +1,7 @@
-"""One run: a service's work in virtual time, under one fault and detector.
+"""Simulates the requests of one service under one fault and one detector.
 
-Each request goes to a backend server that the floor keeps in use, drawn at
-random; its ending comes from the server's own trace. Nothing sleeps.
+Each request goes to a random backend server among those that the floor keeps in
+use; how it ends is drawn from that backend server's trace. Time is virtual.
 """
 
 import heapq
@@ -21,31 +21,31 @@
 
 TICK_S = 0.05
 FLOOR_FRACTION = 0.6
-SICK_SERVER = 0
-# A zone cut keeps these out of each other's reach: callers in other zones
-# can't reach the gates of zone 0.
+FAULTY_SERVER = 0
+# During a zone cut, ingresses of the other zones can't reach this zone's gates.
 CUT_ZONE = 0
 
 
 class RunResult(NamedTuple):
-    """What one run measured.
+    """Figures of one run.
 
     Attributes
     ----------
     first_request_s : float or None
-        From the fault's start to the first request at the sick one: no
-        detector that goes by work is faster.
+        From the fault's start to the first request at the faulty backend server:
+        no detector that judges requests is faster.
     detection_s : float or None
-        From the fault's start to the first ejection of the sick one.
+        From the fault's start to the first ejection of the faulty backend server.
     false_ejections : int
-        Ejections of backend servers that were not sick.
+        Ejections of healthy backend servers.
     healthy_server_s : float
+        Duration of the run, times its healthy backend servers.
     capacity_lost_s : float
-        Server-seconds that healthy backend servers were suspected.
-    answered, asked : float
-        Requests, weighted by kind, from the fault's start on.
-    failed_at_sick : int
-        Requests that failed at the sick one, from the fault's start on.
+        Sum of the times for which healthy backend servers were suspected.
+    answered, sent : float
+        Weight of the requests from the fault's start on.
+    failed_at_faulty : int
+        Requests that failed at the faulty backend server from the fault's start on.
     """
 
     first_request_s: float | None
@@ -54,11 +54,11 @@
     healthy_server_s: float
     capacity_lost_s: float
     answered: float
-    asked: float
-    failed_at_sick: int
+    sent: float
+    failed_at_faulty: int
 
 
-class _Run:
+class _Simulation:
     def __init__(self, service, zones, fault, detector, seed, duration_s):
         self._service: Service = service
         self._zones = zones
@@ -71,31 +71,31 @@
             for server in range(service.servers)
         ]
         self._events: list = []
-        self._order = itertools.count()
+        self._sequence = itertools.count()
         self._suspicion = [0.0] * service.servers
         self._suspected_s = [0.0] * service.servers
         self._usable: list[int] = []
-        self._trials: list[int] = []
-        self._decide()
+        self._on_trial: list[int] = []
+        self._update_usable()
         self.first_request_s: float | None = None
         self.detection_s: float | None = None
         self.false_ejections = 0
         self.capacity_lost_s = 0.0
-        self.answered = self.asked = 0.0
-        self.failed_at_sick = 0
+        self.answered = self.sent = 0.0
+        self.failed_at_faulty = 0
 
     def run(self) -> RunResult:
         rate = self._service.rate_per_server * self._service.servers
         arrival_s = self._random.expovariate(rate)
         while arrival_s < self._duration_s:
-            self._run_until(arrival_s)
-            self._arrive(arrival_s)
+            self._process_events(arrival_s)
+            self._route_request(arrival_s)
             arrival_s += self._random.expovariate(rate)
-        self._run_until(self._duration_s)
+        self._process_events(self._duration_s)
         for server in range(self._service.servers):
-            self._set(server, 0.0, self._duration_s)
-        sick = self._fault in _ONE_SICK
-        healthy = self._service.servers - sick
+            self._set_suspicion(server, 0.0, self._duration_s)
+        faulty = self._fault in _SINGLE_SERVER_FAULTS
+        healthy = self._service.servers - faulty
         return RunResult(
             self.first_request_s,
             self.detection_s,
@@ -103,79 +103,81 @@
             healthy * self._duration_s,
             self.capacity_lost_s,
             self.answered,
-            self.asked,
-            self.failed_at_sick,
+            self.sent,
+            self.failed_at_faulty,
         )
 
     def _fault_of(self, server: int) -> Fault:
-        if self._fault in _ONE_SICK and server != SICK_SERVER:
+        if self._fault in _SINGLE_SERVER_FAULTS and server != FAULTY_SERVER:
             return Fault.NONE
         return self._fault
 
-    def _run_until(self, until_s: float) -> None:
+    def _process_events(self, until_s: float) -> None:
         while self._events and self._events[0][0] <= until_s:
             now_s, _, kind, server, attempt, result = heapq.heappop(self._events)
             if kind == "tick":
                 self._detector.tick(server, now_s)
             else:
-                self._end(server, attempt, result, now_s)
-            self._look(server, now_s)
+                self._record_end(server, attempt, result, now_s)
+            self._update_suspicion(server, now_s)
 
-    def _push(self, at_s, kind, server, attempt=0, result=None) -> None:
-        event = (at_s, next(self._order), kind, server, attempt, result)
+    def _schedule(self, at_s, kind, server, attempt=0, result=None) -> None:
+        event = (at_s, next(self._sequence), kind, server, attempt, result)
         heapq.heappush(self._events, event)
 
-    def _arrive(self, now_s: float) -> None:
-        self._refresh(now_s)
-        idempotent = self._random.random() < self._service.idempotent_share
-        server = self._choose(idempotent)
+    def _route_request(self, now_s: float) -> None:
+        self._update_suspected(now_s)
+        idempotent = self._random.random() < self._service.idempotent_fraction
+        server = self._choose_server(idempotent)
         if now_s >= FAULT_START_S:
-            self.asked += self._service.weight
+            self.sent += self._service.weight
         if self._is_cut(server, now_s):
-            # The ingress tries another one: a failed link proves not-run.
-            self._detector.link_failed(server, now_s)
-            self._look(server, now_s)
-            near = [other for other in self._usable if not self._in_cut_zone(other)]
-            if not near:
+            # A failed link proves that the request did not run: the ingress retries.
+            self._detector.record_link_failure(server, now_s)
+            self._update_suspicion(server, now_s)
+            reachable = [
+                other for other in self._usable if not self._in_cut_zone(other)
+            ]
+            if not reachable:
                 return
-            server = self._random.choice(near)
+            server = self._random.choice(reachable)
         self._dispatch(server, now_s)
 
     def _dispatch(self, server: int, now_s: float) -> None:
-        attempt = next(self._order)
-        if self.first_request_s is None and self._is_sick(server, now_s):
+        attempt = next(self._sequence)
+        if self.first_request_s is None and self._is_faulty(server, now_s):
             self.first_request_s = now_s - FAULT_START_S
-        ending = self._work[server].end(now_s)
-        self._detector.started(server, attempt, now_s)
+        ending = self._work[server].draw_ending(now_s)
+        self._detector.record_start(server, attempt, now_s)
         ends_s = now_s + ending.latency_ms / 1000
-        self._push(ends_s, "end", server, attempt, ending.result)
-        if self._detector.uses_ages:
-            self._push_ticks(server, now_s, ends_s)
-        self._look(server, now_s)
+        self._schedule(ends_s, "end", server, attempt, ending.result)
+        if self._detector.needs_ticks:
+            self._schedule_ticks(server, now_s, ends_s)
+        self._update_suspicion(server, now_s)
 
-    def _push_ticks(self, server, now_s, ends_s) -> None:
+    def _schedule_ticks(self, server, now_s, ends_s) -> None:
         tick_s = now_s + TICK_S
         while tick_s < ends_s:
-            self._push(tick_s, "tick", server)
+            self._schedule(tick_s, "tick", server)
             tick_s += TICK_S
 
-    def _end(self, server, attempt, result, now_s) -> None:
-        self._detector.ended(server, attempt, result, now_s)
+    def _record_end(self, server, attempt, result, now_s) -> None:
+        self._detector.record_end(server, attempt, result, now_s)
         if now_s < FAULT_START_S:
             return
         if result is WorkResult.ANSWERED:
             self.answered += self._service.weight
-        elif self._fault in _ONE_SICK and server == SICK_SERVER:
-            self.failed_at_sick += 1
+        elif self._fault in _SINGLE_SERVER_FAULTS and server == FAULTY_SERVER:
+            self.failed_at_faulty += 1
 
-    def _choose(self, idempotent: bool) -> int:
-        chance = TRIAL_SHARE * len(self._trials) / self._service.servers
-        if self._trials and idempotent and self._random.random() < chance:
-            return self._random.choice(self._trials)
+    def _choose_server(self, idempotent: bool) -> int:
+        trial_probability = TRIAL_SHARE * len(self._on_trial) / self._service.servers
+        if self._on_trial and idempotent and self._random.random() < trial_probability:
+            return self._random.choice(self._on_trial)
         return self._random.choice(self._usable)
 
     def _is_cut(self, server: int, now_s: float) -> bool:
-        """Tell whether this request's ingress can't reach the gate."""
+        """Draw whether the request's ingress is in a zone that can't reach the gate."""
         if self._fault is not Fault.ZONE_CUT or now_s < FAULT_START_S:
             return False
         if not self._in_cut_zone(server):
@@ -185,48 +187,48 @@
     def _in_cut_zone(self, server: int) -> bool:
         return server % self._zones == CUT_ZONE
 
-    def _refresh(self, now_s: float) -> None:
-        """Look at those whose suspicion may change with time alone."""
+    def _update_suspected(self, now_s: float) -> None:
+        """Update the suspected backend servers: their suspicion changes with time."""
         for server, suspicion in enumerate(self._suspicion):
             if suspicion:
                 self._detector.tick(server, now_s)
-                self._look(server, now_s)
+                self._update_suspicion(server, now_s)
 
-    def _look(self, server: int, now_s: float) -> None:
-        self._set(server, self._detector.suspicion(server, now_s), now_s)
+    def _update_suspicion(self, server: int, now_s: float) -> None:
+        self._set_suspicion(server, self._detector.suspicion(server, now_s), now_s)
 
-    def _set(self, server: int, suspicion: float, now_s: float) -> None:
-        before = self._suspicion[server]
-        if suspicion == before:
+    def _set_suspicion(self, server: int, suspicion: float, now_s: float) -> None:
+        previous = self._suspicion[server]
+        if suspicion == previous:
             return
-        sick = self._is_sick(server, now_s)
-        if suspicion >= SUSPECTED and before < ON_TRIAL:
+        faulty = self._is_faulty(server, now_s)
+        if suspicion >= SUSPECTED and previous < ON_TRIAL:
             self._suspected_s[server] = now_s
-            if not sick:
+            if not faulty:
                 self.false_ejections += 1
             elif self.detection_s is None:
                 self.detection_s = now_s - FAULT_START_S
-        if suspicion < ON_TRIAL and not sick:
+        if suspicion < ON_TRIAL and not faulty:
             self.capacity_lost_s += now_s - self._suspected_s[server]
         self._suspicion[server] = suspicion
-        self._decide()
+        self._update_usable()
 
-    def _is_sick(self, server: int, now_s: float) -> bool:
-        if self._fault not in _ONE_SICK or server != SICK_SERVER:
+    def _is_faulty(self, server: int, now_s: float) -> bool:
+        if self._fault not in _SINGLE_SERVER_FAULTS or server != FAULTY_SERVER:
             return False
         return now_s >= FAULT_START_S
 
-    def _decide(self) -> None:
+    def _update_usable(self) -> None:
         placements = [
             _placement(server, self._service.slots, suspicion)
             for server, suspicion in enumerate(self._suspicion)
         ]
         decision = decide_floor(placements, FLOOR_FRACTION)
-        left_out = {int(suspect.node_id) for suspect in decision.left_out}
+        excluded = {int(suspect.node_id) for suspect in decision.left_out}
         servers = range(self._service.servers)
-        self._usable = [server for server in servers if server not in left_out]
-        self._trials = [
-            server for server in left_out if self._suspicion[server] < SUSPECTED
+        self._usable = [server for server in servers if server not in excluded]
+        self._on_trial = [
+            server for server in excluded if self._suspicion[server] < SUSPECTED
         ]
 
 
@@ -238,11 +240,11 @@
     seed: str,
     duration_s: float,
 ) -> RunResult:
-    """Run one service under one fault with one detector."""
-    return _Run(service, zones, fault, detector, seed, duration_s).run()
+    """Simulate one service for a time, with its fault from `FAULT_START_S` on."""
+    return _Simulation(service, zones, fault, detector, seed, duration_s).run()
 
 
-_ONE_SICK = {Fault.GRAY, Fault.HALF, Fault.SLOW, Fault.FLAPPING}
+_SINGLE_SERVER_FAULTS = {Fault.GRAY, Fault.HALF, Fault.SLOW, Fault.FLAPPING}
 
 
 def _placement(server: int, slots: int, suspicion: float) -> Placement:
--- a/bench/detection_traces.py
+++ b/bench/detection_traces.py
@@ -1,4 +1,4 @@
-"""Seeded traces of work: the two deployments, healthy and with faults."""
+"""Seeded traces of how requests end, with and without faults, and deployments."""
 
 import math
 import random
@@ -17,16 +17,16 @@
     "Service",
 ]
 
-# Healthy time before a fault, in which slow limits are learned.
+# Healthy time before a fault, in which detectors learn the usual latencies.
 FAULT_START_S = 300.0
-FLAP_S = 20.0
+FLAP_INTERVAL_S = 20.0
 SLOW_FACTOR = 8.0
 OVERLOAD_FACTOR = 10.0
-OVERLOAD_SHED = 0.2
+OVERLOAD_SHED_FRACTION = 0.2
 HALF = 0.5
-# Healthy backend servers: some errors, a spread of latencies, and a stall
-# (a pause of the runtime, a lock) now and then.
-ERROR_SHARE = 0.003
+# Healthy backend servers: a few errors, log-normal latencies, and a stall (a pause
+# of the runtime, a lock) at random times.
+ERROR_FRACTION = 0.003
 LATENCY_SIGMA = 0.5
 STALL_INTERVAL_S = 300.0
 STALL_MIN_S, STALL_MAX_S = 0.15, 0.4
@@ -41,9 +41,9 @@
     rate_per_server : float
         Requests a second.
     weight : float
-        Worth of one answered request.
-    idempotent_share : float
-        Part of the requests that may run twice: look-ups, not signatures.
+        Value of one answered request.
+    idempotent_fraction : float
+        Fraction of the requests that may run twice: look-ups, not signatures.
     """
 
     name: str
@@ -53,7 +53,7 @@
     median_ms: float
     timeout_ms: float
     weight: float
-    idempotent_share: float
+    idempotent_fraction: float
 
 
 class Deployment(NamedTuple):
@@ -61,14 +61,14 @@
 
     Attributes
     ----------
-    bench_share : float
-        Of the seeds and hours that the bench runs.
+    run_fraction : float
+        Fraction of the bench's seeds and hours that this deployment runs.
     """
 
     name: str
     zones: int
     services: tuple[Service, ...]
-    bench_share: float = 1.0
+    run_fraction: float = 1.0
 
 
 DEPLOYMENTS = (
@@ -90,8 +90,8 @@
             Service("nozzle-check", 10, 7, 1.0, 60.0, 2000.0, 3.0, 1.0),
         ),
     ),
-    # The rate of one backend server at the size of the long run: 1.8 million
-    # requests a second over 140,000. Few of them, for the bench's time.
+    # The rate of a backend server in the full-size fleet: 1.8 million requests/s
+    # over 140,000 backend servers. Only 6 of them, to keep the bench short.
     Deployment(
         "long-run", 3, (Service("typical", 6, 7, 13.0, 20.0, 2000.0, 1.0, 1.0),), 0.4
     ),
@@ -99,7 +99,7 @@
 
 
 class Fault(StrEnum):
-    """What goes wrong at `FAULT_START_S`."""
+    """Fault that begins at `FAULT_START_S`."""
 
     NONE = "none"
     GRAY = "gray"
@@ -111,14 +111,14 @@
 
 
 class Ending(NamedTuple):
-    """How a request ends when nothing is done about it."""
+    """Result and latency of a request at a backend server."""
 
     result: WorkResult
     latency_ms: float
 
 
 class ServerWork:
-    """Endings of the requests at one backend server."""
+    """Draws how requests end at one backend server."""
 
     def __init__(self, service: Service, fault: Fault, seed: str) -> None:
         self._service = service
@@ -128,45 +128,45 @@
         self._stall_end_s = 0.0
         self._draw_stall(0.0)
 
-    def is_sick(self, now_s: float) -> bool:
-        """Tell whether this backend server is the one with the fault now."""
+    def is_faulty(self, now_s: float) -> bool:
+        """Tell whether a fault of this backend server alone is active now."""
         if now_s < FAULT_START_S:
             return False
         if self._fault is Fault.FLAPPING:
-            return int((now_s - FAULT_START_S) / FLAP_S) % 2 == 0
-        return self._fault in _SICKNESSES
+            return int((now_s - FAULT_START_S) / FLAP_INTERVAL_S) % 2 == 0
+        return self._fault in _CONSTANT_FAULTS
 
-    def end(self, now_s: float) -> Ending:
-        """Draw the ending of a request that starts now."""
-        ending = self._healthy(now_s)
+    def draw_ending(self, now_s: float) -> Ending:
+        """Draw the ending of a request that starts now; the timeout cuts it off."""
+        ending = self._draw_healthy(now_s)
         if now_s >= FAULT_START_S:
-            ending = self._faulty(ending, now_s)
+            ending = self._apply_fault(ending, now_s)
         if ending.latency_ms >= self._service.timeout_ms:
             return Ending(WorkResult.SILENCE, self._service.timeout_ms)
         return ending
 
-    def _faulty(self, ending: Ending, now_s: float) -> Ending:
+    def _apply_fault(self, ending: Ending, now_s: float) -> Ending:
         match self._fault:
             case Fault.GRAY:
                 return Ending(WorkResult.SILENCE, math.inf)
-            case Fault.FLAPPING if self.is_sick(now_s):
+            case Fault.FLAPPING if self.is_faulty(now_s):
                 return Ending(WorkResult.SILENCE, math.inf)
             case Fault.HALF if self._random.random() < HALF:
                 return Ending(WorkResult.ERROR, ERROR_MS)
             case Fault.SLOW:
                 return ending._replace(latency_ms=ending.latency_ms * SLOW_FACTOR)
             case Fault.OVERLOAD:
-                if self._random.random() < OVERLOAD_SHED:
+                if self._random.random() < OVERLOAD_SHED_FRACTION:
                     return Ending(WorkResult.SHED, ERROR_MS)
                 slowed_ms = ending.latency_ms * OVERLOAD_FACTOR
                 return ending._replace(latency_ms=slowed_ms)
         return ending
 
-    def _healthy(self, now_s: float) -> Ending:
-        if self._random.random() < ERROR_SHARE:
+    def _draw_healthy(self, now_s: float) -> Ending:
+        if self._random.random() < ERROR_FRACTION:
             return Ending(WorkResult.ERROR, ERROR_MS)
-        spread = math.exp(self._random.gauss(0, LATENCY_SIGMA))
-        latency_ms = self._service.median_ms * spread
+        latency_factor = math.exp(self._random.gauss(0, LATENCY_SIGMA))
+        latency_ms = self._service.median_ms * latency_factor
         while now_s >= self._stall_end_s:
             self._draw_stall(self._stall_end_s)
         if now_s >= self._stall_start_s:
@@ -179,4 +179,4 @@
         self._stall_end_s = self._stall_start_s + length_s
 
 
-_SICKNESSES = {Fault.GRAY, Fault.HALF, Fault.SLOW}
+_CONSTANT_FAULTS = {Fault.GRAY, Fault.HALF, Fault.SLOW}
--- a/bench/drain.py
+++ b/bench/drain.py
@@ -1,7 +1,7 @@
-"""From a drain to the last new work: time and count, under load.
+"""How much new work a backend server gets after its drain, and for how long.
 
-Real processes: two nodes with one backend server each (2 slots, 30 ms a
-request) and 12 callers; one backend server is drained after a second.
+Real processes: two nodes with one backend server each (2 slots, 30 ms a request)
+and 12 callers. One backend server is drained after a second of load.
 
     python -m bench.drain
 """
@@ -16,7 +16,7 @@
 
 ROUNDS = 5
 CALLERS = 12
-BEFORE_S, AFTER_S = 1.0, 4.0
+LOAD_BEFORE_DRAIN_S, LOAD_AFTER_DRAIN_S = 1.0, 4.0
 SETTINGS = {
     "crew/services/contracts": {},
     "crew/routes/sign": {
@@ -29,21 +29,22 @@
 
 
 class DrainResult(NamedTuple):
-    """What one drain did.
+    """Figures of one drain.
 
     Attributes
     ----------
     new_work : int
-        Requests begun at the backend server after its drain.
+        Attempts dispatched to the backend server after its drain.
     last_work_ms : float
-        From the drain to the last of them; 0 for none.
+        From the drain to the last of these attempts; 0 without any.
     refused : int
-        Attempts that its gate refused for the drain.
+        Attempts at the backend server that its gate refused after the drain.
     last_refused_ms : float
-        From the drain to the last of them: when the news had reached all.
+        From the drain to the last refusal, when all ingresses know of the drain.
     not_answered : int
-        Requests of all callers without an answer of a backend server.
+        Requests, of all callers, without an answer from a backend server.
     calls : int
+        Requests of all callers.
     """
 
     new_work: int
@@ -55,7 +56,7 @@
 
 
 def run_drain() -> DrainResult:
-    """Drain one of two backend servers under load."""
+    """Drain one of two backend servers under load; return the figures."""
     with Fleet() as fleet:
         fleet.start_platform()
         fleet.put_settings(SETTINGS)
@@ -71,24 +72,24 @@
         ]
         for caller in callers:
             caller.start()
-        time.sleep(BEFORE_S)
+        time.sleep(LOAD_BEFORE_DRAIN_S)
         call(nodes[0].admin_address, "/backend-servers/contract-0/drain", "POST")
-        time.sleep(AFTER_S)
+        time.sleep(LOAD_AFTER_DRAIN_S)
         for caller in callers:
             caller.stop()
-        calls = [one for caller in callers for one in caller.calls]
+        calls = [caller_call for caller in callers for caller_call in caller.calls]
         faults = sum(len(caller.faults) for caller in callers)
-        return _count(read_events(nodes[0].log_path), calls, faults)
+        return _summarize_events(read_events(nodes[0].log_path), calls, faults)
 
 
-def _count(events, calls, faults: int) -> DrainResult:
+def _summarize_events(events, calls, faults: int) -> DrainResult:
     drained_s = next(
         float(event["wall_s"])
         for event in events
         if event["event"] == "backend_server_draining"
     )
 
-    def after_ms(name: str) -> list[float]:
+    def delays_after_drain_ms(name: str) -> list[float]:
         return [
             (float(event["wall_s"]) - drained_s) * 1000
             for event in events
@@ -97,19 +98,22 @@
             and float(event["wall_s"]) > drained_s
         ]
 
-    work, refused = after_ms("attempt_dispatched"), after_ms("attempt_refused")
+    dispatched_ms, refused = (
+        delays_after_drain_ms("attempt_dispatched"),
+        delays_after_drain_ms("attempt_refused"),
+    )
     return DrainResult(
-        len(work),
-        max(work, default=0.0),
+        len(dispatched_ms),
+        max(dispatched_ms, default=0.0),
         len(refused),
         max(refused, default=0.0),
-        faults + sum(one.outcome != "answered" for one in calls),
+        faults + sum(caller_call.outcome != "answered" for caller_call in calls),
         len(calls),
     )
 
 
 def main() -> None:
-    """Print each round."""
+    """Print the figures of `ROUNDS` drains."""
     print("new work, last after; refused, last after; not answered of calls")
     for _ in range(ROUNDS):
         result = run_drain()
--- a/bench/event_log.py
+++ b/bench/event_log.py
@@ -1,8 +1,9 @@
-"""What the log costs: processor time of the lines that one request writes.
+"""Processor time of the event log's lines for one request.
 
-``python -m bench.event_log``: two processes' worth of events of a request that one
-gate refuses and another one runs. Paced as a busy node writes them, and in a flood
-of which most is left out. The figures stand in docs/MEASUREMENTS.md.
+``python -m bench.event_log``: writes the events, of both nodes, of a request that one
+gate refuses and another gate runs; first at the pace of a busy node, then without a
+pause, where the event log's rate limit leaves most lines out. The figures are in
+docs/MEASUREMENTS.md.
 """
 
 import os
@@ -11,14 +12,14 @@
 from balsamspindle.timeline import EventLog, HybridClock
 
 REQUESTS = 20_000
-# Of both nodes together: received, sent, refused, sent, dispatched, ended, ended.
-LINES = 7
-# Below the bound of lines a second for each event, so that all are written.
+# Of ingress and gate: received, sent, refused, sent, dispatched, ended, ended.
+LINES_PER_REQUEST = 7
+# Below the event log's limit of lines a second for each event: none is left out.
 PACE_REQUESTS_PER_S = 200
 
 
 def emit_request(events: EventLog, number: int) -> None:
-    """Write the lines of one request."""
+    """Write the events that the ingress and both gates log for one request."""
     request = f"{number:016x}"
     events.emit("request_received", request=request, method="GET", path="/a/7")
     for attempt in (1, 2):
@@ -72,12 +73,13 @@
 
 
 def main() -> None:
-    """Print the figures."""
+    """Print the processor time at both paces, three times."""
     for _ in range(3):
         paced_us = measure(5 * PACE_REQUESTS_PER_S, PACE_REQUESTS_PER_S)
         flood_us = measure(REQUESTS, float("inf"))
         print(
-            f"paced {paced_us:.0f} us a request ({LINES} lines), flood {flood_us:.0f}"
+            f"paced {paced_us:.0f} us a request ({LINES_PER_REQUEST} lines),"
+            f" flood {flood_us:.0f}"
         )
 
 
--- a/bench/health_cost.py
+++ b/bench/health_cost.py
@@ -1,13 +1,13 @@
-"""CPU that health takes at a node, as process time.
+"""Processor time that health detection takes at a node.
 
 ::
 
     python -m bench.health_cost
 
-One request is what the gate and the ingress do for it: the summary of the
-peers, its start, its end. A tick looks at all backend servers of the node,
-`TICK_S` apart, here with all slots at work. Both are given as a share of one
-core.
+For each request, the ingress summarizes the evidence of its peers, and gate and
+ingress record the request's start and end. Every `TICK_S`, a tick checks all
+backend servers of the node, here with all slots busy. The bench prints the time of
+a request and of a tick, and the fraction of one core that both take at a node's load.
 """
 
 import io
@@ -35,7 +35,7 @@
 
 
 def main() -> None:
-    """Print the cost of a request, of a tick, and both at a node's load."""
+    """Print the processor time of a request, of a tick, and of both at full load."""
     servers = LocalBackendServers()
     for number in range(SERVERS):
         servers.announce(
@@ -44,19 +44,19 @@
     events = EventLog("node", 1, HybridClock(), io.StringIO())
     monitor = HealthMonitor(servers, lambda service: Detection(), events)
     monitor.tick(0.0)
-    request_s = _cpu_s(lambda: _requests(monitor)) / REQUESTS
+    request_s = _cpu_s(lambda: _run_requests(monitor)) / REQUESTS
     _fill_slots(monitor)
     tick_s = _cpu_s(lambda: [monitor.tick(number * TICK_S) for number in range(TICKS)])
     tick_s /= TICKS
-    share = request_s * REQUESTS_PER_S + tick_s / TICK_S
+    core_fraction = request_s * REQUESTS_PER_S + tick_s / TICK_S
     print(f"a request: {request_s * 1e6:.1f} us; a tick: {tick_s * 1e6:.1f} us")
     print(
         f"{REQUESTS_PER_S} requests/s, {SERVERS} backend servers:"
-        f" {share:.2%} of a core, ticks {tick_s / TICK_S:.2%}"
+        f" {core_fraction:.2%} of a core, ticks {tick_s / TICK_S:.2%}"
     )
 
 
-def _requests(monitor: HealthMonitor) -> None:
+def _run_requests(monitor: HealthMonitor) -> None:
     tracker = PeerEvidenceTracker()
     for number in range(REQUESTS):
         now_s = number / REQUESTS_PER_S
--- a/bench/latency.py
+++ b/bench/latency.py
@@ -1,12 +1,12 @@
 """Latency and processor time that nodes add to a request.
 
-Three ways to one kind of stand-in backend server, measured in turns within
-one run, each at the rate that a node is built for:
+Three ways to a stand-in backend server are measured in turns within one run, each
+at the request rate that a node is designed for:
 
 - ``direct``: the caller calls the backend server itself;
-- ``one_node``: through a node whose own backend server answers;
-- ``two_nodes``: through an ingress without backend servers, then another
-  node's gate.
+- ``one_node``: through a node that is both ingress and gate;
+- ``two_nodes``: through an ingress without backend servers, and another node's
+  gate.
 
 ::
 
@@ -51,12 +51,12 @@
 
 
 class Way(NamedTuple):
-    """One way to a backend server.
+    """A way from the caller to a backend server.
 
     Attributes
     ----------
     pids : dict of str to int
-        Processes on the way whose processor time is measured, by role.
+        Processes whose processor time is measured, by role.
     """
 
     name: str
@@ -65,17 +65,17 @@
 
 
 def measure(rounds: int, rate_per_s: float) -> dict:
-    """Run all ways in turns and return the figures.
+    """Measure all ways in turns and return the figures.
 
     Parameters
     ----------
     rounds : int
-        Slices of `SLICE_S` seconds for each way.
+        Turns of each way, of `SLICE_S` each.
     rate_per_s : float
-        Requests a second while a way has its turn.
+        Requests a second during a turn.
     """
     with Fleet() as fleet:
-        ways = _start(fleet)
+        ways = _start_ways(fleet)
         calls = {
             way.name: PacedCalls(way.target, CONNECTIONS, rate_per_s, SEED)
             for way in ways
@@ -91,24 +91,26 @@
                 counts[way.name] += calls[way.name].run(SLICE_S)
                 for role, pid in way.pids.items():
                     used_s[way.name, role] += cpu_s(pid) - before[role]
-        for each in calls.values():
-            each.close()
+        for way_calls in calls.values():
+            way_calls.close()
     cpu_ms = {key: 1000 * used / counts[key[0]] for key, used in used_s.items()}
-    return _figures(calls, counts, cpu_ms, rounds, rate_per_s)
+    return _summarize(calls, counts, cpu_ms, rounds, rate_per_s)
 
 
-def _start(fleet: Fleet) -> list[Way]:
+def _start_ways(fleet: Fleet) -> list[Way]:
     fleet.start_platform()
     fleet.put_settings(SETTINGS)
-    one = fleet.start_node("one", "zone-a")
+    single_node = fleet.start_node("one", "zone-a")
     ingress = fleet.start_node("ingress", "zone-b")
     gate = fleet.start_node("gate", "zone-c")
     servers = {
         "direct": fleet.start_backend("direct", "bench/direct", gate),
-        "one": fleet.start_backend("one-1", "bench/one", one, slots=64),
+        "one": fleet.start_backend("one-1", "bench/one", single_node, slots=64),
         "two": fleet.start_backend("two-1", "bench/two", gate, slots=64),
     }
-    fleet.wait_ready([one, ingress, gate], ["direct", "one-1", "two-1"], len(SETTINGS))
+    fleet.wait_ready(
+        [single_node, ingress, gate], ["direct", "one-1", "two-1"], len(SETTINGS)
+    )
     return [
         Way(
             "direct",
@@ -117,8 +119,8 @@
         ),
         Way(
             "one_node",
-            Target(one.caller_address, "/one/7?full=1"),
-            {"node": one.process.pid},
+            Target(single_node.caller_address, "/one/7?full=1"),
+            {"node": single_node.process.pid},
         ),
         Way(
             "two_nodes",
@@ -128,13 +130,13 @@
     ]
 
 
-def _figures(calls, counts, cpu_ms, rounds, rate_per_s) -> dict:
+def _summarize(calls, counts, cpu_ms, rounds, rate_per_s) -> dict:
     ways = {}
-    for name, each in calls.items():
-        histogram = each.histogram
+    for name, way_calls in calls.items():
+        histogram = way_calls.histogram
         ways[name] = {
             "requests": counts[name],
-            "failures": each.failures,
+            "failures": way_calls.failures,
             "p50_ms": histogram.get_value_at_percentile(50) / 1000,
             "p99_ms": histogram.get_value_at_percentile(99) / 1000,
             "cpu_ms_per_request": {
@@ -153,7 +155,7 @@
 
 
 def _ratios(ways: dict) -> dict[str, float]:
-    """Return latencies over direct calls, CPU over the backend server's own."""
+    """Divide latencies by those of direct calls, CPU by the backend server's."""
     direct = ways["direct"]
     direct_cpu_ms = direct["cpu_ms_per_request"]["backend_server"]
     ratios = {}
@@ -167,12 +169,12 @@
 
 
 def regressions(ratios: dict[str, float], baseline: dict) -> list[str]:
-    """Return one sentence for each ratio that is over its bound.
+    """Return a sentence for each ratio that exceeds its bound.
 
     Parameters
     ----------
     baseline : dict
-        ``ratios`` as recorded and ``bounds``, the growth that each allows.
+        ``ratios`` as recorded, and ``bounds``: by which factor each may grow.
     """
     return [
         f"{name}: {ratios[name]:.2f} is over {recorded * bound:.2f}, "
@@ -182,7 +184,7 @@
     ]
 
 
-def _table(figures: dict) -> str:
+def _format_table(figures: dict) -> str:
     lines = [f"{'way':10} {'requests':>8} {'p50 ms':>7} {'p99 ms':>7}  CPU ms/request"]
     for name, way in figures["ways"].items():
         cpu = ", ".join(
@@ -204,15 +206,15 @@
     as_json: bool = typer.Option(False, "--json", help="Print JSON."),
     check: bool = typer.Option(False, help="Compare with the recorded baseline."),
 ) -> None:
-    """Measure what one node and two nodes add to a request."""
+    """Measure the latency and processor time that nodes add to a request."""
     figures = measure(rounds, rate_per_s)
-    print(json.dumps(figures, indent=2) if as_json else _table(figures))
+    print(json.dumps(figures, indent=2) if as_json else _format_table(figures))
     if not check:
         return
-    found = regressions(figures["ratios"], json.loads(BASELINE_PATH.read_text()))
-    for sentence in found:
+    exceeded = regressions(figures["ratios"], json.loads(BASELINE_PATH.read_text()))
+    for sentence in exceeded:
         print(sentence)
-    raise typer.Exit(1 if found else 0)
+    raise typer.Exit(1 if exceeded else 0)
 
 
 if __name__ == "__main__":
--- a/bench/membership.py
+++ b/bench/membership.py
@@ -1,12 +1,12 @@
-"""Cost of membership against the number of nodes, and of a directory at size.
+"""Cost of membership by number of nodes, and of a directory at full fleet size.
 
     python -m bench.membership             # a table
     python -m bench.membership --json      # slopes for docs/CAPACITY.md
     python -m bench.membership --quick     # small sizes, for CI
 
-Real members exchange real frames over an in-memory transport; the clock is
-virtual, so bytes, messages and seconds of protocol time do not depend on the
-machine. CPU is process time.
+The production code of members exchanges its frames over an in-memory transport.
+The clock is virtual: bytes, messages and seconds of protocol time do not depend on
+the machine. CPU is the time of this process.
 """
 
 import json
@@ -30,17 +30,17 @@
 QUICK_SIZES = (10, 20)
 SERVERS_PER_NODE = 5
 IDLE_S = 60.0
-# Backend servers that change each second in the whole fleet, whatever its
-# size: 45,000 a day, each gone and back.
+# Changes of backend servers a second in the whole fleet, at any size: 45,000 backend
+# servers a day, each of which leaves and returns.
 CHANGES_PER_S = 2 * 45_000 / 86_400
 TARGET_NODES = 5_600
 DIRECTORY_NODES = (1_400, 2_800, TARGET_NODES)
 BURST_NODES_FRACTION = 0.1
-ANSWERING = 8
+ANSWERING_NODES = 8
 
 
 def start_fleet(size: int) -> tuple[MemberNetwork, list[FakeNode]]:
-    """Return nodes that know each other and each other's backend servers."""
+    """Return a network of nodes that know all nodes and backend servers."""
     network = MemberNetwork()
     nodes = [network.add(number, f"zone-{number % 3}") for number in range(size)]
     for node in nodes:
@@ -51,15 +51,21 @@
     return network, nodes
 
 
-def measure_rate(network: MemberNetwork, nodes, seconds: float, each_s=None) -> dict:
-    """Return bytes, messages and CPU of one node and second."""
+def measure_rate(network: MemberNetwork, nodes, seconds: float, on_second=None) -> dict:
+    """Return mean bytes, messages and CPU of a node, per second.
+
+    Parameters
+    ----------
+    on_second : callable or None
+        Called before each second, with its number.
+    """
     sent = sum(node.member.budget.spent_bytes for node in nodes)
     received = sum(node.transport.received_bytes for node in nodes)
     frames = network.frames
     started = time.process_time()
     for second in range(int(seconds)):
-        if each_s is not None:
-            each_s(second)
+        if on_second is not None:
+            on_second(second)
         network.run(1.0)
     node_seconds = len(nodes) * seconds
     cpu_s = time.process_time() - started
@@ -74,13 +80,16 @@
 
 
 def churn(nodes) -> Callable[[int], None]:
-    """Return what restarts backend servers at the target's rate."""
-    boots = [0.0]
+    """Return a function that restarts backend servers at `CHANGES_PER_S`.
+
+    To be called once a second, with the number of the second.
+    """
+    due_restarts = [0.0]
 
     def restart(second: int) -> None:
-        boots[0] += CHANGES_PER_S
-        while boots[0] >= 1:
-            boots[0] -= 1
+        due_restarts[0] += CHANGES_PER_S
+        while due_restarts[0] >= 1:
+            due_restarts[0] -= 1
             node = nodes[(second * 7919) % len(nodes)]
             first, *others = node.servers
             node.servers = (first._replace(boot_id=str(second)), *others)
@@ -89,13 +98,13 @@
 
 
 def time_of_news(network, nodes) -> float:
-    """Return seconds until all know that a backend server drains."""
+    """Return seconds until all nodes know that a backend server drains."""
     source = nodes[len(nodes) // 2]
     first, *others = source.servers
     source.servers = (first._replace(state="draining"), *others)
     started_s = network.now_s
 
-    def all_know() -> bool:
+    def is_known_by_all() -> bool:
         return all(
             node.directory.view(source.node_id)
             .entries[first.backend_server_id]
@@ -104,11 +113,11 @@
             for node in nodes
         )
 
-    return network.now_s - started_s if network.run(120, all_know) else math.inf
+    return network.now_s - started_s if network.run(120, is_known_by_all) else math.inf
 
 
-def time_of_death(network, nodes) -> float:
-    """Return seconds until all have removed a node that crashed."""
+def measure_death_delay(network, nodes) -> float:
+    """Return seconds until all nodes have removed a node that crashed."""
     victim, *others = nodes
     network.kill(victim)
     started_s = network.now_s
@@ -118,8 +127,8 @@
     return network.now_s - started_s if gone else math.inf
 
 
-def join(network, nodes) -> dict:
-    """Return how long a joiner needs to know all, and what it receives."""
+def measure_join(network, nodes) -> dict:
+    """Return how long a joining node takes to learn all, and the bytes received."""
     joiner = network.add(len(nodes) + 1, "zone-0", seeds=nodes[1:3])
     started_s = network.now_s
     expected = len(nodes) * SERVERS_PER_NODE
@@ -135,29 +144,31 @@
     }
 
 
-def burst(size: int) -> dict:
-    """Return what a tenth of the nodes, back at once, costs the others."""
+def measure_burst(size: int) -> dict:
+    """Return what it costs the other nodes when a tenth returns at the same time."""
     network, nodes = start_fleet(size)
     count = int(size * BURST_NODES_FRACTION)
     for node in nodes[-count:]:
         network.kill(node)
     network.run(30)
-    back = []
+    returned = []
     for node in nodes[-count:]:
         new = network.add(node.number, "zone-0", seeds=nodes[:3], incarnation=5_000)
         new.set_servers(TARGET_SERVERS_PER_NODE, boot_id="2")
-        back.append(new)
-    stayed = nodes[:-count]
-    before = [node.member.budget.spent_bytes for node in stayed]
+        returned.append(new)
+    remaining = nodes[:-count]
+    before = [node.member.budget.spent_bytes for node in remaining]
     started_s = network.now_s
     done = network.run(
         300,
-        lambda: all(node.knows_servers("2", one) for node in stayed for one in back),
+        lambda: all(
+            node.knows_servers("2", peer) for node in remaining for peer in returned
+        ),
     )
     took_s = network.now_s - started_s
     spent = [
-        node.member.budget.spent_bytes - one
-        for node, one in zip(stayed, before, strict=True)
+        node.member.budget.spent_bytes - spent_before
+        for node, spent_before in zip(remaining, before, strict=True)
     ]
     return {
         "nodes": size,
@@ -165,8 +176,8 @@
         "s": took_s if done else math.inf,
         "sent_bytes_per_s_max": max(spent) / took_s,
         "false_deaths": sum(
-            fields["peer"] in {node.node_id for node in stayed}
-            for node in stayed
+            fields["peer"] in {node.node_id for node in remaining}
+            for node in remaining
             for event, fields in node.events.emitted
             if event == "node_dead"
         ),
@@ -174,28 +185,28 @@
 
 
 def measure_size(size: int) -> dict:
-    """Return all measures of one fleet size."""
+    """Return all figures of one fleet size."""
     network, nodes = start_fleet(size)
     idle = measure_rate(network, nodes, IDLE_S)
     busy = measure_rate(network, nodes, IDLE_S, churn(nodes))
     network.run(20)
     news_s = time_of_news(network, nodes)
-    joined = join(network, nodes)
-    death_s = time_of_death(network, nodes)
+    join_figures = measure_join(network, nodes)
+    death_s = measure_death_delay(network, nodes)
     return {
         "nodes": size,
         "idle": idle,
         "churn": busy,
         "news_s": news_s,
         "death_s": death_s,
-        "join": joined,
+        "join": join_figures,
     }
 
 
 def measure_member_at_size(nodes: int) -> dict:
-    """Return CPU of one member's own work when it knows so many nodes.
+    """Return the CPU of one member with this number of nodes in its directory.
 
-    None of them answers, so each probe also asks helpers: an upper bound of
+    No node answers, so that each probe also goes through helpers: an upper bound of
     the work that grows with the directory.
     """
     network = MemberNetwork()
@@ -206,59 +217,61 @@
     network.run(5)
     started = time.process_time()
     network.run(IDLE_S)
-    quiet = (time.process_time() - started) / IDLE_S
+    idle_fraction = (time.process_time() - started) / IDLE_S
     started = time.process_time()
     for second in range(int(IDLE_S)):
-        # A node joins or leaves each second: the lists are built anew.
+        # Each second a node joins, so that the lists of nodes are rebuilt.
         news = node_news(nodes + 10 + second, 1, TARGET_SERVICES)
         member.directory.apply(news, network.now_s)
         network.run(1)
-    joins = (time.process_time() - started) / IDLE_S
+    fraction_with_joins = (time.process_time() - started) / IDLE_S
     return {
         "nodes": nodes,
-        "cpu_fraction": quiet,
-        "cpu_fraction_join_each_s": joins,
+        "cpu_fraction": idle_fraction,
+        "cpu_fraction_join_each_s": fraction_with_joins,
     }
 
 
 def measure_join_at_size(nodes: int) -> dict:
-    """Return how a joiner catches up in a fleet of so many nodes.
+    """Return how a joining node catches up in a fleet of this number of nodes.
 
-    A few real members know all of a synthetic fleet and answer for any of
-    its addresses, each within its cap. Nobody probes.
+    `ANSWERING_NODES` members know the whole synthetic fleet and answer for the
+    addresses of its nodes, each within its byte budget. No member sends probes.
     """
     network = MemberNetwork()
     known = [node_news(number, 25, TARGET_SERVICES) for number in range(nodes)]
     answering = []
-    for number in range(ANSWERING):
+    for number in range(ANSWERING_NODES):
         member = network.add(nodes + number, "zone-0", "region-0")
         for news in known:
             member.directory.apply(news, network.now_s)
         answering.append(member)
     for number, news in enumerate(known):
-        network.nodes[news.header.member_address] = answering[number % ANSWERING]
-    joiner = network.add(nodes + ANSWERING, "zone-0", "region-0", answering[:1])
+        network.nodes[news.header.member_address] = answering[number % ANSWERING_NODES]
+    joiner = network.add(nodes + ANSWERING_NODES, "zone-0", "region-0", answering[:1])
     for node in (*answering, joiner):
         node.member._prober.tick = lambda now_s: None
     joiner.directory.apply(answering[0].member.state.own.full_news(), network.now_s)
     started_s = network.now_s
-    shares = {}
-    for share in (0.5, 0.9, 0.99, 1.0):
+    fraction_times_s = {}
+    for fraction in (0.5, 0.9, 0.99, 1.0):
         done = network.run(
-            600, lambda share=share: len(joiner.alive()) >= share * nodes
+            600, lambda fraction=fraction: len(joiner.alive()) >= fraction * nodes
+        )
+        fraction_times_s[str(fraction)] = (
+            network.now_s - started_s if done else math.inf
         )
-        shares[str(share)] = network.now_s - started_s if done else math.inf
     return {
         "nodes": nodes,
-        "answering_nodes": ANSWERING,
-        "s_until_share": shares,
+        "answering_nodes": ANSWERING_NODES,
+        "s_until_share": fraction_times_s,
         "received_bytes": joiner.transport.received_bytes,
         "sent_bytes": joiner.member.budget.spent_bytes,
     }
 
 
 def slope_per_decade(sizes: list[int], values: list[float]) -> float:
-    """Return the least-squares growth for each tenfold of nodes."""
+    """Return the least-squares growth of a value when nodes grow tenfold."""
     xs = [math.log10(size) for size in sizes]
     mean_x, mean_y = sum(xs) / len(xs), sum(values) / len(values)
     covariance = sum(
@@ -268,7 +281,7 @@
 
 
 def extrapolate(sizes: list[int], values: list[float]) -> dict:
-    """Return the slope per tenfold and the value at the target's size."""
+    """Return the slope per tenfold and the extrapolation to `TARGET_NODES`."""
     slope = slope_per_decade(sizes, values)
     last = values[-1] + slope * math.log10(TARGET_NODES / sizes[-1])
     return {
@@ -279,7 +292,7 @@
 
 
 def summarize(rows: list[dict]) -> dict:
-    """Return slopes over all sizes."""
+    """Return slope and extrapolation of each figure over all sizes."""
     sizes = [row["nodes"] for row in rows]
     measures = {
         "idle_sent_bytes_per_s": [row["idle"]["sent_bytes_per_s"] for row in rows],
@@ -296,9 +309,9 @@
     as_json: bool = typer.Option(False, "--json", help="Print JSON."),
     quick: bool = typer.Option(False, help="Small sizes."),
 ) -> None:
-    """Measure membership and print what was found."""
+    """Measure membership and print the figures."""
     sizes = QUICK_SIZES if quick else SIZES
-    # First: what the fleets free would hide the directory's memory.
+    # Before the fleets: a directory that reused memory freed by them would seem small.
     directories = measure_directories(QUICK_SIZES if quick else DIRECTORY_NODES)
     rows = []
     for size in sizes:
@@ -307,7 +320,7 @@
     result = {
         "sizes": rows,
         "slopes": summarize(rows),
-        "burst": [burst(size) for size in sizes[-2:]],
+        "burst": [measure_burst(size) for size in sizes[-2:]],
         "directory": directories,
         "member": [
             measure_member_at_size(nodes)
--- a/bench/membership_directory.py
+++ b/bench/membership_directory.py
@@ -1,7 +1,4 @@
-"""Memory and CPU of one directory at the size of a whole fleet.
-
-For `bench.membership`.
-"""
+"""Memory and CPU of one directory of a full-size fleet, for `bench.membership`."""
 
 import gc
 import resource
@@ -22,7 +19,7 @@
 
 
 def node_news(number: int, servers: int, services: int) -> NodeNews:
-    """Return a synthetic node with its backend servers."""
+    """Return the news on a synthetic node and its backend servers."""
     address = f"10.{number >> 16}.{number >> 8 & 255}.{number & 255}"
     header = NodeHeader(
         f"region-{number % 7}",
@@ -32,12 +29,12 @@
         "alive",
     )
     entries = []
-    for one in range(servers):
-        service = (number * servers + one) % services
+    for index in range(servers):
+        service = (number * servers + index) % services
         record = BackendServerRecord(
-            f"server-{number:05d}-{one:02d}",
+            f"server-{number:05d}-{index:02d}",
             f"team-{service % 40}/service-{service:05d}",
-            f"{number:08x}{one:02x}",
+            f"{number:08x}{index:02x}",
             6,
             "ready",
         )
@@ -45,15 +42,16 @@
     return NodeNews(f"node-{number:05d}", 1_764_700_000_000, 1, header, entries)
 
 
-def measure_directory(nodes: int, kept: list[Directory]) -> dict:
+def measure_directory(nodes: int, retained: list[Directory]) -> dict:
     """Return memory and CPU of one directory.
 
-    `kept` takes it, so that the next one's memory is not what this one freed.
+    Appends it to `retained`: if it were freed, the next directory would reuse its
+    memory and seem smaller than it is.
     """
     gc.collect()
     before_kb = _resident_kb()
     directory = Directory()
-    kept.append(directory)
+    retained.append(directory)
     started = time.process_time()
     for number in range(nodes):
         news = node_news(number, TARGET_SERVERS_PER_NODE, TARGET_SERVICES)
@@ -66,7 +64,7 @@
     memory_mb = (_resident_kb() - before_kb) / 1024
     sample = range(0, nodes, max(1, nodes // 1000))
     updates_s = _time_updates(directory, sample)
-    reads_s = _time_updates(directory, sample, read=True)
+    reads_s = _time_updates(directory, sample, with_read=True)
     return {
         "nodes": nodes,
         "servers": nodes * TARGET_SERVERS_PER_NODE,
@@ -81,13 +79,13 @@
 
 
 def measure_directories(sizes) -> list[dict]:
-    """Return `measure_directory` of each size, the largest last."""
-    kept: list[Directory] = []
-    return [measure_directory(nodes, kept) for nodes in sizes]
+    """Return `measure_directory` of each size, in the given order."""
+    retained: list[Directory] = []
+    return [measure_directory(nodes, retained) for nodes in sizes]
 
 
-def _time_updates(directory: Directory, sample, read: bool = False) -> float:
-    version = 2 + read
+def _time_updates(directory: Directory, sample, with_read: bool = False) -> float:
+    version = 2 + with_read
     started = time.process_time()
     for number in sample:
         known = directory.view(f"node-{number:05d}").entries
@@ -98,7 +96,7 @@
             servers=[ServerEntry(version, record)],
         )
         directory.apply(news, 0.0)
-        if read:
+        if with_read:
             directory.placements(record.service)
     return time.process_time() - started
 
--- a/bench/membership_sockets.py
+++ b/bench/membership_sockets.py
@@ -1,7 +1,4 @@
-"""CPU of the sockets between members, with and without keys.
-
-For `bench.membership`.
-"""
+"""CPU of the sockets between members with and without keys, for `bench.membership`."""
 
 import time
 
@@ -16,10 +13,10 @@
 
 
 def measure_zmq(keys: FleetKeys | None = None) -> dict:
-    """Return CPU of real sockets: one message there and back, one connect.
+    """Return the CPU of a round trip, and of a connect and a round trip.
 
-    Both ends, the library's I/O thread and, with keys, the authenticator are
-    in this process.
+    The figures include both ends, ZeroMQ's I/O thread and, with keys, the
+    authenticator: all run in this process.
     """
     context = zmq.Context()
     authenticator = start_authenticator(context, keys)
@@ -48,7 +45,7 @@
 
 
 def new_keys() -> FleetKeys:
-    """Return a fresh key pair."""
+    """Return a new CURVE key pair."""
     return FleetKeys(*(key.decode() for key in zmq.curve_keypair()))
 
 
--- a/bench/paced_calls.py
+++ b/bench/paced_calls.py
@@ -1,4 +1,4 @@
-"""Calls at a steady pace over connections that stay open."""
+"""HTTP calls at a given rate over persistent connections."""
 
 import random
 import socket
@@ -18,12 +18,14 @@
 
 
 class Target(NamedTuple):
-    """What is called, and what its answer starts with.
+    """Server and path of a call.
 
     Attributes
     ----------
     address : str
-        IP:port.
+        ``IP:port``.
+    path : str
+        With the query string.
     """
 
     address: str
@@ -31,20 +33,20 @@
 
 
 def new_histogram() -> HdrHistogram:
-    """Return an empty histogram of microseconds."""
+    """Return an empty histogram of latencies in microseconds."""
     return HdrHistogram(1, LATENCY_MAX_US, SIGNIFICANT_FIGURES)
 
 
 class PacedCalls:
-    """Calls one target over a few connections, one thread for each.
+    """Calls one target over several connections, with a thread for each.
 
-    A call's time runs from the moment when it was due, so that a stall of the
-    target also counts against the calls that waited behind it.
+    A call's latency begins at the time at which it is due: a stall of the target
+    also delays the calls that wait for their connection, and counts for each.
 
     Parameters
     ----------
     rate_per_s : float
-        Over all connections.
+        Calls a second over all connections.
     """
 
     def __init__(self, target: Target, connections: int, rate_per_s: float, seed: int):
@@ -58,11 +60,11 @@
         self._executor = ThreadPoolExecutor(connections)
 
     def run(self, duration_s: float) -> int:
-        """Call for a time and return the number of calls."""
+        """Call the target for a time and return the number of calls."""
         start_s = time.monotonic()
-        plans = [self._due_times(start_s, duration_s) for _ in self._sockets]
-        list(self._executor.map(self._run_one, self._sockets, plans))
-        return sum(map(len, plans))
+        schedules = [self._due_times(start_s, duration_s) for _ in self._sockets]
+        list(self._executor.map(self._run_connection, self._sockets, schedules))
+        return sum(map(len, schedules))
 
     def close(self) -> None:
         """Close the connections."""
@@ -77,7 +79,9 @@
             for number in range(count)
         ]
 
-    def _run_one(self, connection: socket.socket, due_times_s: list[float]) -> None:
+    def _run_connection(
+        self, connection: socket.socket, due_times_s: list[float]
+    ) -> None:
         latencies_us = []
         for due_s in due_times_s:
             time.sleep(max(0.0, due_s - time.monotonic()))
@@ -99,7 +103,7 @@
 
 
 def encode_request(target: Target) -> bytes:
-    """Return a GET with the headers of a browser."""
+    """Return a GET request with the headers that a browser sends."""
     return (
         f"GET {target.path} HTTP/1.1\r\n"
         f"Host: {target.address}\r\n"
@@ -113,7 +117,7 @@
 
 
 def _read_answer(connection: socket.socket) -> int:
-    """Read one answer with a Content-Length and return its status."""
+    """Read an answer, which must have a Content-Length, and return its status."""
     data = connection.recv(RECEIVE_BYTES)
     while (end := data.find(b"\r\n\r\n")) < 0:
         data += _receive(connection)
@@ -128,5 +132,5 @@
 def _receive(connection: socket.socket) -> bytes:
     data = connection.recv(RECEIVE_BYTES)
     if not data:
-        raise ConnectionError("the connection ended within an answer")
+        raise ConnectionError("connection closed before the answer was complete")
     return data
--- a/bench/percentiles.py
+++ b/bench/percentiles.py
@@ -1,9 +1,9 @@
-"""Percentiles of a list of figures."""
+"""Percentiles of lists of values."""
 
 __all__ = ["percentile"]
 
 
 def percentile(values: list[float], fraction: float) -> float:
-    """Return the value that a fraction of all values does not go over."""
+    """Return the value below which a fraction of all values lies."""
     ordered = sorted(values)
     return ordered[min(len(ordered) - 1, int(fraction * len(ordered)))]
--- a/bench/picker.py
+++ b/bench/picker.py
@@ -1,11 +1,12 @@
-"""The choice of a backend server: CPU time, and how even the subsets are.
+"""Processor time to choose a backend server, and balance of the nodes' subsets.
 
 ::
 
     python -m bench.picker
 
-Evenness is counted over the subsets of 5,600 nodes: how many hold a backend
-server, least and most against the mean.
+Balance: the number of nodes whose subset contains a backend server, of the backend
+servers with the fewest and the most nodes, each divided by the mean. The fleet has
+5,600 nodes.
 """
 
 import random
@@ -33,7 +34,7 @@
 
 
 def main() -> None:
-    """Print both for services of several sizes."""
+    """Print both for services with different numbers of backend servers."""
     print(
         f"{'servers':>7} {'us a choice':>11} {'ms a view':>9} {'least':>6} {'most':>6}"
     )
@@ -41,14 +42,16 @@
         view = tuple(_placement(number) for number in range(size))
         nodes = [_placement(number).node for number in range(size, size + NODES)]
         start_s = time.process_time()
-        held = Counter(
+        subset_counts = Counter(
             known.backend_server.backend_server_id
             for own in nodes
             for known in subset(view, own)
         )
         subset_ms = (time.process_time() - start_s) * 1000 / NODES
-        mean = sum(held.values()) / size
-        counts = [held[known.backend_server.backend_server_id] for known in view]
+        mean = sum(subset_counts.values()) / size
+        counts = [
+            subset_counts[known.backend_server.backend_server_id] for known in view
+        ]
         print(
             f"{size:>7} {_choice_us(view, nodes[0]):>11.1f} {subset_ms:>9.3f}"
             f" {min(counts) / mean:>6.2f} {max(counts) / mean:>6.2f}"
--- a/bench/played_days.py
+++ b/bench/played_days.py
@@ -1,17 +1,17 @@
-"""Two or more versions, played on the same days and seeds, and compared in pairs.
+"""Compares versions of the fleet by days that the users' bench plays with each.
 
-The users' bench plays a day with the sources of a checkout and writes what came of it
-as an entry of the checkout's journal. A day's worth differs by 0.05 from run to run, so
-that one run proves nothing; the differences of pairs with the same day and seed are
-averaged here, with the interval in which their mean lies.
+The users' bench plays a day with the sources of a checkout, and writes the result as
+an entry to the checkout's journal. The worth of a day differs by 0.05 from run to run:
+a single run proves nothing. So two versions play the same days with the same seeds,
+and the mean difference of these pairs is given with its confidence interval.
 
     python -m bench.played_days play --program PATH --site FILE --seeds 11,12 \
         --variant before=DIR --variant after=DIR --results FILE
     python -m bench.played_days read --variant after --results FILE ENTRY...
     python -m bench.played_days compare --results FILE before after
 
-The bench plays one `run` at a time on a machine, and several days at once only in one
-call of its own that plays a whole site; `read` takes the days of such an entry.
+The bench allows one `run` at a time on a machine. It plays several days at once only
+in a call that plays a whole site; `read` imports the days of such a call's entry.
 """
 
 import json
@@ -32,27 +32,28 @@
 DAYS = "trouble-1,scale-1,trouble-2,scale-2,trouble-3"
 RESAMPLES = 2000
 PROCESSOR_PRICE = "processor seconds"
-# The interval leaves out so much at each end.
-TAIL = 0.025
+# Fraction of the resampled means below the interval, and above it.
+TAIL_FRACTION = 0.025
 
 app = typer.Typer(add_completion=False)
 
 
 class DayResult(msgspec.Struct, frozen=True):
-    """What came of one played day.
+    """Result of one played day.
 
     Attributes
     ----------
     worth : float
-        Of all that was owed, the part earned, less prices.
+        Fraction earned of the day's possible payoff, less `prices`.
     parts : dict of str to float
-        What makes the worth, each weighed: the whole day, the worst seconds, ...
+        Weighted terms whose sum is the worth before prices: the whole day, the worst
+        seconds, ...
     prices : dict of str to float
-        What is taken off, in worth.
+        Amounts subtracted from the worth, by name.
     kinds : list of float or None
-        Share of the payoff earned by each kind of request.
+        Fraction of the payoff earned with each kind of request.
     rules : dict of str to int
-        Rules that were broken, and how often.
+        Violations of each rule that was broken.
     """
 
     variant: str
@@ -69,7 +70,7 @@
 
 
 class Comparison(NamedTuple):
-    """A figure of two versions over all pairs."""
+    """Means of one figure in two versions, and the interval of their difference."""
 
     name: str
     before: float
@@ -79,14 +80,14 @@
 
     @property
     def difference(self) -> float:
-        """How much more the second version has."""
+        """Mean of the second version minus that of the first."""
         return self.after - self.before
 
 
 def day_results(variant: str, entry: dict) -> list[DayResult]:
-    """Return the figures of all days of a journal entry.
+    """Return the results of all days of a journal entry.
 
-    A charge for processor time, which differs from run to run, is given back.
+    The price of processor time differs from run to run, so it is added back.
     """
     return [_day_result(variant, played) for played in entry["days"]]
 
@@ -109,28 +110,34 @@
 
 
 def interval(differences: list[float], seed: int = 1) -> tuple[float, float]:
-    """Return where the mean of the differences lies, by resampling them."""
+    """Return the bootstrap confidence interval of the mean difference."""
     rng = random.Random(seed)
     means = sorted(
         statistics.fmean(rng.choices(differences, k=len(differences)))
         for _ in range(RESAMPLES)
     )
-    cut = int(TAIL * RESAMPLES)
+    cut = int(TAIL_FRACTION * RESAMPLES)
     return means[cut], means[-1 - cut]
 
 
 def compare(results: Iterable[DayResult], before: str, after: str) -> list[Comparison]:
-    """Return the figures of two variants, over the days and seeds that both played."""
+    """Compare two variants over the days and seeds that both played."""
     results = list(results)
     pairs = _pairs(results, before, after)
     names = list(dict.fromkeys(name for pair in pairs for name in _figures(pair[1])))
-    return [_compared(name, pairs) for name in names]
+    return [_compare_figure(name, pairs) for name in names]
 
 
 def report(
     results: Iterable[DayResult], before: str, after: str, least: float = 0.002
 ) -> str:
-    """Return a table of the days and of all figures that differ."""
+    """Return a table of days and figures.
+
+    Parameters
+    ----------
+    least : float
+        Smallest difference of a figure, other than the worth, that is listed.
+    """
     results = list(results)
     lines = [f"{'day':<12} {before:>10} {after:>10}  pairs"]
     by_day = defaultdict(list)
@@ -138,25 +145,31 @@
         by_day[pair[0].day].append(pair)
     for day, pairs in by_day.items():
         worths = [
-            statistics.fmean(one.worth for one in column)
+            statistics.fmean(result.worth for result in column)
             for column in zip(*pairs, strict=True)
         ]
         lines.append(f"{day:<12} {worths[0]:10.3f} {worths[1]:10.3f}  {len(pairs)}")
-    for found in compare(results, before, after):
-        if found.name == "worth" or abs(found.difference) >= least:
+    for comparison in compare(results, before, after):
+        if comparison.name == "worth" or abs(comparison.difference) >= least:
             lines.append(
-                f"{found.name:<50} {found.before:8.3f} {found.after:8.3f} "
-                f"{found.difference:+8.3f}  [{found.low:+.3f}, {found.high:+.3f}]"
+                f"{comparison.name:<50} {comparison.before:8.3f} "
+                f"{comparison.after:8.3f} {comparison.difference:+8.3f}  "
+                f"[{comparison.low:+.3f}, {comparison.high:+.3f}]"
             )
-    broken = [one for one in results if one.rules and one.variant in (before, after)]
+    broken = [
+        result
+        for result in results
+        if result.rules and result.variant in (before, after)
+    ]
     lines += [
-        f"BROKEN {one.variant} {one.day} {one.seed} {one.rules}" for one in broken
+        f"BROKEN {result.variant} {result.day} {result.seed} {result.rules}"
+        for result in broken
     ]
     return "\n".join(lines)
 
 
 def _pairs(results, before: str, after: str) -> list[tuple[DayResult, DayResult]]:
-    by_key = {(one.variant, one.day, one.seed): one for one in results}
+    by_key = {(result.variant, result.day, result.seed): result for result in results}
     keys = [key[1:] for key in by_key if key[0] == before]
     return [
         (by_key[before, *key], by_key[after, *key])
@@ -166,7 +179,7 @@
 
 
 def _figures(result: DayResult) -> dict[str, float]:
-    figures = {name: getattr(result, name) for name in _SHARES}
+    figures = {name: getattr(result, name) for name in _FIELDS}
     figures |= {f"part: {name}": value for name, value in result.parts.items()}
     figures |= {f"price: {name}": value for name, value in result.prices.items()}
     figures |= {
@@ -177,21 +190,21 @@
     return figures
 
 
-_SHARES = ("worth", "served", "refused", "failed")
+_FIELDS = ("worth", "served", "refused", "failed")
 
 
-def _compared(name: str, pairs: list[tuple[DayResult, DayResult]]) -> Comparison:
+def _compare_figure(name: str, pairs: list[tuple[DayResult, DayResult]]) -> Comparison:
     values = [
-        (_figures(one).get(name, 0.0), _figures(other).get(name, 0.0))
-        for one, other in pairs
+        (_figures(first).get(name, 0.0), _figures(second).get(name, 0.0))
+        for first, second in pairs
     ]
     low, high = interval([after - before for before, after in values])
     before, after = (statistics.fmean(column) for column in zip(*values, strict=True))
     return Comparison(name, before, after, low, high)
 
 
-class _Play(NamedTuple):
-    """One day that is to be played."""
+class _DayRun(NamedTuple):
+    """A day to play with the checkout of one variant."""
 
     variant: str
     checkout: Path
@@ -199,16 +212,16 @@
     seed: int
 
 
-def _played(program: Path, site: Path, play: _Play) -> DayResult | None:
-    """Play one day; None where it left no entry."""
+def _play_day(program: Path, site: Path, play: _DayRun) -> DayResult | None:
+    """Play one day; None if the bench wrote no entry or no day."""
     command = [program, "run", site, play.day, "--no-cpu", "--why", play.variant]
     if play.seed:
         command += ["--seed", str(play.seed)]
     done = subprocess.run(
         [*map(str, command)], cwd=play.checkout, capture_output=True, text=True
     )
-    found = re.search(r"snapshot ([0-9a-f]{8})", done.stdout + done.stderr)
-    entries = found and list((play.checkout / "journal").glob(f"*-{found[1]}.json"))
+    match = re.search(r"snapshot ([0-9a-f]{8})", done.stdout + done.stderr)
+    entries = match and list((play.checkout / "journal").glob(f"*-{match[1]}.json"))
     if not entries:
         typer.echo(f"{play}: {done.stdout[-500:]}{done.stderr[-500:]}", err=True)
         return None
@@ -220,7 +233,7 @@
     return result
 
 
-def _read(results: Path) -> list[DayResult]:
+def _read_results(results: Path) -> list[DayResult]:
     if not results.exists():
         return []
     return [
@@ -238,17 +251,17 @@
     days: Annotated[str, typer.Option()] = DAYS,
     seeds: Annotated[str, typer.Option(help="0: the day's own")] = "0",
 ) -> None:
-    """Play days with each variant, one after the other."""
+    """Play days with each variant, one after another."""
     plays = [
-        _Play(name, Path(checkout), day, int(seed))
+        _DayRun(name, Path(checkout), day, int(seed))
         for seed in seeds.split(",")
         for day in days.split(",")
-        for name, checkout in (one.split("=", 1) for one in variant)
+        for name, checkout in (named.split("=", 1) for named in variant)
     ]
     for play in plays:
-        result = _played(program, site, play)
+        result = _play_day(program, site, play)
         if result is not None:
-            _append(results, [result])
+            _append_results(results, [result])
 
 
 @app.command("read")
@@ -257,14 +270,14 @@
     variant: Annotated[str, typer.Option()],
     results: Annotated[Path, typer.Option()],
 ) -> None:
-    """Take the days of journal entries that the bench wrote."""
+    """Import the days of journal entries that the bench wrote."""
     for entry in entries:
-        _append(results, day_results(variant, json.loads(entry.read_text())))
+        _append_results(results, day_results(variant, json.loads(entry.read_text())))
 
 
-def _append(results: Path, played: list[DayResult]) -> None:
+def _append_results(results: Path, played: list[DayResult]) -> None:
     with results.open("ab") as out:
-        out.writelines(msgspec.json.encode(one) + b"\n" for one in played)
+        out.writelines(msgspec.json.encode(result) + b"\n" for result in played)
 
 
 @app.command("compare")
@@ -272,7 +285,7 @@
     before: str, after: str, results: Annotated[Path, typer.Option()]
 ) -> None:
     """Compare two variants over the days and seeds that both played."""
-    typer.echo(report(_read(results), before, after))
+    typer.echo(report(_read_results(results), before, after))
 
 
 if __name__ == "__main__":
--- a/bench/probes.py
+++ b/bench/probes.py
@@ -1,11 +1,11 @@
-"""How many probes a backend server gets, by who asks for it, in virtual time.
+"""Number of probes to a backend server with and without requests, in virtual time.
 
 ::
 
     python -m bench.probes
 
-One hour of healthy work, then one hour in which nobody asks. A probe is
-counted at each second in which the node would send one.
+One hour of healthy requests is followed by one hour without requests. Each second
+in which the node would send a probe counts as one probe.
 """
 
 import random
@@ -18,14 +18,14 @@
 from balsamspindle.wire import AttemptId
 from bench.detection_traces import DEPLOYMENTS, Fault, ServerWork, Service
 
-__all__ = ["main", "probes"]
+__all__ = ["main", "count_probes"]
 
 HOUR_S = 3600
 PROBE_INTERVAL_S = 1
 
 
-def probes(service: Service, seed: str) -> tuple[int, int]:
-    """Return the probes of the hour with work and of the hour without."""
+def count_probes(service: Service, seed: str) -> tuple[int, int]:
+    """Return the probes in the hour with requests and in the hour without."""
     health = ServerHealth(Detection(), 0.0)
     work = ServerWork(service, Fault.NONE, seed)
     rng = random.Random(seed)
@@ -36,7 +36,7 @@
         while arrival_s <= min(second, HOUR_S):
             attempt += 1
             attempt_id = AttemptId("", 0, attempt)
-            ending = work.end(arrival_s)
+            ending = work.draw_ending(arrival_s)
             health.record_start(attempt_id, arrival_s)
             health.record_end(
                 attempt_id, ending.result, arrival_s + ending.latency_ms / 1000
@@ -49,17 +49,17 @@
 
 
 def main() -> None:
-    """Print the probes of each service's backend servers."""
-    always = HOUR_S // PROBE_INTERVAL_S
+    """Print the probes an hour to a backend server of each service."""
+    probes_max = HOUR_S // PROBE_INTERVAL_S
     print(f"{'service':18} {'requests/s':>10} {'probes/h':>9} {'nobody asks':>12}")
     for deployment in DEPLOYMENTS:
         for service in deployment.services:
-            asked, silent = probes(service, service.name)
+            with_requests, without_requests = count_probes(service, service.name)
             print(
                 f"{service.name:18} {service.rate_per_server:>10.1f}"
-                f" {asked:>9} {silent:>12}"
+                f" {with_requests:>9} {without_requests:>12}"
             )
-    print(f"a probe every {PROBE_INTERVAL_S} s, whatever is asked: {always}")
+    print(f"a probe every {PROBE_INTERVAL_S} s, whatever is asked: {probes_max}")
 
 
 if __name__ == "__main__":
--- a/bench/queue_overload.py
+++ b/bench/queue_overload.py
@@ -1,7 +1,7 @@
-"""The gate's queue under overload: orders and a plain queue, by counts.
+"""Compares orders of the gate's queue, and an unbounded queue, under overload.
 
-Seeded arrivals at twice what one backend server can do, in simulated time.
-Two kinds of requests: contracts (weight 5) and vacancy look-ups (weight 1).
+Seeded requests arrive in simulated time at twice the capacity of one backend server.
+There are two kinds of requests: contracts (weight 5) and vacancy look-ups (weight 1).
 
     python -m bench.queue_overload
 """
@@ -17,10 +17,10 @@
 
 SLOTS = 6
 SERVICE_TIME_S = 0.1
-PATIENCE_S = 1.0
+REQUEST_TIMEOUT_S = 1.0
 HEAVY_WEIGHT, LIGHT_WEIGHT = 5.0, 1.0
-HEAVY_SHARE = 0.3
-OVERLOAD = 2.0
+HEAVY_FRACTION = 0.3
+OVERLOAD_FACTOR = 2.0
 DURATION_S = 30.0
 QUEUE_MAX = 32
 UNBOUNDED = 10_000_000
@@ -28,14 +28,16 @@
 
 
 class Plan(NamedTuple):
-    """One way to queue.
+    """Configuration of the queue in a run.
 
     Attributes
     ----------
     queue_max : int
+        Requests in the queue.
     knows_service_time : bool
-        Without it nothing is refused before its deadline.
+        If False, no request is refused before its deadline for a wait that is too long.
     knows_weight : bool
+        If False, all requests are queued with the same weight.
     """
 
     order: Order
@@ -53,18 +55,19 @@
 
 
 class OverloadResult(NamedTuple):
-    """Counts of one run.
+    """Figures of one run.
 
     Attributes
     ----------
     heavy, light : float
-        Part of the requests of the kind that were answered in time.
+        Fraction of the requests of this weight that were answered before their
+        deadline.
     weighted : float
-        The same of both kinds, by weight.
+        The same for all requests, by weight.
     wasted : float
-        Part of the backend server's work that ended after the deadline.
+        Fraction of the backend server's runs that ended after the deadline.
     told_s : float
-        Mean time until one that was refused was told so.
+        Mean time from the arrival of a refused request to its refusal.
     """
 
     heavy: float
@@ -75,70 +78,72 @@
 
 
 class _Request(Ticket):
-    arrived_s = 0.0
+    arrival_s = 0.0
     kind_weight = 0.0
 
 
-class _Run:
+class _Simulation:
     def __init__(self, plan: Plan, seed: int) -> None:
         self._plan = plan
         self._rng = random.Random(seed)
         self._queue = SlotQueue(plan.queue_max, plan.order)
         self._waiting: list[_Request] = []
-        self._free = SLOTS
-        self._ends: list[tuple[float, int, _Request]] = []
+        self._free_slots = SLOTS
+        self._running: list[tuple[float, int, _Request]] = []
         self._number = 0
         self._counts: Counter = Counter()
-        self._told_s: list[float] = []
+        self._refusal_delays_s: list[float] = []
 
-    def result(self) -> OverloadResult:
-        rate = OVERLOAD * SLOTS / SERVICE_TIME_S
+    def run(self) -> OverloadResult:
+        rate = OVERLOAD_FACTOR * SLOTS / SERVICE_TIME_S
         now_s = 0.0
         while now_s < DURATION_S:
             now_s += self._rng.expovariate(rate)
-            self._end_work(now_s)
-            self._arrive(now_s)
-        self._end_work(float("inf"))
+            self._finish_requests(now_s)
+            self._add_arrival(now_s)
+        self._finish_requests(float("inf"))
         return self._summary()
 
-    def _arrive(self, now_s: float) -> None:
-        weight = HEAVY_WEIGHT if self._rng.random() < HEAVY_SHARE else LIGHT_WEIGHT
+    def _add_arrival(self, now_s: float) -> None:
+        weight = HEAVY_WEIGHT if self._rng.random() < HEAVY_FRACTION else LIGHT_WEIGHT
         known_weight = weight if self._plan.knows_weight else LIGHT_WEIGHT
-        request = _Request("a", known_weight, now_s + PATIENCE_S)
-        request.arrived_s, request.kind_weight = now_s, weight
+        request = _Request("a", known_weight, now_s + REQUEST_TIMEOUT_S)
+        request.arrival_s, request.kind_weight = now_s, weight
         self._counts["arrived", weight] += 1
-        self._ask(request, now_s)
+        self._request_slot(request, now_s)
         if any(other.is_shed for other in self._waiting):
-            self._wake(now_s)
+            self._retry_waiting(now_s)
 
-    def _end_work(self, until_s: float) -> None:
-        while self._ends and self._ends[0][0] <= until_s:
-            now_s, _, request = heapq.heappop(self._ends)
-            self._free += 1
+    def _finish_requests(self, until_s: float) -> None:
+        while self._running and self._running[0][0] <= until_s:
+            now_s, _, request = heapq.heappop(self._running)
+            self._free_slots += 1
             in_time = now_s <= request.deadline_s
             self._counts["in time" if in_time else "late", request.kind_weight] += 1
-            self._wake(now_s)
+            self._retry_waiting(now_s)
 
-    def _wake(self, now_s: float) -> None:
+    def _retry_waiting(self, now_s: float) -> None:
         waiting, self._waiting = self._waiting, []
         for request in waiting:
-            self._ask(request, now_s)
+            self._request_slot(request, now_s)
 
-    def _ask(self, request: _Request, now_s: float) -> None:
+    def _request_slot(self, request: _Request, now_s: float) -> None:
         known_s = SERVICE_TIME_S if self._plan.knows_service_time else 0.0
-        verdict = self._queue.request_slot(request, self._free, SLOTS, known_s, now_s)
+        verdict = self._queue.request_slot(
+            request, self._free_slots, SLOTS, known_s, now_s
+        )
         if verdict is Verdict.WAIT:
             self._waiting.append(request)
         elif verdict is Verdict.START:
             self._start(request, now_s)
         else:
-            self._told_s.append(now_s - request.arrived_s)
+            self._refusal_delays_s.append(now_s - request.arrival_s)
 
     def _start(self, request: _Request, now_s: float) -> None:
-        self._free -= 1
+        self._free_slots -= 1
         self._number += 1
         end_s = now_s + self._rng.expovariate(1 / SERVICE_TIME_S)
-        heapq.heappush(self._ends, (end_s, self._number, request))
+        heapq.heappush(self._running, (end_s, self._number, request))
 
     def _summary(self) -> OverloadResult:
         counts, kinds = self._counts, (HEAVY_WEIGHT, LIGHT_WEIGHT)
@@ -149,17 +154,17 @@
         arrived = sum(counts["arrived", kind] * kind for kind in kinds)
         late = sum(counts["late", kind] for kind in kinds)
         done = late + sum(counts["in time", kind] for kind in kinds)
-        told_s = sum(self._told_s) / max(1, len(self._told_s))
+        told_s = sum(self._refusal_delays_s) / max(1, len(self._refusal_delays_s))
         return OverloadResult(heavy, light, answered / arrived, late / done, told_s)
 
 
 def run_overload(plan: Plan, seed: int) -> OverloadResult:
-    """Return the counts of one seeded run."""
-    return _Run(plan, seed).result()
+    """Return the figures of one seeded run."""
+    return _Simulation(plan, seed).run()
 
 
 def main() -> None:
-    """Print the mean of all seeds for each plan."""
+    """Print the mean figures of all seeds for each plan."""
     print(f"{'queue':18} heavy light weighted wasted told after")
     for name, plan in PLANS.items():
         results = [run_overload(plan, seed) for seed in SEEDS]
--- a/bench/retry_storm.py
+++ b/bench/retry_storm.py
@@ -1,7 +1,8 @@
-"""A retry storm: attempts for each request when backend servers fail.
+"""Retry storms: attempts for each request when backend servers fail.
 
-The ingress's own code over a fake gate with simulated time; our retry budget
-against the baseline, three attempts for each request. All figures are counts.
+Runs the ingress's forwarder with a simulated gate and simulated time, and compares
+its retry budget with a baseline of three attempts for each request. All figures are
+counts.
 
     python -m bench.retry_storm
 """
@@ -40,7 +41,7 @@
 
 
 class Failure(StrEnum):
-    """How a failing backend server fails."""
+    """Way in which a failing backend server answers, or does not."""
 
     HANG = "hang"
     BROKEN = "broken"
@@ -49,16 +50,16 @@
 
 
 class StormResult(NamedTuple):
-    """Counts for each request.
+    """Mean figures for a request.
 
     Attributes
     ----------
     attempts : float
-        Messages to a gate.
+        Attempts that reached a gate.
     runs : float
-        Requests that reached a backend server.
+        Attempts that reached a backend server.
     answered : float
-        Part of the requests with an answer that is no 503.
+        Fraction of the requests that were answered with status 200.
     """
 
     attempts: float
@@ -67,23 +68,23 @@
 
 
 class FixedAttempts(RetryPolicy):
-    """The baseline: a count for each request, whatever the others do."""
+    """The baseline: a fixed limit on attempts for each request, without a budget."""
 
     def may_retry(self, service, execution, replies, deadline_s, now_s, **_):
-        """Tell whether the count is not reached and time is left."""
+        """Tell whether the limit and the deadline still allow an attempt."""
         return len(replies) < BASELINE_ATTEMPTS and now_s < deadline_s
 
     def may_hedge(self, service, now_s, weight=1.0):
-        """Tell that a further attempt costs nothing."""
+        """Return True: the baseline has no budget to spend."""
         return True
 
     def hedge_delay_s(self, service, is_own, left_s, now_s, route_id=0):
-        """Return an equal share of the time for each attempt."""
+        """Return half of the remaining time, for an attempt and its hedge."""
         return left_s / 2
 
 
-class _Gate:
-    """Answers for all backend servers, in simulated time."""
+class _SimulatedGate:
+    """Simulates a gate and its backend servers, some of which fail."""
 
     def __init__(self, failure: Failure, failing: int) -> None:
         self._failure = failure
@@ -93,49 +94,51 @@
         self.runs = 0
 
     def cancel(self, attempt_id) -> None:
-        """Do nothing: no attempt lasts in real time."""
+        """Do nothing: attempts take no real time, so that none can be cancelled."""
 
     def repeat_fraction(self) -> float:
         """See `Gate.repeat_fraction`."""
         return 0.0
 
     def handle(self, dispatch: Dispatch, received_s: float) -> Reply:
-        """Answer, or fail as the backend server does."""
+        """Run an attempt and return its reply, at the simulated time of its end."""
         self.attempts += 1
         number = int(dispatch.backend_server_id.rpartition("-")[2])
         if number >= self._failing:
-            return self._work(dispatch, WORK_S, Outcome.ANSWERED, None, 200)
+            return self._reply_after(dispatch, WORK_S, Outcome.ANSWERED, None, 200)
         match self._failure:
             case Failure.HANG:
-                time_s = dispatch.remaining_ms / 1000
-                return self._work(dispatch, time_s, Outcome.UNKNOWN, Reason.SILENCE)
+                duration_s = dispatch.remaining_ms / 1000
+                return self._reply_after(
+                    dispatch, duration_s, Outcome.UNKNOWN, Reason.SILENCE
+                )
             case Failure.BROKEN:
-                return self._work(
+                return self._reply_after(
                     dispatch, WORK_S, Outcome.UNKNOWN, Reason.BROKEN_ANSWER
                 )
             case Failure.SHED:
-                return self._work(dispatch, 0.001, Outcome.ANSWERED, None, 503)
+                return self._reply_after(dispatch, 0.001, Outcome.ANSWERED, None, 503)
         return Reply(dispatch.attempt_id, Outcome.NOT_RUN, Reason.NO_FREE_SLOT)
 
-    def _work(self, dispatch, time_s, outcome, reason, status=0) -> Reply:
+    def _reply_after(self, dispatch, duration_s, outcome, reason, status=0) -> Reply:
         self.runs += 1
-        self.now_s += time_s
+        self.now_s += duration_s
         return Reply(
             dispatch.attempt_id, outcome, reason, status=status, free_slots=SERVERS
         )
 
 
 def run_storm(failure: Failure, failing: int, policy: type, seed: int) -> StormResult:
-    """Forward seeded requests while some of the backend servers fail.
+    """Forward seeded requests while backend servers fail, and return the figures.
 
     Parameters
     ----------
     failing : int
-        Of the `SERVERS` backend servers.
+        Number of failing backend servers, of `SERVERS`.
     policy : type
         `RetryPolicy` or `FixedAttempts`.
     """
-    gate = _Gate(failure, failing)
+    gate = _SimulatedGate(failure, failing)
     servers = tuple(
         BackendServerRecord(f"server-{number}", SERVICE, "1", SERVERS, "ready")
         for number in range(SERVERS)
@@ -151,29 +154,29 @@
         own, picker, gate, links, events, None, retries, lambda: gate.now_s
     )
     arrivals = random.Random(seed)
-    arrived_s, answered = 0.0, 0
+    arrival_s, answered = 0.0, 0
     near, far = socket.socketpair()
     with near, far:
         caller = HttpConnection(near, HttpLimits())
         for number in range(REQUESTS):
-            arrived_s += arrivals.expovariate(1 / ARRIVAL_INTERVAL_S)
-            # Requests overlap: each begins at its own time.
-            gate.now_s = arrived_s
-            reply = forwarder.forward(_request(caller, number, arrived_s))
+            arrival_s += arrivals.expovariate(1 / ARRIVAL_INTERVAL_S)
+            # Requests overlap: the clock returns to each one's arrival.
+            gate.now_s = arrival_s
+            reply = forwarder.forward(_request(caller, number, arrival_s))
             answered += reply.outcome is Outcome.ANSWERED and reply.status == 200
     return StormResult(
         gate.attempts / REQUESTS, gate.runs / REQUESTS, answered / REQUESTS
     )
 
 
-def _request(caller, number: int, arrived_s: float) -> ForwardedRequest:
+def _request(caller, number: int, arrival_s: float) -> ForwardedRequest:
     request = CallerRequest("GET", f"/{number}")
-    deadline_s = arrived_s + ROUTE.timeout_ms / 1000
+    deadline_s = arrival_s + ROUTE.timeout_ms / 1000
     return ForwardedRequest(f"{number}", caller, request, ROUTE, deadline_s)
 
 
 def main() -> None:
-    """Print the means of all seeds."""
+    """Print the mean figures of all seeds."""
     print("                   budget                    three attempts")
     print("failing            attempts runs  answered   attempts runs  answered")
     for failure in Failure:
@@ -182,7 +185,7 @@
             for policy in (RetryPolicy, FixedAttempts):
                 results = [run_storm(failure, failing, policy, seed) for seed in SEEDS]
                 means = [
-                    sum(part) / len(results) for part in zip(*results, strict=True)
+                    sum(column) / len(results) for column in zip(*results, strict=True)
                 ]
                 columns.append(f"{means[0]:8.2f} {means[1]:5.2f} {means[2]:8.1%}")
             print(f"{failing} of {SERVERS} {failure:10} {'   '.join(columns)}")
--- a/bench/routes.py
+++ b/bench/routes.py
@@ -1,4 +1,4 @@
-"""Cost of a route look-up and memory of a route table at full size.
+"""Processor time of a route look-up and memory of a full-size route table.
 
 ::
 
@@ -26,7 +26,7 @@
 
 
 def make_routes(count: int) -> list[RouteDocument]:
-    """Return routes of two to four path segments over many hosts."""
+    """Return routes with two to four path segments, spread over `HOSTS` hosts."""
     rng = random.Random(SEED)
     return [
         RouteDocument(
@@ -43,7 +43,7 @@
 
 
 def measure(count: int) -> dict[str, float]:
-    """Return look-up times and memory for a number of routes."""
+    """Return look-up times and memory of a table with this number of routes."""
     routes = make_routes(count)
     tracemalloc.start()
     table = RouteTable(routes)
--- a/bench/settings.py
+++ b/bench/settings.py
@@ -1,22 +1,23 @@
-"""How soon an accepted change is in force on all nodes, and what it costs.
+"""Time until an accepted change is in force on all nodes, and its cost.
 
 Seven parts:
 
-- ``spread``: real node processes in two availability zones and a stand-in
-  platform; an operator's edits are accepted one by one, and each node's event
-  log tells when each revision came in force there. A node that polls the
-  platform and a node that hears from peers are counted apart.
-- ``hint``: the same, with the operator's tool telling one node of each
-  acceptance.
-- ``slow_platform``: the same while each read of the platform takes a second.
-- ``edits``: teams that edit at once, each its own subtree, at 27 times the
-  mean rate of a day of 45,000 changes and without any pause.
-- ``change``: processor time of one change in one process that holds 6,500
-  services and 49,000 routes, against a rebuild of all of it.
-- ``join``: a node that starts while six others hold settings of that size:
-  with the platform up, and with it down, from the peers alone.
-- ``fan_out``: messages and bytes of one change among up to 5,600 nodes, with
-  queues in one process instead of sockets.
+- ``spread``: starts node processes in two availability zones and a stand-in
+  platform, and makes changes one by one. The time at which a revision comes in
+  force on a node is read from the node's event log. Nodes that poll the platform
+  and nodes that learn a revision from peers are also counted separately.
+- ``hint``: the same, while one node is notified of each accepted change, as the
+  operator's tool does.
+- ``slow_platform``: the same as ``spread``, while each read of the platform takes a
+  second.
+- ``edits``: teams edit at the same time, each in its own subtree: at 27 times the
+  mean rate of a day with 45,000 changes, and without any pause.
+- ``change``: processor time of one change in a process that holds 6,500 services and
+  49,000 routes, compared with a rebuild of the whole configuration.
+- ``join``: time to start for nodes of a fleet with settings of that size, while the
+  platform is up; and for one more node while it is down, from the peers alone.
+- ``fan_out``: messages and bytes of one change among up to 5,600 nodes, with queues
+  in one process instead of sockets.
 
 ::
 
@@ -41,7 +42,7 @@
 from balsamspindle.timeline import parse_event
 from bench.percentiles import percentile
 from bench.process_time import cpu_s
-from bench.settings_full_size import change_cost, fan_out, join
+from bench.settings_full_size import measure_change, measure_fan_out, measure_join
 from tests.settings_utils import PlatformServer
 from tests.utils import Fleet, NodeProgram, call, wait_until
 
@@ -62,13 +63,13 @@
 
 
 class Acceptance(NamedTuple):
-    """One accepted change."""
+    """Revision of a change, and the wall-clock time from which its delay counts."""
 
     revision: int
     accepted_s: float
 
 
-def _summary(values_s: list[float]) -> dict[str, float]:
+def _summarize_delays(values_s: list[float]) -> dict[str, float]:
     if not values_s:
         return {"count": 0}
     return {
@@ -80,7 +81,7 @@
 
 
 class SpreadRun:
-    """One fleet of real processes and the changes accepted while it ran."""
+    """Fleet of node processes in which changes are made and their delays measured."""
 
     def __init__(self, fleet: Fleet, count: int) -> None:
         self._fleet = fleet
@@ -94,24 +95,24 @@
             self.nodes.append(node)
         for node in self.nodes:
             wait_until(lambda node=node: node.revision() >= 1, "settings", 60.0)
-        # Until each node sees the others, all of them poll.
-        wait_until(lambda: self._all_see(count), "all nodes know each other", 90.0)
+        # Until a node knows the others, it polls the platform itself.
+        wait_until(lambda: self._all_know(count), "all nodes know each other", 90.0)
 
-    def _all_see(self, count: int) -> bool:
+    def _all_know(self, count: int) -> bool:
         statuses = [node.status() for node in self.nodes]
         return all(status and len(status["nodes"]) == count for status in statuses)
 
     def reads(self) -> int:
-        """Return how many reads the platform has answered."""
+        """Return the number of reads that the platform has answered."""
         counts = call(self._fleet.platform_address, "/counts").json()
         return sum(counts.get(name, 0) for name in ("read", "scan", "object"))
 
     def idle(self) -> dict[str, float]:
-        """Return reads and processor time without any change."""
-        reads, began_s = self.reads(), time.monotonic()
+        """Return platform reads and processor time while nothing changes."""
+        reads, start_s = self.reads(), time.monotonic()
         cpu_before_s = [cpu_s(node.process.pid) for node in self.nodes]
         time.sleep(IDLE_S)
-        elapsed_s = time.monotonic() - began_s
+        elapsed_s = time.monotonic() - start_s
         used_s = sum(
             cpu_s(node.process.pid) - before_s
             for node, before_s in zip(self.nodes, cpu_before_s, strict=True)
@@ -123,14 +124,24 @@
             ),
         }
 
-    def change(
+    def make_changes(
         self, hint: bool, count: int = CHANGES, from_reply: bool = False
     ) -> list[Acceptance]:
-        """Have changes accepted one by one."""
+        """Make changes one by one, and wait until all nodes have the last one in force.
+
+        Parameters
+        ----------
+        hint : bool
+            Whether a random node is notified of each accepted change.
+        count : int
+            Number of changes.
+        from_reply : bool
+            Whether delays count from the reply to the write, not from before it.
+        """
         accepted = []
         for number in range(count):
             time.sleep(CHANGE_GAP_S * self._random.uniform(0.5, 1.5))
-            # Before the write: the time from acceptance is not understated.
+            # Taken before the write, so that delays are never understated.
             accepted_s = time.time()
             result = self._store.put(f"bench/services/s{number % 7}", {})
             revision = result.ok.revision
@@ -148,78 +159,84 @@
         return accepted
 
     def delays(self, accepted: list[Acceptance]) -> dict[str, Any]:
-        """Return the times until each change was in force at each node."""
+        """Return the delays until each change was in force on each node."""
         by_source: dict[str, list[float]] = {"platform": [], "peer": []}
-        whole = []
-        for one in accepted:
+        last_node_delays_s = []
+        for acceptance in accepted:
             slowest_s = 0.0
             for node in self.nodes:
-                event = self._first_at(node, one.revision)
-                delay_s = float(event["wall_s"]) - one.accepted_s
+                event = self._first_event_with(node, acceptance.revision)
+                delay_s = float(event["wall_s"]) - acceptance.accepted_s
                 by_source[event["source"]].append(delay_s)
                 slowest_s = max(slowest_s, delay_s)
-            whole.append(slowest_s)
-        every = [delay_s for delays_s in by_source.values() for delay_s in delays_s]
+            last_node_delays_s.append(slowest_s)
+        all_delays_s = [
+            delay_s for delays_s in by_source.values() for delay_s in delays_s
+        ]
         return {
-            "each_node": _summary(every),
-            "nodes_that_poll": _summary(by_source["platform"]),
-            "nodes_told_by_peers": _summary(by_source["peer"]),
-            "last_node": _summary(whole),
+            "each_node": _summarize_delays(all_delays_s),
+            "nodes_that_poll": _summarize_delays(by_source["platform"]),
+            "nodes_told_by_peers": _summarize_delays(by_source["peer"]),
+            "last_node": _summarize_delays(last_node_delays_s),
         }
 
-    def _first_at(self, node: NodeProgram, revision: int) -> dict[str, str]:
-        """Return the event that put a revision, or a later one, in force."""
+    def _first_event_with(self, node: NodeProgram, revision: int) -> dict[str, str]:
+        """Return the first event that put this revision or a later one in force."""
         for line in node.log_path.read_text().splitlines():
             event = parse_event(line) or {}
             if event.get("event") != "settings_in_force":
                 continue
             if int(event["revision"]) >= revision:
                 return event
-        raise AssertionError(f"revision {revision} never came in force")
+        raise AssertionError(f"no settings_in_force event for revision {revision}")
 
 
 def slow_platform(count: int) -> dict[str, Any]:
-    """Measure while each of the platform's reads takes long.
+    """Measure delays while each read of the platform takes `SLOW_READ_S`.
 
-    From the write's reply on: the edit's own reads are slow as well.
+    Delays count from the reply to the write, because the edit itself reads, too.
     """
     with Fleet() as fleet:
         run = SpreadRun(fleet, count)
         fault = {"mode": "slow", "delay_s": SLOW_READ_S, "endpoint": "read"}
         call(fleet.platform_address, "/faults", "POST", json.dumps(fault).encode())
-        accepted = run.change(False, SLOW_CHANGES, from_reply=True)
+        accepted = run.make_changes(False, SLOW_CHANGES, from_reply=True)
         return {"nodes": count, "read_s": SLOW_READ_S, **run.delays(accepted)}
 
 
 def spread(count: int) -> dict[str, Any]:
-    """Measure one size of fleet."""
+    """Measure a fleet of this number of nodes: idle, with changes, and with hints."""
     with Fleet() as fleet:
         run = SpreadRun(fleet, count)
         idle = run.idle()
-        polled = run.delays(run.change(hint=False))
-        hinted = run.delays(run.change(hint=True))
+        polled = run.delays(run.make_changes(hint=False))
+        hinted = run.delays(run.make_changes(hint=True))
     return {"nodes": count, "idle": idle, "polled": polled, "hinted": hinted}
 
 
-def edits(teams: int, gap_s: float, each: int) -> dict[str, Any]:
-    """Measure teams that edit at once; all write the fleet's revision row."""
+def edits(teams: int, gap_s: float, edits_per_team: int) -> dict[str, Any]:
+    """Measure teams that edit at the same time: all write the fleet's revision row."""
     platform = PlatformServer(SEED)
 
     def edit(number: int) -> list[float | None]:
         store = SettingsStore(platform.tables())
-        draw = random.Random(number)
+        rng = random.Random(number)
         took_s: list[float | None] = []
-        for document in range(each):
-            time.sleep(gap_s * draw.uniform(0.5, 1.5))
-            began_s = time.monotonic()
+        for document in range(edits_per_team):
+            time.sleep(gap_s * rng.uniform(0.5, 1.5))
+            start_s = time.monotonic()
             result = store.put(f"team{number}/services/s{document}", {})
-            took_s.append(time.monotonic() - began_s if result.is_ok() else None)
+            took_s.append(time.monotonic() - start_s if result.is_ok() else None)
         return took_s
 
-    began_s = time.monotonic()
+    start_s = time.monotonic()
     with ThreadPoolExecutor(teams) as executor:
-        results = [one for many in executor.map(edit, range(teams)) for one in many]
-    elapsed_s = time.monotonic() - began_s
+        results = [
+            edit_s
+            for team_results in executor.map(edit, range(teams))
+            for edit_s in team_results
+        ]
+    elapsed_s = time.monotonic() - start_s
     counts = call(platform.address, "/counts").json()
     platform.stop()
     accepted = [took_s for took_s in results if took_s is not None]
@@ -229,31 +246,31 @@
         "refused": len(results) - len(accepted),
         "writes_per_edit": round(counts["transact"] / len(results), 2),
         "reads_per_edit": round(counts["read"] / len(results), 2),
-        **_summary(accepted),
+        **_summarize_delays(accepted),
     }
 
 
-def _faults(report: dict[str, Any]) -> list[str]:
-    """Return what is over a bound."""
-    faults = []
+def _exceeded_bounds(report: dict[str, Any]) -> list[str]:
+    """Return a sentence for each figure that exceeds its bound."""
+    exceeded = []
     for size in report["spread"]:
-        for way in ("polled", "hinted"):
-            slowest_ms = size[way]["last_node"]["p99_ms"]
+        for mode in ("polled", "hinted"):
+            slowest_ms = size[mode]["last_node"]["p99_ms"]
             if slowest_ms > IN_FORCE_LIMIT_S * 1000:
-                faults.append(f"{size['nodes']} nodes, {way}: {slowest_ms} ms")
-    faults += [f"edits refused: {run}" for run in report["edits"] if run["refused"]]
+                exceeded.append(f"{size['nodes']} nodes, {mode}: {slowest_ms} ms")
+    exceeded += [f"edits refused: {run}" for run in report["edits"] if run["refused"]]
     cost = report["change"]["core_percent_with_changes"]
     if cost > CONTROL_CPU_MAX * 100:
-        faults.append(f"changes take {cost}% of a core")
-    return faults
+        exceeded.append(f"changes take {cost}% of a core")
+    return exceeded
 
 
-def _print(report: dict[str, Any]) -> None:
+def _print_report(report: dict[str, Any]) -> None:
     for size in report["spread"]:
         typer.echo(f"{size['nodes']} nodes: idle {size['idle']}")
-        for way in ("polled", "hinted"):
-            for name, summary in size[way].items():
-                typer.echo(f"  {way:7} {name:20} {summary}")
+        for mode in ("polled", "hinted"):
+            for name, summary in size[mode].items():
+                typer.echo(f"  {mode:7} {name:20} {summary}")
     for name, value in report["slow_platform"].items():
         typer.echo(f"slow_platform: {name}: {value}")
     for name, value in report["join"].items():
@@ -271,26 +288,26 @@
     as_json: bool = typer.Option(False, "--json", help="Write JSON."),
     check: bool = typer.Option(False, help="Fail when a bound is not kept."),
 ) -> None:
-    """Measure settings from acceptance to in force, and their cost.
+    """Measure the time from acceptance of settings until in force, and their cost.
 
     Example: python -m bench.settings --nodes 3 --nodes 10 --json
     """
     report = {
-        "change": change_cost(),
+        "change": measure_change(),
         "edits": [edits(8, 0.5, 30), edits(8, 0.0, 30), edits(20, 0.0, 12)],
         "spread": [spread(count) for count in nodes],
         "slow_platform": slow_platform(SLOW_NODES),
-        "join": join(JOIN_NODES),
-        "fan_out": [fan_out(count) for count in FAN_OUT_NODES],
+        "join": measure_join(JOIN_NODES),
+        "fan_out": [measure_fan_out(count) for count in FAN_OUT_NODES],
     }
     if as_json:
         typer.echo(json.dumps(report, indent=2))
     else:
-        _print(report)
-    faults = _faults(report)
-    for fault in faults:
+        _print_report(report)
+    exceeded = _exceeded_bounds(report)
+    for fault in exceeded:
         typer.echo(f"over the bound: {fault}", err=True)
-    if check and faults:
+    if check and exceeded:
         raise typer.Exit(1)
 
 
--- a/bench/settings_full_size.py
+++ b/bench/settings_full_size.py
@@ -1,6 +1,6 @@
-"""Settings of full size: what one change costs, and how a node joins.
+"""Cost of one change in settings of full size, and time for a node to join.
 
-Used by `bench.settings`.
+For `bench.settings`.
 """
 
 import json
@@ -26,14 +26,14 @@
 from tests.settings_network import History, Network
 from tests.utils import Fleet, NodeProgram, wait_until
 
-__all__ = ["change_cost", "fan_out", "join"]
+__all__ = ["measure_change", "measure_fan_out", "measure_join"]
 
 SEED = 1
 ZONES = 2
 FLEET_ZONES = 23
 FAN_OUT_ROUNDS = 30
 SERVICES, ROUTES, TEAMS = 6_500, 49_000, 650
-APPLIED = 200
+CHANGES = 200
 CHANGES_PER_DAY = 45_000
 DAY_S = 86_400
 
@@ -63,11 +63,12 @@
     return f"{team}/routes/route-{number:05}", json.dumps(value).encode()
 
 
-def fan_out(count: int) -> dict[str, Any]:
-    """Count the messages of one change among many nodes, without sockets.
+def measure_fan_out(count: int) -> dict[str, Any]:
+    """Count the messages of one change among this number of nodes, without sockets.
 
-    Only notices and pulls: who is missed learns the revision from the next
-    message between members. Bytes are payload, without the envelope.
+    Counts notices and pulls only: a node that no notice reaches learns the revision
+    from the next message between members. Bytes are those of the payload, without
+    the envelope.
     """
     network = Network(count, zones=FLEET_ZONES)
     for configuration in network.configurations:
@@ -86,7 +87,9 @@
         if is_reader(record, by_zone[record.availability_zone]):
             configuration.apply([change])
     network.run(FAN_OUT_ROUNDS)
-    reached = sum(one.revision == 1 for one in network.configurations)
+    reached = sum(
+        configuration.revision == 1 for configuration in network.configurations
+    )
     return {
         "nodes": count,
         "reached_by_notices_percent": round(reached / count * 100, 2),
@@ -96,8 +99,8 @@
     }
 
 
-def join(count: int) -> dict[str, Any]:
-    """Measure nodes that join a fleet with settings of full size."""
+def measure_join(count: int) -> dict[str, Any]:
+    """Measure the time for nodes to join a fleet with settings of full size."""
     with Fleet() as fleet:
         platform = fleet.start_platform()
         _store_all(SettingsStore(HttpTableService(fleet.platform_address)))
@@ -130,7 +133,7 @@
 
 
 def _wait_joined(nodes: list[NodeProgram]) -> list[dict[str, Any]]:
-    """Return how long each node took from its start and where from."""
+    """Return, for each node, the source of its settings and the seconds it took."""
     joined = []
     for node in nodes:
         wait_until(lambda node=node: node.revision() >= TEAMS, "settings", 120.0)
@@ -155,40 +158,40 @@
     return pages * 4096 / 1e6
 
 
-def change_cost() -> dict[str, float]:
-    """Measure one change at full size against a rebuild."""
-    draw = random.Random(SEED)
+def measure_change() -> dict[str, float]:
+    """Measure the processor time of one change, and of a rebuild, at full size."""
+    rng = random.Random(SEED)
     before_mb = _resident_mb()
     current = CurrentConfiguration()
     documents = _documents()
-    began_s = time.process_time()
+    start_s = time.process_time()
     current.offer(0, documents)
-    rebuild_s = time.process_time() - began_s
+    rebuild_s = time.process_time() - start_s
     del documents
     resident_mb = _resident_mb() - before_mb
-    applied_s = []
+    change_cpu_s = []
     chain = ""
-    for revision in range(1, APPLIED + 1):
+    for revision in range(1, CHANGES + 1):
         previous, chain = chain, next_chain(chain, str(revision))
-        path, document = _route(draw.randrange(ROUTES), 1000.0 + revision)
+        path, document = _route(rng.randrange(ROUTES), 1000.0 + revision)
         delta = SettingsDelta(revision, previous, chain, {path: document})
-        began_s = time.process_time()
+        start_s = time.process_time()
         applied = current.apply([delta])
-        applied_s.append(time.process_time() - began_s)
+        change_cpu_s.append(time.process_time() - start_s)
         assert applied is ApplyResult.IN_FORCE
-    began_s = time.process_time()
+    start_s = time.process_time()
     pages = pages_of_documents(current.get().documents)
-    pages_s = time.process_time() - began_s
-    per_s = CHANGES_PER_DAY / DAY_S
-    mean_s = sum(applied_s) / len(applied_s)
+    pages_s = time.process_time() - start_s
+    changes_per_s = CHANGES_PER_DAY / DAY_S
+    mean_s = sum(change_cpu_s) / len(change_cpu_s)
     return {
         "services": SERVICES,
         "routes": ROUTES,
         "rebuild_cpu_ms": round(rebuild_s * 1000, 1),
-        "change_cpu_ms_p50": round(percentile(applied_s, 0.5) * 1000, 2),
-        "change_cpu_ms_p99": round(percentile(applied_s, 0.99) * 1000, 2),
-        "core_percent_with_changes": round(mean_s * per_s * 100, 2),
-        "core_percent_with_rebuilds": round(rebuild_s * per_s * 100, 2),
+        "change_cpu_ms_p50": round(percentile(change_cpu_s, 0.5) * 1000, 2),
+        "change_cpu_ms_p99": round(percentile(change_cpu_s, 0.99) * 1000, 2),
+        "core_percent_with_changes": round(mean_s * changes_per_s * 100, 2),
+        "core_percent_with_rebuilds": round(rebuild_s * changes_per_s * 100, 2),
         "resident_mb": round(resident_mb, 1),
         "pages": len(pages),
         "pages_kb": round(sum(map(len, pages)) / 1000),
