--- a/bench/settings_full_size.py
+++ b/bench/settings_full_size.py
@@ -87,9 +87,7 @@
         if is_reader(record, by_zone[record.availability_zone]):
             configuration.apply([change])
     network.run(FAN_OUT_ROUNDS)
-    reached = sum(
-        configuration.revision == 1 for configuration in network.configurations
-    )
+    reached = sum(current.revision == 1 for current in network.configurations)
     return {
         "nodes": count,
         "reached_by_notices_percent": round(reached / count * 100, 2),
