--- a/bench/membership.py
+++ b/bench/membership.py
@@ -97,7 +97,7 @@
     return restart
 
 
-def time_of_news(network, nodes) -> float:
+def measure_news_delay(network, nodes) -> float:
     """Return seconds until all nodes know that a backend server drains."""
     source = nodes[len(nodes) // 2]
     first, *others = source.servers
@@ -190,7 +190,7 @@
     idle = measure_rate(network, nodes, IDLE_S)
     busy = measure_rate(network, nodes, IDLE_S, churn(nodes))
     network.run(20)
-    news_s = time_of_news(network, nodes)
+    news_s = measure_news_delay(network, nodes)
     join_figures = measure_join(network, nodes)
     death_s = measure_death_delay(network, nodes)
     return {
--- a/bench/played_days.py
+++ b/bench/played_days.py
@@ -27,7 +27,14 @@
 import msgspec
 import typer
 
-__all__ = ["Comparison", "DayResult", "compare", "day_results", "interval", "report"]
+__all__ = [
+    "Comparison",
+    "DayResult",
+    "compare",
+    "confidence_interval",
+    "day_results",
+    "report",
+]
 
 DAYS = "trouble-1,scale-1,trouble-2,scale-2,trouble-3"
 RESAMPLES = 2000
@@ -109,7 +116,7 @@
     )
 
 
-def interval(differences: list[float], seed: int = 1) -> tuple[float, float]:
+def confidence_interval(differences: list[float], seed: int = 1) -> tuple[float, float]:
     """Return the bootstrap confidence interval of the mean difference."""
     rng = random.Random(seed)
     means = sorted(
@@ -198,7 +205,7 @@
         (_figures(first).get(name, 0.0), _figures(second).get(name, 0.0))
         for first, second in pairs
     ]
-    low, high = interval([after - before for before, after in values])
+    low, high = confidence_interval([after - before for before, after in values])
     before, after = (statistics.fmean(column) for column in zip(*values, strict=True))
     return Comparison(name, before, after, low, high)
 
--- a/bench/queue_overload.py
+++ b/bench/queue_overload.py
@@ -66,7 +66,7 @@
         The same for all requests, by weight.
     wasted : float
         Fraction of the backend server's runs that ended after the deadline.
-    told_s : float
+    refusal_delay_s : float
         Mean time from the arrival of a refused request to its refusal.
     """
 
@@ -74,7 +74,7 @@
     light: float
     weighted: float
     wasted: float
-    told_s: float
+    refusal_delay_s: float
 
 
 class _Request(Ticket):
@@ -154,8 +154,12 @@
         arrived = sum(counts["arrived", kind] * kind for kind in kinds)
         late = sum(counts["late", kind] for kind in kinds)
         done = late + sum(counts["in time", kind] for kind in kinds)
-        told_s = sum(self._refusal_delays_s) / max(1, len(self._refusal_delays_s))
-        return OverloadResult(heavy, light, answered / arrived, late / done, told_s)
+        refusal_delay_s = sum(self._refusal_delays_s) / max(
+            1, len(self._refusal_delays_s)
+        )
+        return OverloadResult(
+            heavy, light, answered / arrived, late / done, refusal_delay_s
+        )
 
 
 def run_overload(plan: Plan, seed: int) -> OverloadResult:
--- a/tests/test_membership_cost.py
+++ b/tests/test_membership_cost.py
@@ -2,7 +2,7 @@
 
 from testtools import TestCase
 
-from bench.membership import churn, measure_rate, start_fleet, time_of_news
+from bench.membership import churn, measure_news_delay, measure_rate, start_fleet
 
 NODES = 30
 # 10 % above the expected 305 B/s when idle and 1,020 B/s with changes.
@@ -18,4 +18,4 @@
         busy = measure_rate(network, nodes, 30, churn(nodes))
         self.assertLessEqual(idle["sent_bytes_per_s"], IDLE_MAX_BYTES_PER_S)
         self.assertLessEqual(busy["sent_bytes_per_s"], CHURN_MAX_BYTES_PER_S)
-        self.assertLessEqual(time_of_news(network, nodes), NEWS_MAX_S)
+        self.assertLessEqual(measure_news_delay(network, nodes), NEWS_MAX_S)
--- a/tests/test_played_days.py
+++ b/tests/test_played_days.py
@@ -2,7 +2,7 @@
 
 from testtools import TestCase
 
-from bench.played_days import compare, day_results, interval, report
+from bench.played_days import compare, confidence_interval, day_results, report
 
 PRICES = [["processor seconds", 40.0, 0.01], ["store calls", 300.0, 0.006]]
 
@@ -43,7 +43,7 @@
         self.assertLess(worth.low, worth.difference)
 
     def test_one_day_alone_proves_nothing(self):
-        low, high = interval([0.05, -0.04, 0.03, -0.02])
+        low, high = confidence_interval([0.05, -0.04, 0.03, -0.02])
         self.assertTrue(low < 0 < high)
 
     def test_the_price_of_processor_time_is_added_back(self):
--- a/tests/test_queue.py
+++ b/tests/test_queue.py
@@ -166,7 +166,7 @@
         self.assertGreaterEqual(limited.heavy, 0.99)
         self.assertGreaterEqual(limited.weighted, 0.72)
         self.assertLessEqual(limited.wasted, 0.05)
-        self.assertLessEqual(limited.told_s, 0.4)
+        self.assertLessEqual(limited.refusal_delay_s, 0.4)
         self.assertLessEqual(unlimited.weighted, 0.2)
 
 
