--- a/balsamspindle/backend_servers/admission.py
+++ b/balsamspindle/backend_servers/admission.py
@@ -92,7 +92,7 @@
             self._servers.changed.notify_all()
 
     def end_by(self, ends_s: float) -> None:
-        """Set when this node ends, and start only attempts that can finish by then.
+        """Set when this node ends; refuse attempts that could not finish by then.
 
         Runs that are in progress when the node ends are interrupted, and their answers
         are lost. An attempt that is refused instead can go to another gate.
@@ -164,7 +164,10 @@
         return queue
 
     def _latest_start_s(self, dispatch: Dispatch, token: CancelToken) -> float:
-        """Return the latest start of an attempt that must end before its ingress."""
+        """Return the latest time at which an attempt may start.
+
+        An attempt that started later might still run when its ingress ends.
+        """
         server = self._servers.get(dispatch.backend_server_id)
         kind = WorkKind(dispatch.weight, dispatch.route_id)
         return token.ingress_ends_s - LAST_START_FACTOR * _expected_run_s(server, kind)
@@ -172,10 +175,10 @@
     def _recheck_wait_s(
         self, ticket: Ticket, latest_start_s: float, now_s: float
     ) -> float:
-        """Return after how many seconds a waiting attempt rechecks if not woken."""
+        """Return after how many seconds a waiting attempt tries again if not woken."""
         account = self._servers.get(ticket.backend_server_id).account
-        # The attempt may first wait one mean service time for a slot, and then run for
-        # one. After this time it would then miss its deadline.
+        # The last time at which the attempt can wait one mean service time for a slot,
+        # run for another one, and still meet its deadline.
         last_chance_s = ticket.deadline_s - 2 * account.service_time_s
         until_s = min(
             last_chance_s, account.next_hold_end_s(), now_s + RECHECK_INTERVAL_S
--- a/balsamspindle/backend_servers/attempts.py
+++ b/balsamspindle/backend_servers/attempts.py
@@ -17,8 +17,8 @@
 
 ATTEMPTS_MAX = 100_000
 # How long an attempt stays in the table after its deadline. A message of the attempt
-# that arrives even later is refused because the deadline has passed, and its ingress
-# no longer waits for a reply.
+# that arrives even later is refused because its deadline has passed; its ingress no
+# longer waits for a reply.
 ATTEMPT_RETENTION_S = 5.0
 
 
@@ -98,7 +98,8 @@
         Returns
         -------
         bool
-            False if the attempt is not in the table, for example before it begins.
+            False if the attempt is not in the table, for example because its message
+            has not arrived yet.
         """
         token = self._tokens.get(attempt_id)
         if token is not None:
--- a/balsamspindle/backend_servers/client.py
+++ b/balsamspindle/backend_servers/client.py
@@ -128,8 +128,8 @@
             pycurl.HTTPHEADER,
             [
                 *_header_lines(request.headers, self._names),
-                # The remaining time, so that the backend server can stop working on
-                # a request whose caller has stopped waiting.
+                # Tell the backend server the remaining time, so that it can stop
+                # working once the caller has stopped waiting.
                 f"{self._names.timeout_ms}: {left_ms}",
                 *_SUPPRESSED_HEADERS,
             ],
@@ -210,7 +210,8 @@
         if execution is Execution.NON_IDEMPOTENT:
             # When a reused connection turns out to be closed, libcurl sends the request
             # again on a new connection by itself, and the backend server could run it
-            # twice. libcurl never does so for a new connection, so never reuse one.
+            # twice. libcurl never sends it again when the connection was new, so use a
+            # new connection for each non-idempotent request.
             self.curl.setopt(pycurl.FRESH_CONNECT, 1)
             self.curl.setopt(pycurl.FORBID_REUSE, 1)
 
--- a/balsamspindle/backend_servers/crash_watch.py
+++ b/balsamspindle/backend_servers/crash_watch.py
@@ -61,7 +61,7 @@
 
 @dataclass
 class _Start:
-    """The runs since one start of a backend server, and when its end was detected."""
+    """One start of a backend server: its runs, and when its end was detected."""
 
     running: dict[AttemptId, _Run] = field(default_factory=dict)
     lost: deque[_LostRun] = field(
@@ -161,9 +161,10 @@
     def record_replacement(self, server: LocalBackendServer, now_s: float) -> None:
         """Record the crash of a backend server whose address another one has now.
 
-        Call it only if the backend server was not draining. If it is replaced at once,
-        the gate's probe of the address reaches the new backend server, and does not
-        detect the crash. Runs that broke off shortly before were lost in the crash.
+        Call it only if the backend server was not draining. If the new backend server
+        starts soon after the crash, the gate's check of the address reaches the new one
+        and does not detect the crash. Runs that broke off shortly before were lost in
+        the crash.
         """
         with self._lock:
             start = self._start_of(_key(server))
--- a/balsamspindle/backend_servers/evidence.py
+++ b/balsamspindle/backend_servers/evidence.py
@@ -46,13 +46,13 @@
 
 
 class Judgement(NamedTuple):
-    """The verdict on an ended attempt, which is sent back with its reply.
+    """The gate's verdict on an ended attempt; the reply carries it to the ingress.
 
     Attributes
     ----------
     bad : bool or None
-        Whether the attempt counts against the backend server; None if it is no
-        evidence about it.
+        Whether the attempt counts against the backend server; None if the attempt is no
+        evidence about the backend server.
     p99_ms : float
         The backend server's 99th percentile of latency; 0 if unknown.
     """
--- a/balsamspindle/backend_servers/gate.py
+++ b/balsamspindle/backend_servers/gate.py
@@ -129,7 +129,7 @@
         self._admission.refuse_new_attempts()
 
     def end_by(self, ends_s: float) -> None:
-        """Set when this node ends; start only attempts that can finish before."""
+        """Set when this node ends; refuse attempts that could not finish by then."""
         self._admission.end_by(ends_s)
 
     def cancel_all(self) -> None:
--- a/balsamspindle/backend_servers/health.py
+++ b/balsamspindle/backend_servers/health.py
@@ -22,13 +22,14 @@
 # A hold-out ends early when the score has fallen to this part of the threshold. It can
 # fall because some attempts still reach a backend server that is held out.
 RECOVERED_SCORE_PART = 0.5
-# The estimated time of a trial, about as long as a request takes. It is added to the
-# remaining time of a hold-out that the gate reports to ingresses.
+# The estimated duration of a trial, about as long as a request takes. The gate tells
+# ingresses for how long it refuses work: the remaining time of the hold-out plus this.
 TRIAL_HINT_MS = 100.0
-# A trial accepts only idempotent requests for this long. If each backend server gets a
-# few requests a second, some idempotent ones arrive in that time.
+# For this long after its start, a trial accepts only idempotent requests. If each
+# backend server gets a few requests a second, some idempotent ones arrive in that time.
 TRIAL_WAIT_S = 3.0
-# A trial accepts only the lightest of the idempotent requests for this long.
+# For this long after its start, a trial accepts only the lightest of the idempotent
+# requests.
 LIGHTEST_WAIT_S = 0.7
 # A backend server is probed after `PROBE_AFTER_IDLE_S` without work, provided that an
 # attempt was dispatched to it within the last `PROBE_DEMAND_WINDOW_S`.
@@ -39,7 +40,7 @@
 SUSPICION_ON_TRIAL = 0.5
 SUSPICION_HELD_OUT = 1.0
 SUSPICION_STRONG = 2.0
-# `SUSPICION_STRONG` is published from this multiple of the threshold on.
+# `SUSPICION_STRONG` is published once the score reaches this many times the threshold.
 STRONG_SCORE_FACTOR = 1.5
 
 
@@ -102,8 +103,9 @@
         self._last_attempt_s = -PROBE_DEMAND_WINDOW_S
         self._lightest_weight = LightestWeight()
         self._bad_in_a_row = 0
-        # Once set it stays set until the next ejection, so that a score which
-        # goes up and down does not change the published record each time.
+        # Whether `SUSPICION_STRONG` is published while held out. Once True, it stays
+        # True until the next ejection. Otherwise a score that goes up and down would
+        # change the published record each time.
         self._is_strongly_suspected = False
 
     @property
@@ -198,7 +200,7 @@
     def _trial_wait_s(
         self, execution: Execution, weight: float, is_last_try: bool
     ) -> float:
-        """Return how long after its start a trial accepts no such attempt."""
+        """Return for how long after its start a trial refuses an attempt like this."""
         if execution is Execution.NON_IDEMPOTENT or is_last_try:
             return TRIAL_WAIT_S
         return 0.0 if weight <= self._lightest_weight.weight else LIGHTEST_WAIT_S
@@ -233,8 +235,9 @@
         if now_s - self._last_attempt_s > PROBE_DEMAND_WINDOW_S:
             return False
         if self._work.detection.independent_errors:
-            # Health endpoints of these services answer "healthy" while requests
-            # fail. A probe would use a slot and show less than the next trial.
+            # The health endpoints of services with `independent_errors` answer
+            # "healthy" while requests fail. A probe would use a slot and show less than
+            # the next trial.
             return False
         if self.phase is not HealthPhase.SERVING:
             return True
@@ -247,13 +250,14 @@
         """Record the result of a probe.
 
         Health endpoints may answer while requests hang, and fail while requests
-        succeed, so a probe counts for less than a request. A passed probe does
-        not lower the score. Several passed probes in a row shorten a hold-out, and
-        end a trial that got no request; the score is then so near the threshold that
-        one bad request ejects the backend server again. A failed probe raises the
-        score, but failed probes alone never raise it to the threshold, unless
-        connections are refused: these count like failed requests. No failed probe
-        counts within `PROBE_AFTER_IDLE_S` of a request's verdict.
+        succeed, so a probe counts for less than a request. A passed probe does not
+        lower the score. Several passed probes in a row shorten a hold-out, and end a
+        trial that got no request. After a trial that probes ended, the score is so near
+        the threshold that one bad request ejects the backend server again. A failed
+        probe raises the score. Probes that fail by a refused connection count like
+        failed requests; all other failed probes alone never raise the score to the
+        threshold. No failed probe counts within `PROBE_AFTER_IDLE_S` of a request's
+        verdict.
         """
         self._readmission.record_probe_result(result is ProbeResult.PASSED)
         if (
--- a/balsamspindle/backend_servers/health_latency.py
+++ b/balsamspindle/backend_servers/health_latency.py
@@ -10,8 +10,9 @@
 # The largest latency of this many requests is close enough to the 99th percentile
 # to start the running estimate from.
 SETTLING_REQUESTS = 100
-# The estimate is reported to ingresses from this many requests on. At that number it
-# is still ten times the largest latency seen.
+# The estimate is reported to ingresses once this many requests were seen. It is then
+# the largest latency seen times `SETTLING_REQUESTS` / `REPORTABLE_REQUESTS`, so ten
+# times that latency.
 REPORTABLE_REQUESTS = 10
 # Step by which the estimate's logarithm changes. An estimate that is twice too high is
 # corrected within about 350 requests, and one outlier raises the estimate by a fifth.
--- a/balsamspindle/backend_servers/health_monitor.py
+++ b/balsamspindle/backend_servers/health_monitor.py
@@ -55,7 +55,7 @@
         self.previous_start: int | None = None
 
     def needs_peer_evidence_from(self, other: "_MonitoredServer") -> bool:
-        """Tell whether this server needs the summaries that the other server gets."""
+        """Tell whether this server also needs the summaries sent for `other`."""
         held_out = self.health.phase is HealthPhase.HELD_OUT
         return held_out and self.service == other.service
 
@@ -160,11 +160,12 @@
             if monitored is None:
                 return
             monitored.health.record_peer_evidence(evidence, now_s)
-            # A backend server that is held out gets no dispatch, and so no summary
-            # of its peers. It would stay held out in an overload that affects all of
-            # them, so it is given the summaries that its neighbours on this node get.
-            # Such a summary counts the held-out server as a bad peer. Subtract it, or
-            # the server's own failures would look like failures of its peers.
+            # A backend server that is held out gets no dispatch, and so no summary of
+            # its peers. In an overload that affects all peers it would therefore stay
+            # held out. So it also gets the summaries for the other backend servers of
+            # its service on this node. Each of these summaries counts the held-out
+            # server as a bad peer. Subtract it from the count, or the server's own
+            # failures would look like failures of its peers.
             others = evidence._replace(
                 judged_count=max(0, evidence.judged_count - 1),
                 bad_count=max(0, evidence.bad_count - 1),
--- a/balsamspindle/backend_servers/health_peers.py
+++ b/balsamspindle/backend_servers/health_peers.py
@@ -36,7 +36,7 @@
         self._is_p99_stale = False
 
     def record(self, evidence: PeerEvidence, now_s: float) -> None:
-        """Add the summary of one dispatch."""
+        """Add the summary that came with one dispatch to the average."""
         if not evidence.judged_count:
             return
         decay = self._decay_factor(now_s)
--- a/balsamspindle/backend_servers/health_readmission.py
+++ b/balsamspindle/backend_servers/health_readmission.py
@@ -28,7 +28,7 @@
 
 
 class HealthPhase(StrEnum):
-    """Whether a backend server gets all its work, none, or trial requests."""
+    """Whether a backend server gets all its work, none, or only trial requests."""
 
     SERVING = "serving"
     HELD_OUT = "held_out"
@@ -44,7 +44,8 @@
     since_s : float
         When the phase began.
     growth_exponent : int
-        How many times the next hold-out is multiplied by `hold_out_growth`.
+        How many times the length of the next hold-out is multiplied by
+        `hold_out_growth`.
     """
 
     def __init__(self, detection: Detection, now_s: float) -> None:
@@ -82,7 +83,7 @@
         self._enter(HealthPhase.ON_TRIAL, now_s)
 
     def record_work(self, good: bool) -> bool:
-        """Count an ended request, and return whether the trial is passed with it."""
+        """Count an ended request, and return whether the trial is now passed."""
         if not good:
             self._probes_passed = 0
         if self.phase is not HealthPhase.ON_TRIAL:
--- a/balsamspindle/backend_servers/health_verdicts.py
+++ b/balsamspindle/backend_servers/health_verdicts.py
@@ -16,7 +16,7 @@
 
 
 def judge(result: WorkResult, is_slow: bool) -> Verdict:
-    """Return the verdict for a request's result and whether it was slow."""
+    """Return the verdict that follows from a request's result and slowness."""
     return _VERDICTS[result, is_slow]
 
 
--- a/balsamspindle/backend_servers/health_work.py
+++ b/balsamspindle/backend_servers/health_work.py
@@ -40,7 +40,8 @@
 # switches make the duration of errors vary.
 OUTLIVED_FACTOR = 4.0
 OUTLIVED_MIN_S = 0.02
-# A shorter error lowers the recorded duration of errors, but at most to this part.
+# The recorded duration of errors is that of the latest error, but at least this
+# fraction of the duration recorded before.
 ERROR_DURATION_DECAY = 0.5
 # Names of the evidence that is not an error: slow or good requests.
 SLOW_EVIDENCE = {
@@ -49,7 +50,7 @@
     SLOW_RESULTS[WorkResult.ANSWERED],
     WorkResult.ANSWERED.value,
 }
-# A trial starts with a score this far below the threshold, as a part of what a bad
+# A trial starts with the score below the threshold by this fraction of what a bad
 # request adds to the score, so that one bad request ends the trial.
 TRIAL_MARGIN = 0.9
 
@@ -107,11 +108,11 @@
         return bool(self._in_flight)
 
     def has_attempt_since(self, since_s: float) -> bool:
-        """Tell whether an attempt that began after a time is still in flight."""
+        """Tell whether an attempt that began after `since_s` is still in flight."""
         return any(attempt.started_s >= since_s for attempt in self._in_flight.values())
 
     def has_attempt_outlasting_errors(self, since_s: float, now_s: float) -> bool:
-        """Tell whether an attempt begun after a time has run longer than errors do.
+        """Tell whether an attempt begun after `since_s` has outlasted usual errors.
 
         A sick backend server answers with an error within a millisecond, so an attempt
         that runs for longer will probably succeed. Waiting for its answer would leave
@@ -124,7 +125,7 @@
         )
 
     def had_good_work_since(self, since_s: float) -> bool:
-        """Tell whether an attempt that ended after a time was good."""
+        """Tell whether a good attempt has ended after `since_s`."""
         return self._last_good_s > since_s
 
     @property
@@ -164,7 +165,7 @@
         if not self._slowest_counted_ms or self.evidence.keys() - SLOW_EVIDENCE:
             return False
         peers_slow_ms = self.detection.slow_factor * self._peers.p99_ms
-        # Attempts in flight may by now be older than when they were counted.
+        # Use the present ages of attempts in flight; they were younger when counted.
         started_s = (attempt.started_s for attempt in self._in_flight.values())
         oldest_ms = (now_s - min(started_s, default=now_s)) * 1000
         return max(self._slowest_counted_ms, oldest_ms) <= peers_slow_ms
@@ -213,13 +214,13 @@
         slow_ms = self.slow_ms()
         for attempt in sorted(self._in_flight.values(), key=_times_counted):
             age_ms = (now_s - attempt.started_s) * 1000
-            # Count a request that hangs now, rather than when its timeout ends it.
+            # Count a hanging request now, not only when its timeout ends it.
             if age_ms > _SLOW_AGE_FACTORS[attempt.slow_count] * slow_ms:
                 self._count_slow(attempt, "in_flight_too_long", now_s)
         self._detect_standstill(now_s)
 
     def add_failed_probe(self, result: ProbeResult, now_s: float) -> None:
-        """Raise the score; only refused connections alone raise it to the threshold."""
+        """Raise the score, to the threshold only if the connection was refused."""
         self.evidence[f"probe_{result}"] += 1
         limit = ONE_ATTEMPT_MAX * self.detection.threshold
         increment = bad_request_score(self._error_rates(now_s))
--- a/balsamspindle/backend_servers/heaviest_weight.py
+++ b/balsamspindle/backend_servers/heaviest_weight.py
@@ -25,7 +25,7 @@
             self._weight, self._recorded_s = weight, now_s
 
     def reserved_fraction(self, weight: float) -> float:
-        """Return the part of the retries that a request must leave to heavier ones.
+        """Return the part of the retries that a request must leave to heavier requests.
 
         Between 0 and 1; 0 for the heaviest requests.
         """
--- a/balsamspindle/backend_servers/hold_outs.py
+++ b/balsamspindle/backend_servers/hold_outs.py
@@ -15,7 +15,8 @@
 
 __all__ = ["LARGE_ZONE_SERVERS", "ZoneDetection", "adjust_hold_outs"]
 
-# A zone with at least this many backend servers of a service can do without one.
+# In a zone with at least this many backend servers of a service, the others can do the
+# work of one that is held out.
 LARGE_ZONE_SERVERS = 6
 # Factors by which `hold_out_growth` and `hold_out_max_s` are multiplied in a zone with
 # at least `LARGE_ZONE_SERVERS` backend servers of the service.
--- a/balsamspindle/backend_servers/ledger.py
+++ b/balsamspindle/backend_servers/ledger.py
@@ -31,7 +31,7 @@
 
 @dataclass(frozen=True)
 class EarlierAnswer:
-    """The answer to the first attempt of the key, which is to be sent again."""
+    """The stored answer to a key's first attempt, which later attempts get again."""
 
     reply: Reply
 
@@ -87,7 +87,7 @@
         # Sizes of the stored answers, oldest first.
         self._answers: OrderedDict[Key, int] = OrderedDict()
         self._answers_bytes = 0
-        # Claims of lower versions are refused, as the store may have lost them.
+        # Claims with a version below this are refused: the store may have lost them.
         self._version_min = 0
         # Time of expiry, key and version of each item that will expire. The version is
         # that of a released claim, or 0 for an item of `_entries`.
@@ -96,7 +96,10 @@
     def begin(
         self, dispatch: Dispatch, now_s: float
     ) -> KeyRefused | EarlierAnswer | None:
-        """Register a key for an attempt; None if the attempt may run."""
+        """Register an attempt's key and return None if the attempt may run.
+
+        Otherwise return the refusal, or the stored answer to an earlier attempt.
+        """
         key = _key(dispatch)
         with self._lock:
             self._expire(now_s)
@@ -113,9 +116,10 @@
     ) -> list[HeldKey]:
         """Return the keys whose claims the store may have lost.
 
-        The caller writes these claims again. From now on no key begins under a claim of
-        a version below `version_min`: such a key would be missing from the returned
-        list, and another gate could claim it.
+        The code that calls this method writes the claims of these keys into the store
+        again. From now on `begin` refuses each attempt whose claim has a version below
+        `version_min`. If it registered the key of such an attempt, the key would be
+        missing from the returned list, and another gate could claim it.
 
         Parameters
         ----------
--- a/balsamspindle/backend_servers/lifetimes.py
+++ b/balsamspindle/backend_servers/lifetimes.py
@@ -21,10 +21,10 @@
 # Number of backend servers whose latest start is remembered. It is enough, as a node
 # has one backend server at a time.
 LIFETIMES_MAX = 1000
-# After a start has been silent for this long, announcements count again that it had
-# replaced: those of an earlier start, or of another backend server at the address. The
-# announcement that replaced them was then the late one. Announcements are sent every
-# second or two.
+# The announcement of a start replaces an earlier start, or another backend server at
+# the same address. If no announcement of the new start follows for this long, the one
+# that arrived was a late one. Announcements of the replaced start or backend server
+# then count again. Live backend servers announce themselves every second or two.
 REPLACED_SILENT_S = 4.0
 _EARLIER_START = "the backend server has started again since"
 
@@ -62,10 +62,11 @@
     def outranks_earlier(self, now_s: float) -> bool:
         """Return whether announcements with an earlier start time are ignored as late.
 
-        If the clock of a backend server is set back before it restarts, its new start
-        has the earlier start time, but must get work. The announcements of that start
-        therefore count once this start has been silent for `REPLACED_SILENT_S`. A start
-        that has left or drains is never replaced by a start with an earlier time.
+        If the clock of a backend server is set back before a restart, the new start has
+        an earlier start time than the old start, but must still get work. Once the old
+        start has been silent for `REPLACED_SILENT_S`, announcements with an earlier
+        start time are therefore no longer ignored. But they stay ignored if the old
+        start has left or drains.
         """
         is_silent = now_s - self.announced_s >= REPLACED_SILENT_S
         return self.has_left or self.is_draining or not is_silent
@@ -91,8 +92,8 @@
     ) -> None:
         """Apply an announcement unless it is late.
 
-        Its `boot_id` is replaced by one made from the backend server's id and the time
-        of its start.
+        The announcement's `boot_id` is replaced by one made from the backend server's
+        id and the time of its start.
         """
         with self._lock:
             cause = self._ignore_cause(server_id, announcement, status, now_s)
@@ -173,8 +174,8 @@
         self._address_holders[announcement.address] = server_id
         lifetime.sequence, lifetime.announced_s = status.sequence, now_s
         if replaced not in (None, server_id) and not lifetime.is_draining:
-            # A late announcement of the replaced backend server may have drained this
-            # one before.
+            # An earlier, late announcement of the replaced backend server may have
+            # drained the backend server that announces itself now.
             self._servers.undrain(server_id)
         announcement = msgspec.structs.replace(
             announcement, boot_id=_boot_id(server_id, status.start_unix_ms)
--- a/balsamspindle/backend_servers/link_server.py
+++ b/balsamspindle/backend_servers/link_server.py
@@ -76,8 +76,8 @@
         # or when its peer is notified that this node may end before the attempt.
         self._peers: dict[AttemptId, bytes] = {}
         self._replied_s = 0.0
-        # When the ingresses of attempts end, for attempts that the gate does not know
-        # yet.
+        # Attempts whose message the gate has not handled yet, each with the time at
+        # which its ingress ends.
         self._ends_s: dict[AttemptId, float] = {}
         self._router = context.socket(zmq.ROUTER)
         # When the socket is closed, queued replies are still sent for this long.
@@ -135,8 +135,8 @@
     def _send_replies(self) -> None:
         for frames in _receive_ready(self._replies):
             self._pending -= 1
-            # A message that names only the peer has no reply to send: the attempt was a
-            # duplicate, or handling it raised an exception.
+            # A message without a second frame carries no reply to send, because the
+            # attempt was a duplicate, or handling it raised an exception.
             if len(frames) > 1:
                 self._router.send_multipart(frames, copy=False)
                 self._replied_s = time.monotonic()
@@ -154,11 +154,11 @@
                 self._router.send_multipart([peer, encode(GateEnding(attempt_id))])
 
     def _pass_ingress_ends(self, now_s: float) -> None:
-        """Tell the gate when ingresses end, also for attempts that begin later.
+        """Tell the gate when the ingresses of present and later attempts end.
 
-        An ingress's `IngressEnding` message can arrive while its attempt still waits
-        for a thread, unknown to the gate. If the message were dropped, the attempt
-        could start just before its ingress ends.
+        The `IngressEnding` message of an ingress can arrive while an attempt of this
+        ingress still waits for a thread and is unknown to the gate. If the message were
+        dropped, the attempt could start just before its ingress ends.
         """
         for attempt_id, ends_s in list(self._ends_s.items()):
             is_over = now_s >= ends_s + ATTEMPT_RETENTION_S
--- a/balsamspindle/backend_servers/probes.py
+++ b/balsamspindle/backend_servers/probes.py
@@ -50,7 +50,7 @@
         self._stopped = threading.Event()
 
     def run(self) -> None:
-        """Probe until `stop` is called."""
+        """Send probes until `stop` is called."""
         with ThreadPoolExecutor(PROBE_THREADS_MAX, "probe") as executor:
             while not self._stopped.wait(PROBE_INTERVAL_S):
                 # `list` waits for all probes of the round. Otherwise the probes of a
--- a/balsamspindle/backend_servers/queue.py
+++ b/balsamspindle/backend_servers/queue.py
@@ -99,8 +99,9 @@
     was_cut : bool
         Whether an earlier run of the request was lost with a node that left.
     rank_s : float
-        Added to the target when sorting. It is the same for all calls made for one
-        request, so that they start together; 0 for other attempts.
+        Time that is added to `target_s` when tickets are sorted. The calls that a
+        backend server makes at the same time to handle one request share one rank, so
+        that they start together. 0 for an attempt without a rank.
     customer : str
         Customer that sent the request; empty when there is none.
     """
@@ -146,7 +147,7 @@
         self.queue_max = queue_max
         self._order = order
         self._on_change = on_change
-        # In order of arrival.
+        # Waiting tickets in order of arrival.
         self._waiting: list[Ticket] = []
         self._turns = CustomerTurns()
         self._sequence = 0
@@ -171,7 +172,7 @@
         free_slots : int
             Free slots of the ticket's backend server.
         effective_slots : float
-            Slots that heavier requests leave for this ticket's weight on average.
+            Average number of slots not occupied by requests heavier than the ticket.
         service_time_s : float
             Mean service time of the backend server; 0 when unknown.
         """
@@ -194,10 +195,11 @@
         service_time_s: float,
         now_s: float,
     ) -> Verdict:
-        """Return the verdict that a ticket would get, without enqueueing it.
+        """Return the verdict that `request_slot` would give now to a ticket.
 
-        Unlike `request_slot`, it does not change the queue. If the queue is full, it
-        returns ``SHED`` even if `request_slot` would shed another attempt instead.
+        Unlike `request_slot`, this method does not change the queue. If the queue is
+        full, it returns ``SHED`` even if `request_slot` would shed another attempt
+        instead.
         """
         verdict = self._judge(
             ticket, free_slots, effective_slots, service_time_s, now_s
--- a/balsamspindle/backend_servers/retry_grants.py
+++ b/balsamspindle/backend_servers/retry_grants.py
@@ -109,7 +109,7 @@
         is_last_resort: bool = False,
         was_cut: bool = False,
     ) -> bool:
-        """Grant a repeat and return True, or return False if none is left for it.
+        """Grant a repeat and return True, or return False if the budget forbids it.
 
         Parameters
         ----------
@@ -121,7 +121,7 @@
             Whether an earlier run of the request was lost with a node that left. Such a
             request may use the repeats reserved for heavier requests: heavier requests
             are repeated because they failed at their backend servers, while this
-            request would have been answered.
+            request would have been answered if the node had not left.
         """
         budget = self._budget(service, now_s)
         if not budget.fleet_per_s_min:
--- a/balsamspindle/backend_servers/retry_window.py
+++ b/balsamspindle/backend_servers/retry_window.py
@@ -15,8 +15,9 @@
 __all__ = ["WINDOW_S", "RetryWindow"]
 
 WINDOW_S = 10.0
-# Events are counted in steps of this length. Retries count for one step longer than
-# the window and requests for one step less, so that rounding never allows more retries.
+# Events are counted in steps of this length. Retries count for one step longer than the
+# window and requests for one step less, so that rounding never allows more retries than
+# the limit.
 STEP_S = 0.5
 
 
@@ -79,7 +80,7 @@
         return True
 
     def record_retries(self, count: float, now_s: float) -> None:
-        """Count retries made without `try_spend`; the remainder may become negative."""
+        """Count retries made without `try_spend`; `remaining` may become negative."""
         self._advance(now_s)
         self._retries.add(count, self._now_s)
 
--- a/balsamspindle/backend_servers/servers.py
+++ b/balsamspindle/backend_servers/servers.py
@@ -60,10 +60,10 @@
     Attributes
     ----------
     running : set of CancelToken
-        Tokens of its attempts that have a slot.
+        Tokens of the attempts that have a slot at this backend server.
     has_restarted : bool
-        Whether the backend server has restarted since; requests sent to it before the
-        restart get no answer.
+        Whether the backend server has restarted since the start that this object stands
+        for. Requests sent to it before the restart get no answer.
     is_replaced : bool
         Whether another backend server took its address while it was not draining.
     """
--- a/balsamspindle/backend_servers/slots.py
+++ b/balsamspindle/backend_servers/slots.py
@@ -14,10 +14,10 @@
 # occupy (their load). It is long enough for a steady average at a few requests per
 # second.
 LOAD_AVERAGING_S = 3.0
-# The slots reserved for heavier requests are their load plus this, rounded down, so the
-# load is rounded up unless its fraction is below 0.3. Reserving one of three slots for
-# a load of 0.2 slots would leave that slot idle for 80% of the time while lighter
-# requests are refused.
+# The number of slots reserved for heavier requests is the average number that they
+# occupy (their load) plus this value, rounded down. A load of 1.3 reserves two slots, a
+# load of 1.2 only one. Reserving one of three slots for a load of 0.2 would leave that
+# slot idle for 80% of the time while lighter requests are refused.
 LOAD_ROUNDING = 0.7
 # Heavier requests are assumed to leave at least this many slots to lighter requests,
 # because the average load is off by a few tenths of a slot.
@@ -32,9 +32,10 @@
 
     # Finished with an answer; its duration counts as a service time.
     ANSWERED = "answered"
-    # Finished or never started: refused, answered with an error, connection closed.
+    # The backend server does not work on the attempt any more, or never did: it refused
+    # the request, answered with an error, or the connection broke.
     DONE = "done"
-    # The backend server may still be working on it.
+    # The backend server may still be working on the attempt.
     IN_DOUBT = "in_doubt"
 
 
@@ -44,7 +45,7 @@
     Attributes
     ----------
     route_id : int
-        Requests of one route have similar service times; 0 when unknown.
+        Id of the route, whose requests have similar service times; 0 when unknown.
     """
 
     weight: float = 1.0
@@ -131,12 +132,13 @@
         return max(0, min(reserved, slots // 2) - running)
 
     def effective_slots(self, weight: float, slots: int, now_s: float) -> float:
-        """Return how many slots requests heavier than `weight` leave free on average.
+        """Return the average number of slots not occupied by heavier requests.
 
-        The result serves to estimate the wait of a request. Heavier requests that
-        arrive later are served first, too. An estimate from the present queue alone
-        would let a light request wait until its deadline at a gate whose slots are
-        always occupied by heavier requests.
+        A request is heavier if its weight is above `weight`. The result serves to
+        estimate how long a request of this weight waits. Heavier requests that arrive
+        later are served first, too. An estimate from the present queue alone would let
+        a light request wait until its deadline at a gate whose slots are always
+        occupied by heavier requests.
         """
         return max(EFFECTIVE_SLOTS_MIN, slots - self._loads.heavier_than(weight, now_s))
 
@@ -158,7 +160,7 @@
     ) -> None:
         """Free the slot of an attempt that ran for `ran_s`.
 
-        After `WorkEnd.IN_DOUBT` the slot stays occupied for a while; see the class.
+        After `WorkEnd.IN_DOUBT` the slot stays occupied for a while; see `SlotAccount`.
         """
         self._running -= 1
         self._running_by_weight[kind.weight] -= 1
@@ -184,9 +186,10 @@
         self._route_time_s[route_id] = known_s + SAMPLE_SHARE * (ran_s - known_s)
 
     def next_hold_end_s(self) -> float:
-        """Return when the next slot held after an attempt in doubt becomes free.
+        """Return when the next slot that an unanswered attempt still occupies is freed.
 
-        Infinity when no slot is held.
+        Infinity if there is no such slot. Why a slot stays occupied after an attempt
+        without an answer: see `SlotAccount`.
         """
         return min(self._held_until_s, default=math.inf)
 
--- a/balsamspindle/crashes/history.py
+++ b/balsamspindle/crashes/history.py
@@ -144,7 +144,7 @@
 
     def record_answer(self, content_hash: int, now_s: float) -> CrashUpdate:
         """Record a request's answer; return the changes that peers have to know."""
-        # Needed even if no crash is known: the report of an earlier one may yet arrive.
+        # Record it even if no crash is known: an earlier one may be reported late.
         self._answers.record(content_hash, now_s)
         if content_hash not in self._counts and content_hash not in self._quarantined:
             return CrashUpdate()
@@ -248,7 +248,7 @@
         return now_s - self._answers.answered_s(content_hash) < ANSWER_VALID_S
 
     def _quarantine_causes(self, crashes: Iterable[Crash], now_s: float) -> None:
-        """Quarantine the causes of crashes that are new or had a run removed."""
+        """Quarantine causes of crashes that are new or from which a run was removed."""
         attribution = self._attribution()
         for content_hash in {run.content_hash for one in crashes for run in one.runs}:
             quarantined = self._quarantined.get(content_hash)
--- a/balsamspindle/crashes/verdicts.py
+++ b/balsamspindle/crashes/verdicts.py
@@ -27,8 +27,8 @@
 # A request to which this many crashes are attributed, all after similar run times,
 # counts as their cause whatever the rate of other crashes.
 CRASHES_SUFFICIENT = 6
-# For CRASHES_SUFFICIENT, run times are similar if the longest is at most this factor
-# times the shortest, plus this time.
+# For CRASHES_SUFFICIENT, run times are similar if the longest is at most the shortest
+# times SIMILAR_TIME_FACTOR, plus SIMILAR_TIME_S.
 SIMILAR_TIME_FACTOR, SIMILAR_TIME_S = 2.0, 0.1
 # The crash rate of a service is computed from this long before the first crash that is
 # attributed to a request to the last of these crashes. In a longer window, a wave of
@@ -39,17 +39,18 @@
 # probability of running at its crashes by coincidence must be at least this many times
 # smaller than that of any other request.
 CAUSE_LEAD_FACTOR = 10.0
-# Run times that differ by less count as equal.
+# Two run times count as equal if their difference is smaller than this.
 EQUAL_RUN_TIME_S = 0.01
 # The probability that run times are similar by coincidence counts as at least this:
 # similar run times alone are no proof, since timeouts also end runs after equal times.
 SIMILAR_TIMES_PROBABILITY_MIN = 1e-3
-# Shorter run times count as this long, since clocks are read late on a busy VM.
+# A run time that is shorter than this counts as this long, since clocks are read late
+# on a busy VM.
 RUN_TIME_MIN_S = 0.05
 # Crashes within this time may have one common reason, such as the loss of a rack.
 SIMULTANEOUS_S = 0.1
 # If a request causes simultaneous crashes, because copies of it started together, its
-# run times differ by at most this fraction of the run time, plus this time.
+# run times differ by at most SIMILAR_RUN_FRACTION of the run time, plus SIMILAR_RUN_S.
 SIMILAR_RUN_FRACTION, SIMILAR_RUN_S = 0.2, 0.03
 # A run that began within this time after a crash counts as a prompt retry of the run of
 # the same request that was lost in the crash.
--- a/balsamspindle/services/floor.py
+++ b/balsamspindle/services/floor.py
@@ -77,9 +77,10 @@
     Attributes
     ----------
     known_slots : float
-        Full slots of all known backend servers; the floor is a fraction of them.
+        Number of slots of all known backend servers, whether usable now or not; the
+        floor is a fraction of this number.
     floor_slots : float
-        Capacity below which ejection must not bring the capacity in use.
+        Ejections must not reduce the capacity in use below this number of slots.
     ready_slots : float
         Slots usable now at the backend servers that take new work, with the suspected
         backend servers.
@@ -109,7 +110,7 @@
 
 
 def capacity_slots(placement: Placement) -> float:
-    """Return the slots usable now; only some of them are during a cold start."""
+    """Return the slots usable now: during a cold start, a part of all slots."""
     fraction = placement.backend_server.capacity
     # The usable fraction of the slots comes from another node, which may report NaN by
     # a fault. NaN counts as 0. Otherwise each sum of capacities would be NaN, and each
--- a/balsamspindle/services/peer_evidence.py
+++ b/balsamspindle/services/peer_evidence.py
@@ -16,7 +16,7 @@
 # How long a gate's judgement of a backend server's latest answer, good or bad, is used.
 JUDGEMENT_VALID_S = 10.0
 # How long the 99th percentile of a backend server's latency, which changes little, is
-# used after the backend server's latest judged answer.
+# used after the latest answer of the backend server that a gate judged good or bad.
 P99_EXPIRY_S = 600.0
 # An attempt counts as hanging when it is in flight for longer than this many times the
 # 99th percentile of its backend server's latency.
--- a/balsamspindle/services/subset.py
+++ b/balsamspindle/services/subset.py
@@ -16,10 +16,10 @@
 
 __all__ = ["OTHER_ZONES_MIN", "SUBSET_MAX", "subset"]
 
-# Backend servers of one service to which a node keeps links. Without the entries for
-# other zones, sixteen of them are in the own zone. Sixteen gates with seven slots each
-# nearly always have a free slot, at a utilization of two thirds and with a third of the
-# gates unhealthy.
+# Maximum number of backend servers of one service to which a node keeps links. Eight of
+# them are reserved for other zones, which leaves sixteen for the own zone. Sixteen
+# gates with seven slots each nearly always have a free slot, at a utilization of two
+# thirds and with a third of the gates unhealthy.
 SUBSET_MAX = 24
 # Entries reserved for backend servers of other zones, even if the own zone could fill
 # the subset. They get requests when all gates of the own zone are busy or lost.
@@ -31,9 +31,10 @@
 ) -> list[Placement]:
     """Return the backend servers that a node uses, among those that take work.
 
-    The subset is filled with the backend servers of the own VM first, then with others
-    of the own zone, by hash, up to the entries reserved for other zones. These entries
-    go to backend servers of the own region, or of other regions if there are too few.
+    Of `size_max` entries, some are reserved for other zones. The unreserved entries go
+    to the backend servers of the own VM first, then to other backend servers of the own
+    zone, which a hash selects. The reserved entries go to backend servers of the own
+    region, or of other regions if there are too few.
 
     Without the preference for the own zone, a subset of 16 of 90 backend servers in
     five zones would contain only three of the own zone. At a utilization of two thirds
