--- a/balsamspindle/backend_servers/crash_watch.py
+++ b/balsamspindle/backend_servers/crash_watch.py
@@ -26,8 +26,8 @@
 __all__ = ["CrashWatch", "refuses_connections"]
 
 # A run that was lost at most this long before a crash was detected counts as lost in
-# that crash: its caller may have disconnected, or its thread may have noticed the end
-# of the connection before the crash was detected.
+# that crash: before the crash is detected, the caller may disconnect, or the thread of
+# the run may notice the end of its connection.
 LOST_TOGETHER_S = 1.0
 # The longest time from the crash of a backend server until another one announces
 # itself at the same address.
@@ -79,8 +79,8 @@
     def is_refuted_by_answer(self, run: _Run | None, now_s: float) -> bool:
         """Return whether an answer received now shows that this start did not end.
 
-        It does if its run began after the supposed end, or if it arrives too late to
-        have been sent before the supposed end.
+        The answer shows it if the run that it belongs to began after the supposed end,
+        or if it arrives too late to have been sent before the supposed end.
         """
         if self.ended_s is None or run is None:
             return False
--- a/balsamspindle/backend_servers/health_peers.py
+++ b/balsamspindle/backend_servers/health_peers.py
@@ -57,9 +57,9 @@
 
         A backend server that is held out gets no dispatches, and so few summaries of
         its peers: the average is stale when the hold-out ends. If all peers have become
-        slow meanwhile, the average would follow only by a tenth of the difference with
-        each summary. A backend server that is as slow as its peers would be held out
-        again after its first answer, for twice as long.
+        slow meanwhile, the average would move toward their present percentile by only a
+        tenth of the difference with each summary. A backend server that is as slow as
+        its peers would be held out again after its first answer, for twice as long.
         """
         self._is_p99_stale = True
 
--- a/balsamspindle/backend_servers/health_readmission.py
+++ b/balsamspindle/backend_servers/health_readmission.py
@@ -111,7 +111,7 @@
         )
 
     def readmit(self, now_s: float) -> None:
-        """Enter the serving phase, and count the time of good service from now on."""
+        """Enter the serving phase; a new period of good service begins now."""
         self._calm_since_s = now_s
         self._enter(HealthPhase.SERVING, now_s)
 
--- a/balsamspindle/backend_servers/health_work.py
+++ b/balsamspindle/backend_servers/health_work.py
@@ -26,8 +26,9 @@
 # The most that one attempt adds to the score, as a part of the threshold: ejection
 # takes at least two bad attempts.
 ONE_ATTEMPT_MAX = 0.6
-# A backend server with this minimum of hanging requests is at a standstill, unless the
-# share of bad peers reaches the maximum: then the load may be the cause.
+# A backend server is at a standstill if at least `STANDSTILL_REQUESTS_MIN` requests
+# hang. It is not if the share of bad peers is `STANDSTILL_PEERS_BAD_MAX` or more: then
+# the load may be the cause.
 STANDSTILL_REQUESTS_MIN = 2
 STANDSTILL_PEERS_BAD_MAX = 0.1
 # Times that differ by less than this count as the same moment.
@@ -327,12 +328,12 @@
     def _is_outside_last_pause(self, attempt: _InFlight, now_s: float) -> bool:
         """Tell whether an attempt was slow for another reason than the last pause.
 
-        It was if a good request ended after the pause and before the attempt began, or
-        if a good request began after the attempt and ended before it. A good request
-        that ended at the same moment as the attempt proves nothing: all requests end
-        together at the end of a pause. An attempt that began at the same moment as the
-        attempt last counted always belongs to its pause: threads that wait for a
-        processor are delayed for different times.
+        The pause is not the reason if a good request ended after the pause and before
+        the attempt began, or if a good request began after the attempt and ended before
+        it. A good request that ended at the same moment as the attempt proves nothing:
+        all requests end together at the end of a pause. An attempt that began at the
+        same moment as the attempt last counted always belongs to its pause: threads
+        that wait for a processor are delayed for different times.
         """
         if abs(attempt.started_s - self._last_slow_start_s) < SAME_MOMENT_S:
             return False
--- a/balsamspindle/backend_servers/ledger.py
+++ b/balsamspindle/backend_servers/ledger.py
@@ -56,7 +56,7 @@
 
     fingerprint: tuple[str, str, int]
     claimed_s: float
-    # When the claim was last written into the store, or slightly earlier.
+    # When the claim was last written into the store, or a moment before the write.
     stored_s: float
     reply: Reply | None = None
 
--- a/balsamspindle/backend_servers/queue.py
+++ b/balsamspindle/backend_servers/queue.py
@@ -126,9 +126,10 @@
 
     The heaviest attempt starts first, so lighter attempts never make it miss its
     deadline. Among attempts of the same weight customers take turns, so a customer with
-    many requests delays its own requests only. Among attempts of the same turn, the
-    attempt with the earliest latency target starts first; if these are equal, `order`
-    decides. Attempts that will miss their target go behind the others of their weight.
+    many requests delays its own requests only. Among attempts with the same turn
+    number, the attempt with the earliest latency target starts first; if these are
+    equal, `order` decides. Attempts that will miss their target go behind the others of
+    their weight.
 
     Parameters
     ----------
--- a/balsamspindle/backend_servers/retry_grants.py
+++ b/balsamspindle/backend_servers/retry_grants.py
@@ -44,8 +44,8 @@
     Parameters
     ----------
     budget : callable
-        Returns the retry budget of a service at a given time, with this gate's share
-        of the fleet's fixed number of retries.
+        Returns the retry budget of a service at a given time, including this gate's
+        share of the fleet's fixed number of retries.
     """
 
     def __init__(self, budget: Callable[[str, float], RetryBudget]) -> None:
@@ -125,7 +125,8 @@
         """
         budget = self._budget(service, now_s)
         if not budget.fleet_per_s_min:
-            # The budget has no share for gates: each sending node limits its repeats.
+            # Gates do not limit the repeats of this service: each sending node limits
+            # its own repeats.
             return True
         with self._lock:
             state = self._state(service)
--- a/balsamspindle/backend_servers/suspect_runs.py
+++ b/balsamspindle/backend_servers/suspect_runs.py
@@ -19,7 +19,10 @@
         self._running: dict[str, Counter[int]] = {}
 
     def begin(self, backend_server_id: str, content_hash: int) -> bool:
-        """Register a run at a server; return False if another suspected request runs there."""
+        """Register a run, unless another suspected request runs at the server.
+
+        Return False if the run was not registered and must not start.
+        """
         with self._lock:
             running = self._running.setdefault(backend_server_id, Counter())
             if any(other != content_hash for other in running):
--- a/balsamspindle/backend_servers/work_ends.py
+++ b/balsamspindle/backend_servers/work_ends.py
@@ -76,7 +76,7 @@
 
 
 def work_end(result: BackendAnswer | BackendFailure | None) -> WorkEnd:
-    """Return whether the backend server may still work on an attempt."""
+    """Return whether the backend server may still be working on an attempt."""
     if isinstance(result, BackendFailure) and not result.sent:
         return WorkEnd.DONE
     return _WORK_ENDS[work_result(result)]
