--- a/balsamspindle/load/audit.py
+++ b/balsamspindle/load/audit.py
@@ -67,7 +67,8 @@
         Time from the start of the fault to the last request before the first quiet
         period; None if there was no quiet period or no request.
     met : int
-        Requests that the server received up to then, during the fault.
+        Requests that the server received from the start of the fault to the first
+        quiet period; if there was none, to the end of the fault.
     met_later : int
         Requests that it received later during the fault: trials, or requests after a
         premature readmission.
--- a/balsamspindle/load/caller.py
+++ b/balsamspindle/load/caller.py
@@ -22,7 +22,8 @@
     "call_body",
 ]
 
-# Outcomes of requests without an answer that names its outcome.
+# Outcomes of requests that got no answer, or an answer without an outcome header.
+# `NOT_CONNECTED` means that the connection failed, so nothing was sent.
 NO_ANSWER = "no_answer"
 NOT_CONNECTED = "not_connected"
 CONNECT_TIMEOUT_MS = 1000
--- a/balsamspindle/load/ejections.py
+++ b/balsamspindle/load/ejections.py
@@ -54,7 +54,7 @@
 
 
 class EjectionSampler:
-    """Polls each node's status for ejected ones among its own backend servers.
+    """Polls each node's status and records which of its backend servers are ejected.
 
     Parameters
     ----------
--- a/balsamspindle/load/schedule.py
+++ b/balsamspindle/load/schedule.py
@@ -61,7 +61,7 @@
 
 
 def schedule_faults(faults: list[FaultPeriod]) -> list[FaultChange]:
-    """Return all changes of faults by time; each period ends without its fault."""
+    """Return all changes of faults by time; each period's last one ends its fault."""
     changes = [change for fault in faults for change in _fault_changes(fault)]
     return sorted(changes, key=lambda change: change.at_s)
 
--- a/balsamspindle/membership/probing.py
+++ b/balsamspindle/membership/probing.py
@@ -33,10 +33,12 @@
 OTHER_REGION_EVERY = 5
 # A node that received no answer from any peer for this long considers itself isolated.
 ISOLATED_AFTER_S = 4.0
-# Interval at which a node pings contact addresses of unknown nodes, and how many.
+# At this interval, a node pings up to `CONTACTS_PER_ROUND` of the contact addresses at
+# which it knows no live node.
 CONTACT_INTERVAL_S = 3.0
 CONTACTS_PER_ROUND = 3
-# Interval at which a node that peers suspect or declared dead asks peers to ping it.
+# While a peer suspects a node or considers it dead, the node asks peers at this
+# interval to ping it.
 SELF_CHECK_INTERVAL_S = 0.6
 # Mean number of nodes that probe a suspected node because a peer suspects it.
 EXPECTED_CHECKERS = 6
@@ -224,7 +226,13 @@
     def _request_indirect_pings(
         self, sequence: int, node: NodeRecord, now_s: float
     ) -> bool:
-        """Ask helpers to ping a node; return False if the byte cap refused to."""
+        """Ask helpers to ping a node.
+
+        Returns
+        -------
+        bool
+            False if the byte cap of this node refused the requests to all helpers.
+        """
         # Perhaps the node is healthy and only this connection to it is broken. The
         # next ping opens a new connection.
         self._transport.disconnect(node.member_address)
--- a/balsamspindle/membership/registry.py
+++ b/balsamspindle/membership/registry.py
@@ -97,14 +97,15 @@
             wait_s = self.run_round() * self._random.uniform(0.5, 1.5)
 
     def run_round(self) -> float:
-        """Run one round; return the mean time until the next one in seconds."""
+        """Run one round; return the mean delay in seconds before the next round."""
         if not self._is_isolated():
             self._isolated_rounds = 0
             self.update_rows()
             return UPDATE_INTERVAL_S
-        # A node that knows no other node ranks first for all slots of its zone. If it
-        # wrote them before the nodes in the table had time to answer, each node of a
-        # starting fleet would write all rows of its zone.
+        # A node that knows no other node ranks first for each slot of its zone, so it
+        # would write all rows of the zone. It therefore first gives the nodes in the
+        # table time to answer. Otherwise all nodes of a starting fleet would write the
+        # same rows.
         if not self.find_peers() or self._isolated_rounds >= PEER_REPLY_ROUNDS:
             # The first node of a fleet has no peers. It writes rows all the same, so
             # that the nodes that start later find it.
--- a/balsamspindle/membership/sync.py
+++ b/balsamspindle/membership/sync.py
@@ -263,7 +263,10 @@
 
 
 def _buckets_per_pull(summary: SyncSummary) -> int:
-    """Return how many buckets hold `NODES_PER_PULL` nodes, judged by a summary."""
+    """Return how many buckets hold about `NODES_PER_PULL` nodes.
+
+    The estimate uses the mean number of nodes per bucket in a peer's summary.
+    """
     nodes_per_bucket = len(summary.nodes) / max(1, len(summary.buckets))
     wanted = int(NODES_PER_PULL / max(1.0, nodes_per_bucket))
     return max(1, min(wanted, BUCKETS_PER_PULL_MAX))
--- a/balsamspindle/node/store_eras.py
+++ b/balsamspindle/node/store_eras.py
@@ -13,13 +13,14 @@
 __all__ = ["NodeEras"]
 
 
-# While callers wait for lost claims, peers are notified again after this interval,
-# because messages may be lost.
+# Shortest time between two messages in which a node asks its peers to write claims
+# again that the store lost. The node repeats the message while callers wait for these
+# claims, because messages may be lost on the way.
 REPEAT_REQUEST_S = 1.0
 
 
 class NodeEras:
-    """Shares eras of the store with other nodes and notifies the parts of this one.
+    """Shares eras of the store with other nodes and notifies parts of this node.
 
     Attributes
     ----------
@@ -47,7 +48,11 @@
         self._new_era_handlers.append(handler)
 
     def on_claims_request(self, handler: Callable[[int], None]) -> None:
-        """Register a callable for eras in which callers wait for lost claims."""
+        """Register a callable for requests to write lost claims again.
+
+        It is called once for an era, with the era, when this node makes the first such
+        request or receives it from a peer.
+        """
         self._claims_request_handlers.append(handler)
 
     def connect(self, own: NodeRecord, directory: Directory, member: Member) -> None:
@@ -65,7 +70,7 @@
         member.share_store_era(lambda: self.known.newest, self.known.record_era)
 
     def request_claims(self, era: int) -> None:
-        """Notify all nodes that callers here wait for claims lost by the store."""
+        """Ask all nodes to write lost claims again, because callers wait for them."""
         now_s = self._clock()
         if now_s - self._requested_s < REPEAT_REQUEST_S and era <= self._requested_era:
             return
@@ -79,7 +84,13 @@
             self._notify_peers(message)
 
     def _record_request(self, era: int) -> bool:
-        """Record an era whose claims are requested; return whether this is new here."""
+        """Record that nodes are to write their claims again in an era.
+
+        Returns
+        -------
+        bool
+            Whether no request for this era or a later one was recorded before.
+        """
         with self._lock:
             is_new = era > self._requested_era
             self._requested_era = max(self._requested_era, era)
--- a/balsamspindle/node/store_parts.py
+++ b/balsamspindle/node/store_parts.py
@@ -63,7 +63,7 @@
         begin_era: Callable[[int, float, float], list[HeldKey]],
         is_isolated: Callable[[], bool],
     ) -> ClaimRestorer | None:
-        """Create the part that writes claims again which the store has lost.
+        """Create the part that writes claims again after the store has lost them.
 
         Parameters
         ----------
--- a/balsamspindle/platform/configuration.py
+++ b/balsamspindle/platform/configuration.py
@@ -34,22 +34,23 @@
 TEAM = "operator"
 TABLE, KEY = "op", "config"
 
-# Fractions of the retries allowed by the bounds that gates grant. The rest covers what
-# gates can't count exactly: the platform counts requests in another time window, and
-# the calls that repeated runs make are only estimated.
+# The platform's bounds limit the retries. Gates grant only these fractions of the
+# limits. The rest covers what gates can't count exactly: the platform counts requests
+# in another time window, and the calls that repeated runs make are only estimated.
 RETRY_RATIO_USED_FRACTION = 0.8
 RETRY_RATE_USED_FRACTION = 0.8
 
-# On this platform many backend servers can fail at the same time, each for seconds of
-# its own; they answer errors or reset connections at once meanwhile. A healthy backend
-# server fails single requests, too. So the first trial follows soon after an error, and
-# each failed trial makes the wait for the next one longer.
+# On this platform many backend servers can fail at the same time, independently of each
+# other and for some seconds. A failing backend server answers each request at once with
+# an error or resets the connection. A healthy one fails single requests, too. So the
+# first trial follows soon after an error, and each failed trial makes the wait for the
+# next one longer.
 HOLD_OUT_S, HOLD_OUT_MAX_S = 0.05, 1.0
 HOLD_OUT_GROWTH = 4.0
 TRIAL_SUCCESSES = 1
-# A backend server that keeps failing fails its trials in a row. An error after a second
-# without errors may well be a single failure, so one growth step of the hold-out is
-# undone.
+# A backend server that keeps failing fails one trial after the other. After a second in
+# service without an ejection, the next error may well be a single failure. So each such
+# second undoes one multiplication of the next hold-out by `HOLD_OUT_GROWTH`.
 CALM_S = 1.0
 # Attempts that may wait at one gate. They are refused earlier if they can't end before
 # their deadline, so this only bounds memory.
--- a/balsamspindle/platform/settings.py
+++ b/balsamspindle/platform/settings.py
@@ -181,9 +181,9 @@
 
 
 def _key_proof_max_age_s(bounds: dict[str, str]) -> float | None:
-    """Return how long a key is served after a proof of it, in seconds.
+    """Return how long keys are accepted after the last proof that they are valid.
 
-    None if keys are served without a proof.
+    In seconds; None if keys are accepted without proofs.
     """
     match bounds.get("strict_revocation", "false"):
         case "false":
--- a/balsamspindle/protocol/outcomes.py
+++ b/balsamspindle/protocol/outcomes.py
@@ -17,7 +17,7 @@
         No backend server ran the request. This is a guarantee: it is given only for
         an attempt that was never written to a socket, or that the gate refused or
         cancelled before it was dispatched, or that the backend server refused with
-        a proof.
+        the header that proves that it did not run the request.
     UNKNOWN
         A backend server may have run the request; also if nothing answered.
     """
@@ -145,8 +145,9 @@
 
     @classmethod
     def _missing_(cls, value: object) -> "CancelCause":
-        # Causes of later releases. If they were refused, the message would be dropped
-        # as unreadable, and the cancelled attempt would continue for no caller.
+        # A node of a later release may send a cause that this release does not know. If
+        # the cause were rejected, the whole message would be dropped as unreadable, and
+        # the cancelled attempt would continue although no caller waits for it.
         return cls.INGRESS_GAVE_UP
 
 
--- a/balsamspindle/settings/subtree.py
+++ b/balsamspindle/settings/subtree.py
@@ -37,7 +37,7 @@
 
 
 def encode_documents(documents: Mapping[str, Any]) -> dict[str, bytes]:
-    """Return documents encoded as JSON, as validation and nodes use them."""
+    """Encode documents as JSON, the form that validation and nodes read."""
     return {path: msgspec.json.encode(value) for path, value in documents.items()}
 
 
--- a/balsamspindle/standins/store_rows.py
+++ b/balsamspindle/standins/store_rows.py
@@ -80,7 +80,8 @@
     ValueError
         If the transaction is too large or spans partitions.
     HTTPException
-        With status 403, if the transaction writes a table of others.
+        With status 403, if the transaction writes a table that only the operator and
+        the platform may write.
     """
     entries = [
         *transaction.precondition,
--- a/balsamspindle/tables/eras.py
+++ b/balsamspindle/tables/eras.py
@@ -17,7 +17,7 @@
 
 
 def pack_version(era: int, number: int) -> int:
-    """Combine an era and the store's number of a write into a row version."""
+    """Combine an era and the number that the store gave a write into a row version."""
     return era * NUMBERS_PER_ERA + number
 
 
@@ -27,7 +27,7 @@
 
 
 def number_of(version: int) -> int:
-    """Return the store's number of a write that a row version contains."""
+    """Return the number of the write that a row version contains."""
     return version % NUMBERS_PER_ERA
 
 
--- a/balsamspindle/timeline/line_budget.py
+++ b/balsamspindle/timeline/line_budget.py
@@ -26,7 +26,7 @@
         self._second = 0
         self._written: Counter[str] = Counter()
         self._left_out: Counter[str] = Counter()
-        # Lines left out in earlier seconds that are not in the log yet.
+        # Counts of lines left out in earlier seconds; not yet written to the log.
         self._unreported: Counter[str] = Counter()
 
     def allows(self, event: str, now_s: float) -> bool:
@@ -49,7 +49,7 @@
         Returns
         -------
         dict of str to int
-            Event name to lines that were left out.
+            Event name to the number of its lines that were left out.
         """
         if not self._unreported:
             return {}
--- a/balsamspindle/wire/link_messages.py
+++ b/balsamspindle/wire/link_messages.py
@@ -167,12 +167,14 @@
     is_repeat : bool
         Whether an earlier attempt reached a backend server, or may have.
     repeat_fraction : float
-        Fraction of the runs beside the sender that are repeats, which is the
-        probability that this request is a call made by a repeat.
+        Fraction of the present runs at the sender's own backend servers that are
+        repeats. Used as the probability that such a repeat made this request.
     ingress_remaining_ms : float or None
         Time until the sender's node ends; None if it is not leaving.
     was_cut : bool
-        Whether an earlier run was lost, or will be, because its gate's node ends.
+        Whether an earlier run of the request was lost, or is about to be lost: its
+        gate cancelled it, announced that its node stops, or did not reply; or the
+        backend server crashed.
     rank_ms : float
         Delay added to its position in queues; the same for all calls made by one
         parent request.
@@ -294,7 +296,7 @@
     Attributes
     ----------
     remaining_ms : float
-        Time until the ingress ends, when the message is sent.
+        Time from the sending of this message until the ingress ends.
     """
 
     attempt_id: AttemptId
--- a/tests/mixed_fleet.py
+++ b/tests/mixed_fleet.py
@@ -127,7 +127,7 @@
 
 
 class CrashingServer:
-    """A backend server that one target crashes; it comes back as a new start."""
+    """A backend server that crashes at each request for `CRASHING`, then restarts."""
 
     def __init__(self, name: str, node: Node) -> None:
         self._name, self._node, self._starts = name, node, 0
--- a/tests/test_lifetimes.py
+++ b/tests/test_lifetimes.py
@@ -95,8 +95,9 @@
         self.assertEqual(["one"], self.servers.remove_silent(31.0))
 
     def test_a_new_start_under_the_same_id_begins_anew(self):
-        # A backend server drains, crashes and restarts under the same id. Its
-        # announcements count from 1 again, and the new start does not drain.
+        # A backend server drains, crashes and restarts under the same id. After the
+        # restart its announcements count from 1 again and no longer report that it
+        # drains, so it has to get work.
         self.announce("one", 7, 0.0, draining=True, start_unix_ms=1000)
         self.announce("one", 1, 1.0, start_unix_ms=2000)
         self.assertEqual({"one": BackendServerState.READY}, self.states())
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -147,7 +147,8 @@
             (source in minority) == (target in minority)
         )
         self.network.run(120)
-        # They may declare at most half of the nodes of their region dead.
+        # A node may declare at most half of the nodes of its region dead, so each of
+        # the three still considers at least five of the nine alive.
         for node in minority:
             self.assertGreaterEqual(len(node.alive()), 5)
         self.network.delivers = lambda source, target: True
--- a/tests/test_placement_selection.py
+++ b/tests/test_placement_selection.py
@@ -191,9 +191,10 @@
         self.assertEqual("far-0", selected.placement.backend_server.backend_server_id)
 
     def test_short_queues_reported_to_other_requests_go_before_suspected_servers(self):
-        # The only healthy gate reported a queue of 200 ms to other requests. A call
-        # that does not ask it itself must not go to a suspected backend server, where
-        # it fails, and its parent request with it, with 700 ms left.
+        # Only one backend server is not suspected. Its gate has reported a queue of
+        # 200 ms to other requests. A call that has not asked this gate yet must join
+        # the queue: at a suspected backend server the call would fail, and its parent
+        # request with it, although 800 ms are left.
         for name in NEAR + FAR[1:]:
             self.sender.held_out_servers.record(name, HoldOut(1000.0, 9), 0.0)
         self.sender.queue_hints.record(FAR[0], 200.0, 0.0)
@@ -341,8 +342,9 @@
         self.assertIs(Verdict.START, self.ask(queue, late, 1, 0.5))
 
     def test_a_request_whose_run_was_cut_is_not_put_back_for_being_late(self):
-        # A request whose run was cut when its node left is late because of that.
-        # Behind all new requests it would not be served at all.
+        # A request is late because its run was cut when the gate's node left. Late
+        # requests wait behind all others that can be in time; if this rule applied to
+        # the request, new requests would keep it from being served at all.
         queue = SlotQueue(10)
         cut = self.ticket(target_s=1.0, route_time_s=0.5, was_cut=True)
         fresh = self.ticket(target_s=3.0, route_time_s=0.5)
