--- a/balsamspindle/customers/buckets.py
+++ b/balsamspindle/customers/buckets.py
@@ -76,7 +76,8 @@
     def __init__(self, now_s: float) -> None:
         self._lock = threading.Lock()
         # Since this time, this node has granted nothing to customers without a bucket.
-        # The tokens that arrived since then are added to a new bucket.
+        # So a new bucket also gets the tokens that its refill rate yields from this
+        # time until now.
         self._ungranted_since_s = now_s
         self._buckets: OrderedDict[str, _Bucket] = OrderedDict()
 
@@ -127,10 +128,10 @@
 
     @staticmethod
     def _reserve_token(bucket: _Bucket, rate: Rate, now_s: float) -> float:
-        """Reserve the next token for a refused caller; return the seconds until then.
+        """Reserve a future token for a refused caller; return its wait in seconds.
 
-        Each token is reserved for one caller, so that refused callers do not all retry
-        at once.
+        The caller may retry when the token is added to the bucket. Each token is
+        reserved for one caller, so that refused callers do not all retry at once.
         """
         if rate.per_s <= 0:
             return WAIT_MAX_S
--- a/balsamspindle/customers/freshness.py
+++ b/balsamspindle/customers/freshness.py
@@ -3,10 +3,10 @@
 A revoked key must stop working on all nodes within a few seconds, even on a node that
 receives no messages. So a node uses keys only while it can prove that a short time ago
 its settings were the store's newest. A proof is a read of the newest revision in the
-store; a node can use the proof if that revision, or a newer one, is in force at the
-node. The age of a proof counts from the start of the read, as the result may lack
-changes that the store accepted later. That a node received no message about a newer
-revision is no proof.
+store. A node can use the proof if that revision, or a newer one, is in force at the
+node. The age of a proof counts from the start of the read, because the result may lack
+changes that the store accepted later. If a node received no message about a newer
+revision, this proves nothing: the message may have been lost.
 """
 
 import threading
--- a/balsamspindle/customers/granters.py
+++ b/balsamspindle/customers/granters.py
@@ -48,8 +48,9 @@
     zones : int
         Number of availability zones in the fleet; 0 to count those that are known.
     window_s : float
-        In any window of this length, a customer may run its rate times the window
-        plus its burst. If 0, the burst is available once and refills at the rate.
+        Length of a time window. In any window of this length, a customer may run
+        `rate_per_s * window_s + burst` requests. If 0, there is no window: a customer
+        may run its burst at once, and a spent burst refills at the customer's rate.
     over_fraction : float
         Fraction by which a customer may exceed its number of requests per window.
     slack : float
@@ -62,7 +63,10 @@
     slack: float = 0.0
 
     def fleet_rate(self, limit: Limit) -> Rate:
-        """Return the rate and burst that all nodes together may grant of a limit."""
+        """Return the rate and burst up to which all nodes together grant requests.
+
+        They enforce one customer's limit, within the tolerances of this policy.
+        """
         if not self.window_s:
             return Rate(limit.rate_per_s, limit.burst + self.slack)
         in_window = limit.rate_per_s * self.window_s + limit.burst
@@ -81,9 +85,10 @@
     FLEET = 1
 
 
-# Fraction of a limit that all granters of a scope grant together. A customer whose
-# callers are all in one of three zones can use 0.4 / 3 + 0.6 of its limit, which is
-# more than two thirds.
+# Fraction of a limit that a customer's zone granters grant together, and fraction that
+# its granter for the whole fleet grants. A customer whose callers are all in one of
+# three zones can use the share of that zone (0.4 / 3) and that of the fleet (0.6):
+# together more than two thirds of its limit.
 _SCOPE_FRACTIONS = {Scope.ZONE: 0.4, Scope.FLEET: 0.6}
 
 
--- a/balsamspindle/customers/limits.py
+++ b/balsamspindle/customers/limits.py
@@ -3,8 +3,9 @@
 A request of a customer with a limit is forwarded only after a granter of the customer
 has granted it (see `balsamspindle.customers.granters`). The granter for this node's
 zone is asked first. If it does not grant the request, the granter for the whole fleet
-is asked. If a granter can't be reached, another node is asked in its place, which may
-grant a much smaller share of the limit. A request that no node grants is not run.
+is asked. If a granter can't be reached, another node is asked in its place. That node
+may grant only a much smaller share of the limit. A request that no node grants is not
+run.
 """
 
 import itertools
@@ -21,8 +22,9 @@
 
 __all__ = ["Grant", "Limiter", "LimitLinks"]
 
-# How long after its start a node may not yet know most of the other nodes. During this
-# time it would select itself as the granter of every customer.
+# A node that has just started does not know most of the other nodes yet, so it would
+# select itself as the granter of every customer. `Limiter.is_ready` returns False until
+# this time after the start.
 DISCOVERY_S = 1.0
 KNOWN_LIMITS_MAX = 100_000
 
@@ -98,8 +100,8 @@
     ) -> Grant | Denial | None:
         """Acquire a grant for one request.
 
-        If no node grants the request, returns the denial with the shortest wait; None
-        if no node could be asked.
+        If no node grants the request, returns the denial with the shortest wait, or
+        None if no node could be reached.
         """
         if not customer.rate_per_s:
             return Grant(customer.name, is_limited=False)
--- a/balsamspindle/customers/proofs.py
+++ b/balsamspindle/customers/proofs.py
@@ -3,8 +3,8 @@
 A few nodes of each zone, its readers, read the store. The other nodes ask their zone's
 readers for the newest proof, and read the store themselves only if no node of the zone
 has a newer one. The age of a proof from a peer is the age that the peer reports plus
-the time since the question was sent. It includes delays of the question and of the
-answer, for instance in a paused process.
+the time since the question was sent. If the question or the answer is delayed, for
+instance in a paused process, the proof seems older than it is, but never newer.
 """
 
 import itertools
@@ -28,7 +28,8 @@
 
 TICK_S = 0.1
 READERS_PER_ZONE_MIN = 2
-# A zone has one reader, a node that reads the store regularly, for this many nodes.
+# A reader is a node that reads the store regularly. A zone has one reader for every
+# NODES_PER_READER of its nodes, rounded up, but at least READERS_PER_ZONE_MIN readers.
 NODES_PER_READER = 32
 # Interval at which readers read the store.
 READ_INTERVAL_S = 1.5
--- a/balsamspindle/requests/attempt_outcomes.py
+++ b/balsamspindle/requests/attempt_outcomes.py
@@ -29,7 +29,8 @@
     Parameters
     ----------
     is_given_up : callable
-        Returns whether this node no longer waits for the reply to any attempt.
+        Returns whether this node is leaving and has stopped waiting for the replies to
+        all of its attempts.
     """
 
     def __init__(
--- a/balsamspindle/requests/claim_eras.py
+++ b/balsamspindle/requests/claim_eras.py
@@ -94,14 +94,15 @@
     ) -> None:
         """Record which processes of the fleet are running now.
 
-        Removes processes that ended before the oldest copy was made from which the
-        store may be restored: that copy has all of their claims.
+        The store is never restored from a copy older than `COPY_AGE_MAX_S`. Removes
+        the processes that ended before the oldest usable copy was made, because every
+        such copy has all of their claims.
 
         Parameters
         ----------
         answered_s : float
             Time of the store's last answer in the current era. If the store has been
-            restored since, its copy is at most `COPY_AGE_MAX_S` older than this time.
+            restored since, the copy was made at most `COPY_AGE_MAX_S` before this time.
         """
         with self._changed:
             if self._first_seen_s is None:
@@ -124,7 +125,11 @@
             return True
 
     def is_settled(self, era: int) -> bool:
-        """Return whether a key that has no claim in an era is known to be unclaimed."""
+        """Return whether an era is settled.
+
+        In a settled era, a key without a claim in the store counts as unclaimed. In
+        any other era, the store may have lost the key's claim.
+        """
         return era <= self._newest_settled_era
 
     def settle(self, era: int) -> None:
@@ -141,8 +146,8 @@
         """Wait for an era to be settled; return whether it is.
 
         The wait ends at `give_up_s`, but no later than `RESTORE_WAIT_S` after the
-        current era began; a call that is made later than that returns at once. A
-        process that has not confirmed the era by then may never confirm it.
+        current era began. A later call returns at once: a process that has not
+        confirmed the era by then may never confirm it.
         """
         self._on_request(era)
         with self._changed:
--- a/balsamspindle/requests/claim_restorer.py
+++ b/balsamspindle/requests/claim_restorer.py
@@ -154,8 +154,9 @@
         Returns
         -------
         bool
-            True if nothing is left to do until a new era begins or a request waits for
-            the current era to be settled; False if the step has to be repeated.
+            False if the step has to be repeated. True if nothing is left to do for now:
+            the next step is due when a new era begins, or when a request waits for the
+            current era to be settled.
         """
         era = self._tables.era
         self._update_era(era, now_s)
@@ -175,9 +176,9 @@
     def _update_era(self, era: int, now_s: float) -> None:
         self._eras.begin(era, now_s)
         if era > self._era:
-            # The store was restored after its last answer in the previous era, from a
-            # copy that is at most COPY_AGE_MAX_S older than that answer. Claims that
-            # were written after the copy was made may be lost.
+            # At `_answered_s` this process got its last answer of the previous era. The
+            # store was restored later, from a copy made at most COPY_AGE_MAX_S before
+            # that answer. Claims written after the copy was made may be lost.
             oldest_s = self._answered_s - COPY_AGE_MAX_S
             self._lost_after_s = min(self._lost_after_s, oldest_s)
             self._era, self._to_rewrite = era, None
@@ -328,7 +329,7 @@
 
 
 def _confirmation(row: Row) -> Confirmation | None:
-    """Return the confirmation in a row; None if it is missing or unreadable."""
+    """Decode a row of the store; None if it holds no valid confirmation."""
     try:
         return msgspec.convert(row.value, Confirmation)
     except msgspec.ValidationError:
--- a/balsamspindle/requests/claims.py
+++ b/balsamspindle/requests/claims.py
@@ -4,10 +4,11 @@
 another ingress, which may see other nodes and choose another gate. Before the first
 attempt with a key, the ingress therefore writes a row into the platform's table
 service: the claim, which names the only gate that may run the key and the incarnation
-of that gate's process. It is written only if the key has no claim yet. A claim is moved
-to another gate only if its row still has the version under which the previous gate
-replied 'not run'; that gate never runs the key under that version again. Claims depend
-on no lease or clock, so a claim does not expire while its gate is paused.
+of that gate's process. It is written only if the key has no claim yet. After the gate
+replied 'not run', the claim may be moved to another gate. It is moved only if its row
+still has the version to which that reply applies: the previous gate never runs the key
+under that version again. Claims depend on no lease or clock, so a claim does not expire
+while its gate is paused.
 """
 
 import threading
@@ -163,8 +164,8 @@
         the platform did not answer or may have lost the claim.
 
         While the store's era is not settled, the store may lack claims, and a claim
-        that it has may have replaced a lost one. The claim is then returned with
-        `REPEAT_ONLY_VERSION`, so that its gate starts no run.
+        that it has may have replaced a lost one. Any claim is then returned with
+        `REPEAT_ONLY_VERSION`: its gate may repeat an earlier answer, but starts no run.
         """
         answer = self._call_store(
             deadline_s, lambda: self._tables.read(CLAIMS_TABLE, [key])
@@ -209,8 +210,8 @@
         """Return the result of a call to the store, made in a thread of the pool.
 
         Returns None if the node has no platform, or if the deadline passes before the
-        call ends: the platform may hang for longer than the request can wait. A write
-        that takes effect after the deadline is harmless: its claim names a gate that
+        call ends. The platform may hang for longer than the request can wait. A write
+        that takes effect after the deadline is harmless. Its claim names a gate that
         may run the key, and a resent request finds that claim.
         """
         if self._tables is None:
--- a/balsamspindle/requests/forwarded.py
+++ b/balsamspindle/requests/forwarded.py
@@ -84,8 +84,8 @@
         Until when the request may wait in queues of its own zone, on the monotonic
         clock; None until the search first looks for a queue in the own zone.
     queue_wait_ms : dict of str to float
-        Waits for a slot, by backend server id, that gates reported when they refused
-        this request or another one because the wait was too long.
+        How long a request would wait for a slot, by backend server id. Gates reported
+        these waits when they refused this or another request because of a long wait.
     """
 
     step: Step = Step.NEAR
@@ -238,10 +238,11 @@
         retry budget. Returns the placement; None if there is none, or if the budget
         is used up.
     is_paid : bool
-        Whether a retry token was already spent on the second attempt. A first attempt
-        at the own gate is ended after `hedge_delay_s`, before the second one starts.
-        If no token were left then, the request would have lost a slow attempt that
-        might still have been answered, and would get no second one.
+        Whether a retry token was already spent on the second attempt. This is done if
+        the first attempt runs at the own gate, because that attempt is ended after
+        `hedge_delay_s`, before the second one starts. If no token were left then, the
+        request would lose a slow attempt that might still have been answered, and
+        would get no second attempt.
     """
 
     hedge_delay_s: float
--- a/balsamspindle/requests/forwarding.py
+++ b/balsamspindle/requests/forwarding.py
@@ -40,12 +40,12 @@
 
 __all__ = ["ForwardedRequest", "Forwarder"]
 
-# A request refused by all gates is sent to them again every SEARCH_AGAIN_S (half of
-# gate_links.HOLD_OUT_S) for a fraction of its remaining time. An idempotent one tries
+# Every SEARCH_AGAIN_S (half of gate_links.HOLD_OUT_S), a request that all gates refused
+# is sent to them again, for a fraction of its remaining time. Idempotent requests try
 # suspected backend servers at once: after a wait, the gates' queues would be full.
 SEARCH_AGAIN_S = 0.25
 SEARCH_AGAIN_FRACTIONS = {Execution.IDEMPOTENT: 0.0, Execution.NON_IDEMPOTENT: 0.1}
-# Reasons for a lost run that point to the gate's node, not to the backend server.
+# Runs with these reasons were lost by the gate's node, not by the backend server.
 _LOST_WITH_GATE = frozenset({Reason.GATE_ENDING, Reason.CANCELLED, Reason.SILENCE})
 
 
@@ -233,7 +233,7 @@
     def _record_success(
         self, forwarded: ForwardedRequest, reply: Reply, took_s: float | None
     ) -> None:
-        """Record an answer in the crash history, and its latency and size."""
+        """Record an answer, its size and, unless `took_s` is None, its latency."""
         route = forwarded.route
         # The gate's node, which reports answers to the fleet, may stop before it does.
         self._crash_history.record_answer(forwarded.content_hash, self._clock())
@@ -246,14 +246,14 @@
     def _record_failure(
         self, forwarded: ForwardedRequest, placement: Placement, reply: Reply
     ) -> None:
-        """Record that a gate suspects its backend server, or that a run failed."""
+        """Record that a gate suspects its backend server, or that an attempt failed."""
         server_id = placement.backend_server.backend_server_id
         if reply.reason is Reason.SUSPECTED:
             forwarded.refused_as_suspect.add(server_id)
         if not is_refusal(reply):
             forwarded.failed.add(server_id)
         if reply.reason is Reason.SERVER_CRASHED:
-            # The request is not at fault, just as when a run is lost with its node:
+            # The request is not at fault, just as when a run is lost with its node. So
             # it may use the retries that are reserved for heavier requests.
             forwarded.was_cut = True
 
@@ -264,7 +264,7 @@
         hedge: Hedge | None,
         now_s: float,
     ) -> bool:
-        """Return whether another attempt is allowed; if so, pay for it."""
+        """Return whether a retry is allowed; if it costs a retry token, spend one."""
         route = forwarded.route
         is_paid = hedge is not None and hedge.is_paid
         return self._retries.may_retry(
@@ -303,9 +303,9 @@
 
         Suspected backend servers are on trial again within a second, so a
         non-idempotent request is sent to all gates again for a fraction of its time.
-        After that time it may be sent to a suspected backend server as the last resort;
-        an idempotent request may at once. So a service whose backend servers are all
-        suspected or busy still answers some requests.
+        After that time it may be sent to a suspected backend server as the last resort.
+        An idempotent request may be sent to one at once. So a service whose backend
+        servers are all suspected or busy still answers some requests.
 
         Returns
         -------
@@ -362,7 +362,7 @@
         return None if placement is None else Selection(placement)
 
     def _must_stop(self, forwarded: ForwardedRequest, reply: Reply) -> bool:
-        """Return whether to stop; if the failed attempt ran, restart the search."""
+        """Return whether to make no more attempts; after a failed run, search anew."""
         if not is_refusal(reply):
             if not forwarded.may_send():
                 return True
--- a/balsamspindle/requests/http.py
+++ b/balsamspindle/requests/http.py
@@ -93,8 +93,9 @@
         self._complete: deque[CallerRequest] = deque()
         # Error in the received bytes; complete requests before it are still answered.
         self._parse_error: BadRequest | None = None
-        # Head of a request that offers a protocol upgrade, until a new parser reads the
-        # request's body.
+        # Head of a request that has a body and offers a protocol upgrade. The parser
+        # stops after such a head, so a new parser has to read the body. None again once
+        # the new parser has parsed the head that `_body_framing` puts before the body.
         self._upgrade_head: RequestHead | None = None
         self._in_request = False
         self._head_complete = False
--- a/balsamspindle/requests/zone_hints.py
+++ b/balsamspindle/requests/zone_hints.py
@@ -16,8 +16,9 @@
 
 __all__ = ["ZoneHints"]
 
-# Maximum number of nodes to which a hold-out is sent: all nodes of a small zone, and in
-# a large zone about as many as use the same backend server within a second.
+# Maximum number of nodes to which a hold-out is sent. In a small zone, these are all
+# other nodes. In a large zone, about this many nodes send requests to the same backend
+# server within a second, and so need the hold-out.
 PEERS_MAX = 12
 # A hold-out is shared again only if it was extended by at least this much. Each further
 # reply from the gate extends the hold-out by a few ms, which are not worth a message.
