--- a/balsamspindle/customers/buckets.py
+++ b/balsamspindle/customers/buckets.py
@@ -1,8 +1,8 @@
 """Token buckets of customers, at a node that grants their requests.
 
-Over any period, a bucket grants at most its rate times the period plus its burst, even
-if rate and burst change during the period, and even if the customer sends many times
-its limit through all nodes at once.
+Over any period, a bucket grants at most its rate times the period plus its burst. This
+holds even if rate and burst change during the period, and even if the customer sends
+many times its limit through all nodes at once.
 """
 
 import threading
--- a/balsamspindle/customers/granters.py
+++ b/balsamspindle/customers/granters.py
@@ -52,9 +52,11 @@
         `rate_per_s * window_s + burst` requests. If 0, there is no window: a customer
         may run its burst at once, and a spent burst refills at the customer's rate.
     over_fraction : float
-        Fraction by which a customer may exceed its number of requests per window.
+        Fraction of the allowed requests per window by which a customer may exceed
+        them.
     slack : float
-        Number of requests by which a customer may exceed its limit in addition.
+        Number of requests that a customer may run in excess of its limit, in addition
+        to those that `over_fraction` allows.
     """
 
     zones: int = 0
@@ -78,7 +80,7 @@
 class Scope(IntEnum):
     """Whether a granter is selected among the nodes of a zone or of the whole fleet.
 
-    A customer's granters are asked in the order of their scopes.
+    A customer's granter of scope `ZONE` is asked first, then the one of scope `FLEET`.
     """
 
     ZONE = 0
@@ -153,8 +155,9 @@
     def own_rate(self, customer: str, limit: Limit, now_s: float) -> Rate:
         """Return the rate and burst that this node may grant of a customer's limit.
 
-        The granter grants the shares of all nodes of its scope. Another node, which is
-        asked if the granter is unreachable, grants only the share of a single node.
+        Each node of the scope has an equal share of what the scope may grant. The
+        granter grants the shares of all nodes that it knows to be alive. Another node
+        is asked if the granter is unreachable. It grants the share of a single node.
         """
         counted = len(self._nodes) if self.is_own(customer) else 1
         fraction = _SCOPE_FRACTIONS[self._scope] * counted / self._node_count(now_s)
--- a/balsamspindle/requests/claims.py
+++ b/balsamspindle/requests/claims.py
@@ -154,7 +154,7 @@
         claim = self._call_store(deadline_s, lambda: self._write(key, version, value))
         # The store may have been restored from an older copy during the call. If it
         # lost a claim of this key, the write found no conflict, but another gate may
-        # run the key. So the new claim must not be used.
+        # run the key. So the new claim is not used unless the era is settled.
         return claim if self._is_settled() else None
 
     def read(self, key: str, deadline_s: float) -> Result[Claim | None, None]:
@@ -330,10 +330,10 @@
     def final_reply(self, reply: Reply) -> Reply:
         """Return the reply for the caller, with 'not run' only if the key did not run.
 
-        'Not run' applies to the key, not only to this request: a caller that receives
+        'Not run' applies to the key, not only to this request. A caller that receives
         'not run' after an earlier 'unknown' would send the request with a new key, so
         that it could run twice. Even if the claim's gate replied 'not run', the caller
-        may have resent the request, and the resent one may have moved the claim to
+        may have resent the request. The resent request may have moved the claim to
         another gate and be running there. So the claim is read once more.
         """
         if reply.outcome is not Outcome.NOT_RUN or reply.reason is Reason.KEY_REUSED:
