--- a/balsamspindle/backend_servers/cancellation.py
+++ b/balsamspindle/backend_servers/cancellation.py
@@ -39,7 +39,7 @@
         return self._ingress_ends_s
 
     def set_ingress_end(self, ends_s: float) -> None:
-        """Record when the ingress of the call ends."""
+        """Record when the node of the call's ingress stops; infinity if it stays."""
         self._ingress_ends_s = ends_s
 
     def cancel(self, cause: CancelCause) -> None:
--- a/balsamspindle/backend_servers/health.py
+++ b/balsamspindle/backend_servers/health.py
@@ -200,7 +200,7 @@
     def _trial_wait_s(
         self, execution: Execution, weight: float, is_last_try: bool
     ) -> float:
-        """Return for how long after its start a trial refuses an attempt like this."""
+        """Return for how many seconds from its start a trial refuses the attempt."""
         if execution is Execution.NON_IDEMPOTENT or is_last_try:
             return TRIAL_WAIT_S
         return 0.0 if weight <= self._lightest_weight.weight else LIGHTEST_WAIT_S
--- a/balsamspindle/backend_servers/health_monitor.py
+++ b/balsamspindle/backend_servers/health_monitor.py
@@ -41,8 +41,8 @@
     last_present_s : float
         When the backend server was last in the list of announced backend servers.
     previous_start : int or None
-        Id of the backend server's previous start; None when there is none, or when
-        the end of that start has been attributed to a request.
+        Id of the backend server's previous process; see `start_id`. None when there
+        was none, or when the crash of that process has been attributed to a request.
     """
 
     def __init__(self, health: ServerHealth, server: LocalBackendServer) -> None:
--- a/balsamspindle/backend_servers/health_work.py
+++ b/balsamspindle/backend_servers/health_work.py
@@ -75,7 +75,7 @@
     detection : Detection
         The settings; when they are replaced, score and evidence stay.
     score : float
-        0 is healthy; from the threshold on the backend server is suspected.
+        0 is healthy; at `detection.threshold` the backend server is ejected.
     evidence : Counter
         Number of requests and probes by result since the score was last 0.
     last_verdict_s : float
@@ -157,11 +157,11 @@
     def _is_normal_among_peers(self, now_s: float) -> bool:
         """Tell whether the latency that was counted as slow is normal for the peers.
 
-        If all backend servers became slow together, the peers' percentiles have
-        adapted to it by the time that this server's trial begins, and the peers no
-        longer count as bad. Without this check the server would have to pass its trial:
-        as a server on trial gets about 4 of 100 requests of a slow service, a trial of
-        five requests would last half a minute.
+        If it is, this server's ejection can be undone without a full trial: five
+        requests would take half a minute, since a server on trial gets about 4 of 100
+        requests when all servers are slow. The share of bad peers does not show this
+        case: by the time that the trial begins, the peers' percentiles have adapted to
+        the higher latency, and the peers no longer count as bad.
         """
         if not self._slowest_counted_ms or self.evidence.keys() - SLOW_EVIDENCE:
             return False
--- a/balsamspindle/backend_servers/queue.py
+++ b/balsamspindle/backend_servers/queue.py
@@ -61,7 +61,7 @@
     turn : int
         Turn of the customer; see `CustomerTurns`.
     target_s : float
-        Latency target with the ticket's rank added; 0 without a target.
+        The ticket's `target_s` plus its `rank_s`; 0 without a target.
     sequence : int
         Number of the arrival, negative for `Order.LIFO`.
     """
--- a/balsamspindle/backend_servers/work_ends.py
+++ b/balsamspindle/backend_servers/work_ends.py
@@ -93,7 +93,8 @@
 }
 
 
-# After these failures the backend server may have crashed during the attempt.
+# A failure with one of these reasons may be the effect of a crash of the backend
+# server during the call.
 _LOST_REASONS = frozenset({Reason.BROKEN_ANSWER, Reason.SILENCE, Reason.CANCELLED})
 SUCCESS_STATUS_MIN, SUCCESS_STATUS_END = 200, 400
 
--- a/balsamspindle/crashes/history.py
+++ b/balsamspindle/crashes/history.py
@@ -72,9 +72,9 @@
     servers : callable
         Returns the number of a service's backend servers.
     on_quarantine : callable
-        Called with each quarantine that is new to this node or was just lifted, the ids
-        of the backend servers that ended while the request ran, and the evidence if
-        there is new evidence. It is called with the lock held and must not block.
+        Called when a quarantine is new to this node or was just lifted. Arguments: the
+        quarantine; ids of backend servers that crashed while the request ran; the new
+        evidence, or `NO_EVIDENCE`. It is called with the lock held and must not block.
     """
 
     def __init__(
--- a/balsamspindle/crashes/recent_answers.py
+++ b/balsamspindle/crashes/recent_answers.py
@@ -4,8 +4,9 @@
 
 __all__ = ["ANSWER_VALID_S", "RecentAnswers"]
 
-# A peer may report a crash or quarantine this long after this node learned that the
-# request was answered.
+# For this long after this node learns that a request was answered, a peer that does not
+# know of the answer may still report a quarantine of the request, or a crash in which
+# the request was lost.
 ANSWER_VALID_S = 10.0
 ANSWERS_MAX = 10_000
 
--- a/balsamspindle/crashes/verdicts.py
+++ b/balsamspindle/crashes/verdicts.py
@@ -27,8 +27,8 @@
 # A request to which this many crashes are attributed, all after similar run times,
 # counts as their cause whatever the rate of other crashes.
 CRASHES_SUFFICIENT = 6
-# For CRASHES_SUFFICIENT, run times are similar if the longest is at most the shortest
-# times SIMILAR_TIME_FACTOR, plus SIMILAR_TIME_S.
+# The check of CRASHES_SUFFICIENT takes run times as similar if
+# longest <= SIMILAR_TIME_FACTOR * shortest + SIMILAR_TIME_S.
 SIMILAR_TIME_FACTOR, SIMILAR_TIME_S = 2.0, 0.1
 # The crash rate of a service is computed from this long before the first crash that is
 # attributed to a request to the last of these crashes. In a longer window, a wave of
@@ -136,13 +136,13 @@
 
 
 def independent_crashes(crashes: Sequence[AttributedCrash]) -> list[AttributedCrash]:
-    """Return the crashes without those that may have the reason of an earlier one.
+    """Return the crashes, but only the first of any that one outage may have caused.
 
     The loss of a rack or an availability zone ends several backend servers at the same
-    moment. A request that was running at several of them, in copies, would otherwise be
-    quarantined for this loss. So of simultaneous crashes only the first is returned. A
-    further one is returned too if the request's run time was similar at both, since the
-    request may then have caused both.
+    moment. If copies of a request were running at several of them, the request must not
+    be quarantined for this loss. So of simultaneous crashes only the first is returned.
+    A further one is returned too if the request had been running for about the same
+    time at both, since the request may then have caused both.
     """
     kept: list[AttributedCrash] = []
     for crash in crashes:
--- a/balsamspindle/services/explanation.py
+++ b/balsamspindle/services/explanation.py
@@ -163,9 +163,10 @@
 
 
 def _warnings(placement: Placement, left_out: Suspect | None) -> list[str]:
-    """Return what limits the trust in a backend server, or the requests to it.
+    """Return warnings about a backend server that do not exclude it from requests.
 
-    It may be on trial, under some suspicion, or in a cold start.
+    A warning says that the backend server is on trial, that it is suspected but still
+    used, or that it offers only a part of its slots because of a cold start.
     """
     server = placement.backend_server
     warnings = []
--- a/balsamspindle/services/held_out_servers.py
+++ b/balsamspindle/services/held_out_servers.py
@@ -54,7 +54,8 @@
     def failing(self, now_s: float) -> set[str]:
         """Return the ids of held-out backend servers that are failing.
 
-        The latest results of each, `FAILING_IN_A_ROW` or more, were all bad.
+        A backend server is failing if the gate, when it last reported the hold-out, had
+        counted at least `FAILING_IN_A_ROW` bad results since the last good one.
         """
         return self._select(FAILING_IN_A_ROW, now_s)
 
--- a/balsamspindle/services/holdouts.py
+++ b/balsamspindle/services/holdouts.py
@@ -64,12 +64,13 @@
             return is_first
 
     def record_success(self, name: str, now_s: float = 0.0) -> float | None:
-        """Discard the failures of a name.
+        """End a node's hold-out; its next failure starts one of `first_s` again.
 
         Returns
         -------
         float or None
-            Seconds since the first failure; None without a failure.
+            Seconds since the node's first failure after its previous success; None if
+            it had no failure.
         """
         if name not in self._held:
             return None
--- a/balsamspindle/services/peer_evidence.py
+++ b/balsamspindle/services/peer_evidence.py
@@ -15,8 +15,9 @@
 
 # How long a gate's judgement of a backend server's latest answer, good or bad, is used.
 JUDGEMENT_VALID_S = 10.0
-# How long the 99th percentile of a backend server's latency, which changes little, is
-# used after the latest answer of the backend server that a gate judged good or bad.
+# The evidence on a backend server is discarded when its gate has judged no answer for
+# this long and no attempt is in flight. Until then, the 99th percentile of the latency
+# is used: it changes little, so it is valid for longer than the judgement.
 P99_EXPIRY_S = 600.0
 # An attempt counts as hanging when it is in flight for longer than this many times the
 # 99th percentile of its backend server's latency.
