--- a/bench/caller_heads.py
+++ b/bench/caller_heads.py
@@ -8,8 +8,9 @@
   forwarder that answers immediately;
 - ``werkzeug``: werkzeug's request handler with a small WSGI application.
 
-Each figure includes the caller's own send and receive. The bench also counts how many
-bytes of a 1 MB body are read before a request is answered that was refused on its head.
+Each figure includes the caller's own send and receive. The bench
+also sends a request that the ingress refuses because of its head, and counts how many
+bytes of its 1 MB body are read before the answer.
 
 ::
 
@@ -51,7 +52,7 @@
     protocol_version = "HTTP/1.1"
 
     def log_request(self, *_):
-        """Do nothing: writing a log line would be part of the figure."""
+        """Do nothing, so that the figure contains no time for writing log lines."""
 
 
 @Request.application
@@ -96,7 +97,7 @@
 
 
 def cpu_us(serve: Callable[[], None], caller: socket.socket, count: int) -> float:
-    """Return the lowest processor time for a request of all rounds, in microseconds."""
+    """Return the processor time per request in the fastest round, in microseconds."""
     request_us = []
     for _ in range(ROUNDS):
         before_s = time.thread_time()
@@ -113,8 +114,8 @@
 def measure_ingress(count: int) -> float:
     """Return the processor time of a request through an ingress, in microseconds.
 
-    Calls the ingress's private method for one request, because only the processor
-    time of the measuring thread is counted.
+    Calls a private method of the ingress, so that the request is served in the
+    measuring thread: `cpu_us` counts the processor time of this thread only.
     """
     fixture = IngressFixture()
     caller, served = socket.socketpair()
--- a/bench/capacity/bad_day_rows.py
+++ b/bench/capacity/bad_day_rows.py
@@ -1,4 +1,8 @@
-"""The table of bad days: simulated with `Mirror`, or calculated from other parts."""
+"""The table of bad days: what events such as the loss of a zone cost one node.
+
+Some rows are simulated with `Mirror`; the others are calculated from the figures of
+other parts of the capacity bench.
+"""
 
 from typing import NamedTuple
 
@@ -11,7 +15,7 @@
 __all__ = ["BadDay", "bad_day_rows"]
 
 HOUR_S = 3600.0
-# Fraction of a node's byte cap that messages of `Importance.ROUTINE` may use.
+# Fraction of `control_bytes_per_s` that messages of `Importance.ROUTINE` may use.
 ROUTINE_FRACTION = 0.5
 
 
@@ -23,7 +27,7 @@
     incoming : str
         What the node receives because of the event.
     sent_bytes_per_s : float
-        Rate while the event lasts; at most the cap, which is the same at all nodes.
+        Rate at this node while the event lasts; at most `control_bytes_per_s`.
     settled_s : float
         Time until the node has sent on all news of the event.
     source : str
@@ -40,7 +44,7 @@
 
 
 def bad_day_rows(measured: dict[str, dict[str, float]]) -> list[BadDay]:
-    """Return the rows in the order of the page.
+    """Return the rows in the order of the capacity page.
 
     `measured` holds the figures of the baseline by part and name.
     """
--- a/bench/capacity/bad_days.py
+++ b/bench/capacity/bad_days.py
@@ -1,4 +1,7 @@
-"""Costs of bad days at one node, simulated with `Mirror`."""
+"""Costs at one node when a rack or zone is lost or returns, or many VMs are replaced.
+
+The node's membership is simulated with `Mirror`.
+"""
 
 from collections.abc import Iterable
 
@@ -20,11 +23,12 @@
 ZONE_NODES = 250
 RACK_NODES = 10
 WARM_UP_S = 40.0
-# The news of one event reaches a node over several seconds.
+# Time over which the news of one event (a rack or zone lost or back) is delivered.
 ARRIVAL_S = 5.0
 STEP_S = 1.0
 SETTLE_TIMEOUT_S = 1800.0
-# Items in the news queue on an ordinary day; an event has settled at this number.
+# Length of the news queue on an ordinary day. An event counts as settled when the
+# queue is down to this length.
 ORDINARY_QUEUE_ITEMS = 20
 BURST_S = 3600.0
 BURST_MEASURED_S = 300.0
@@ -50,7 +54,8 @@
 def _select_zone_nodes(mirror: Mirror, count: int) -> list[str]:
     zone = mirror.records[1].availability_zone
     in_zone = [r.node_id for r in mirror.records if r.availability_zone == zone]
-    # A zone of the long-run fleet has about 243 nodes: other zones add the rest.
+    # A zone of the long-run fleet has about 243 nodes, fewer than `ZONE_NODES`; the
+    # missing nodes are taken from other zones.
     others = [r.node_id for r in mirror.records if r.availability_zone != zone]
     return (in_zone + others)[:count]
 
@@ -83,7 +88,10 @@
 
 
 def _measure_event(name: str, mirror: Mirror, news: list) -> dict[str, float]:
-    """Deliver news over `ARRIVAL_S`, then run until the member has sent it on."""
+    """Deliver news over `ARRIVAL_S`, then run until the member's queue is short again.
+
+    The queue is short at `ORDINARY_QUEUE_ITEMS`; the wait ends at `SETTLE_TIMEOUT_S`.
+    """
     start_s, cpu_s = mirror.now_s, mirror.cpu_s
     spent_bytes = mirror.member.budget.spent_bytes
     steps = int(ARRIVAL_S / STEP_S)
@@ -111,7 +119,7 @@
 
 
 def _measure_burst() -> dict[str, float]:
-    """Return costs while all replacements of a day happen within an hour."""
+    """Return a node's costs while a day's VM replacements happen within an hour."""
     replacements_per_s = LONG_RUN.replacements_per_day / BURST_S
     mirror = Mirror(LONG_RUN, replacements_per_s * RECORD_CHANGES_PER_REPLACEMENT)
     mirror.run(WARM_UP_S)
--- a/bench/capacity/in_force.py
+++ b/bench/capacity/in_force.py
@@ -1,9 +1,10 @@
 """Time until an accepted settings change is in force on all nodes, by fleet size.
 
-Two parts. Real processes, as many as the machine runs without overload, give
-the time of polls and hops. The gossip tasks of a whole fleet, connected by
-queues in one process, give the number of hops: how many rounds of 0.1 s pass
-from when the readers of every zone have a change until all nodes have it.
+The bench has two parts. The first starts real nodes, as many as the machine runs
+without overload, and measures the delay from a change to its use on the last node.
+The second connects the gossip tasks of a whole fleet by queues in one process. It
+counts the rounds of 0.1 s from when the settings readers of every zone have a
+change until all nodes have it.
 """
 
 import random
@@ -19,14 +20,18 @@
 NODE_COUNTS = (350, 1400, 5600)
 ROUND_S = 0.1
 ROUNDS_MAX = 100
-# Member messages that a node receives per second: at least a probe and an ack,
-# about fifteen with the news of an ordinary day (see `bench.capacity.members`).
+# Membership messages that a node receives per second: at least a probe and an ack
+# while no node changes, about fifteen messages with the changes of an ordinary day (see
+# `bench.capacity.members`).
 QUIET_MESSAGES_PER_S = 2.0
 ORDINARY_MESSAGES_PER_S = 15.0
 
 
 def measure() -> dict[str, float]:
-    """Return the times until a change is in force, and the idle platform reads."""
+    """Return the times until a change is in force, and the reads of an idle fleet.
+
+    The reads are those that the nodes send to the platform while no setting changes.
+    """
     figures: dict[str, float] = {"processes": PROCESS_COUNTS[-1]}
     for count in PROCESS_COUNTS:
         report = spread(count)
@@ -47,7 +52,7 @@
 
 
 def _count_rounds(nodes: int, messages_per_s: float) -> tuple[int, int]:
-    """Return the rounds until 99 % of the nodes, and all nodes, have a change."""
+    """Return the rounds until 99 % of the nodes have a change, and until all have."""
     network = Network(nodes, LONG_RUN.availability_zones)
     for configuration in network.configurations:
         configuration.offer(0, {})
@@ -73,9 +78,10 @@
 def _deliver_member_messages(
     network: Network, rng: random.Random, per_s: float
 ) -> None:
-    """Deliver the revisions of random peers, which member messages carry."""
+    """Let nodes receive a random peer's settings revision, as in member messages."""
     for node in network.nodes:
-        # One message per node and round at most: one suffices to report a revision.
+        # At most one message per node and round, also above 10 messages/s: one is
+        # enough to report a revision.
         if rng.random() < per_s * ROUND_S:
             peer = rng.randrange(len(network.nodes))
             node.receive_revision(f"n{peer}", network.configurations[peer].revision)
--- a/bench/capacity/ledgers.py
+++ b/bench/capacity/ledgers.py
@@ -17,7 +17,8 @@
 __all__ = ["Ledgers", "fill_ledgers"]
 
 ANSWER = b'{"signed": "' + b"x" * 290 + b'"}'
-# The default time-out of a route, and the gate's `ATTEMPT_RETENTION_S` after it.
+# A gate keeps an attempt for the default time-out of a route (2 s) and then for
+# `ATTEMPT_RETENTION_S` (5 s).
 ATTEMPT_LIFE_S = 2.0 + 5.0
 EVENT_PADDING = "x" * 200
 
@@ -31,7 +32,10 @@
 
 
 def fill_ledgers() -> Ledgers:
-    """Return ledgers as full as those of a node at `requests_per_s_per_node`."""
+    """Return full tables of keys and events, and the attempts of a node at full load.
+
+    Full load is `requests_per_s_per_node` of `LIMITS`.
+    """
     return Ledgers(_fill_keys(), _fill_attempts(), _fill_events())
 
 
--- a/bench/capacity/rows.py
+++ b/bench/capacity/rows.py
@@ -1,7 +1,7 @@
-"""The capacity table: each target, and the cost extrapolated from measurements.
+"""The capacity table: each target beside the cost extrapolated from a run.
 
-Every row is calculated from the figures of the baseline, so that no row claims
-more than a run has shown.
+Every row is calculated from the figures of a recorded run (the baseline), so that
+no row claims more than this run has shown.
 """
 
 from typing import NamedTuple
@@ -23,30 +23,34 @@
 ]
 
 DAY_S = 86_400
-# When a VM is replaced: draining, gone, announced, warmed up.
+# A replaced VM changes records four times: the old backend server drains and leaves,
+# the new one is announced and has warmed up.
 RECORD_CHANGES_PER_REPLACEMENT = 4
 RECORD_CHANGES_PER_S = (
     LONG_RUN.replacements_per_day * RECORD_CHANGES_PER_REPLACEMENT / DAY_S
 )
 SETTINGS_CHANGES_PER_S = LONG_RUN.changes_per_day / DAY_S
-# One core, of which a fifth is reserved for bursts.
+# A process uses one core at most; a fifth of the core is left free for bursts.
 REQUEST_CPU_MAX_PERCENT = 80.0
-# An edit reads the rows of its subtree, its operation and the fleet's revision.
+# A settings edit reads three rows of the platform's tables: its subtree, its
+# operation and the fleet's revision.
 READS_PER_EDIT = 3
-# An edit writes the same three rows and the row of its change.
+# A settings edit writes the rows of its subtree, its operation, the fleet's revision
+# and its change.
 WRITES_PER_EDIT = 4
-# Assumed, since the number of callers that send an Idempotency-Key is unknown.
+# Assumed fraction of requests with an Idempotency-Key; the real one is unknown.
 KEYED_REQUESTS_FRACTION = 0.001
-# Negligible against the duration of a request.
+# A look-up of this length is negligible against the duration of a request.
 LOOK_UP_MAX_US = 100.0
 # Default limit of open files per process in most distributions.
 OPEN_FILES_MAX = 1024
-# At this cost per change, a day's changes use the whole `control_cpu_percent`.
+# Processor time per changed key at which the settings changes of an ordinary day use
+# the whole `control_cpu_percent`.
 CHANGED_KEY_MAX_MS = LIMITS.control_cpu_percent / 100 * 1000 / SETTINGS_CHANGES_PER_S
 
 
 class Row(NamedTuple):
-    """One target and the extrapolated cost of the fleet.
+    """One target and the cost extrapolated to the long-run size of the fleet.
 
     Attributes
     ----------
@@ -55,10 +59,10 @@
     extrapolated : float
         Value at the long-run size, in the unit of the target.
     measured_up_to : str
-        Largest size that a run has measured.
+        Largest size, or the conditions, under which the cost was measured.
     breaks_first : str
-        What exceeds its bound first as the fleet grows, or the next step if the
-        target is missed.
+        What exceeds its bound first as the fleet grows; after "next:", the change
+        to make next.
     """
 
     role: str
@@ -77,14 +81,14 @@
 
     @property
     def margin(self) -> str:
-        """Factor by which the target is met or missed, as text of the page."""
+        """Factor by which the target is met or missed, as Markdown."""
         if self.met:
             return f"{self.target / max(self.extrapolated, 1e-9):.2g}x"
         return f"**missed** {self.extrapolated / self.target:.2g}x"
 
 
 def capacity_rows(measured: dict[str, dict[str, float]]) -> list[Row]:
-    """Return the rows in the order of the page."""
+    """Return the rows in the order of the capacity page."""
     return [
         *_request_rows(measured["processes"], measured["look_ups"]),
         *_node_rows(measured["processes"], measured["memory"]),
--- a/bench/deployments.py
+++ b/bench/deployments.py
@@ -6,11 +6,11 @@
     python -m bench.deployments association --scenario gray
 
 Nodes, backend servers and settings come from ``examples/``; the addresses are
-free ports of this machine. All processes share its loopback, so that the figures
-contain no latency between availability zones. Each scenario injects its fault
-into a different backend server of each service. A backend server that is still
-held out from an earlier scenario (hold-outs double with each ejection) isn't
-counted as a false ejection.
+free ports of this machine. All processes share the machine's loopback, so the
+figures contain no latency between availability zones. Each scenario injects its
+fault into another backend server of each service than the scenarios before it. A
+backend server that an earlier scenario ejected may still be held out, because
+hold-outs double with each ejection; it isn't counted as a false ejection.
 """
 
 import json
@@ -41,11 +41,12 @@
 EXAMPLES = Path(__file__).parent.parent / "examples"
 DEPLOYMENTS = ("association", "kelvale")
 WORKERS = 200
-# At 3 requests/s, a backend server without a request for QUIET_S was held out and
-# not just idle. A hold-out that probes shorten lasts 2.5 s: QUIET_S is below it.
+# A backend server that receives no request for QUIET_S counts as held out: at
+# 3 requests/s such a gap is unlikely otherwise. QUIET_S is less than the shortest
+# hold-out (2.5 s, when probes shorten it), so that no hold-out is overlooked.
 REQUESTS_PER_S_PER_BACKEND_SERVER = 3.0
 QUIET_S = 2.0
-# Fraction of a service's requests that each of its routes but the first receives.
+# Fraction of a service's requests that its second and each later route receives.
 LATER_ROUTE_FRACTION = 0.3
 RUN_S = 20.0
 FAULT_START_S, FAULT_END_S = 4.0, 16.0
@@ -69,19 +70,20 @@
 
 
 class Scenario(NamedTuple):
-    """Faults between `FAULT_START_S` and `FAULT_END_S`.
+    """Faults that are injected from `FAULT_START_S` to `FAULT_END_S` of a run.
 
     Attributes
     ----------
     backend_fault : dict or None
-        Fault of one backend server of each service, as its stand-in takes it.
+        Fault of one backend server of each service, in the form that the
+        stand-in backend server accepts.
     server_index : int
-        Index of this backend server within its service; differs between scenarios,
-        so that no backend server is ejected for two of them.
+        Index of the faulty backend server within its service. It differs between
+        scenarios, so that no backend server is ejected in two scenarios.
     flap_period_s : float or None
         Period in which the fault goes on and off; None for a constant fault.
     platform : dict or None
-        Fault of the platform, as its stand-in takes it.
+        Fault of the platform, in the form that the stand-in platform accepts.
     freezes_zone : bool
         Whether all processes of the last availability zone are stopped.
     """
--- a/bench/membership.py
+++ b/bench/membership.py
@@ -1,7 +1,7 @@
-"""Cost of membership by number of nodes, and of a directory at full fleet size.
+"""Cost of membership by number of nodes, and of one directory of all nodes.
 
     python -m bench.membership             # a table
-    python -m bench.membership --json      # slopes for docs/CAPACITY.md
+    python -m bench.membership --json      # growth of costs, for docs/CAPACITY.md
     python -m bench.membership --quick     # small sizes, for CI
 
 The production code of members exchanges its frames over an in-memory transport.
@@ -30,8 +30,8 @@
 QUICK_SIZES = (10, 20)
 SERVERS_PER_NODE = 5
 IDLE_S = 60.0
-# Changes of backend servers a second in the whole fleet, at any size: 45,000 backend
-# servers a day, each of which leaves and returns.
+# Changes of backend servers per second in a fleet of any size: 45,000 backend servers
+# a day leave and return, which makes two changes each.
 CHANGES_PER_S = 2 * 45_000 / 86_400
 TARGET_NODES = 5_600
 DIRECTORY_NODES = (1_400, 2_800, TARGET_NODES)
@@ -52,7 +52,7 @@
 
 
 def measure_rate(network: MemberNetwork, nodes, seconds: float, on_second=None) -> dict:
-    """Return mean bytes, messages and CPU of a node, per second.
+    """Return the mean bytes, messages and CPU time of one node per second.
 
     Parameters
     ----------
@@ -145,7 +145,7 @@
 
 
 def measure_burst(size: int) -> dict:
-    """Return what it costs the other nodes when a tenth returns at the same time."""
+    """Return the costs of the other nodes while a tenth of all nodes return at once."""
     network, nodes = start_fleet(size)
     count = int(size * BURST_NODES_FRACTION)
     for node in nodes[-count:]:
@@ -220,7 +220,7 @@
     idle_fraction = (time.process_time() - started) / IDLE_S
     started = time.process_time()
     for second in range(int(IDLE_S)):
-        # Each second a node joins, so that the lists of nodes are rebuilt.
+        # A node joins in each second, so that the CPU includes rebuilt lists of nodes.
         news = node_news(nodes + 10 + second, 1, TARGET_SERVICES)
         member.directory.apply(news, network.now_s)
         network.run(1)
@@ -271,7 +271,7 @@
 
 
 def slope_per_decade(sizes: list[int], values: list[float]) -> float:
-    """Return the least-squares growth of a value when nodes grow tenfold."""
+    """Return how much a value grows when the nodes grow tenfold, by least squares."""
     xs = [math.log10(size) for size in sizes]
     mean_x, mean_y = sum(xs) / len(xs), sum(values) / len(values)
     covariance = sum(
@@ -281,7 +281,7 @@
 
 
 def extrapolate(sizes: list[int], values: list[float]) -> dict:
-    """Return the slope per tenfold and the extrapolation to `TARGET_NODES`."""
+    """Return a value's growth per tenfold nodes, and the value at `TARGET_NODES`."""
     slope = slope_per_decade(sizes, values)
     last = values[-1] + slope * math.log10(TARGET_NODES / sizes[-1])
     return {
@@ -292,7 +292,7 @@
 
 
 def summarize(rows: list[dict]) -> dict:
-    """Return slope and extrapolation of each figure over all sizes."""
+    """Return, for each figure, its growth per tenfold nodes and its extrapolation."""
     sizes = [row["nodes"] for row in rows]
     measures = {
         "idle_sent_bytes_per_s": [row["idle"]["sent_bytes_per_s"] for row in rows],
@@ -311,7 +311,8 @@
 ) -> None:
     """Measure membership and print the figures."""
     sizes = QUICK_SIZES if quick else SIZES
-    # Before the fleets: a directory that reused memory freed by them would seem small.
+    # The directories are measured before the fleets: a directory that reused memory
+    # freed by a fleet would seem smaller than it is.
     directories = measure_directories(QUICK_SIZES if quick else DIRECTORY_NODES)
     rows = []
     for size in sizes:
--- a/bench/membership_directory.py
+++ b/bench/membership_directory.py
@@ -45,8 +45,8 @@
 def measure_directory(nodes: int, retained: list[Directory]) -> dict:
     """Return memory and CPU of one directory.
 
-    Appends it to `retained`: if it were freed, the next directory would reuse its
-    memory and seem smaller than it is.
+    Appends the directory to `retained`, so that its memory is not freed. Otherwise
+    the next directory would reuse this memory and seem smaller than it is.
     """
     gc.collect()
     before_kb = _resident_kb()
--- a/bench/retry_storm.py
+++ b/bench/retry_storm.py
@@ -50,7 +50,7 @@
 
 
 class StormResult(NamedTuple):
-    """Mean figures for a request.
+    """Means over all requests of a simulation.
 
     Attributes
     ----------
@@ -68,10 +68,10 @@
 
 
 class FixedAttempts(RetryPolicy):
-    """The baseline: a fixed limit on attempts for each request, without a budget."""
+    """Baseline policy: a fixed limit on attempts per request, and no retry budget."""
 
     def may_retry(self, service, execution, replies, deadline_s, now_s, **_):
-        """Tell whether the limit and the deadline still allow an attempt."""
+        """Return whether the limit and the deadline allow a further attempt."""
         return len(replies) < BASELINE_ATTEMPTS and now_s < deadline_s
 
     def may_hedge(self, service, now_s, weight=1.0):
@@ -79,7 +79,7 @@
         return True
 
     def hedge_delay_s(self, service, is_own, left_s, now_s, route_id=0):
-        """Return half of the remaining time, for an attempt and its hedge."""
+        """Return half of the remaining time; the hedge gets the other half."""
         return left_s / 2
 
 
@@ -94,7 +94,7 @@
         self.runs = 0
 
     def cancel(self, attempt_id) -> None:
-        """Do nothing: attempts take no real time, so that none can be cancelled."""
+        """Do nothing: a simulated attempt has ended before it could be cancelled."""
 
     def repeat_fraction(self) -> float:
         """See `Gate.repeat_fraction`."""
@@ -160,7 +160,8 @@
         caller = HttpConnection(near, HttpLimits())
         for number in range(REQUESTS):
             arrival_s += arrivals.expovariate(1 / ARRIVAL_INTERVAL_S)
-            # Requests overlap: the clock returns to each one's arrival.
+            # Requests overlap, but are simulated one after another: set the clock
+            # back to the arrival of this request.
             gate.now_s = arrival_s
             reply = forwarder.forward(_request(caller, number, arrival_s))
             answered += reply.outcome is Outcome.ANSWERED and reply.status == 200
@@ -176,7 +177,7 @@
 
 
 def main() -> None:
-    """Print the mean figures of all seeds."""
+    """Print the means over all seeds for each failure, with and without a budget."""
     print("                   budget                    three attempts")
     print("failing            attempts runs  answered   attempts runs  answered")
     for failure in Failure:
--- a/bench/settings.py
+++ b/bench/settings.py
@@ -1,21 +1,22 @@
-"""Time until an accepted change is in force on all nodes, and its cost.
+"""Time until an accepted settings change is in force on all nodes, and its cost.
 
-Seven parts:
+The bench has seven parts:
 
 - ``spread``: starts node processes in two availability zones and a stand-in
   platform, and makes changes one by one. The time at which a revision comes in
   force on a node is read from the node's event log. Nodes that poll the platform
   and nodes that learn a revision from peers are also counted separately.
-- ``hint``: the same, while one node is notified of each accepted change, as the
-  operator's tool does.
+- ``hint``: the same as ``spread``, but one node is notified of each accepted
+  change, as the operator's tool does.
 - ``slow_platform``: the same as ``spread``, while each read of the platform takes a
   second.
 - ``edits``: teams edit at the same time, each in its own subtree: at 27 times the
   mean rate of a day with 45,000 changes, and without any pause.
 - ``change``: processor time of one change in a process that holds 6,500 services and
   49,000 routes, compared with a rebuild of the whole configuration.
-- ``join``: time to start for nodes of a fleet with settings of that size, while the
-  platform is up; and for one more node while it is down, from the peers alone.
+- ``join``: time that nodes take to start with 6,500 services and 49,000 routes while
+  the platform is up; then that of one more node while the platform is down, which
+  gets all settings from its peers.
 - ``fan_out``: messages and bytes of one change among up to 5,600 nodes, with queues
   in one process instead of sockets.
 
@@ -95,7 +96,8 @@
             self.nodes.append(node)
         for node in self.nodes:
             wait_until(lambda node=node: node.revision() >= 1, "settings", 60.0)
-        # Until a node knows the others, it polls the platform itself.
+        # A node polls the platform itself until it knows the other nodes: these reads
+        # must not be counted as reads of an idle fleet.
         wait_until(lambda: self._all_know(count), "all nodes know each other", 90.0)
 
     def _all_know(self, count: int) -> bool:
@@ -136,12 +138,13 @@
         count : int
             Number of changes.
         from_reply : bool
-            Whether delays count from the reply to the write, not from before it.
+            Whether a delay starts at the reply to the write; otherwise it starts
+            before the write.
         """
         accepted = []
         for number in range(count):
             time.sleep(CHANGE_GAP_S * self._random.uniform(0.5, 1.5))
-            # Taken before the write, so that delays are never understated.
+            # The delay starts before the write, so that it is never understated.
             accepted_s = time.time()
             result = self._store.put(f"bench/services/s{number % 7}", {})
             revision = result.ok.revision
@@ -194,7 +197,8 @@
 def slow_platform(count: int) -> dict[str, Any]:
     """Measure delays while each read of the platform takes `SLOW_READ_S`.
 
-    Delays count from the reply to the write, because the edit itself reads, too.
+    A delay starts at the reply to the edit and not at its start, because the edit
+    itself reads the platform and is slow as well.
     """
     with Fleet() as fleet:
         run = SpreadRun(fleet, count)
@@ -205,7 +209,10 @@
 
 
 def spread(count: int) -> dict[str, Any]:
-    """Measure a fleet of this number of nodes: idle, with changes, and with hints."""
+    """Measure a fleet of `count` nodes: idle, with changes, and with hinted changes.
+
+    After a hinted change, a random node is notified of the new revision.
+    """
     with Fleet() as fleet:
         run = SpreadRun(fleet, count)
         idle = run.idle()
@@ -215,7 +222,7 @@
 
 
 def edits(teams: int, gap_s: float, edits_per_team: int) -> dict[str, Any]:
-    """Measure teams that edit at the same time: all write the fleet's revision row."""
+    """Measure teams that edit at once and contend for the fleet's one revision row."""
     platform = PlatformServer(SEED)
 
     def edit(number: int) -> list[float | None]:
