--- a/bench/capacity/joining.py
+++ b/bench/capacity/joining.py
@@ -1,9 +1,9 @@
 """Time and bytes that a replaced node needs to learn the records of the fleet.
 
-Two members are real: the joiner and one source. The source replies in place of
-all peers, since a joiner sends each request to another peer. Therefore the
-source has no effective byte cap, and only the joiner's own cap and its request
-intervals limit the time.
+Two members are real: the joining node and one source of records. In a fleet, the
+joining node sends each request to another peer; here the source replies in place
+of all peers. Therefore the source has no effective byte cap, and only the joining
+node's own cap and its request intervals limit the time.
 """
 
 import msgspec
@@ -29,7 +29,10 @@
 
 
 def measure() -> dict[str, float]:
-    """Return time and bytes of a join into the largest fleet, and the time's slope."""
+    """Return time and bytes of a join into the largest fleet, and the time's growth.
+
+    The growth is given per 1,000 nodes of the fleet.
+    """
     joins = [(nodes, JoinSimulation(LONG_RUN.scaled(nodes))) for nodes in NODE_COUNTS]
     times = [(nodes, join.run()) for nodes, join in joins]
     largest = joins[-1][1]
@@ -129,7 +132,8 @@
     def _deliver_to_peer(self, address: str, frame: bytes) -> None:
         envelope = decode_member(frame).ok
         if envelope.kind == "ping":
-            # The pinged peer sends the ack, without news: pages carry the records.
+            # Acknowledge in place of the pinged peer. The ack carries no news, because
+            # the joiner receives the records in pages.
             ack = Ack(_decode_ping(envelope.body).sequence)
             peer = self._peers[address]
             self._deliver_to_joiner(address, encode_member("ack", peer, ack))
--- a/bench/capacity/members.py
+++ b/bench/capacity/members.py
@@ -1,4 +1,4 @@
-"""Processor time and bytes that news of members cost a node, by fleet size."""
+"""Processor time and bytes that membership costs one node, by fleet size."""
 
 import time
 
@@ -20,7 +20,7 @@
 
 
 def measure() -> dict[str, float]:
-    """Return a member's costs on an ordinary day, and their slopes over nodes."""
+    """Return a member's costs on an ordinary day, and their growth with the nodes."""
     cpu_points, sent_points = [], []
     for nodes in NODE_COUNTS:
         cpu_percent, bytes_per_s = ordinary_costs(nodes, RECORD_CHANGES_PER_S)
@@ -52,8 +52,8 @@
 def ordinary_costs(nodes: int, changes_per_s: float) -> tuple[float, float]:
     """Return the percentage of a core and the bytes sent per second.
 
-    `changes_per_s` is not scaled with `nodes`, so that the slope over nodes
-    shows the effect of the fleet's size alone.
+    `changes_per_s` is the same for all numbers of nodes, so that the growth of the
+    costs with `nodes` shows the effect of the fleet's size alone.
     """
     mirror = Mirror(LONG_RUN.scaled(nodes), changes_per_s)
     mirror.run(WARM_UP_S)
--- a/bench/capacity/memory.py
+++ b/bench/capacity/memory.py
@@ -2,7 +2,7 @@
 
 Each state is filled in a fresh interpreter that has imported the whole node,
 because a process does not return freed memory to the kernel: a second state in
-the same process would reuse it and seem too small.
+the same process would reuse the freed memory and seem too small.
 """
 
 import gc
@@ -103,7 +103,7 @@
 
 
 def _fill_views(size: FleetSize) -> Picker:
-    """Fill a directory and build the view of every service, as requests to each do."""
+    """Fill a directory and build the view of every service, as requests would."""
     directory = _fill_directory(size)
     own = synthetic.node_record(0, size)
     picker = Picker(own, directory, CurrentConfiguration())
--- a/bench/capacity/settings.py
+++ b/bench/capacity/settings.py
@@ -1,7 +1,7 @@
 """Costs of one accepted change of the settings, by number of routes.
 
-On average, a node receives as many notices of a change as it sends. It pulls
-the change once, and on average sends it to one node.
+On average, a node receives as many notices of a change as it sends. A node pulls
+each change once, and on average one other node pulls the change from it.
 """
 
 import time
@@ -112,7 +112,7 @@
 
 
 def _change_sent_bytes(documents: dict[str, bytes]) -> float:
-    """Return the bytes that a node sends per change, if each connection is new."""
+    """Return the bytes that a node sends per change if all connections are new."""
     path = next(path for path in documents if "/routes/" in path)
     delta = SettingsDelta(50_000, CHAIN, CHAIN, {path: documents[path]}, 1)
     notices = FANOUT_ZONE + FANOUT_OTHER_ZONES
--- a/bench/deployments.py
+++ b/bench/deployments.py
@@ -108,7 +108,7 @@
 
 
 class RunningDeployment:
-    """Fleet of one example deployment, with its stand-in platform."""
+    """Running fleet of one example deployment, with a stand-in platform."""
 
     def __init__(self, fleet: Fleet, name: str) -> None:
         folder = EXAMPLES / name
@@ -135,7 +135,10 @@
             )
 
     def wait_for_readmissions(self) -> set[str]:
-        """Wait until no backend server is suspected; return those that still are."""
+        """Wait `READMISSION_TIMEOUT_S` at most until no backend server is suspected.
+
+        Returns the ids of the backend servers that are still suspected.
+        """
         deadline_s = time.monotonic() + READMISSION_TIMEOUT_S
         while True:
             suspected = {
@@ -279,7 +282,10 @@
 
 
 def run_deployment(name: str, scenario: str | None, seed: int) -> dict[str, Report]:
-    """Run one scenario of a deployment, or all if it is None; return the reports."""
+    """Run one scenario of a deployment, or all if `scenario` is None.
+
+    Returns the reports by name of the scenario.
+    """
     reports = {}
     with Fleet() as fleet:
         running = RunningDeployment(fleet, name)
--- a/bench/detection.py
+++ b/bench/detection.py
@@ -8,8 +8,8 @@
 The project's detector and two baselines judge the same traces: of the two
 example deployments, and of one service at the rate of the full-size fleet. A
 detection time begins with the fault and so includes the wait for the first
-request that meets it. A fault that is not detected within `FAULT_LENGTH_S` counts
-as missed; percentiles take its time as infinite.
+request that the fault affects. A fault that is not detected within
+`FAULT_LENGTH_S` counts as missed; percentiles take its time as infinite.
 """
 
 import math
@@ -34,7 +34,7 @@
 
 FAULT_LENGTH_S = 120.0
 SINGLE_SERVER_FAULTS = (Fault.GRAY, Fault.HALF, Fault.SLOW, Fault.FLAPPING)
-# Faults that the baselines can detect: they judge failures, not latency.
+# Faults that the baselines can detect: baselines judge failures, not latency.
 COMPARED_FAULTS = (Fault.GRAY, Fault.HALF, Fault.FLAPPING)
 THRESHOLDS = (5.0, 7.0, 8.5, 10.0, 11.0, 12.0, 14.0)
 CONSECUTIVE_LIMITS = (1, 2, 3, 4, 5, 7)
@@ -80,7 +80,7 @@
     false_ejections : int
         Ejections in all runs without a fault.
     healthy_server_h : float
-        Duration of these runs, times their backend servers.
+        Duration of the runs without a fault, times their number of backend servers.
     capacity_lost : dict of Fault to float
         Fraction of the healthy backend servers' time in which they were suspected.
     answered : dict of Fault to float
@@ -220,8 +220,8 @@
 def _print_comparison(figures: list[Figures]) -> None:
     """Compare each baseline point with the project's detector.
 
-    Once with its fastest point that is as accurate, once with its most accurate
-    point that is as fast.
+    Each baseline point is compared with two points of the detector's curve: the
+    fastest that is as accurate, and the most accurate that is as fast.
     """
     sequential = [point for point in figures if point.setting.detector == "sequential"]
     first_s = figures[0].first_request_s
@@ -285,7 +285,8 @@
     figures: list[Figures] = []
     with ProcessPoolExecutor(jobs) as executor:
         for deployment in DEPLOYMENTS:
-            # Fewer runs at higher rates: about equal numbers of requests.
+            # A deployment with more requests/s gets fewer runs, so that all deployments
+            # simulate about the same number of requests.
             fraction = deployment.run_fraction
             runs = max(1, round(seeds * fraction)), healthy_h * fraction
             tasks = [
--- a/bench/detection_detectors.py
+++ b/bench/detection_detectors.py
@@ -37,7 +37,7 @@
     Attributes
     ----------
     needs_ticks : bool
-        Whether it judges requests that are still running, in `tick`.
+        Whether the detector judges requests that are still running, in `tick`.
     """
 
     needs_ticks: bool
@@ -65,7 +65,7 @@
 
     def __init__(self, detection: Detection, servers: int) -> None:
         self._health = [ServerHealth(detection, 0.0) for _ in range(servers)]
-        # Requests arrive through several ingresses; each tracks only its own.
+        # Requests arrive through several ingresses; each tracks its own requests.
         self._trackers = [PeerEvidenceTracker() for _ in range(INGRESSES)]
         self._next_ingress = itertools.count()
         self._attempts: dict[int, tuple[PeerEvidenceTracker, float]] = {}
@@ -106,7 +106,7 @@
 
 
 class _HoldOuts:
-    """Ejections by a baseline: each of a backend server lasts longer than the last."""
+    """Ejections by a baseline; a backend server is ejected for longer each time."""
 
     def __init__(self, servers: int) -> None:
         self._held_out_until_s = [0.0] * servers
--- a/bench/detection_traces.py
+++ b/bench/detection_traces.py
@@ -91,7 +91,7 @@
         ),
     ),
     # The rate of a backend server in the full-size fleet: 1.8 million requests/s
-    # over 140,000 backend servers. Only 6 of them, to keep the bench short.
+    # over 140,000 backend servers. Only 6 are simulated, to keep the bench short.
     Deployment(
         "long-run", 3, (Service("typical", 6, 7, 13.0, 20.0, 2000.0, 1.0, 1.0),), 0.4
     ),
@@ -129,7 +129,7 @@
         self._draw_stall(0.0)
 
     def is_faulty(self, now_s: float) -> bool:
-        """Tell whether a fault of this backend server alone is active now."""
+        """Return whether a fault of this backend server alone is active now."""
         if now_s < FAULT_START_S:
             return False
         if self._fault is Fault.FLAPPING:
--- a/bench/latency.py
+++ b/bench/latency.py
@@ -174,7 +174,7 @@
     Parameters
     ----------
     baseline : dict
-        ``ratios`` as recorded, and ``bounds``: by which factor each may grow.
+        ``ratios`` as recorded, and ``bounds``: the factor by which each ratio may grow.
     """
     return [
         f"{name}: {ratios[name]:.2f} is over {recorded * bound:.2f}, "
--- a/bench/membership.py
+++ b/bench/membership.py
@@ -82,7 +82,7 @@
 def churn(nodes) -> Callable[[int], None]:
     """Return a function that restarts backend servers at `CHANGES_PER_S`.
 
-    To be called once a second, with the number of the second.
+    The function is to be called once a second, with the number of the second.
     """
     due_restarts = [0.0]
 
@@ -128,7 +128,10 @@
 
 
 def measure_join(network, nodes) -> dict:
-    """Return how long a joining node takes to learn all, and the bytes received."""
+    """Return how long a joining node takes to learn of all backend servers.
+
+    Also returns the bytes that it receives for each backend server.
+    """
     joiner = network.add(len(nodes) + 1, "zone-0", seeds=nodes[1:3])
     started_s = network.now_s
     expected = len(nodes) * SERVERS_PER_NODE
@@ -206,8 +209,8 @@
 def measure_member_at_size(nodes: int) -> dict:
     """Return the CPU of one member with this number of nodes in its directory.
 
-    No node answers, so that each probe also goes through helpers: an upper bound of
-    the work that grows with the directory.
+    No other node answers, so that each probe is repeated through helper nodes. The
+    figure is therefore an upper bound of the work that grows with the directory.
     """
     network = MemberNetwork()
     member = network.add(nodes + 1, "zone-0", "region-0")
--- a/bench/picker.py
+++ b/bench/picker.py
@@ -4,9 +4,9 @@
 
     python -m bench.picker
 
-Balance: the number of nodes whose subset contains a backend server, of the backend
-servers with the fewest and the most nodes, each divided by the mean. The fleet has
-5,600 nodes.
+The balance says how evenly the subsets cover the backend servers. For each backend
+server, the bench counts the nodes whose subset contains it; it prints the smallest
+and the largest count, divided by the mean. The fleet has 5,600 nodes.
 """
 
 import random
@@ -34,7 +34,7 @@
 
 
 def main() -> None:
-    """Print both for services with different numbers of backend servers."""
+    """Print time and balance for services with different numbers of backend servers."""
     print(
         f"{'servers':>7} {'us a choice':>11} {'ms a view':>9} {'least':>6} {'most':>6}"
     )
--- a/bench/queue_overload.py
+++ b/bench/queue_overload.py
@@ -63,7 +63,7 @@
         Fraction of the requests of this weight that were answered before their
         deadline.
     weighted : float
-        The same for all requests, by weight.
+        Fraction of all requests, by weight, that were answered before their deadline.
     wasted : float
         Fraction of the backend server's runs that ended after the deadline.
     refusal_delay_s : float
--- a/bench/retry_storm.py
+++ b/bench/retry_storm.py
@@ -1,8 +1,8 @@
 """Retry storms: attempts for each request when backend servers fail.
 
-Runs the ingress's forwarder with a simulated gate and simulated time, and compares
-its retry budget with a baseline of three attempts for each request. All figures are
-counts.
+Runs the ingress's forwarder with a simulated gate and simulated time. Compares the
+forwarder's retry budget with a baseline that allows three attempts for each request.
+All figures are counts, which do not depend on the machine.
 
     python -m bench.retry_storm
 """
@@ -41,7 +41,7 @@
 
 
 class Failure(StrEnum):
-    """Way in which a failing backend server answers, or does not."""
+    """Way in which a backend server fails: by its answer, or by giving none."""
 
     HANG = "hang"
     BROKEN = "broken"
--- a/bench/settings.py
+++ b/bench/settings.py
@@ -96,8 +96,8 @@
             self.nodes.append(node)
         for node in self.nodes:
             wait_until(lambda node=node: node.revision() >= 1, "settings", 60.0)
-        # A node polls the platform itself until it knows the other nodes: these reads
-        # must not be counted as reads of an idle fleet.
+        # A node polls the platform itself until it knows the other nodes, so the fleet
+        # is measured only after that.
         wait_until(lambda: self._all_know(count), "all nodes know each other", 90.0)
 
     def _all_know(self, count: int) -> bool:
