--- a/balsamspindle/backend_servers/cancellation.py
+++ b/balsamspindle/backend_servers/cancellation.py
@@ -35,7 +35,7 @@
 
     @property
     def ingress_ends_s(self) -> float:
-        """When the call's ingress ends; infinity while that node is not leaving."""
+        """When the node of the call's ingress stops; infinity if it is not leaving."""
         return self._ingress_ends_s
 
     def set_ingress_end(self, ends_s: float) -> None:
--- a/balsamspindle/customers/admission.py
+++ b/balsamspindle/customers/admission.py
@@ -47,7 +47,8 @@
     Attributes
     ----------
     retry_after_ms : float
-        Time after which the caller may retry; 0 for the default of the reason.
+        Time after which the caller may retry. If 0, the default time of `reason` is
+        used.
     customer : str
         The customer's name; empty if unknown.
     allow : tuple of str
--- a/balsamspindle/customers/freshness.py
+++ b/balsamspindle/customers/freshness.py
@@ -44,7 +44,7 @@
         self._age_max_s = age_max_s
         self._lock = threading.Lock()
         self._newest = _NO_PROOF
-        # The newest proof whose revision, or a newer one, is in force at this node.
+        # The newest proof whose revision is not newer than this node's own revision.
         self._usable = _NO_PROOF
 
     @property
--- a/balsamspindle/customers/granters.py
+++ b/balsamspindle/customers/granters.py
@@ -67,7 +67,8 @@
     def fleet_rate(self, limit: Limit) -> Rate:
         """Return the rate and burst up to which all nodes together grant requests.
 
-        They enforce one customer's limit, within the tolerances of this policy.
+        At this rate and burst, a customer exceeds its limit by no more than
+        `over_fraction` and `slack` allow.
         """
         if not self.window_s:
             return Rate(limit.rate_per_s, limit.burst + self.slack)
--- a/balsamspindle/membership/membership_state.py
+++ b/balsamspindle/membership/membership_state.py
@@ -1,4 +1,4 @@
-"""Rules by which nodes are suspected, declared dead and refute either."""
+"""Rules for suspecting nodes, declaring them dead, and how these nodes refute it."""
 
 import msgspec
 
--- a/balsamspindle/membership/own_record.py
+++ b/balsamspindle/membership/own_record.py
@@ -26,7 +26,7 @@
     Parameters
     ----------
     first : NodeRecord
-        The header at the node's start.
+        This node's header, as it is when the node starts.
     """
 
     def __init__(self, first: NodeRecord) -> None:
--- a/balsamspindle/membership/sync.py
+++ b/balsamspindle/membership/sync.py
@@ -169,8 +169,9 @@
         needs_all = (
             summary.differing_count > PULL_ALL_ABOVE_BUCKETS and self._state.peers()
         )
-        # Buckets are pulled once per interval: afterwards only the few nodes are
-        # missing that did not fit into a page.
+        # All differing buckets are pulled at most once per interval. After that pull,
+        # only the nodes that did not fit into a page are missing. They are few, so they
+        # are pulled one by one, as `node_pulls`.
         if needs_all and now_s >= self._next_pull_all_s:
             self._next_pull_all_s = now_s + PULL_ALL_INTERVAL_S
             wanted = [*summary.buckets, *summary.unlisted_buckets]
--- a/balsamspindle/platform/settings.py
+++ b/balsamspindle/platform/settings.py
@@ -36,8 +36,9 @@
 # A backend server can be unable to announce itself for 10 s while requests still reach
 # it. A crashed backend server is detected earlier, by its failing requests.
 ANNOUNCEMENT_TTL_S = 30.0
-# Fraction used of the requests that the bounds allow beyond a customer's limit. The
-# rest covers nodes that begin to grant a limit while another node still grants it.
+# A customer may exceed its limit by a bounded number of requests. The nodes that grant
+# the limit use up to this fraction of that number. The remainder covers nodes that
+# begin to grant the limit while another node still grants it.
 LIMIT_EXCESS_USED_FRACTION = 0.7
 # Control traffic that a node may send to other nodes, in bytes per second: the target
 # for a fleet of full size.
--- a/balsamspindle/platform/store.py
+++ b/balsamspindle/platform/store.py
@@ -299,7 +299,7 @@
 
 
 def _classify_failure(result: Result) -> Result[Any, Unreachable | Unknown]:
-    """Return the error of a failed call: whether a write is excluded or unknown."""
+    """Return `Unreachable` if the call wrote nothing, `Unknown` if it may have."""
     match result:
         case Result(tag="ok", ok=StoreAnswer(status)) if status in _REFUSALS:
             return Error(Unreachable(f"the store refused the call ({status})"))
@@ -340,8 +340,8 @@
     try:
         value = msgspec.json.decode(decode_value(stored.value))
     except (PlatformFormatError, msgspec.MsgspecError):
-        # Others, such as the operator, write rows too. The reader of the row reports
-        # that its value is missing.
+        # Nodes are not the only writers of rows: the operator, for example, may have
+        # stored this value. The reader of the row reports that its value is missing.
         value = None
     return Row(stored.key, version, value)
 
--- a/balsamspindle/requests/claim_eras.py
+++ b/balsamspindle/requests/claim_eras.py
@@ -4,9 +4,9 @@
 was made, and it starts a new era. In that era a key without a claim may have been
 claimed before the restore. The era is settled once every process that may know lost
 claims has written its claims again and has confirmed in the store that it did: from
-then on a key without a claim is unclaimed. If one of these processes ended before it
-confirmed, requests whose keys have no claim are not run until callers can no longer
-resend the keys of the lost claims.
+then on a key without a claim counts as unclaimed. If one of these processes ended
+before it confirmed, requests whose keys have no claim are not run until callers can no
+longer resend the keys of the lost claims.
 """
 
 import threading
--- a/balsamspindle/requests/claim_restorer.py
+++ b/balsamspindle/requests/claim_restorer.py
@@ -4,7 +4,7 @@
 writes claims for these keys, and the claims of its ingress, to the store again. Then it
 confirms in its node's row of `CLAIM_ERAS_TABLE` that it did. Once all processes have
 confirmed, one of them marks the store's new era as settled: from then on a key without
-a claim is unclaimed (see `balsamspindle.requests.claim_eras`).
+a claim counts as unclaimed (see `balsamspindle.requests.claim_eras`).
 
 A process that has no claims to write does nothing until a request with a key arrives at
 any node. So a fleet whose callers send no keys makes no calls to the store.
--- a/balsamspindle/requests/forwarding.py
+++ b/balsamspindle/requests/forwarding.py
@@ -41,11 +41,14 @@
 __all__ = ["ForwardedRequest", "Forwarder"]
 
 # Every SEARCH_AGAIN_S (half of gate_links.HOLD_OUT_S), a request that all gates refused
-# is sent to them again, for a fraction of its remaining time. Idempotent requests try
-# suspected backend servers at once: after a wait, the gates' queues would be full.
+# is sent to them again, for a fraction of its remaining time. Then it may be sent to a
+# backend server that is suspected of having failed. An idempotent request may be sent
+# there at once: if it waited, the gates' queues would be full by then.
 SEARCH_AGAIN_S = 0.25
 SEARCH_AGAIN_FRACTIONS = {Execution.IDEMPOTENT: 0.0, Execution.NON_IDEMPOTENT: 0.1}
-# Runs with these reasons were lost by the gate's node, not by the backend server.
+# A run with one of these reasons was lost because of the gate's node, without a failure
+# of the backend server. The request may then be sent again to gates that refused it
+# before the run.
 _LOST_WITH_GATE = frozenset({Reason.GATE_ENDING, Reason.CANCELLED, Reason.SILENCE})
 
 
@@ -299,18 +302,13 @@
         )
 
     def _widen_search(self, forwarded: ForwardedRequest) -> bool:
-        """Prepare another search for a request that all gates refused.
+        """Prepare a new search after all gates refused; return False to end the search.
 
         Suspected backend servers are on trial again within a second, so a
         non-idempotent request is sent to all gates again for a fraction of its time.
         After that time it may be sent to a suspected backend server as the last resort.
         An idempotent request may be sent to one at once. So a service whose backend
         servers are all suspected or busy still answers some requests.
-
-        Returns
-        -------
-        bool
-            Whether to search again.
         """
         now_s = self._clock()
         if forwarded.is_last_resort or not forwarded.may_send():
--- a/balsamspindle/requests/link_attempts.py
+++ b/balsamspindle/requests/link_attempts.py
@@ -30,9 +30,9 @@
 
 __all__ = ["LinkAttempts"]
 
-# A leaving node announces to gates that it stops this much earlier than it does, so
-# that their refusals arrive in time. If a refusal is lost, the caller gets `unknown`
-# instead of `not_run`.
+# A leaving node announces a stop time to the gates that is this much before its real
+# one. So their refusals of its attempts still reach the node before it stops. If a
+# refusal is lost, the caller gets `unknown` instead of `not_run`.
 REPLY_RESERVE_S = 0.2
 
 
--- a/balsamspindle/requests/reply_wait.py
+++ b/balsamspindle/requests/reply_wait.py
@@ -93,10 +93,12 @@
     Returns
     -------
     WaitResult or None
-        The first answer; without one, the last other reply. None if the wait ended
-        without any reply: at the deadline, when the links or the caller's connection
-        closed, when this node gave up all requests, or at a gate's notice that its
-        node may stop before the attempt ends.
+        The reply that ended the wait: a success, or any answer of a backend server to
+        one of `attempts`. Without such a reply, the last other reply to one of
+        `attempts`, such as a gate's refusal. None if the wait ended without either: at
+        the deadline, when the links or the caller's connection closed, when this node
+        gave up all requests, or at a gate's notice that its node may stop before the
+        attempt ends.
     """
     waiting = {**wait.parked_attempts, **attempts}
     poller = zmq.Poller()
