--- a/balsamspindle/node/customer_side.py
+++ b/balsamspindle/node/customer_side.py
@@ -36,7 +36,7 @@
         link = self._acquire_link(node)
         if link is None:
             return None
-        answer = link.ask(question, time.monotonic() + QUESTION_TIMEOUT_S)
+        answer = link.query(question, time.monotonic() + QUESTION_TIMEOUT_S)
         if answer is None:
             link.close()
         else:
--- a/balsamspindle/node/gauges.py
+++ b/balsamspindle/node/gauges.py
@@ -135,7 +135,7 @@
             yield Gauge(
                 "balsamspindle_retries_left",
                 "Retries that this node could make now.",
-                self._retries.tokens_left(service, now_s),
+                self._retries.remaining_tokens(service, now_s),
                 {"service": service},
             )
         for service in self._grants.services():
--- a/balsamspindle/node/graceful_shutdown.py
+++ b/balsamspindle/node/graceful_shutdown.py
@@ -74,7 +74,7 @@
             ends_in_ms=round(self._settings.shutdown_timeout_s * 1000),
             running=self._gate.in_flight(),
             waiting=self._gate.waiting(),
-            callers=self._ingress.callers(),
+            callers=self._ingress.waiting_caller_count(),
         )
 
     def _is_idle(self) -> bool:
--- a/balsamspindle/requests/admission_queries.py
+++ b/balsamspindle/requests/admission_queries.py
@@ -108,7 +108,7 @@
             return self._log_declined(
                 forwarded, placement, DeclinedAttempt(Reason.UNREACHABLE)
             )
-        match link.ask(
+        match link.query(
             self._build_query(forwarded, placement), now_s + QUERY_TIMEOUT_S
         ):
             case None:
--- a/balsamspindle/requests/forwarding.py
+++ b/balsamspindle/requests/forwarding.py
@@ -292,7 +292,9 @@
             return
         left = None
         if not self._retries.granted_by_gates(route.service):
-            left = round(self._retries.tokens_left(route.service, self._clock()), 1)
+            left = round(
+                self._retries.remaining_tokens(route.service, self._clock()), 1
+            )
         self._events.emit(
             "retry_denied",
             request=forwarded.request_id,
--- a/balsamspindle/requests/ingress.py
+++ b/balsamspindle/requests/ingress.py
@@ -148,7 +148,7 @@
         """Return whether the listener and all connections are closed."""
         return self._listener_closed.is_set() and not self._connections.open_count()
 
-    def callers(self) -> int:
+    def waiting_caller_count(self) -> int:
         """Return the number of callers whose request is not answered yet."""
         return self._connections.busy_count()
 
--- a/balsamspindle/requests/link_attempts.py
+++ b/balsamspindle/requests/link_attempts.py
@@ -183,7 +183,7 @@
         """
         replies = {} if waited is None else waited.replies
         unanswered = [sent for sent in attempts if sent.link not in replies]
-        if len(unanswered) != 1 or not unanswered[0].is_ending():
+        if len(unanswered) != 1 or not unanswered[0].has_ending_notice():
             return None
         if is_answered(waited) or not self._may_park(forwarded):
             return None
--- a/balsamspindle/requests/links.py
+++ b/balsamspindle/requests/links.py
@@ -161,16 +161,16 @@
         poller.register(self._disconnect_monitor, zmq.POLLIN)
         return dict(poller.poll(timeout_ms))
 
-    def ask(
-        self, question: AdmissionQuery | LimitQuestion, give_up_s: float
+    def query(
+        self, query: AdmissionQuery | LimitQuestion, give_up_s: float
     ) -> AdmissionAnswer | LimitAnswer | None:
         """Send a question and return its answer; None if no answer came in time."""
-        if not self._send(question):
+        if not self._send(query):
             return None
         while self._wait(zmq.POLLIN, give_up_s):
             match decode_link(self._socket.recv()):
                 case AdmissionAnswer() | LimitAnswer() as answer if (
-                    answer.number == question.number
+                    answer.number == query.number
                 ):
                     self._record_received(answer.gate_time_s)
                     return answer
@@ -193,16 +193,16 @@
         )
         return self._send(message)
 
-    def is_ending(self, attempt_id: AttemptId) -> bool:
+    def has_ending_notice(self, attempt_id: AttemptId) -> bool:
         """Return whether the gate announced that the attempt may outlast its node."""
         return self._ending_attempt_id == attempt_id
 
-    def notify_ending(self, attempt_id: AttemptId, left_s: float) -> None:
-        """Notify the gate, once per attempt, that this node stops in `left_s`."""
+    def notify_node_stop(self, attempt_id: AttemptId, remaining_s: float) -> None:
+        """Notify the gate, once per attempt, that this node stops in `remaining_s`."""
         if self._ending_sent:
             return
         self._ending_sent = True
-        self._send(IngressEnding(attempt_id, left_s * 1000))
+        self._send(IngressEnding(attempt_id, remaining_s * 1000))
 
     def cancel(self, attempt_id: AttemptId, hlc: int, cause: CancelCause) -> None:
         """Cancel the attempt and close the link once the cancellation is sent."""
--- a/balsamspindle/requests/reply_wait.py
+++ b/balsamspindle/requests/reply_wait.py
@@ -136,7 +136,7 @@
             is_end_sent = True
             left_s = wait.node_ends_s() - time.monotonic()
             for link, attempt_id in waiting.items():
-                link.notify_ending(attempt_id, left_s)
+                link.notify_node_stop(attempt_id, left_s)
         if wait.caller_fd in ready:
             if wait.caller_gone():
                 return last
@@ -155,4 +155,4 @@
 ) -> bool:
     """Return whether only one attempt is left and may outlast its gate's node."""
     left = [link for link in waiting if link in attempts]
-    return len(left) == 1 and left[0].is_ending(attempts[left[0]])
+    return len(left) == 1 and left[0].has_ending_notice(attempts[left[0]])
--- a/balsamspindle/requests/retries.py
+++ b/balsamspindle/requests/retries.py
@@ -270,7 +270,7 @@
         """Return the services with requests at this ingress, sorted by name."""
         return sorted(self._services)
 
-    def tokens_left(self, service: str, now_s: float) -> float:
+    def remaining_tokens(self, service: str, now_s: float) -> float:
         """Return the number of retry tokens that a service has now."""
         with self._lock:
             return self._state(service).tokens.remaining(self._budget(service), now_s)
@@ -279,7 +279,7 @@
         self,
         service: str,
         is_own: bool,
-        left_s: float,
+        remaining_s: float,
         now_s: float,
         route_id: int = 0,
     ) -> float:
@@ -292,13 +292,14 @@
             returned time. That time is then longer than the 99th percentile of latency
             that the gate reported: otherwise the gate would not count the attempt as
             slow, and would not detect a backend server that hangs.
-        left_s : float
+        remaining_s : float
             Time until the request's deadline.
 
         Returns
         -------
         float
-            `left_s` if no retry can be paid for, or if a retry would not end in time.
+            `remaining_s` if no retry can be paid for, or if a retry would not end
+            before the deadline.
         """
         with self._lock:
             state = self._state(service)
@@ -306,17 +307,17 @@
             if self.granted_by_gates(service):
                 if is_own:
                     # If the attempt ended early, all gates might deny its retry.
-                    return left_s
+                    return remaining_s
             elif not state.tokens.available(self._budget(service), now_s):
-                return left_s
-        latest_s = left_s * self.HEDGE_LATEST_FRACTION
-        if latency.high_s is None:
+                return remaining_s
+        latest_s = remaining_s * self.HEDGE_LATEST_FRACTION
+        if latency.p95_s is None:
             return latest_s
-        hedge_delay_s = min(latest_s, latency.high_s * self.SLOW_FACTOR)
+        hedge_delay_s = min(latest_s, latency.p95_s * self.SLOW_FACTOR)
         if not is_own:
             return hedge_delay_s
         hedge_delay_s = max(hedge_delay_s, latency.p99_s * self.SLOWEST_FACTOR)
-        return hedge_delay_s if hedge_delay_s <= left_s / 2 else left_s
+        return hedge_delay_s if hedge_delay_s <= remaining_s / 2 else remaining_s
 
     def record_end(
         self,
--- a/balsamspindle/requests/sent_attempts.py
+++ b/balsamspindle/requests/sent_attempts.py
@@ -36,9 +36,9 @@
         """Cancel the attempt and close its link."""
         self.link.cancel(self.attempt_id, self.dispatch.hlc, cause)
 
-    def is_ending(self) -> bool:
+    def has_ending_notice(self) -> bool:
         """Return whether the gate announced that the attempt may outlast its node."""
-        return self.link.is_ending(self.attempt_id)
+        return self.link.has_ending_notice(self.attempt_id)
 
 
 class ParkedAttempts:
--- a/bench/retry_storm.py
+++ b/bench/retry_storm.py
@@ -78,9 +78,9 @@
         """Return True: the baseline has no budget to spend."""
         return True
 
-    def hedge_delay_s(self, service, is_own, left_s, now_s, route_id=0):
+    def hedge_delay_s(self, service, is_own, remaining_s, now_s, route_id=0):
         """Return half of the remaining time; the hedge gets the other half."""
-        return left_s / 2
+        return remaining_s / 2
 
 
 class _SimulatedGate:
--- a/tests/test_caller_connections.py
+++ b/tests/test_caller_connections.py
@@ -105,7 +105,7 @@
         fixture.forwarder.answers_allowed.clear()
         busy = fixture.caller().send(GET)
         wait_until(lambda: len(fixture.forwarder.forwarded) == 2, "one is busy")
-        self.assertEqual(1, fixture.ingress.callers())
+        self.assertEqual(1, fixture.ingress.waiting_caller_count())
         fixture.forwarder.forwarded[1].cut_s = time.monotonic()
         fixture.forwarder.forwarded[1].stopped_by = StopReason.NO_PLACE
         fixture.ingress.stop()
--- a/tests/test_ending_ingresses.py
+++ b/tests/test_ending_ingresses.py
@@ -166,7 +166,7 @@
         started_s = time.monotonic()
         self.assertIsNone(self._wait(link, attempt_id, ends_at_notice=lambda: True))
         self.assertLess(time.monotonic() - started_s, PATIENCE_S)
-        self.assertTrue(link.is_ending(attempt_id))
+        self.assertTrue(link.has_ending_notice(attempt_id))
         link.close()
 
     def test_waiting_attempts_of_a_leaving_ingress_are_refused(self):
@@ -200,7 +200,7 @@
         for _ in range(2):
             self.executor.submit(busy.wait, PATIENCE_S)
         link, attempt_id = self._send(1)
-        link.notify_ending(attempt_id, 0.5 * USUAL_S)
+        link.notify_node_stop(attempt_id, 0.5 * USUAL_S)
         wait_until(lambda: self.server._ends_s, "the notice has arrived")
         busy.set()
         reply = self._wait(link, attempt_id).reply
@@ -217,7 +217,7 @@
         for _ in range(2):
             self.executor.submit(busy.wait, PATIENCE_S)
         link, attempt_id = self._send(1)
-        link.notify_ending(attempt_id, 0.1)
+        link.notify_node_stop(attempt_id, 0.1)
         time.sleep(0.5)
         busy.set()
         reply = self._wait(link, attempt_id).reply
--- a/tests/test_retries.py
+++ b/tests/test_retries.py
@@ -160,7 +160,7 @@
         for _ in range(5000):
             estimate.record(rng.expovariate(1.0))
         # The 95th percentile of this distribution is 3.0.
-        self.assertTrue(2.2 < estimate.high_s < 4.0, estimate.high_s)
+        self.assertTrue(2.2 < estimate.p95_s < 4.0, estimate.p95_s)
         self.assertTrue(0.5 < estimate.mean_s < 2.0, estimate.mean_s)
 
 
