--- a/balsamspindle/backend_servers/admission.py
+++ b/balsamspindle/backend_servers/admission.py
@@ -294,8 +294,8 @@
         The fraction is rounded down to a multiple of 1/4, but is at least 1/4. Each
         change of it is sent to the whole fleet, so a cold start causes few updates.
         """
-        part = self._slots(server, now_s) / server.announcement.slots
-        return max(1, int(part * CAPACITY_STEPS)) / CAPACITY_STEPS
+        fraction = self._slots(server, now_s) / server.announcement.slots
+        return max(1, int(fraction * CAPACITY_STEPS)) / CAPACITY_STEPS
 
     def release(self, admitted: Admitted, end: WorkEnd) -> int:
         """Free the slot of an attempt.
--- a/balsamspindle/backend_servers/answers.py
+++ b/balsamspindle/backend_servers/answers.py
@@ -82,7 +82,7 @@
     ----------
     request_id : str
         Id of the request to which the answer must belong.
-    takes_unframed : bool
+    accepts_unframed : bool
         Whether an answer without a length is accepted as complete when its connection
         was closed normally. If the connection was reset, libcurl reports an error.
 
@@ -97,12 +97,12 @@
         body_max_bytes: int,
         request_id: str = "",
         names: HeaderNames = DEFAULT_HEADER_NAMES,
-        takes_unframed: bool = False,
+        accepts_unframed: bool = False,
     ) -> None:
         self.too_large = False
         self._request_id = request_id
         self._names = names
-        self._takes_unframed = takes_unframed
+        self._accepts_unframed = accepts_unframed
         self._body_max_bytes = body_max_bytes
         self._chunks: list[bytes] = []
         self._body_bytes = 0
@@ -172,7 +172,7 @@
                 return "a header contains a control character"
         if len(set(self._values("content-length"))) > 1:
             return "the answer has several Content-Length headers with different values"
-        if not (bodiless or self._takes_unframed or self._has_framing()):
+        if not (bodiless or self._accepts_unframed or self._has_framing()):
             # Without a length the body ends with the connection, so the answer of a
             # backend server that crashes half way through it looks complete.
             return "the answer has no valid framing (Content-Length or chunked)"
--- a/balsamspindle/backend_servers/client.py
+++ b/balsamspindle/backend_servers/client.py
@@ -47,7 +47,7 @@
 
     Parameters
     ----------
-    takes_unframed : bool
+    accepts_unframed : bool
         See `AnswerReader`.
     """
 
@@ -55,11 +55,11 @@
         self,
         answer_body_max_bytes: int,
         names: HeaderNames = DEFAULT_HEADER_NAMES,
-        takes_unframed: bool = False,
+        accepts_unframed: bool = False,
     ) -> None:
         self._answer_body_max_bytes = answer_body_max_bytes
         self._names = names
-        self._takes_unframed = takes_unframed
+        self._accepts_unframed = accepts_unframed
         self._pool = _HandlePool()
 
     def call(
@@ -103,8 +103,8 @@
             # must not fail because of them. It is idempotent, so send it again on a
             # new connection.
             handle = _Handle(execution)
-            left_ms = (deadline_s - time.monotonic()) * 1000
-            result = self._perform(handle, request, left_ms, token)
+            remaining_ms = (deadline_s - time.monotonic()) * 1000
+            result = self._perform(handle, request, remaining_ms, token)
         self._pool.release(address, execution, handle)
         return result
 
@@ -117,20 +117,20 @@
             self._answer_body_max_bytes,
             request.request_id,
             self._names,
-            self._takes_unframed,
+            self._accepts_unframed,
         )
-        left_ms = max(1, int(timeout_ms))
+        remaining_ms = max(1, int(timeout_ms))
         handle.curl.setopt(pycurl.URL, f"http://{request.address}/")
         # Set the target separately: in the URL an `@` in it would change the host.
         handle.curl.setopt(pycurl.REQUEST_TARGET, request.target.encode("latin-1"))
-        handle.curl.setopt(pycurl.TIMEOUT_MS, left_ms)
+        handle.curl.setopt(pycurl.TIMEOUT_MS, remaining_ms)
         handle.curl.setopt(
             pycurl.HTTPHEADER,
             [
                 *_header_lines(request.headers, self._names),
                 # Tell the backend server the remaining time, so that it can stop
                 # working once the caller has stopped waiting.
-                f"{self._names.timeout_ms}: {left_ms}",
+                f"{self._names.timeout_ms}: {remaining_ms}",
                 *_SUPPRESSED_HEADERS,
             ],
         )
--- a/balsamspindle/backend_servers/crash_watch.py
+++ b/balsamspindle/backend_servers/crash_watch.py
@@ -156,7 +156,7 @@
             self._events.emit("backend_server_crash_retracted", backend_server=key[0])
         if end.is_success and run is not None:
             self._on_update(self._history.record_answer(run.content_hash, now_s), now_s)
-        return end.is_broken and self._has_ended(server, start, now_s)
+        return end.is_broken and self._detect_crash(server, start, now_s)
 
     def record_replacement(self, server: LocalBackendServer, now_s: float) -> None:
         """Record the crash of a backend server whose address another one has now.
@@ -179,7 +179,7 @@
         is_recent = broken_s and now_s - broken_s[-1] <= REPLACED_WITHIN_S
         self._record_crash(server, start, broken_s[-1] if is_recent else now_s)
 
-    def _has_ended(
+    def _detect_crash(
         self, server: LocalBackendServer, start: _Start, now_s: float
     ) -> bool:
         """Return whether this start has ended; record its crash when first detected."""
--- a/balsamspindle/backend_servers/health.py
+++ b/balsamspindle/backend_servers/health.py
@@ -21,10 +21,10 @@
 
 # A hold-out ends early when the score has fallen to this part of the threshold. It can
 # fall because some attempts still reach a backend server that is held out.
-RECOVERED_SCORE_PART = 0.5
+RECOVERED_SCORE_FRACTION = 0.5
 # The estimated duration of a trial, about as long as a request takes. The gate tells
 # ingresses for how long it refuses work: the remaining time of the hold-out plus this.
-TRIAL_HINT_MS = 100.0
+TRIAL_ESTIMATE_MS = 100.0
 # For this long after its start, a trial accepts only idempotent requests. If each
 # backend server gets a few requests a second, some idempotent ones arrive in that time.
 TRIAL_WAIT_S = 3.0
@@ -58,7 +58,7 @@
         or was slow, between 0 and 1.
     evidence : dict of str to int
         Number of requests and probes by result since the score was last 0.
-    hold_out_left_s : float
+    hold_out_remaining_s : float
         Time until the trial; 0 unless the backend server is held out.
     """
 
@@ -69,7 +69,7 @@
     slow_ms: float
     peers_bad_share: float
     evidence: dict[str, int]
-    hold_out_left_s: float
+    hold_out_remaining_s: float
 
 
 class LightestWeight:
@@ -218,7 +218,7 @@
         refuses = self._work.detection.independent_errors
         if self.phase is HealthPhase.SERVING or not refuses:
             return 0.0
-        return TRIAL_HINT_MS + self._readmission.hold_out_left_s(now_s) * 1000
+        return TRIAL_ESTIMATE_MS + self._readmission.hold_out_remaining_s(now_s) * 1000
 
     def held_out(self, now_s: float) -> HoldOut:
         """Return for how long the gate refuses ordinary work, and on what evidence."""
@@ -316,7 +316,7 @@
             self.slow_ms(),
             self._work.peers_bad_share(now_s),
             dict(self._work.evidence),
-            self._readmission.hold_out_left_s(now_s),
+            self._readmission.hold_out_remaining_s(now_s),
         )
 
     def _update_phase(self, now_s: float) -> None:
@@ -336,13 +336,13 @@
                 self._is_strongly_suspected |= (
                     self._work.score >= STRONG_SCORE_FACTOR * threshold
                 )
-                recovered = self._work.score <= RECOVERED_SCORE_PART * threshold
+                recovered = self._work.score <= RECOVERED_SCORE_FRACTION * threshold
                 # The score also falls when the peers are slow for a moment. That does
                 # not show that this backend server has recovered, so a good request
                 # is required as well.
                 recovered &= self._work.had_good_work_since(self._readmission.since_s)
                 recovered &= not self._work.detection.independent_errors
-                if recovered or not self._readmission.hold_out_left_s(now_s):
+                if recovered or not self._readmission.hold_out_remaining_s(now_s):
                     self._start_trial(now_s)
 
     def _has_passed_trial(self, now_s: float) -> bool:
--- a/balsamspindle/backend_servers/health_latency.py
+++ b/balsamspindle/backend_servers/health_latency.py
@@ -2,9 +2,9 @@
 
 import math
 
-__all__ = ["INITIAL_P99_MS", "SLOW_SHARE", "LatencyP99"]
+__all__ = ["INITIAL_P99_MS", "SLOW_FRACTION", "LatencyP99"]
 
-SLOW_SHARE = 0.01
+SLOW_FRACTION = 0.01
 INITIAL_P99_MS = 1000.0
 MIN_P99_MS = 1.0
 # The largest latency of this many requests is close enough to the 99th percentile
@@ -20,7 +20,7 @@
 
 
 class LatencyP99:
-    """Estimates the latency that a share `SLOW_SHARE` of requests exceeds.
+    """Estimates the latency that a share `SLOW_FRACTION` of requests exceeds.
 
     Until `SETTLING_REQUESTS` requests were seen, the estimate is the largest latency
     so far times `SETTLING_REQUESTS` / requests seen. That extrapolates from few
@@ -60,7 +60,7 @@
             self._learn_initial(latency_ms)
             return
         is_over = latency_ms > self.p99_ms
-        step = LOG_STEP * ((1 - SLOW_SHARE) if is_over else -SLOW_SHARE)
+        step = LOG_STEP * ((1 - SLOW_FRACTION) if is_over else -SLOW_FRACTION)
         self.p99_ms = max(MIN_P99_MS, self.p99_ms * math.exp(step))
 
     def _learn_initial(self, latency_ms: float) -> None:
--- a/balsamspindle/backend_servers/health_monitor.py
+++ b/balsamspindle/backend_servers/health_monitor.py
@@ -226,7 +226,7 @@
             monitored.previous_start = start_id(monitored.boot_id)
             monitored.boot_id = server.announcement.boot_id
             monitored.health.record_restart(now_s)
-        self._undo_explained_crash(monitored, server.backend_server_id, now_s)
+        self._undo_explained_ejection(monitored, server.backend_server_id, now_s)
         monitored.health.configure(self._detection(service))
         if monitored.health.needs_tick:
             monitored.health.tick(now_s)
@@ -236,7 +236,7 @@
         report = monitored.health.report(now_s)
         return [_PhaseChange(server.backend_server_id, service, report)]
 
-    def _undo_explained_crash(
+    def _undo_explained_ejection(
         self, monitored: _MonitoredServer, server_id: str, now_s: float
     ) -> None:
         """Undo the ejection of a backend server that a request has crashed.
@@ -253,12 +253,12 @@
             monitored.health.undo_crash_ejection(now_s)
 
     def _discard_absent(self, now_s: float) -> None:
-        gone = [
+        expired_ids = [
             backend_server_id
             for backend_server_id, monitored in self._monitored.items()
             if now_s - monitored.last_present_s > ABSENT_EXPIRY_S
         ]
-        for backend_server_id in gone:
+        for backend_server_id in expired_ids:
             del self._monitored[backend_server_id]
 
     def _publish(self, server: LocalBackendServer) -> None:
@@ -290,7 +290,7 @@
             threshold=report.threshold,
             slow_ms=f"{report.slow_ms:.0f}",
             peers_bad_share=f"{report.peers_bad_share:.2f}",
-            hold_out_s=f"{report.hold_out_left_s:.1f}",
+            hold_out_s=f"{report.hold_out_remaining_s:.1f}",
         )
 
 
--- a/balsamspindle/backend_servers/health_peers.py
+++ b/balsamspindle/backend_servers/health_peers.py
@@ -63,7 +63,7 @@
         """
         self._is_p99_stale = True
 
-    def bad_share(self, now_s: float) -> float:
+    def bad_fraction(self, now_s: float) -> float:
         """Return the share of bad peers, between 0 and 1."""
         decay = self._decay_factor(now_s)
         return self._peers_bad * decay / (self._peers_seen * decay + PRIOR_GOOD_PEERS)
--- a/balsamspindle/backend_servers/health_readmission.py
+++ b/balsamspindle/backend_servers/health_readmission.py
@@ -24,7 +24,7 @@
 # which no request arrived.
 PROBES_TO_SHORTEN = 3
 # Passed probes end a trial only after it has lasted this long without a request.
-TRIAL_SILENCE_S = 10.0
+TRIAL_IDLE_MIN_S = 10.0
 
 
 class HealthPhase(StrEnum):
@@ -56,7 +56,7 @@
         self._hold_out_s = detection.hold_out_s
         self._good_in_a_row = 0
         self._probes_passed = 0
-        self._calm_since_s = now_s
+        self._good_service_since_s = now_s
 
     def eject(self, now_s: float) -> None:
         """Begin a hold-out, longer than the last one but at most `hold_out_max_s`."""
@@ -69,7 +69,7 @@
         self.growth_exponent = min(self.growth_exponent + 1, GROWTH_EXPONENT_MAX)
         self._enter(HealthPhase.HELD_OUT, now_s)
 
-    def hold_out_left_s(self, now_s: float) -> float:
+    def hold_out_remaining_s(self, now_s: float) -> float:
         """Return the time until the trial; 0 unless the server is held out."""
         if self.phase is not HealthPhase.HELD_OUT:
             return 0.0
@@ -106,13 +106,13 @@
         return (
             self.phase is HealthPhase.ON_TRIAL
             and last_verdict_s < self.since_s
-            and now_s - self.since_s >= TRIAL_SILENCE_S
+            and now_s - self.since_s >= TRIAL_IDLE_MIN_S
             and self._probes_passed >= PROBES_TO_SHORTEN
         )
 
     def readmit(self, now_s: float) -> None:
         """Enter the serving phase; a new period of good service begins now."""
-        self._calm_since_s = now_s
+        self._good_service_since_s = now_s
         self._enter(HealthPhase.SERVING, now_s)
 
     def undo_ejection(self, now_s: float) -> None:
@@ -127,5 +127,7 @@
 
     def _reduce_growth(self, now_s: float) -> None:
         if self.phase is HealthPhase.SERVING:
-            calm_periods = int((now_s - self._calm_since_s) / self.detection.calm_s)
-            self.growth_exponent = max(0, self.growth_exponent - calm_periods)
+            good_periods = int(
+                (now_s - self._good_service_since_s) / self.detection.calm_s
+            )
+            self.growth_exponent = max(0, self.growth_exponent - good_periods)
--- a/balsamspindle/backend_servers/health_work.py
+++ b/balsamspindle/backend_servers/health_work.py
@@ -4,7 +4,7 @@
 from collections import Counter
 
 from balsamspindle.backend_servers.evidence import ProbeResult, WorkResult
-from balsamspindle.backend_servers.health_latency import SLOW_SHARE, LatencyP99
+from balsamspindle.backend_servers.health_latency import SLOW_FRACTION, LatencyP99
 from balsamspindle.backend_servers.health_peers import PeerAggregate
 from balsamspindle.backend_servers.health_score import (
     SHARED_CAUSE_SHARE,
@@ -90,7 +90,7 @@
         self._in_flight: dict[AttemptId, _InFlight] = {}
         self._peers = PeerAggregate()
         self._latency = LatencyP99()
-        self._slow_rate = LearnedRate(SLOW_SHARE)
+        self._slow_rate = LearnedRate(SLOW_FRACTION)
         self._error_rate = LearnedRate(detection.error_rate_healthy)
         self._slow_request_score = 0.0
         # When an attempt was last counted as slow, and when that attempt began.
@@ -142,7 +142,7 @@
 
     def peers_bad_share(self, now_s: float) -> float:
         """Return the share of bad peers, between 0 and 1."""
-        return self._peers.bad_share(now_s)
+        return self._peers.bad_fraction(now_s)
 
     def has_shared_cause(self, now_s: float) -> bool:
         """Tell whether the cause of the score is shared with the peers.
@@ -252,7 +252,7 @@
 
     def _rates(self, learned: LearnedRate, now_s: float) -> Rates:
         rates = Rates(learned.value, self.detection.error_rate_sick)
-        return adjust_for_peers(rates, self._peers.bad_share(now_s))
+        return adjust_for_peers(rates, self._peers.bad_fraction(now_s))
 
     def _rescale_to_peers(self, now_s: float) -> None:
         """Lower the score when more peers turn out to be bad.
@@ -364,7 +364,7 @@
         is_pause = (now_s - oldest_s) * 1000 <= self.detection.pause_ms
         if is_pause or self._last_good_s >= oldest_s or self._standstill_s >= oldest_s:
             return
-        if self._peers.bad_share(now_s) >= STANDSTILL_PEERS_BAD_MAX:
+        if self._peers.bad_fraction(now_s) >= STANDSTILL_PEERS_BAD_MAX:
             return
         self._standstill_s = now_s
         age_ms = (now_s - oldest_s) * 1000
--- a/tests/test_backend_client.py
+++ b/tests/test_backend_client.py
@@ -356,7 +356,7 @@
         # whose connection is reset must not be taken for complete. By default an answer
         # without a length is never accepted.
         answer = b"HTTP/1.1 200 OK\r\n\r\nwhole"
-        lenient = BackendServerClient(BODY_MAX_BYTES, takes_unframed=True)
+        lenient = BackendServerClient(BODY_MAX_BYTES, accepts_unframed=True)
         ended = self._server(lambda number: (answer, False))
         arguments = ("GET", "/", [], b"", Execution.IDEMPOTENT, 3000)
         self.assertEqual(b"whole", lenient.call(ended.address, *arguments).body)
