--- a/balsamspindle/backend_servers/admission.py
+++ b/balsamspindle/backend_servers/admission.py
@@ -181,7 +181,7 @@
         # run for another one, and still meet its deadline.
         last_chance_s = ticket.deadline_s - 2 * account.service_time_s
         until_s = min(
-            last_chance_s, account.next_hold_end_s(), now_s + RECHECK_INTERVAL_S
+            last_chance_s, account.next_delayed_release_s(), now_s + RECHECK_INTERVAL_S
         )
         until_s = min(until_s, latest_start_s)
         if ticket.wait_max_s is not None:
--- a/balsamspindle/backend_servers/gate.py
+++ b/balsamspindle/backend_servers/gate.py
@@ -36,8 +36,8 @@
 )
 from balsamspindle.backend_servers.failed_calls import FailedCalls
 from balsamspindle.backend_servers.ledger import (
+    ClaimedKey,
     EarlierAnswer,
-    HeldKey,
     KeyRefused,
     RunLedger,
 )
@@ -154,7 +154,7 @@
 
     def begin_claim_era(
         self, version_min: int, after_s: float, now_s: float
-    ) -> list[HeldKey]:
+    ) -> list[ClaimedKey]:
         """Return the keys whose claims the store may have lost.
 
         See `RunLedger.begin_era`.
@@ -345,11 +345,11 @@
         ):
             self._admission.release(admitted, WorkEnd.DONE)
             return self._refuse(dispatch, Reason.WOULD_WAIT)
-        self._grants.run_started(dispatch.is_repeat)
+        self._grants.record_run_start(dispatch.is_repeat)
         try:
             return self._runner.run(dispatch, admitted, token, deadline_s, received_s)
         finally:
-            self._grants.run_ended(dispatch.is_repeat)
+            self._grants.record_run_end(dispatch.is_repeat)
             if content_status.is_suspect:
                 self._suspect_runs.end(server_id, content_hash)
 
--- a/balsamspindle/backend_servers/ledger.py
+++ b/balsamspindle/backend_servers/ledger.py
@@ -9,7 +9,7 @@
 from balsamspindle.protocol.outcomes import Outcome, Reason
 from balsamspindle.wire import Dispatch, Reply
 
-__all__ = ["KEY_RETENTION_S", "EarlierAnswer", "HeldKey", "KeyRefused", "RunLedger"]
+__all__ = ["KEY_RETENTION_S", "EarlierAnswer", "ClaimedKey", "KeyRefused", "RunLedger"]
 
 # How long the ledger keeps a key after the key's request has ended.
 KEY_RETENTION_S = 1800.0
@@ -36,7 +36,7 @@
     reply: Reply
 
 
-class HeldKey(NamedTuple):
+class ClaimedKey(NamedTuple):
     """A key that ran at this gate, or may have run.
 
     Attributes
@@ -113,7 +113,7 @@
 
     def begin_era(
         self, version_min: int, after_s: float, now_s: float
-    ) -> list[HeldKey]:
+    ) -> list[ClaimedKey]:
         """Return the keys whose claims the store may have lost.
 
         The code that calls this method writes the claims of these keys into the store
@@ -132,7 +132,7 @@
             for key, entry in self._entries.items():
                 if entry.stored_s > after_s:
                     entry.stored_s = now_s
-                    held.append(HeldKey(*key, entry.claimed_s))
+                    held.append(ClaimedKey(*key, entry.claimed_s))
             return held
 
     def end(self, dispatch: Dispatch, reply: Reply, now_s: float) -> None:
--- a/balsamspindle/backend_servers/retry_grants.py
+++ b/balsamspindle/backend_servers/retry_grants.py
@@ -82,13 +82,13 @@
             if repeat_fraction:
                 state.window.record_retries(repeat_fraction, now_s)
 
-    def run_started(self, is_repeat: bool) -> None:
+    def record_run_start(self, is_repeat: bool) -> None:
         """Count the start of a run at a backend server beside this node."""
         with self._lock:
             self._running += 1
             self._running_repeats += is_repeat
 
-    def run_ended(self, is_repeat: bool) -> None:
+    def record_run_end(self, is_repeat: bool) -> None:
         """Count the end of a run at a backend server beside this node."""
         with self._lock:
             self._running -= 1
--- a/balsamspindle/backend_servers/slots.py
+++ b/balsamspindle/backend_servers/slots.py
@@ -185,7 +185,7 @@
             known_s = ran_s
         self._route_time_s[route_id] = known_s + SAMPLE_SHARE * (ran_s - known_s)
 
-    def next_hold_end_s(self) -> float:
+    def next_delayed_release_s(self) -> float:
         """Return when the next slot that an unanswered attempt still occupies is freed.
 
         Infinity if there is no such slot. Why a slot stays occupied after an attempt
--- a/balsamspindle/node/store_parts.py
+++ b/balsamspindle/node/store_parts.py
@@ -2,7 +2,7 @@
 
 from collections.abc import Callable
 
-from balsamspindle.backend_servers.ledger import HeldKey
+from balsamspindle.backend_servers.ledger import ClaimedKey
 from balsamspindle.crashes import CrashHistory
 from balsamspindle.crashes.quarantine_store import QuarantineStore
 from balsamspindle.crashes.records import CrashUpdate
@@ -60,7 +60,7 @@
     def claim_restorer(
         self,
         claims: ClaimsTable,
-        begin_era: Callable[[int, float, float], list[HeldKey]],
+        begin_era: Callable[[int, float, float], list[ClaimedKey]],
         is_isolated: Callable[[], bool],
     ) -> ClaimRestorer | None:
         """Create the part that writes claims again after the store has lost them.
--- a/balsamspindle/requests/claim_restorer.py
+++ b/balsamspindle/requests/claim_restorer.py
@@ -20,7 +20,7 @@
 import msgspec
 from expression import Result
 
-from balsamspindle.backend_servers.ledger import HeldKey
+from balsamspindle.backend_servers.ledger import ClaimedKey
 from balsamspindle.requests.claim_eras import (
     COPY_AGE_MAX_S,
     FIRST_ERA,
@@ -94,7 +94,7 @@
         tables: TableService,
         own: ClaimHolder,
         eras: ClaimEras,
-        begin_era: Callable[[int, float, float], list[HeldKey]],
+        begin_era: Callable[[int, float, float], list[ClaimedKey]],
         take_written_claims: Callable[[float, float], list[WrittenClaim]],
         fleet: Callable[[], Iterable[ClaimHolder]],
         is_isolated: Callable[[], bool],
@@ -199,8 +199,8 @@
     def _collect_claims(self, era: int, now_s: float) -> list[_ClaimRewrite]:
         """Return the claims of this process that the store may have lost."""
         after_s = self._lost_after_s
-        held_keys = self._begin_era(pack_version(era, 0), after_s, now_s)
-        claims = [self._rewrite_after_run(held_key) for held_key in held_keys]
+        claimed_keys = self._begin_era(pack_version(era, 0), after_s, now_s)
+        claims = [self._rewrite_after_run(claimed_key) for claimed_key in claimed_keys]
         known = {claim.key for claim in claims}
         claims += [
             _rewrite_without_run(written_claim)
@@ -223,9 +223,11 @@
         self._events.emit("claims_restored", era=era, keys=len(claims))
         return True
 
-    def _rewrite_after_run(self, held_key: HeldKey) -> _ClaimRewrite:
-        stored = StoredClaim(*self._own, held_key.claimed_s, time.time())
-        return _ClaimRewrite(claim_key(held_key.service, held_key.key), stored, True)
+    def _rewrite_after_run(self, claimed_key: ClaimedKey) -> _ClaimRewrite:
+        stored = StoredClaim(*self._own, claimed_key.claimed_s, time.time())
+        return _ClaimRewrite(
+            claim_key(claimed_key.service, claimed_key.key), stored, True
+        )
 
     def _write_batch(self, claims: list[_ClaimRewrite], era: int) -> bool:
         """Write those claims that the store does not have; return False on failure."""
--- a/tests/test_queue.py
+++ b/tests/test_queue.py
@@ -145,7 +145,7 @@
         account.acquire()
         account.release(WorkEnd.IN_DOUBT, ran_s=2.0, now_s=10.0)
         self.assertEqual(0, account.free(1, 11.9))
-        self.assertEqual(12.0, account.next_hold_end_s())
+        self.assertEqual(12.0, account.next_delayed_release_s())
         self.assertEqual(1, account.free(1, 12.0))
 
     def test_a_cold_backend_server_gets_its_slots_step_by_step(self):
--- a/tests/test_retry_grants.py
+++ b/tests/test_retry_grants.py
@@ -79,14 +79,14 @@
         # Half of the runs at the callers' node are repeats, so half of their calls are
         # repeats, too. Twenty such calls count as ten repeats.
         callers, called = (RetryGrants(lambda *_: BUDGET) for _ in range(2))
-        callers.run_started(is_repeat=True)
-        callers.run_started(is_repeat=False)
+        callers.record_run_start(is_repeat=True)
+        callers.record_run_start(is_repeat=False)
         part = callers.repeat_fraction()
         self.assertEqual(0.5, part)
         for _ in range(20):
             called.record_first_attempt(SERVICE, 0.5, 0.0, repeat_fraction=part)
         self.assertEqual(0, count_grants(called, 0.5))
-        callers.run_ended(is_repeat=True)
+        callers.record_run_end(is_repeat=True)
         self.assertEqual(0.0, callers.repeat_fraction())
 
     def test_a_gate_grants_all_repeats_without_a_fleet_wide_budget(self):
