--- a/balsamspindle/backend_servers/admission.py
+++ b/balsamspindle/backend_servers/admission.py
@@ -374,7 +374,7 @@
         target_s=None
         if target_remaining_ms is None
         else now_s + target_remaining_ms / 1000,
-        was_cut=dispatch.was_cut,
+        run_was_lost=dispatch.run_was_lost,
         rank_s=dispatch.rank_ms / 1000,
         customer=dispatch.customer,
     )
--- a/balsamspindle/backend_servers/gate.py
+++ b/balsamspindle/backend_servers/gate.py
@@ -292,7 +292,7 @@
             weight,
             received_s,
             dispatch.is_last_resort or content_status.is_suspect,
-            dispatch.was_cut and not content_status.is_suspect,
+            dispatch.run_was_lost and not content_status.is_suspect,
         ):
             return self._refuse(dispatch, Reason.RETRY_BUDGET)
         reply = self._handle_granted(dispatch, token, deadline_s, received_s)
--- a/balsamspindle/backend_servers/queue.py
+++ b/balsamspindle/backend_servers/queue.py
@@ -96,7 +96,7 @@
         Its wait for a slot, as estimated at the last decision.
     route_time_s : float
         Mean service time of its route; 0 when unknown.
-    was_cut : bool
+    run_was_lost : bool
         Whether an earlier run of the request was lost with a node that left.
     rank_s : float
         Time that is added to `target_s` when tickets are sorted. The calls that a
@@ -116,7 +116,7 @@
     enqueued_s: float = 0.0
     expected_wait_s: float = 0.0
     route_time_s: float = 0.0
-    was_cut: bool = False
+    run_was_lost: bool = False
     rank_s: float = 0.0
     customer: str = ""
 
@@ -347,7 +347,7 @@
 def _is_late(ticket: Ticket, now_s: float) -> bool:
     # An attempt whose earlier run was lost with a node is late because of that, and has
     # already waited for a slot once. Behind all new attempts it would never start.
-    if ticket.target_s is None or ticket.was_cut:
+    if ticket.target_s is None or ticket.run_was_lost:
         return False
     # Attempts with a rank are calls made for one request, which needs all of their
     # answers, late or not. If late calls went behind new attempts, some calls of the
--- a/balsamspindle/backend_servers/retry_grants.py
+++ b/balsamspindle/backend_servers/retry_grants.py
@@ -107,7 +107,7 @@
         weight: float,
         now_s: float,
         is_last_resort: bool = False,
-        was_cut: bool = False,
+        run_was_lost: bool = False,
     ) -> bool:
         """Grant a repeat and return True, or return False if the budget forbids it.
 
@@ -117,7 +117,7 @@
             Whether the attempt goes to a suspected backend server. About 70% of the
             runs there fail, while the same repeats could succeed at healthy backend
             servers. Half of all repeats are therefore reserved for other attempts.
-        was_cut : bool
+        run_was_lost : bool
             Whether an earlier run of the request was lost with a node that left. Such a
             request may use the repeats reserved for heavier requests: heavier requests
             are repeated because they failed at their backend servers, while this
@@ -132,7 +132,7 @@
             state = self._state(service)
             state.heaviest.record(weight, now_s)
             reserved_fraction = (
-                0.0 if was_cut else state.heaviest.reserved_fraction(weight)
+                0.0 if run_was_lost else state.heaviest.reserved_fraction(weight)
             )
             if is_last_resort:
                 reserved_fraction = max(
--- a/balsamspindle/requests/admission_queries.py
+++ b/balsamspindle/requests/admission_queries.py
@@ -137,7 +137,7 @@
             forwarded.target_remaining_ms(now_s),
             route_id(route),
             is_last_resort=forwarded.is_last_resort,
-            was_cut=forwarded.was_cut,
+            run_was_lost=forwarded.run_was_lost,
             rank_ms=forwarded.rank_ms,
             content_hash=forwarded.content_hash,
             customer=forwarded.customer,
--- a/balsamspindle/requests/attempts.py
+++ b/balsamspindle/requests/attempts.py
@@ -197,7 +197,7 @@
             is_repeat=is_repeat,
             repeat_fraction=self._gate.repeat_fraction(),
             ingress_remaining_ms=self._link_attempts.left_ms(),
-            was_cut=forwarded.was_cut,
+            run_was_lost=forwarded.run_was_lost,
             rank_ms=forwarded.rank_ms,
             content_hash=forwarded.content_hash,
             customer=forwarded.customer,
@@ -224,7 +224,7 @@
         finally:
             tracked.end(reply)
         if parked_answer is None:
-            forwarded.record_cut(reply, self._clock())
+            forwarded.record_loss(reply, self._clock())
         record_claim_reply(forwarded.claimant, reply)
         return reply if parked_answer is None or is_success(reply) else parked_answer
 
--- a/balsamspindle/requests/forwarded.py
+++ b/balsamspindle/requests/forwarded.py
@@ -24,9 +24,11 @@
 ]
 
 
-# Reasons with which a gate reports that it cancelled a run (for example because its
-# node stops), or that the run broke off without a complete answer.
-_CUT = frozenset({Reason.CANCELLED, Reason.BROKEN_ANSWER, Reason.SERVER_CRASHED})
+# Reasons with which a gate reports that a run was lost: it cancelled the run (for
+# example because its node stops), or the run ended without a complete answer.
+_LOST_RUN_REASONS = frozenset(
+    {Reason.CANCELLED, Reason.BROKEN_ANSWER, Reason.SERVER_CRASHED}
+)
 
 
 class Step(IntEnum):
@@ -145,13 +147,13 @@
         while the request is sent to other gates.
     parked_replies : list of Reply
         Unsuccessful replies to parked attempts that arrived during later attempts.
-    was_cut : bool
-        Whether a run was lost, or is about to be lost, for one of these reasons: its
-        gate cancelled it, announced that its node stops, or did not reply; or the
-        backend server crashed.
-    cut_s : float or None
+    run_was_lost : bool
+        Whether a run of the request was lost, or is about to be lost, for one of these
+        reasons: its gate cancelled it, announced that its node stops, or did not reply;
+        or the backend server crashed.
+    run_lost_s : float or None
         Arrival time of the first reply with which a gate reported that it cancelled
-        a run or that a run broke off; None before such a reply.
+        a run, or that a run ended without a complete answer; None before such a reply.
     rank_ms : float
         Added to the request's target time when gates sort their queues; see
         `balsamspindle.requests.siblings`.
@@ -187,8 +189,8 @@
     queue_until_s: float | None = None
     parked: ParkedAttempts = field(default_factory=ParkedAttempts)
     parked_replies: list[Reply] = field(default_factory=list)
-    was_cut: bool = False
-    cut_s: float | None = None
+    run_was_lost: bool = False
+    run_lost_s: float | None = None
     rank_ms: float = 0.0
     content_hash: int = 0
     customer: str = ""
@@ -201,7 +203,7 @@
         refusals are seconds old, and they may have free slots by now. Backend servers
         at which an attempt failed stay excluded.
         """
-        self.was_cut = True
+        self.run_was_lost = True
         self.search.restart()
         self.tried = set(self.failed)
         self.search_until_s = self.queue_until_s = None
@@ -211,11 +213,11 @@
         """Return whether the route allows an attempt at one more backend server."""
         return self.sends < self.route.attempts_max
 
-    def record_cut(self, reply: Reply, came_s: float) -> None:
-        """Record when the first reply came that reports a cancelled or broken run."""
-        is_cut = reply.outcome is Outcome.UNKNOWN and reply.reason in _CUT
-        if is_cut and self.cut_s is None:
-            self.cut_s = came_s
+    def record_loss(self, reply: Reply, received_s: float) -> None:
+        """Record the arrival time of the first reply that reports a lost run."""
+        is_lost = reply.outcome is Outcome.UNKNOWN and reply.reason in _LOST_RUN_REASONS
+        if is_lost and self.run_lost_s is None:
+            self.run_lost_s = received_s
 
     def target_remaining_ms(self, now_s: float) -> float | None:
         """Return the time left until the route's target time ends.
--- a/balsamspindle/requests/forwarding.py
+++ b/balsamspindle/requests/forwarding.py
@@ -258,7 +258,7 @@
         if reply.reason is Reason.SERVER_CRASHED:
             # The request is not at fault, just as when a run is lost with its node. So
             # it may use the retries that are reserved for heavier requests.
-            forwarded.was_cut = True
+            forwarded.run_was_lost = True
 
     def _may_retry(
         self,
@@ -280,7 +280,7 @@
             attempts_max=route.attempts_max,
             route_id=route_id(route),
             weight=route.weight,
-            was_cut=forwarded.was_cut,
+            run_was_lost=forwarded.run_was_lost,
         )
 
     def _report_retry_denied(self, forwarded: ForwardedRequest, reply: Reply) -> None:
--- a/balsamspindle/requests/ingress.py
+++ b/balsamspindle/requests/ingress.py
@@ -333,8 +333,8 @@
             attempts=forwarded.attempts,
             sends=forwarded.sends,
             left_ms=round((forwarded.deadline_s - time.monotonic()) * 1000),
-            after_cut_ms=elapsed_ms(forwarded.cut_s),
-            stopped_by=None if forwarded.cut_s is None else forwarded.stopped_by,
+            after_cut_ms=elapsed_ms(forwarded.run_lost_s),
+            stopped_by=None if forwarded.run_lost_s is None else forwarded.stopped_by,
             customer=admitted.name or None,
         )
         self._events.metrics.count_outcome(route.service, reply.outcome.value)
--- a/balsamspindle/requests/link_attempts.py
+++ b/balsamspindle/requests/link_attempts.py
@@ -363,7 +363,7 @@
         """Remove the parked attempts that got replies."""
         for sent in forwarded.parked.all():
             if sent.link in replies:
-                forwarded.record_cut(replies[sent.link], sent.link.last_received_s)
+                forwarded.record_loss(replies[sent.link], sent.link.last_received_s)
         forwarded.parked.finish(replies, self._links.release)
 
     def _end_attempts(
@@ -387,7 +387,7 @@
             sent.on_end(reply)
             if reply is not None:
                 # After the release, another task may change `last_received_s`.
-                forwarded.record_cut(reply, sent.link.last_received_s)
+                forwarded.record_loss(reply, sent.link.last_received_s)
                 self._links.release(sent.link)
             elif is_silent:
                 sent.link.close()
--- a/balsamspindle/requests/retries.py
+++ b/balsamspindle/requests/retries.py
@@ -201,7 +201,7 @@
         attempts_max: int = ATTEMPTS_MAX,
         route_id: int = 0,
         weight: float = 1.0,
-        was_cut: bool = False,
+        run_was_lost: bool = False,
     ) -> bool:
         """Return whether a request may have another attempt; if so, pay for it.
 
@@ -216,11 +216,11 @@
             Maximum number of attempts that reach a backend server.
         weight : float
             Weight of the route.
-        was_cut : bool
-            See `ForwardedRequest.was_cut`. If True, all gates may be asked for the
+        run_was_lost : bool
+            See `ForwardedRequest.run_was_lost`. If True, all gates may be asked for the
             retry, even after `DENIALS_MAX` of them denied it.
         """
-        denials_max = TRY_ELSEWHERE_MAX if was_cut else DENIALS_MAX
+        denials_max = TRY_ELSEWHERE_MAX if run_was_lost else DENIALS_MAX
         with self._lock:
             state = self._state(service)
             budget = self._budget(service)
--- a/balsamspindle/wire/link_messages.py
+++ b/balsamspindle/wire/link_messages.py
@@ -171,7 +171,7 @@
         repeats. Used as the probability that such a repeat made this request.
     ingress_remaining_ms : float or None
         Time until the sender's node ends; None if it is not leaving.
-    was_cut : bool
+    run_was_lost : bool
         Whether an earlier run of the request was lost, or is about to be lost: its
         gate cancelled it, announced that its node stops, or did not reply; or the
         backend server crashed.
@@ -212,7 +212,7 @@
     is_repeat: bool = False
     repeat_fraction: float = 0.0
     ingress_remaining_ms: float | None = None
-    was_cut: bool = False
+    run_was_lost: bool = False
     rank_ms: float = 0.0
     content_hash: int = 0
     customer: str = ""
@@ -228,7 +228,7 @@
         Identifies the query; the answer repeats it.
     remaining_ms, weight, wait_max_ms, target_remaining_ms, route_id, is_last_resort
         As in `Dispatch`.
-    was_cut, rank_ms, content_hash, customer, is_last_try
+    run_was_lost, rank_ms, content_hash, customer, is_last_try
         As in `Dispatch`.
     """
 
@@ -242,7 +242,7 @@
     target_remaining_ms: float | None = None
     route_id: int = 0
     is_last_resort: bool = False
-    was_cut: bool = False
+    run_was_lost: bool = False
     rank_ms: float = 0.0
     content_hash: int = 0
     customer: str = ""
--- a/tests/test_caller_connections.py
+++ b/tests/test_caller_connections.py
@@ -106,7 +106,7 @@
         busy = fixture.caller().send(GET)
         wait_until(lambda: len(fixture.forwarder.forwarded) == 2, "one is busy")
         self.assertEqual(1, fixture.ingress.waiting_caller_count())
-        fixture.forwarder.forwarded[1].cut_s = time.monotonic()
+        fixture.forwarder.forwarded[1].run_lost_s = time.monotonic()
         fixture.forwarder.forwarded[1].stopped_by = StopReason.NO_PLACE
         fixture.ingress.stop()
         fixture.forwarder.answers_allowed.set()
--- a/tests/test_crash_watch.py
+++ b/tests/test_crash_watch.py
@@ -331,12 +331,12 @@
         grants = RetryGrants(lambda *_: budget)
         self.gate = self._make_gate(grants=grants)
         replies = [
-            self._begin(sequence, is_repeat=True, was_cut=True).result()
+            self._begin(sequence, is_repeat=True, run_was_lost=True).result()
             for sequence in range(1, 6)
         ]
         denied = [reply for reply in replies if reply.reason is Reason.RETRY_BUDGET]
         self.assertEqual(3, len(denied))
-        other = self._begin(6, OTHER, is_repeat=True, was_cut=True).result()
+        other = self._begin(6, OTHER, is_repeat=True, run_was_lost=True).result()
         self.assertEqual(500, other.status)
 
 
--- a/tests/test_crashing_requests.py
+++ b/tests/test_crashing_requests.py
@@ -104,5 +104,5 @@
         self.answers = dict.fromkeys(self.NAMES, crashed)
         self._forward(attempts_max=2)
         dispatches = [one for gate in self.gates.values() for one in gate.dispatches]
-        self.assertEqual([False, True], sorted(one.was_cut for one in dispatches))
+        self.assertEqual([False, True], sorted(one.run_was_lost for one in dispatches))
         self.assertEqual({CONTENT}, {one.content_hash for one in dispatches})
--- a/tests/test_ending_gates.py
+++ b/tests/test_ending_gates.py
@@ -115,7 +115,7 @@
 
         def refuses_once(dispatch):
             attempts.append(dispatch)
-            if dispatch.was_cut and sum(one.was_cut for one in attempts) == 1:
+            if dispatch.run_was_lost and sum(one.run_was_lost for one in attempts) == 1:
                 return [(0.6, frame) for _, frame in refusal(dispatch)]
             return answer(dispatch)
 
@@ -126,7 +126,7 @@
         reply = self._request_at("a")
         self.assertEqual((Outcome.ANSWERED, BODY), (reply.outcome, reply.body))
 
-    def test_a_run_that_was_cut_counts_once(self):
+    def test_a_run_that_was_lost_counts_once(self):
         # The route allows two attempts. A run that was parked and then cut counts as
         # one of them, not as both.
         self.answers = {
--- a/tests/test_leaving_in_doubt.py
+++ b/tests/test_leaving_in_doubt.py
@@ -183,7 +183,7 @@
         self.assertEqual({"first": 1, "long": 1, "last": 1}, server.runs())
         self.assertEqual(0, self.ingress.process.wait(10))
 
-    def test_a_read_that_was_cut_is_answered_under_steady_load(self):
+    def test_a_read_whose_run_was_lost_is_answered_under_steady_load(self):
         # A caller gets 502 and 'unknown' for a repeatable read that is cut, with more
         # than half of its timeout left. A second attempt was sent while the run was
         # silent, and the only other gate refused it because of its queue. Since then
--- a/tests/test_links.py
+++ b/tests/test_links.py
@@ -271,9 +271,10 @@
     def _wait_for(self, messages: list, count: int) -> None:
         wait_until(lambda: len(messages) == count, f"{count} messages")
 
-    def test_a_request_records_when_its_run_was_cut(self):
-        # The first attempt is refused, which cuts no run. The run of the second one is
-        # cut, and the third one is answered. `cut_s` is the time of the second reply.
+    def test_a_request_records_when_its_run_was_lost(self):
+        # The first attempt is refused, so it has no run. The run of the second one is
+        # cancelled, and the third one is answered. `run_lost_s` must be the time of the
+        # second reply.
         ends = [
             {"outcome": Outcome.NOT_RUN, "reason": Reason.DRAINING},
             {"outcome": Outcome.UNKNOWN, "reason": Reason.CANCELLED},
@@ -289,9 +290,9 @@
         ingress = self._ingress(address, servers_count=3)
         reply = ingress.request(execution=Execution.IDEMPOTENT)
         self.assertEqual((3, Outcome.ANSWERED), (len(gate.dispatches), reply.outcome))
-        self.assertTrue(received_s[1] <= ingress.forwarded.cut_s <= received_s[2])
+        self.assertTrue(received_s[1] <= ingress.forwarded.run_lost_s <= received_s[2])
 
-    def test_a_request_whose_run_was_cut_records_why_it_was_not_retried(self):
+    def test_a_request_whose_run_was_lost_records_why_it_was_not_retried(self):
         # The run is cut long before the deadline, and the caller gets `unknown` at
         # once: the route allows one attempt, or there is no other backend server, or
         # the request must not run twice.
--- a/tests/test_placement_selection.py
+++ b/tests/test_placement_selection.py
@@ -341,12 +341,12 @@
         self.assertIs(Verdict.START, self.ask(queue, fresh, 1, 0.5))
         self.assertIs(Verdict.START, self.ask(queue, late, 1, 0.5))
 
-    def test_a_request_whose_run_was_cut_is_not_put_back_for_being_late(self):
+    def test_a_request_whose_run_was_lost_is_not_put_back_for_being_late(self):
         # A request is late because its run was cut when the gate's node left. Late
         # requests wait behind all others that can be in time; if this rule applied to
         # the request, new requests would keep it from being served at all.
         queue = SlotQueue(10)
-        cut = self.ticket(target_s=1.0, route_time_s=0.5, was_cut=True)
+        cut = self.ticket(target_s=1.0, route_time_s=0.5, run_was_lost=True)
         fresh = self.ticket(target_s=3.0, route_time_s=0.5)
         for ticket in (fresh, cut):
             self.assertIs(Verdict.WAIT, self.ask(queue, ticket, 0, 2.0))
--- a/tests/test_retry_grants.py
+++ b/tests/test_retry_grants.py
@@ -57,14 +57,16 @@
         self.assertEqual(5, granted)
         self.assertEqual(5, count_grants(grants, 0.3))
 
-    def test_what_is_kept_for_heavier_ones_is_there_for_a_run_that_was_cut(self):
+    def test_what_is_kept_for_heavier_ones_is_there_for_a_run_that_was_lost(self):
         # A read's run was cut because its node left. It may use the five of ten repeats
         # that are reserved for heavier requests, which failed at backend servers.
         grants = RetryGrants(lambda *_: BUDGET)
         for weight in (0.3, 0.5):
             grants.record_first_attempt(SERVICE, weight, 0.0)
         self.assertEqual(5, count_grants(grants, 0.3))
-        granted = [grants.try_grant(SERVICE, 0.3, 0.0, was_cut=True) for _ in range(6)]
+        granted = [
+            grants.try_grant(SERVICE, 0.3, 0.0, run_was_lost=True) for _ in range(6)
+        ]
         self.assertEqual([True] * 5 + [False], granted)
 
     def test_the_grant_of_a_repeat_that_did_not_run_can_be_used_again(self):
