--- a/balsamspindle/backend_servers/gate.py
+++ b/balsamspindle/backend_servers/gate.py
@@ -232,10 +232,10 @@
         answer = AdmissionAnswer(
             query.number, held_out=held_out, gate_time_s=received_s
         )
-        content_status = self._crash_history.status(query.content_hash, received_s)
-        if content_status.blocked_ms:
+        status = self._crash_history.status_of(query.content_hash, received_s)
+        if status.blocked_ms:
             return msgspec.structs.replace(
-                answer, reason=Reason.CRASHES_SERVERS, wait_ms=content_status.blocked_ms
+                answer, reason=Reason.CRASHES_SERVERS, wait_ms=status.blocked_ms
             )
         if not self._health_admits(query):
             return msgspec.structs.replace(answer, reason=Reason.SUSPECTED)
@@ -279,9 +279,9 @@
         received_s = time.monotonic()
         if checksum(dispatch.body) != dispatch.body_checksum:
             return self._refuse(dispatch, Reason.DAMAGED)
-        content_status = self._crash_history.status(dispatch.content_hash, received_s)
-        if content_status.blocked_ms:
-            return self._refuse_blocked(dispatch, content_status.blocked_ms)
+        status = self._crash_history.status_of(dispatch.content_hash, received_s)
+        if status.blocked_ms:
+            return self._refuse_blocked(dispatch, status.blocked_ms)
         if not self._health_admits(dispatch):
             return self._refuse(dispatch, Reason.SUSPECTED)
         service, weight = dispatch.service, dispatch.weight
@@ -291,8 +291,8 @@
             service,
             weight,
             received_s,
-            dispatch.is_last_resort or content_status.is_suspect,
-            dispatch.run_was_lost and not content_status.is_suspect,
+            dispatch.is_last_resort or status.is_suspect,
+            dispatch.run_was_lost and not status.is_suspect,
         ):
             return self._refuse(dispatch, Reason.RETRY_BUDGET)
         reply = self._handle_granted(dispatch, token, deadline_s, received_s)
@@ -333,16 +333,12 @@
         The crash history is checked again here, because copies of a request may wait
         for slots while another copy crashes a backend server.
         """
-        content_status = self._crash_history.status(
-            dispatch.content_hash, time.monotonic()
-        )
-        if content_status.blocked_ms:
+        status = self._crash_history.status_of(dispatch.content_hash, time.monotonic())
+        if status.blocked_ms:
             self._admission.release(admitted, WorkEnd.DONE)
-            return self._refuse_blocked(dispatch, content_status.blocked_ms)
+            return self._refuse_blocked(dispatch, status.blocked_ms)
         server_id, content_hash = dispatch.backend_server_id, dispatch.content_hash
-        if content_status.is_suspect and not self._suspect_runs.begin(
-            server_id, content_hash
-        ):
+        if status.is_suspect and not self._suspect_runs.begin(server_id, content_hash):
             self._admission.release(admitted, WorkEnd.DONE)
             return self._refuse(dispatch, Reason.WOULD_WAIT)
         self._grants.record_run_start(dispatch.is_repeat)
@@ -350,7 +346,7 @@
             return self._runner.run(dispatch, admitted, token, deadline_s, received_s)
         finally:
             self._grants.record_run_end(dispatch.is_repeat)
-            if content_status.is_suspect:
+            if status.is_suspect:
                 self._suspect_runs.end(server_id, content_hash)
 
     def _refuse_blocked(self, dispatch: Dispatch, blocked_ms: float) -> Reply:
--- a/balsamspindle/crashes/__init__.py
+++ b/balsamspindle/crashes/__init__.py
@@ -14,12 +14,17 @@
 """
 
 from balsamspindle.crashes.history import CrashHistory
-from balsamspindle.crashes.records import ContentStatus, Crash, CrashedRun, Quarantine
+from balsamspindle.crashes.records import (
+    Crash,
+    CrashedRun,
+    Quarantine,
+    QuarantineStatus,
+)
 
 __all__ = [
     "Quarantine",
     "Crash",
     "CrashHistory",
     "CrashedRun",
-    "ContentStatus",
+    "QuarantineStatus",
 ]
--- a/balsamspindle/crashes/attribution.py
+++ b/balsamspindle/crashes/attribution.py
@@ -110,14 +110,14 @@
             for known in attributed
         )
         services = {known.crash.service for known in attributed}
-        service_crashes = sum(
+        service_crash_count = sum(
             own_crashes[0].at_s - RATE_LEAD_S <= known.at_s <= own_crashes[-1].at_s
             and known.crash.service in services
             and not self._quarantined_in(known)
             for known in self._crashes
         )
         return CauseEvidence(
-            own_crashes, service_crashes, sum(map(self._servers, services))
+            own_crashes, service_crash_count, sum(map(self._servers, services))
         )
 
     def _quarantined_in(self, known: KnownCrash) -> list[int]:
--- a/balsamspindle/crashes/history.py
+++ b/balsamspindle/crashes/history.py
@@ -12,11 +12,11 @@
 from balsamspindle.crashes.recent_answers import ANSWER_VALID_S, RecentAnswers
 from balsamspindle.crashes.records import (
     UNSUSPECTED,
-    ContentStatus,
     Crash,
     CrashedRun,
     CrashUpdate,
     Quarantine,
+    QuarantineStatus,
 )
 from balsamspindle.crashes.verdicts import (
     CRASHES_MIN,
@@ -97,7 +97,7 @@
         self._digest: int | None = 0
         self._expired_s = float("-inf")
 
-    def status(self, content_hash: int, now_s: float) -> ContentStatus:
+    def status_of(self, content_hash: int, now_s: float) -> QuarantineStatus:
         """Return whether the request with a content hash is suspected or blocked."""
         # Read without the lock: this is called before each attempt of each request.
         if content_hash not in self._counts and content_hash not in self._quarantined:
@@ -107,15 +107,15 @@
             quarantined = self._quarantined.get(content_hash)
             is_suspect = self._counts[content_hash] >= SUSPECT_CRASHES
             if quarantined is None or quarantined.is_lifted:
-                return ContentStatus(is_suspect)
+                return QuarantineStatus(is_suspect)
             blocked_ms = max(0.0, (quarantined.until_s - now_s) * 1000)
-            return ContentStatus(True, blocked_ms)
+            return QuarantineStatus(True, blocked_ms)
 
     def has_ended(self, backend_server_id: str, start: int) -> bool:
         """Tell whether the process with a start id is known to have crashed."""
         return (backend_server_id, start) in self._crashes
 
-    def is_explained(self, backend_server_id: str, start: int) -> bool:
+    def ran_quarantined_request(self, backend_server_id: str, start: int) -> bool:
         """Tell whether a quarantined request was running when a process crashed."""
         with self._lock:
             known = self._crashes.get((backend_server_id, start))
--- a/balsamspindle/crashes/records.py
+++ b/balsamspindle/crashes/records.py
@@ -12,7 +12,7 @@
     "CrashUpdate",
     "CrashedRun",
     "RunEnd",
-    "ContentStatus",
+    "QuarantineStatus",
     "start_id",
 ]
 
@@ -86,7 +86,7 @@
     quarantines: list[Quarantine] = []
 
 
-class ContentStatus(NamedTuple):
+class QuarantineStatus(NamedTuple):
     """Whether a request is suspected of crashing backend servers, or blocked.
 
     Attributes
@@ -102,7 +102,7 @@
     blocked_ms: float = 0.0
 
 
-UNSUSPECTED = ContentStatus()
+UNSUSPECTED = QuarantineStatus()
 
 
 class RunEnd(NamedTuple):
--- a/balsamspindle/crashes/retry_waits.py
+++ b/balsamspindle/crashes/retry_waits.py
@@ -2,7 +2,7 @@
 
 import random
 
-from balsamspindle.crashes.records import ContentStatus
+from balsamspindle.crashes.records import QuarantineStatus
 from balsamspindle.crashes.verdicts import RETRIED_WITHIN_S
 
 __all__ = ["retry_wait_s"]
@@ -13,7 +13,7 @@
 
 
 def retry_wait_s(
-    status: ContentStatus, remaining_s: float, rng: random.Random
+    status: QuarantineStatus, remaining_s: float, rng: random.Random
 ) -> float:
     """Return how long a request that was lost in a crash waits before its next attempt.
 
@@ -25,7 +25,7 @@
 
     Parameters
     ----------
-    status : ContentStatus
+    status : QuarantineStatus
         Status of the request after its latest loss was recorded.
     remaining_s : float
         Time until the request's deadline.
--- a/balsamspindle/crashes/verdicts.py
+++ b/balsamspindle/crashes/verdicts.py
@@ -81,17 +81,17 @@
     ----------
     crashes : sequence of AttributedCrash
         The crashes attributed to the request, in the order of time.
-    service_crashes : int
+    service_crash_count : int
         Number of all crashes of the services in which `crashes` happened, from
         `RATE_LEAD_S` before the first of `crashes` to the last. Crashes in which a
         quarantined request ran are not counted.
-    servers : int
+    server_count : int
         Number of backend servers of these services.
     """
 
     crashes: Sequence[AttributedCrash] = ()
-    service_crashes: int = 0
-    servers: int = 0
+    service_crash_count: int = 0
+    server_count: int = 0
 
 
 NO_EVIDENCE = CauseEvidence()
@@ -190,7 +190,7 @@
     crashes = independent_crashes(evidence.crashes)
     count = len(crashes)
     window_s = crashes[-1].at_s - crashes[0].at_s + RATE_LEAD_S
-    rate = evidence.service_crashes / (window_s * max(1, evidence.servers))
+    rate = evidence.service_crash_count / (window_s * max(1, evidence.server_count))
     expected = rate * sum(max(crash.ran_s, RUN_TIME_MIN_S) for crash in crashes)
     return _count_probability(count, expected) * _similar_times_probability(crashes)
 
--- a/balsamspindle/customers/limits.py
+++ b/balsamspindle/customers/limits.py
@@ -32,7 +32,9 @@
 class LimitLinks(Protocol):
     """Sends messages about customers' limits to other nodes."""
 
-    def ask(self, node: NodeRecord, question: LimitQuestion) -> LimitAnswer | None:
+    def request_grant(
+        self, node: NodeRecord, question: LimitQuestion
+    ) -> LimitAnswer | None:
         """Ask a node to grant a request; return None if the node can't be reached."""
 
     def send(self, node: NodeRecord, message: LimitReturn) -> None:
@@ -130,7 +132,7 @@
             if node.node_id == self._own.node_id:
                 grant = Grant(question.customer, scope=scope)
                 return self._try_spend(question, scope) or grant
-            answer = self._links.ask(node, question)
+            answer = self._links.request_grant(node, question)
             if answer is not None:
                 grant = Grant(question.customer, node, scope)
                 return grant if answer.is_given else Denial(answer.wait_ms / 1000)
--- a/balsamspindle/node/crash_side.py
+++ b/balsamspindle/node/crash_side.py
@@ -75,8 +75,8 @@
             backend_servers=",".join(ended) or None,
             ran_ms=",".join(f"{crash.ran_s * 1000:.0f}" for crash in evidence.crashes)
             or None,
-            crashes=evidence.service_crashes or None,
-            servers=evidence.servers or None,
+            crashes=evidence.service_crash_count or None,
+            servers=evidence.server_count or None,
         )
         if self.quarantine_store is not None:
             self.quarantine_store.record(quarantine, time.time())
--- a/balsamspindle/node/customer_side.py
+++ b/balsamspindle/node/customer_side.py
@@ -31,7 +31,9 @@
     def __init__(self, links: LinkPool) -> None:
         self._links = links
 
-    def ask(self, node: NodeRecord, question: LimitQuestion) -> LimitAnswer | None:
+    def request_grant(
+        self, node: NodeRecord, question: LimitQuestion
+    ) -> LimitAnswer | None:
         """See `balsamspindle.customers.limits.LimitLinks`."""
         link = self._acquire_link(node)
         if link is None:
--- a/balsamspindle/node/gate_side.py
+++ b/balsamspindle/node/gate_side.py
@@ -85,7 +85,7 @@
             self.servers,
             ZoneDetection(lambda service: service_document(service).detection, in_zone),
             events,
-            crash_history.is_explained,
+            crash_history.ran_quarantined_request,
         )
         self._prober = Prober(
             self.servers,
--- a/balsamspindle/requests/forwarding.py
+++ b/balsamspindle/requests/forwarding.py
@@ -221,14 +221,14 @@
         Checked before each attempt: earlier attempts, or requests with the same
         content hash, may have crashed backend servers since the request was received.
         """
-        status = self._crash_history.status(forwarded.content_hash, self._clock())
+        status = self._crash_history.status_of(forwarded.content_hash, self._clock())
         if not status.blocked_ms:
             return None
         refusal = self._not_run_reply(Reason.CRASHES_SERVERS)
         return msgspec.structs.replace(refusal, retry_after_ms=status.blocked_ms)
 
     def _wait_after_crash(self, forwarded: ForwardedRequest, now_s: float) -> None:
-        status = self._crash_history.status(forwarded.content_hash, now_s)
+        status = self._crash_history.status_of(forwarded.content_hash, now_s)
         with self._random_lock:
             wait_s = retry_wait_s(status, forwarded.deadline_s - now_s, self._random)
         self._given_up.wait(wait_s)
--- a/balsamspindle/requests/placement_selection.py
+++ b/balsamspindle/requests/placement_selection.py
@@ -270,7 +270,7 @@
         return {
             placement.backend_server.backend_server_id
             for placement in self._picker.view(service).placements
-            if hold_outs.is_held(placement.node.node_id, now_s)
+            if hold_outs.is_held_out(placement.node.node_id, now_s)
         }
 
 
--- a/balsamspindle/services/holdouts.py
+++ b/balsamspindle/services/holdouts.py
@@ -78,7 +78,7 @@
             hold_out = self._held.pop(name, None)
         return None if hold_out is None else now_s - hold_out.since_s
 
-    def is_held(self, name: str, now_s: float) -> bool:
+    def is_held_out(self, name: str, now_s: float) -> bool:
         """Tell whether a name is held out.
 
         The first call after the end of a hold-out returns False, so that its caller
--- a/balsamspindle/services/subset.py
+++ b/balsamspindle/services/subset.py
@@ -14,7 +14,7 @@
 from balsamspindle.membership.directory import Placement
 from balsamspindle.wire import NodeRecord
 
-__all__ = ["OTHER_ZONES_MIN", "SUBSET_MAX", "subset"]
+__all__ = ["OTHER_ZONES_MIN", "SUBSET_MAX", "choose_subset"]
 
 # Maximum number of backend servers of one service to which a node keeps links. Eight of
 # them are reserved for other zones, which leaves sixteen for the own zone. Sixteen
@@ -26,7 +26,7 @@
 OTHER_ZONES_MIN = 8
 
 
-def subset(
+def choose_subset(
     placements: Sequence[Placement], own: NodeRecord, size_max: int = SUBSET_MAX
 ) -> list[Placement]:
     """Return the backend servers that a node uses, among those that take work.
--- a/balsamspindle/services/view.py
+++ b/balsamspindle/services/view.py
@@ -15,14 +15,14 @@
     decide_floor,
     is_ready,
 )
-from balsamspindle.services.subset import subset
+from balsamspindle.services.subset import choose_subset
 from balsamspindle.wire import NodeRecord
 
 __all__ = ["ServiceView", "make_view"]
 
 # A backend server on trial gets this fraction of the requests that a usable backend
 # server gets.
-TRIAL_SHARE = 0.2
+TRIAL_FRACTION = 0.2
 
 Tiers = tuple[tuple[Placement, ...], ...]
 
@@ -78,9 +78,9 @@
         placements,
         floor_fraction,
         decision,
-        _tiers(subset(usable, own), own),
-        tuple(subset(trials, own)),
-        TRIAL_SHARE * len(trials) / max(1, len(usable) + len(trials)),
+        _tiers(choose_subset(usable, own), own),
+        tuple(choose_subset(trials, own)),
+        TRIAL_FRACTION * len(trials) / max(1, len(usable) + len(trials)),
     )
 
 
--- a/bench/detection_runs.py
+++ b/bench/detection_runs.py
@@ -12,7 +12,7 @@
 from balsamspindle.backend_servers.evidence import WorkResult
 from balsamspindle.membership.directory import Placement
 from balsamspindle.services.floor import ON_TRIAL, SUSPECTED, decide_floor
-from balsamspindle.services.view import TRIAL_SHARE
+from balsamspindle.services.view import TRIAL_FRACTION
 from balsamspindle.wire import BackendServerRecord, NodeRecord
 from bench.detection_detectors import Detector
 from bench.detection_traces import FAULT_START_S, Fault, ServerWork, Service
@@ -171,7 +171,7 @@
             self.failed_at_faulty += 1
 
     def _choose_server(self, idempotent: bool) -> int:
-        trial_probability = TRIAL_SHARE * len(self._on_trial) / self._service.servers
+        trial_probability = TRIAL_FRACTION * len(self._on_trial) / self._service.servers
         if self._on_trial and idempotent and self._random.random() < trial_probability:
             return self._random.choice(self._on_trial)
         return self._random.choice(self._usable)
--- a/bench/picker.py
+++ b/bench/picker.py
@@ -20,7 +20,7 @@
 from balsamspindle.protocol.outcomes import Execution
 from balsamspindle.services.free_slots import FreeSlotEstimates
 from balsamspindle.services.picker import Picker
-from balsamspindle.services.subset import subset
+from balsamspindle.services.subset import choose_subset
 from balsamspindle.settings.documents import ServiceDocument
 from balsamspindle.wire import BackendServerRecord, NodeRecord
 
@@ -45,7 +45,7 @@
         subset_counts = Counter(
             known.backend_server.backend_server_id
             for own in nodes
-            for known in subset(view, own)
+            for known in choose_subset(view, own)
         )
         subset_ms = (time.process_time() - start_s) * 1000 / NODES
         mean = sum(subset_counts.values()) / size
--- a/tests/crash_world.py
+++ b/tests/crash_world.py
@@ -85,7 +85,7 @@
         return strikes + [(at_s, one) for one in rng.sample(range(SERVERS), 3)]
 
     def _send(self, content_hash: int) -> None:
-        status = self._history.status(content_hash, BEGINS_S + self._now_s)
+        status = self._history.status_of(content_hash, BEGINS_S + self._now_s)
         if status.blocked_ms:
             self._send_later(content_hash)
             return
@@ -104,7 +104,7 @@
     def _has_other_suspect(self, server: int, content_hash: int) -> bool:
         now_s = BEGINS_S + self._now_s
         return any(
-            other != content_hash and self._history.status(other, now_s).is_suspect
+            other != content_hash and self._history.status_of(other, now_s).is_suspect
             for other in self._running[server]
         )
 
@@ -146,6 +146,6 @@
         if not self._lost[content_hash]:
             self._send_later(content_hash)
             return
-        status = self._history.status(content_hash, BEGINS_S + self._now_s)
+        status = self._history.status_of(content_hash, BEGINS_S + self._now_s)
         wait_s = retry_wait_s(status, CALLER_WAITS_S, self._rng)
         heapq.heappush(self._due, (self._now_s + max(STEP_S, wait_s), content_hash))
--- a/tests/limit_fleet.py
+++ b/tests/limit_fleet.py
@@ -105,7 +105,7 @@
     def __init__(self, fleet: LimitFleet, own: NodeRecord) -> None:
         self._fleet, self._own = fleet, own
 
-    def ask(self, node, question):
+    def request_grant(self, node, question):
         """See `balsamspindle.customers.limits.LimitLinks`."""
         if self._fleet.unreachable(self._own, node):
             return None
--- a/tests/test_admission_queries.py
+++ b/tests/test_admission_queries.py
@@ -147,7 +147,7 @@
         self.assertIs(Outcome.NOT_RUN, reply.outcome)
         self.assertEqual([], self.gates["there"].dispatches)
         held = self.forwarder._sender.link_hold_outs
-        self.assertTrue(held.is_held("gate-there", time.monotonic()))
+        self.assertTrue(held.is_held_out("gate-there", time.monotonic()))
 
 
 class AdmissionAnswerTests(TestCase):
--- a/tests/test_crash_keeper.py
+++ b/tests/test_crash_keeper.py
@@ -53,15 +53,15 @@
         quarantine(history)
         assert quarantine_store.write()
         quarantine_store, history = make_store(platform.address)
-        assert not history.status(CONTENT, NOW_S).blocked_ms
+        assert not history.status_of(CONTENT, NOW_S).blocked_ms
         assert quarantine_store.read(NOW_S, NOW_UNIX_S + 60)
-        left_ms = history.status(CONTENT, NOW_S).blocked_ms
+        left_ms = history.status_of(CONTENT, NOW_S).blocked_ms
         assert abs(left_ms - (BLOCKED_S - 60) * 1000) < 10
         history.record_answer(CONTENT, NOW_S)
         assert quarantine_store.write()
         quarantine_store, history = make_store(platform.address)
         quarantine_store.read(NOW_S, NOW_UNIX_S)
-        assert not history.status(CONTENT, NOW_S).blocked_ms
+        assert not history.status_of(CONTENT, NOW_S).blocked_ms
     finally:
         platform.stop()
 
@@ -73,7 +73,7 @@
         platform.set_fault(mode="down")
         assert not quarantine_store.read(NOW_S, NOW_UNIX_S)
         quarantine(history)
-        assert history.status(CONTENT, NOW_S).blocked_ms
+        assert history.status_of(CONTENT, NOW_S).blocked_ms
         assert not quarantine_store.write()
         platform.set_fault(mode="none")
         assert quarantine_store.write()
@@ -115,6 +115,6 @@
         tables.transact(Transaction([], puts))
         quarantine_store, history = make_store(platform.address)
         assert quarantine_store.read(NOW_S, NOW_UNIX_S)
-        assert history.status(CONTENT, NOW_S).blocked_ms
+        assert history.status_of(CONTENT, NOW_S).blocked_ms
     finally:
         platform.stop()
--- a/tests/test_crash_spread.py
+++ b/tests/test_crash_spread.py
@@ -57,7 +57,7 @@
             self.network.run(0.5)
 
     def knows(self, node) -> bool:
-        status = self.histories[node.address].status(CAUSE, self.network.now_s)
+        status = self.histories[node.address].status_of(CAUSE, self.network.now_s)
         return status.blocked_ms > 0
 
     def all_know(self) -> bool:
--- a/tests/test_crash_verdicts.py
+++ b/tests/test_crash_verdicts.py
@@ -59,7 +59,7 @@
         self.history.record_answer(content_hash, self.now_s)
 
     def is_blocked(self, content_hash: int) -> bool:
-        return self.history.status(content_hash, self.now_s).blocked_ms > 0
+        return self.history.status_of(content_hash, self.now_s).blocked_ms > 0
 
 
 def test_the_third_crash_quarantines_a_request_that_ran_alone():
@@ -109,7 +109,7 @@
         assert [one.runs for one in told.crashes] == [()]
         scenario.now_s += 2.0
     assert not scenario.is_blocked(2)
-    assert not scenario.history.status(2, scenario.now_s).is_suspect
+    assert not scenario.history.status_of(2, scenario.now_s).is_suspect
 
 
 def test_an_answer_long_before_a_crash_does_not_clear_it():
@@ -236,7 +236,7 @@
             other.merge(CrashUpdate([part]), scenario.now_s)
         other.merge(CrashUpdate([], update.quarantines), scenario.now_s)
         assert other.digest() == scenario.history.digest()
-        assert other.status(CAUSE, scenario.now_s).blocked_ms
+        assert other.status_of(CAUSE, scenario.now_s).blocked_ms
 
 
 def test_a_retracted_crash_clears_the_requests_that_ran_there():
@@ -371,7 +371,7 @@
     # Guards against the quarantine of a long request that is lost less often than
     # expected.
     crashes = [AttributedCrash(at_s, 10.0) for at_s in (0.0, 1.0, 2.0)]
-    evidence = CauseEvidence(crashes, service_crashes=60, servers=SERVERS)
+    evidence = CauseEvidence(crashes, service_crash_count=60, server_count=SERVERS)
     assert coincidence_probability(evidence) >= SIMILAR_TIMES_PROBABILITY_MIN
     assert not is_cause(evidence)
 
--- a/tests/test_crash_watch.py
+++ b/tests/test_crash_watch.py
@@ -267,7 +267,7 @@
         self._earlier_crashes(2, OTHER)
         self.server.answer = lambda number: (answer_with_length(b"whole"), True)
         self.assertEqual(200, self._begin(1, OTHER).result().status)
-        self.assertFalse(self.history.status(OTHER, time.monotonic()).is_suspect)
+        self.assertFalse(self.history.status_of(OTHER, time.monotonic()).is_suspect)
 
     def test_an_address_refuses_connections_after_its_listener_closed(self):
         with socket.create_server(("127.0.0.1", 0)) as listener:
--- a/tests/test_crashing_requests.py
+++ b/tests/test_crashing_requests.py
@@ -86,7 +86,7 @@
         self.assertEqual(Outcome.ANSWERED, self._forward().outcome)
         for number in range(3):
             self._crash(number)
-        status = self.history.status(CONTENT, time.monotonic())
+        status = self.history.status_of(CONTENT, time.monotonic())
         self.assertFalse(status.is_suspect)
 
     def test_a_fourth_request_is_not_dispatched_and_other_contents_are(self):
--- a/tests/test_picker.py
+++ b/tests/test_picker.py
@@ -8,7 +8,7 @@
 from balsamspindle.services.floor import ON_TRIAL
 from balsamspindle.services.free_slots import FREE_SLOTS_TTL_S, FreeSlotEstimates
 from balsamspindle.services.picker import Picker
-from balsamspindle.services.subset import SUBSET_MAX, subset
+from balsamspindle.services.subset import SUBSET_MAX, choose_subset
 from balsamspindle.settings.documents import ServiceDocument
 from tests.test_floor import SICK, placement
 
@@ -128,7 +128,7 @@
     """Removing one backend server changes at most one entry of each node's subset."""
     view = [placement(number) for number in range(200)]
     nodes = [placement(number).node for number in range(1000, 1600)]
-    subsets = [subset(view, own) for own in nodes]
+    subsets = [choose_subset(view, own) for own in nodes]
     assert {len(chosen) for chosen in subsets} == {SUBSET_MAX}
     held = Counter(
         known.backend_server.backend_server_id for chosen in subsets for known in chosen
@@ -138,5 +138,5 @@
     assert max(held.values()) < 1.6 * mean
     assert min(held.values()) > 0.4 * mean
     for own, chosen in zip(nodes[:50], subsets, strict=False):
-        moved = set(chosen) - set(subset(view[1:], own))
+        moved = set(chosen) - set(choose_subset(view[1:], own))
         assert len(moved) <= 1
--- a/tests/test_placement_at_size.py
+++ b/tests/test_placement_at_size.py
@@ -8,7 +8,7 @@
 
 from balsamspindle.membership.directory import Placement
 from balsamspindle.services.picker import choose_freest
-from balsamspindle.services.subset import OTHER_ZONES_MIN, SUBSET_MAX, subset
+from balsamspindle.services.subset import OTHER_ZONES_MIN, SUBSET_MAX, choose_subset
 from balsamspindle.services.view import make_view
 from balsamspindle.wire import BackendServerRecord, NodeRecord
 
@@ -88,7 +88,7 @@
 
     def test_a_subset_includes_placements_in_other_zones(self):
         for place in PLACES:
-            chosen = subset(PLACES, place.node)
+            chosen = choose_subset(PLACES, place.node)
             own_zone = place.node.availability_zone
             far = [one for one in chosen if one.node.availability_zone != own_zone]
             self.assertEqual(SUBSET_MAX, len(chosen))
@@ -101,6 +101,6 @@
             *(one for one in PLACES if one.node.node_id[-1] in "1346"),
         ]
         places = [place for place in places if place.node != own][:30] + [placement(0)]
-        chosen = subset(places, own)
+        chosen = choose_subset(places, own)
         self.assertEqual(SUBSET_MAX, len(chosen))
         self.assertIn("node-0", [place.node.node_id for place in chosen])
--- a/tests/test_retries.py
+++ b/tests/test_retries.py
@@ -214,21 +214,22 @@
             holds.record_failure("gate", now_s)
             holds.record_failure("gate", now_s)
             start_s = now_s
-            while holds.is_held("gate", now_s):
+            while holds.is_held_out("gate", now_s):
                 now_s += 0.125
             lengths_s.append(now_s - start_s)
         self.assertEqual([0.5, 1.0, 2.0, 4.0, 4.0], lengths_s)
-        # The first caller of `is_held` may try the link; the others wait for the
+        # The first caller of `is_held_out` may try the link; the others wait for the
         # result.
-        self.assertTrue(holds.is_held("gate", now_s))
+        self.assertTrue(holds.is_held_out("gate", now_s))
         holds.record_success("gate")
-        self.assertFalse(holds.is_held("gate", now_s))
+        self.assertFalse(holds.is_held_out("gate", now_s))
 
     def test_the_number_of_links_held_out_is_bounded(self):
         holds = HoldOuts(0.5, 4.0)
         for number in range(3 * HOLD_OUTS_MAX):
             holds.record_failure(f"gate-{number}", 0.0)
         kept = [
-            holds.is_held(f"gate-{number}", 0.1) for number in range(3 * HOLD_OUTS_MAX)
+            holds.is_held_out(f"gate-{number}", 0.1)
+            for number in range(3 * HOLD_OUTS_MAX)
         ]
         self.assertEqual(HOLD_OUTS_MAX, sum(kept))
--- a/tests/test_retry_waits.py
+++ b/tests/test_retry_waits.py
@@ -2,7 +2,7 @@
 
 import random
 
-from balsamspindle.crashes.records import UNSUSPECTED, ContentStatus
+from balsamspindle.crashes.records import UNSUSPECTED, QuarantineStatus
 from balsamspindle.crashes.retry_waits import (
     WAIT_FRACTION_MAX,
     WAIT_MAX_S,
@@ -10,7 +10,7 @@
 )
 from balsamspindle.crashes.verdicts import RETRIED_WITHIN_S
 
-SUSPECT = ContentStatus(is_suspect=True)
+SUSPECT = QuarantineStatus(is_suspect=True)
 RNG = random.Random(1)
 
 
--- a/tests/test_two_gates.py
+++ b/tests/test_two_gates.py
@@ -155,4 +155,4 @@
         replies = [self._request(Execution.NON_IDEMPOTENT) for _ in range(20)]
         self.assertEqual([BODY] * 20, [reply.body for reply in replies])
         held = self.forwarder._sender.link_hold_outs
-        self.assertTrue(held.is_held("gate-a", time.monotonic()))
+        self.assertTrue(held.is_held_out("gate-a", time.monotonic()))
