--- a/balsamspindle/node/process.py
+++ b/balsamspindle/node/process.py
@@ -299,7 +299,7 @@
             self.events,
             claims,
             self._retries,
-            on_suspect=self._hints.share,
+            on_hold_out=self._hints.share,
             crash_history=self._crashes.history,
         )
         self._member.register({SuspectHint: self._hints.receive})
--- a/balsamspindle/requests/attempts.py
+++ b/balsamspindle/requests/attempts.py
@@ -39,7 +39,7 @@
 
     Parameters
     ----------
-    on_suspect : callable, optional
+    on_hold_out : callable, optional
         Called after each reply with the gate's node, the backend server's id, the
         hold-out that the gate reported (0 ms if there is none) and the present time.
     """
@@ -52,9 +52,9 @@
         events: EventLog,
         free_slots: FreeSlotEstimates,
         clock: Callable[[], float] = time.monotonic,
-        on_suspect: Callable[[NodeRecord, str, HoldOut, float], None] | None = None,
+        on_hold_out: Callable[[NodeRecord, str, HoldOut, float], None] | None = None,
     ) -> None:
-        self._on_suspect = on_suspect or (lambda *_: None)
+        self._on_hold_out = on_hold_out or (lambda *_: None)
         self._own = own
         self._gate = gate
         self._links = GateLinks(links, events)
@@ -253,17 +253,17 @@
             placement,
             self._free_slots,
             self._peer_evidence,
-            self._record_suspect,
+            self._record_hold_out,
             self.queue_hints,
             self._clock,
         )
 
-    def _record_suspect(
+    def _record_hold_out(
         self, placement: Placement, held_out: HoldOut, now_s: float
     ) -> None:
         server_id = placement.backend_server.backend_server_id
         self.held_out_servers.record(server_id, held_out, now_s)
-        self._on_suspect(placement.node, server_id, held_out, now_s)
+        self._on_hold_out(placement.node, server_id, held_out, now_s)
 
 
 def _rounded(duration_ms: float | None) -> int | None:
--- a/balsamspindle/requests/forwarding.py
+++ b/balsamspindle/requests/forwarding.py
@@ -61,7 +61,7 @@
     retries : RetryPolicy, default=a policy with the default budget
     clock : callable, default=time.monotonic
         Returns the present time on the monotonic clock, in s.
-    on_suspect : callable, optional
+    on_hold_out : callable, optional
         Called after each reply with the gate's node, the backend server's id, the
         hold-out that the gate reported (0 ms if there is none) and the present time.
     crash_history : CrashHistory, default=an empty one
@@ -78,7 +78,7 @@
         claims: ClaimsTable | None = None,
         retries: RetryPolicy | None = None,
         clock: Callable[[], float] = time.monotonic,
-        on_suspect: Callable[[NodeRecord, str, HoldOut, float], None] | None = None,
+        on_hold_out: Callable[[NodeRecord, str, HoldOut, float], None] | None = None,
         crash_history: CrashHistory | None = None,
     ) -> None:
         self._picker = picker
@@ -88,7 +88,7 @@
         self._clock = clock
         self._free_slots = FreeSlotEstimates()
         self._sender = AttemptSender(
-            own, gate, links, events, self._free_slots, clock, on_suspect
+            own, gate, links, events, self._free_slots, clock, on_hold_out
         )
         self._retries = retries or RetryPolicy(lambda service: RetryBudget())
         self._random = random.Random(f"{own.node_id}/{own.incarnation}")
--- a/balsamspindle/requests/tracking.py
+++ b/balsamspindle/requests/tracking.py
@@ -26,7 +26,7 @@
 
     Parameters
     ----------
-    record_suspect : callable
+    record_hold_out : callable
         Called with the `HoldOut` of each reply, also if it reports that the backend
         server is not held out.
     """
@@ -37,7 +37,7 @@
         placement: Placement,
         free_slots: FreeSlotEstimates,
         peer_evidence: PeerEvidenceTracker,
-        record_suspect: Callable[[Placement, HoldOut, float], None],
+        record_hold_out: Callable[[Placement, HoldOut, float], None],
         queue_hints: QueueHints,
         clock: Callable[[], float],
     ) -> None:
@@ -47,7 +47,7 @@
         self._server_id = server_id = placement.backend_server.backend_server_id
         self._free_slots: FreeSlotEstimates = free_slots
         self._peer_evidence: PeerEvidenceTracker = peer_evidence
-        self._record_suspect = record_suspect
+        self._record_hold_out = record_hold_out
         self._queue_hints: QueueHints = queue_hints
         self._clock = clock
         self._started_s = clock()
@@ -72,7 +72,7 @@
         )
         self._free_slots.record_end(self._server_id)
         if reply is not None:
-            self._record_suspect(self._placement, reply.held_out, now_s)
+            self._record_hold_out(self._placement, reply.held_out, now_s)
             if is_refusal(reply):
                 self._forwarded.sends -= 1
         if reply is not None and reply.reason in _REASONS_WITHOUT_SLOT_COUNT:
