--- a/balsamspindle/backend_servers/admission.py
+++ b/balsamspindle/backend_servers/admission.py
@@ -91,7 +91,7 @@
             self._leaving = True
             self._servers.changed.notify_all()
 
-    def end_by(self, ends_s: float) -> None:
+    def set_end_time(self, ends_s: float) -> None:
         """Set when this node ends; refuse attempts that could not finish by then.
 
         Runs that are in progress when the node ends are interrupted, and their answers
--- a/balsamspindle/backend_servers/gate.py
+++ b/balsamspindle/backend_servers/gate.py
@@ -128,9 +128,9 @@
         """Refuse all new and waiting attempts from now on, as this node is leaving."""
         self._admission.refuse_new_attempts()
 
-    def end_by(self, ends_s: float) -> None:
+    def set_end_time(self, ends_s: float) -> None:
         """Set when this node ends; refuse attempts that could not finish by then."""
-        self._admission.end_by(ends_s)
+        self._admission.set_end_time(ends_s)
 
     def cancel_all(self) -> None:
         """Cancel all waiting and running attempts, as this node ends now."""
--- a/balsamspindle/node/graceful_shutdown.py
+++ b/balsamspindle/node/graceful_shutdown.py
@@ -54,8 +54,8 @@
         timeout_end_s = time.monotonic() + self._settings.shutdown_timeout_s
         self._member.leave()
         self._ingress.leave()
-        self._gate.end_by(timeout_end_s)
-        self._forwarder.end_by(timeout_end_s)
+        self._gate.set_end_time(timeout_end_s)
+        self._forwarder.set_end_time(timeout_end_s)
         time.sleep(self._settings.ready_notice_s)
         self._ingress.stop()
         _wait_until(self._ingress.ended, time.monotonic() + GATE_OPEN_MAX_S)
--- a/balsamspindle/requests/attempts.py
+++ b/balsamspindle/requests/attempts.py
@@ -87,9 +87,9 @@
         """Return a new attempt id."""
         return AttemptId(self._own.node_id, self._own.incarnation, next(self._sequence))
 
-    def end_by(self, ends_s: float) -> None:
+    def set_end_time(self, ends_s: float) -> None:
         """Set this node's stop time; gates then start no run that would end later."""
-        self._link_attempts.end_by(ends_s)
+        self._link_attempts.set_end_time(ends_s)
 
     def give_up(self) -> None:
         """Stop waiting for replies to attempts, and send no new attempts."""
--- a/balsamspindle/requests/forwarding.py
+++ b/balsamspindle/requests/forwarding.py
@@ -111,9 +111,9 @@
         """Backend servers that their gates reported as held out."""
         return self._sender.held_out_servers
 
-    def end_by(self, ends_s: float) -> None:
+    def set_end_time(self, ends_s: float) -> None:
         """Set this node's stop time; gates then start no run that would end later."""
-        self._sender.end_by(ends_s)
+        self._sender.set_end_time(ends_s)
 
     def give_up(self) -> None:
         """Stop waiting for replies; end each request with the replies it has got."""
--- a/balsamspindle/requests/link_attempts.py
+++ b/balsamspindle/requests/link_attempts.py
@@ -78,7 +78,7 @@
         self._announced_end_s = math.inf
         self._outcomes = AttemptOutcomes(events, clock, lambda: self._given_up)
 
-    def end_by(self, ends_s: float) -> None:
+    def set_end_time(self, ends_s: float) -> None:
         """Set this node's stop time; gates then start no run that would end later."""
         self._announced_end_s = ends_s - REPLY_RESERVE_S
 
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -121,18 +121,18 @@
         server = self.servers.get("server")
         server.account.release(WorkEnd.ANSWERED, 1.0, time.monotonic())
         server.account.acquire()
-        self.admission.end_by(time.monotonic() + 60.0)
+        self.admission.set_end_time(time.monotonic() + 60.0)
         admitted = self._admit()
         self.assertIsInstance(admitted, Admitted)
-        self.admission.end_by(time.monotonic() + 1.5)
+        self.admission.set_end_time(time.monotonic() + 1.5)
         self.assertEqual(Reason.DRAINING, self._admit().reason)
         # A waiting attempt is refused at once, not only when a slot becomes free.
-        self.admission.end_by(math.inf)
+        self.admission.set_end_time(math.inf)
         admitted = [admitted, *(self._admit() for _ in range(SLOTS - 1))]
         with ThreadPoolExecutor(1) as executor:
             waiting = executor.submit(self._admit)
             wait_until(self.admission.waiting, "one waits")
-            self.admission.end_by(time.monotonic() + 1.5)
+            self.admission.set_end_time(time.monotonic() + 1.5)
             self.assertEqual(Reason.DRAINING, waiting.result(5).reason)
         for attempt in admitted:
             self.admission.release(attempt, WorkEnd.ANSWERED)
--- a/tests/test_ending_gates.py
+++ b/tests/test_ending_gates.py
@@ -147,7 +147,7 @@
         self.assertEqual((Outcome.ANSWERED, BODY), (reply.outcome, reply.body))
 
     def test_the_announced_end_leaves_time_for_refusals(self):
-        self.forwarder.end_by(time.monotonic() + PATIENCE_S)
+        self.forwarder.set_end_time(time.monotonic() + PATIENCE_S)
         self.assertEqual(Outcome.ANSWERED, self._request().outcome)
         [dispatch] = [one for gate in self.gates.values() for one in gate.dispatches]
         reserve_ms = REPLY_RESERVE_S * 1000
--- a/tests/test_ending_ingresses.py
+++ b/tests/test_ending_ingresses.py
@@ -160,9 +160,9 @@
     def test_a_leaving_gate_sends_notice_of_runs_that_it_may_not_answer(self):
         link, attempt_id = self._send(1)
         wait_until(lambda: self.backend.requests, "it runs")
-        self.gate.end_by(time.monotonic() + 60.0)
+        self.gate.set_end_time(time.monotonic() + 60.0)
         self.assertEqual([], self.gate.outlasting_attempts(time.monotonic()))
-        self.gate.end_by(time.monotonic() + 1.5 * USUAL_S)
+        self.gate.set_end_time(time.monotonic() + 1.5 * USUAL_S)
         started_s = time.monotonic()
         self.assertIsNone(self._wait(link, attempt_id, ends_at_notice=lambda: True))
         self.assertLess(time.monotonic() - started_s, PATIENCE_S)
