--- a/balsamspindle/node/graceful_shutdown.py
+++ b/balsamspindle/node/graceful_shutdown.py
@@ -96,7 +96,7 @@
             replies=self._link_server.pending(),
         )
         # The forwarder first: it must not retry elsewhere what the gate cancels.
-        self._forwarder.give_up()
+        self._forwarder.abort_attempts()
         self._gate.cancel_all()
         _wait_until(self._is_idle, time.monotonic() + LAST_ANSWERS_TIMEOUT_S)
         # The connections still open are those whose callers do not read their answers.
--- a/balsamspindle/requests/attempt_outcomes.py
+++ b/balsamspindle/requests/attempt_outcomes.py
@@ -28,7 +28,7 @@
 
     Parameters
     ----------
-    is_given_up : callable
+    is_aborted : callable
         Returns whether this node is leaving and has stopped waiting for the replies to
         all of its attempts.
     """
@@ -37,11 +37,11 @@
         self,
         events: EventLog,
         clock: Callable[[], float],
-        is_given_up: Callable[[], bool],
+        is_aborted: Callable[[], bool],
     ) -> None:
         self._events = events
         self._clock = clock
-        self._is_given_up = is_given_up
+        self._is_aborted = is_aborted
 
     def final_reply(
         self,
@@ -81,7 +81,7 @@
             return CancelCause.CALLER_LEFT
         if self._clock() >= forwarded.deadline_s:
             return CancelCause.DEADLINE
-        if self._is_given_up():
+        if self._is_aborted():
             return CancelCause.INGRESS_LEAVING
         return CancelCause.INGRESS_GAVE_UP
 
--- a/balsamspindle/requests/attempts.py
+++ b/balsamspindle/requests/attempts.py
@@ -91,9 +91,9 @@
         """Set this node's stop time; gates then start no run that would end later."""
         self._link_attempts.set_end_time(ends_s)
 
-    def give_up(self) -> None:
+    def abort_attempts(self) -> None:
         """Stop waiting for replies to attempts, and send no new attempts."""
-        self._link_attempts.give_up()
+        self._link_attempts.abort_attempts()
 
     def parked_reply(self, forwarded: ForwardedRequest) -> Reply | None:
         """Return the reply to a parked attempt; None if no attempt is parked.
--- a/balsamspindle/requests/forwarding.py
+++ b/balsamspindle/requests/forwarding.py
@@ -104,7 +104,7 @@
         self._hedge_planner = HedgePlanner(
             picker, self._sender, self._retries, self._select, self._blocked, clock
         )
-        self._given_up = threading.Event()
+        self._aborted = threading.Event()
 
     @property
     def held_out_servers(self) -> HeldOutServers:
@@ -115,10 +115,10 @@
         """Set this node's stop time; gates then start no run that would end later."""
         self._sender.set_end_time(ends_s)
 
-    def give_up(self) -> None:
+    def abort_attempts(self) -> None:
         """Stop waiting for replies; end each request with the replies it has got."""
-        self._given_up.set()
-        self._sender.give_up()
+        self._aborted.set()
+        self._sender.abort_attempts()
 
     def forward(self, forwarded: ForwardedRequest) -> Reply:
         """Make attempts as needed and allowed; return the reply for the caller."""
@@ -169,14 +169,14 @@
             if not self._may_retry(forwarded, replies, None, self._clock()):
                 forwarded.stopped_by = StopReason.REPEAT_DENIED
                 break
-        if not replies and self._given_up.is_set():
+        if not replies and self._aborted.is_set():
             return msgspec.structs.replace(not_run, reason=Reason.NODE_STOPPING)
         return best_reply([*forwarded.parked_replies, *replies]) if replies else not_run
 
     def _try_gates(self, forwarded: ForwardedRequest, replies: list[Reply]) -> None:
         """Make attempts until one succeeds or no more are allowed; fill `replies`."""
         forwarded.stopped_by = None
-        while not self._given_up.is_set():
+        while not self._aborted.is_set():
             blocked = self._blocked(forwarded)
             if blocked is not None:
                 replies.append(blocked)
@@ -231,7 +231,7 @@
         status = self._crash_history.status_of(forwarded.content_hash, now_s)
         with self._random_lock:
             wait_s = retry_wait_s(status, forwarded.deadline_s - now_s, self._random)
-        self._given_up.wait(wait_s)
+        self._aborted.wait(wait_s)
 
     def _record_success(
         self, forwarded: ForwardedRequest, reply: Reply, took_s: float | None
@@ -324,9 +324,9 @@
             left_s = forwarded.deadline_s - now_s
             forwarded.search_until_s = now_s + fraction * left_s
         if now_s + SEARCH_AGAIN_S < forwarded.search_until_s:
-            # After `give_up` no attempt is sent, because this node is about to close
-            # its callers' connections.
-            if self._given_up.wait(SEARCH_AGAIN_S):
+            # After `abort_attempts`, send no attempt: this node is about to close its
+            # callers' connections.
+            if self._aborted.wait(SEARCH_AGAIN_S):
                 return False
             return not forwarded.caller.caller_gone()
         forwarded.is_last_resort = True
@@ -370,10 +370,10 @@
                 forwarded.restart_search()
             else:
                 forwarded.search.restart()
-        return self._given_up.is_set() or forwarded.caller.caller_gone()
+        return self._aborted.is_set() or forwarded.caller.caller_gone()
 
     def _stop_reason(self, forwarded: ForwardedRequest) -> StopReason:
-        if self._given_up.is_set():
+        if self._aborted.is_set():
             return StopReason.NODE_LEAVING
         if not forwarded.may_send():
             return StopReason.ATTEMPTS_MAX
--- a/balsamspindle/requests/link_attempts.py
+++ b/balsamspindle/requests/link_attempts.py
@@ -74,9 +74,9 @@
         self._build_dispatch = build_dispatch
         self._track = track
         self._next_id = next_id
-        self._given_up = False
+        self._aborted = False
         self._announced_end_s = math.inf
-        self._outcomes = AttemptOutcomes(events, clock, lambda: self._given_up)
+        self._outcomes = AttemptOutcomes(events, clock, lambda: self._aborted)
 
     def set_end_time(self, ends_s: float) -> None:
         """Set this node's stop time; gates then start no run that would end later."""
@@ -88,9 +88,9 @@
             return None
         return (self._announced_end_s - self._clock()) * 1000
 
-    def give_up(self) -> None:
+    def abort_attempts(self) -> None:
         """Stop waiting for replies to attempts, and send no new attempts."""
-        self._given_up = True
+        self._aborted = True
 
     def send(
         self, forwarded: ForwardedRequest, placement: Placement, hedge: Hedge | None
@@ -187,7 +187,7 @@
             return None
         if is_answered(waited) or not self._may_park(forwarded):
             return None
-        if self._given_up or forwarded.caller.caller_gone():
+        if self._aborted or forwarded.caller.caller_gone():
             return None
         return unanswered[0]
 
@@ -297,7 +297,7 @@
         if link is None:
             forwarded.sends -= 1
             return unreachable
-        if self._given_up:
+        if self._aborted:
             return self._release_unused(forwarded, dispatch, link)
         # The idempotency key is claimed only once the gate is known to be alive: a
         # claim for a dead gate would block the key for ever.
@@ -308,7 +308,7 @@
         if isinstance(claimed, Reply):
             self._links.release(link)
             return claimed
-        if self._given_up:
+        if self._aborted:
             return self._release_unused(forwarded, dispatch, link)
         if not link.send_dispatch(claimed, forwarded.deadline_s):
             link.close()
@@ -345,7 +345,7 @@
             descriptor,
             is_over,
             on_dropped=lambda cause: self._events.emit("message_dropped", cause=cause),
-            given_up=lambda: self._given_up,
+            is_aborted=lambda: self._aborted,
             node_ends_s=lambda: self._announced_end_s,
             ends_at_notice=lambda: self._may_park(forwarded),
             parked_attempts=forwarded.parked.by_link(),
--- a/balsamspindle/requests/reply_wait.py
+++ b/balsamspindle/requests/reply_wait.py
@@ -44,7 +44,7 @@
     on_dropped : callable
         Called with the cause for each message that is dropped because it is not a
         reply to the attempt.
-    given_up : callable, default=never
+    is_aborted : callable, default=never
         Returns whether this node has given up all requests.
     node_ends_s : callable, default=infinity
         Returns when this node stops, on the monotonic clock. Once finite, the time is
@@ -64,7 +64,7 @@
     caller_fd: int
     caller_gone: Callable[[], bool]
     on_dropped: Callable[[str], None]
-    given_up: Callable[[], bool] = _never
+    is_aborted: Callable[[], bool] = _never
     node_ends_s: Callable[[], float] = _no_end
     ends_at_notice: Callable[[], bool] = _never
     parked_attempts: Mapping[Link, AttemptId] = field(default_factory=dict)
@@ -128,7 +128,7 @@
                 last = WaitResult(link, reply, replies)
             else:
                 wait.on_parked(link, reply)
-        if wait.given_up() or (not ready and remaining_ms <= CHECK_INTERVAL_MS):
+        if wait.is_aborted() or (not ready and remaining_ms <= CHECK_INTERVAL_MS):
             return last
         if _is_last_ending(waiting, attempts) and wait.ends_at_notice():
             return last
--- a/tests/one_gate.py
+++ b/tests/one_gate.py
@@ -87,6 +87,6 @@
             )
             return self._forwarder.forward(self.forwarded)
 
-    def give_up(self) -> None:
+    def abort_attempts(self) -> None:
         """Stop waiting for replies, like a node that leaves."""
-        self._forwarder.give_up()
+        self._forwarder.abort_attempts()
--- a/tests/test_ending_gates.py
+++ b/tests/test_ending_gates.py
@@ -351,7 +351,7 @@
                 self._request, execution=Execution.NON_IDEMPOTENT, timeout_s=200.0
             )
             wait_until(lambda: self._dispatches() >= 2, "both gates refused it")
-            self.forwarder.give_up()
+            self.forwarder.abort_attempts()
             sent = self._dispatches()
             reply = request.result(PATIENCE_S)
         self.assertEqual(Outcome.NOT_RUN, reply.outcome)
@@ -362,7 +362,7 @@
 
         def give_up_meanwhile(*arguments):
             link = acquire(*arguments)
-            self.forwarder.give_up()
+            self.forwarder.abort_attempts()
             return link
 
         self.patch(self.links, "acquire", give_up_meanwhile)
--- a/tests/test_links.py
+++ b/tests/test_links.py
@@ -252,7 +252,7 @@
         causes = [
             (CancelCause.CALLER_LEFT, self._leave),
             (CancelCause.DEADLINE, lambda ingress: None),
-            (CancelCause.INGRESS_LEAVING, lambda ingress: ingress.give_up()),
+            (CancelCause.INGRESS_LEAVING, lambda ingress: ingress.abort_attempts()),
         ]
         for number, (cause, end) in enumerate(causes, 1):
             timeout_s = 0.1 if cause is CancelCause.DEADLINE else 600
