--- a/balsamspindle/backend_servers/admission.py
+++ b/balsamspindle/backend_servers/admission.py
@@ -25,25 +25,25 @@
 
 CAPACITY_STEPS = 4
 # Fraction of its slots that a backend server may use while it reports that it is cold.
-# Requests take about twice as long there, so the server can answer only half as many
-# of them as usual in a given time.
+# A cold backend server takes about twice as long for each request, so it can answer
+# only half as many requests per second.
 COLD_SLOTS_FRACTION = 0.5
-# A waiting attempt requests a slot again at each change, and at the latest after this
-# time: the slots of a cold backend server increase without a notification that would
-# wake the attempt.
+# A waiting attempt requests a slot again at each notification of
+# `LocalBackendServers.changed`, and at the latest after this time. The limit is needed
+# because no notification is sent when the slots of a cold backend server increase.
 RECHECK_INTERVAL_S = 0.5
 RECHECK_MIN_S = 0.005
-# If the gate's or the ingress's node is about to end, an attempt is started only if at
-# least this many times the mean service time of its route remains until then. Half of
-# all requests, including reads, take longer than the mean, but few take longer than
-# twice the mean. Refusing an attempt is better than interrupting its run when the node
-# ends, because a refused attempt can still be retried in time.
+# An attempt is started only if its gate and its ingress will both run for at least this
+# many times the mean service time of the attempt's route. Half of all requests,
+# including reads, take longer than the mean, but few take longer than twice the mean.
+# Refusing an attempt is better than interrupting its run when a node ends, because a
+# refused attempt can still be retried in time.
 LAST_START_FACTOR = 2.0
 
 
 @dataclass(frozen=True)
 class Admitted:
-    """An attempt that holds a slot until `Admission.release`."""
+    """An attempt that occupies a slot until `Admission.release` is called for it."""
 
     server: LocalBackendServer
     started_s: float
@@ -54,7 +54,13 @@
 
 @dataclass(frozen=True)
 class Refused:
-    """A refusal: the attempt was not dispatched and never will be."""
+    """The refusal of an attempt, which the gate has not dispatched and never will.
+
+    Attributes
+    ----------
+    retry_after_ms : float
+        Estimated wait for a free slot; 0 if the attempt was refused for another reason.
+    """
 
     reason: Reason
     retry_after_ms: float = 0.0
@@ -92,10 +98,10 @@
             self._servers.changed.notify_all()
 
     def set_end_time(self, ends_s: float) -> None:
-        """Set when this node ends; refuse attempts that could not finish by then.
+        """Set the time at which this node ends; refuse attempts that may run longer.
 
         Runs that are in progress when the node ends are interrupted, and their answers
-        are lost. An attempt that is refused instead can go to another gate.
+        are lost. A refused attempt can be retried at another gate instead.
         """
         with self._servers.changed:
             self._node_ends_s = ends_s
@@ -109,8 +115,8 @@
     def outlasting_attempts(self, now_s: float) -> list[AttemptId]:
         """Return the running attempts that may not finish before this node ends.
 
-        These are the attempts that would be refused if they arrived now, because this
-        node ends too soon, and the attempts whose service time is unknown.
+        An attempt may not finish if its service time is unknown, or too long for the
+        time that remains. The list is empty while the node's end is not set.
         """
         if math.isinf(self._node_ends_s):
             return []
@@ -139,7 +145,7 @@
     def admit(
         self, dispatch: Dispatch, token: CancelToken, deadline_s: float
     ) -> Admitted | Refused:
-        """Wait for a slot and occupy it, or refuse the attempt."""
+        """Wait until an attempt gets a slot or is refused."""
         ticket = _ticket(dispatch, deadline_s, time.monotonic())
         with self._servers.changed:
             queue = self._queue(dispatch.service)
@@ -166,7 +172,8 @@
     def _latest_start_s(self, dispatch: Dispatch, token: CancelToken) -> float:
         """Return the latest time at which an attempt may start.
 
-        An attempt that started later might still run when its ingress ends.
+        An attempt that started later might still run when its ingress ends. The time is
+        infinity unless the ingress is leaving.
         """
         server = self._servers.get(dispatch.backend_server_id)
         kind = WorkKind(dispatch.weight, dispatch.route_id)
@@ -175,10 +182,10 @@
     def _recheck_wait_s(
         self, ticket: Ticket, latest_start_s: float, now_s: float
     ) -> float:
-        """Return after how many seconds a waiting attempt tries again if not woken."""
+        """Return how long an attempt waits for a notification before it tries again."""
         account = self._servers.get(ticket.backend_server_id).account
-        # The last time at which the attempt can wait one mean service time for a slot,
-        # run for another one, and still meet its deadline.
+        # An attempt that still waits at this time can wait one mean service time for a
+        # slot, run for one more mean service time, and just meet its deadline.
         last_chance_s = ticket.deadline_s - 2 * account.service_time_s
         until_s = min(
             last_chance_s, account.next_delayed_release_s(), now_s + RECHECK_INTERVAL_S
@@ -259,7 +266,11 @@
     def _availability(
         self, dispatch: Dispatch | AdmissionQuery, ticket: Ticket, now_s: float
     ) -> "_Availability | Refused":
-        """Return the slots available to a request, or its refusal if it gets none."""
+        """Return the slots available to an attempt, or its refusal.
+
+        It is refused if its backend server is unknown or not ready, if its deadline has
+        passed, or if this node leaves or may end during the run.
+        """
         server = self._servers.get(dispatch.backend_server_id)
         if server is None:
             return Refused(Reason.NO_BACKEND_SERVER)
@@ -278,7 +289,7 @@
         return _Availability(server, kind, free, slots, effective_slots)
 
     def _slots(self, server: LocalBackendServer, now_s: float) -> int:
-        """Return how many slots a backend server may use now."""
+        """Return how many slots a backend server may use now; fewer while cold."""
         announcement = server.announcement
         document = self._service_document(announcement.service)
         slots = ramped_slots(
@@ -292,18 +303,21 @@
         """Return the fraction of its slots that a backend server may use now.
 
         The fraction is rounded down to a multiple of 1/4, but is at least 1/4. Each
-        change of it is sent to the whole fleet, so a cold start causes few updates.
+        change of the fraction is sent to the whole fleet; due to the rounding, a cold
+        start causes few changes.
         """
         fraction = self._slots(server, now_s) / server.announcement.slots
         return max(1, int(fraction * CAPACITY_STEPS)) / CAPACITY_STEPS
 
     def release(self, admitted: Admitted, end: WorkEnd) -> int:
-        """Free the slot of an attempt.
+        """Release the slot of an attempt that has ended or will not run.
+
+        After `WorkEnd.IN_DOUBT` the slot stays occupied for a while; see `SlotAccount`.
 
         Returns
         -------
         int
-            Free slots of the backend server minus the attempts that wait for them.
+            Free slots of the backend server minus attempts that wait for a slot there.
         """
         server = admitted.server
         with self._servers.changed:
@@ -346,7 +360,7 @@
 
 
 def _expected_run_s(server: LocalBackendServer, kind: WorkKind) -> float:
-    """Return the mean service time of a kind of request; 0 when unknown."""
+    """Return the mean service time of a kind, or else of the server; 0 when unknown."""
     return server.account.route_time_s(kind) or server.account.service_time_s
 
 
@@ -381,5 +395,5 @@
 
 
 def _busy_ms(waiting: int, slots: int, service_time_s: float) -> float:
-    """Return the estimated time until the attempts that wait now have ended."""
+    """Return the estimated time until all attempts that wait now have ended."""
     return (waiting / max(1, slots) + 1) * service_time_s * 1000
--- a/balsamspindle/backend_servers/answers.py
+++ b/balsamspindle/backend_servers/answers.py
@@ -20,8 +20,8 @@
     "end_to_end_headers",
 ]
 
-# Headers that are not forwarded: they apply to one connection only, or the HTTP client
-# that sends the message on sets them itself.
+# Headers that are not forwarded. Some apply to one connection only; the HTTP client
+# that forwards the message sets the others itself.
 _DROPPED_HEADERS = HOP_BY_HOP_HEADERS | {"content-length", "expect"}
 _BODILESS_STATUSES = frozenset({204, 304})
 _CONTROL_CHARACTERS = frozenset("\r\n\0")
@@ -35,7 +35,7 @@
     body: bytes
 
     def header(self, name: str) -> str | None:
-        """Return a header's value, None if it is missing; the case is ignored."""
+        """Return a header's value, None if it is missing; `name` may be in any case."""
         wanted = name.lower()
         for known, value in self.headers:
             if known.lower() == wanted:
@@ -51,9 +51,9 @@
     sent : bool
         Whether any part of the request may have been written to a connected socket.
     is_foreign : bool
-        Data arrived that is not an answer to this request.
+        Whether data arrived that is not an answer to this request.
     cut_by : CancelCause or None
-        Why the call was cancelled; None if it failed by itself.
+        Why the call was cancelled; None if it was not cancelled.
     """
 
     reason: Reason
@@ -81,15 +81,17 @@
     Parameters
     ----------
     request_id : str
-        Id of the request to which the answer must belong.
+        Id of the request. The answer must contain the same id if backend servers echo
+        request ids.
     accepts_unframed : bool
-        Whether an answer without a length is accepted as complete when its connection
-        was closed normally. If the connection was reset, libcurl reports an error.
+        Whether an answer that is neither chunked nor has a Content-Length counts as
+        complete when the backend server closes the connection. If the backend server
+        resets the connection instead, libcurl reports an error.
 
     Attributes
     ----------
     too_large : bool
-        The body is longer than `body_max_bytes`.
+        Whether the body is longer than `body_max_bytes`.
     """
 
     def __init__(
@@ -110,9 +112,10 @@
         self._head_done = False
 
     def on_header(self, line: bytes) -> None:
-        """Read one line of a head or of the trailers."""
+        """Process one line of a head or of the trailers."""
         if line.startswith(b"HTTP/"):
-            # A new head starts: the head before it belonged to an interim answer (1xx).
+            # A head starts. If there was a head before, it belonged to an interim
+            # answer (1xx): discard its headers.
             self._headers = []
             self._head_done = False
         elif line in (b"\r\n", b"\n"):
@@ -121,7 +124,7 @@
             line = line.removesuffix(b"\n").removesuffix(b"\r")
             name, _, value = line.partition(b":")
             self._headers.append((field_value(name), field_value(value)))
-        # Any other line is a trailer, which is not a header of the answer.
+        # Any other line is a trailer. Ignore it: it is not a header of the answer.
 
     def on_body(self, chunk: bytes) -> int | None:
         """Add a part of the body; return 0 to end the call if the body is too large."""
@@ -150,9 +153,9 @@
     def _foreign_cause(self, answer: BackendAnswer) -> str | None:
         """Return why an answer does not belong to this request, None if it does.
 
-        A backend server may send an answer twice. The second copy is then in the
-        connection when the next request is sent and looks like the answer to that
-        request, so that a caller would get another caller's data.
+        A backend server may send an answer twice. The next request on the same
+        connection then receives the second copy. If this copy were taken for the answer
+        to that request, a caller would get another caller's data.
         """
         names, is_success = self._names, 200 <= answer.status < 300
         if names.echoes_request_id:
@@ -173,8 +176,9 @@
         if len(set(self._values("content-length"))) > 1:
             return "the answer has several Content-Length headers with different values"
         if not (bodiless or self._accepts_unframed or self._has_framing()):
-            # Without a length the body ends with the connection, so the answer of a
-            # backend server that crashes half way through it looks complete.
+            # Without framing, the body ends where the connection ends. If the backend
+            # server crashes while it sends the body, the truncated answer looks
+            # complete.
             return "the answer has no valid framing (Content-Length or chunked)"
         return None
 
--- a/balsamspindle/backend_servers/attempts.py
+++ b/balsamspindle/backend_servers/attempts.py
@@ -1,4 +1,4 @@
-"""The table of attempts that a gate has received; it lets each run at most once."""
+"""The table of a gate's attempts, which lets each attempt run at most once."""
 
 import heapq
 from enum import Enum, auto
@@ -16,9 +16,9 @@
 ]
 
 ATTEMPTS_MAX = 100_000
-# How long an attempt stays in the table after its deadline. A message of the attempt
-# that arrives even later is refused because its deadline has passed; its ingress no
-# longer waits for a reply.
+# How long an attempt stays in the table after its deadline. A duplicate message that
+# arrives even later starts no second run: the gate refuses it because its deadline has
+# passed. The ingress no longer waits for a reply by then.
 ATTEMPT_RETENTION_S = 5.0
 
 
@@ -31,7 +31,7 @@
     NO_ROOM = auto()
 
 
-# The reason that the reply to a refused attempt gives. Duplicates get no reply.
+# The reason stated in the reply to a refused attempt. Duplicates get no reply.
 REFUSAL_REASONS = {
     BeginResult.CANCELLED: Reason.CANCELLED,
     BeginResult.NO_ROOM: Reason.NO_FREE_SLOT,
@@ -39,14 +39,16 @@
 
 
 class AttemptTable:
-    """Attempts by id; guarded by the gate's lock.
+    """Attempts by id. Not thread-safe: the gate holds its lock during each call.
 
-    Entries expire by time and are never evicted early to make room: if an attempt were
-    removed before its deadline, a duplicate of its message could run it again.
+    An entry is removed `ATTEMPT_RETENTION_S` after the attempt's deadline, and never
+    earlier to make room: if an attempt were removed before its deadline, a duplicate of
+    its message could run it again.
     """
 
     def __init__(self) -> None:
-        # A cancelled attempt stays in the table, as its message may still arrive.
+        # Contains cancelled attempts, too, even if their message has not arrived yet.
+        # `_begun` contains only attempts whose message has arrived.
         self._tokens: dict[AttemptId, CancelToken] = {}
         self._begun: set[AttemptId] = set()
         self._expiries: list[tuple[float, AttemptId]] = []
@@ -54,7 +56,9 @@
     def begin(
         self, attempt_id: AttemptId, token: CancelToken, deadline_s: float, now_s: float
     ) -> BeginResult:
-        """Register an attempt when its message arrives; only the first message runs it.
+        """Register an attempt whose message has arrived; return whether it may run.
+
+        It may run if this is its first message and it has not been cancelled before.
 
         Parameters
         ----------
@@ -88,12 +92,12 @@
             token.cancel(cause)
         elif len(self._tokens) < ATTEMPTS_MAX:
             # If the table is full, the cancellation is lost, and the attempt may still
-            # run once with nobody waiting for it. That is safe: its ingress had given
-            # its caller the outcome 'unknown' before it cancelled the attempt.
+            # run once with nobody waiting for it. This run is safe: before the ingress
+            # cancelled the attempt, it sent the caller the outcome 'unknown'.
             self._add(attempt_id, CancelToken(), deadline_s)
 
     def set_ingress_end(self, attempt_id: AttemptId, ends_s: float) -> bool:
-        """Record when the ingress of an attempt ends.
+        """Record at what time the ingress of an attempt ends.
 
         Returns
         -------
--- a/balsamspindle/backend_servers/cancellation.py
+++ b/balsamspindle/backend_servers/cancellation.py
@@ -35,15 +35,15 @@
 
     @property
     def ingress_ends_s(self) -> float:
-        """When the node of the call's ingress stops; infinity if it is not leaving."""
+        """When the call's ingress ends; infinity unless the ingress is leaving."""
         return self._ingress_ends_s
 
     def set_ingress_end(self, ends_s: float) -> None:
-        """Record when the node of the call's ingress stops; infinity if it stays."""
+        """Set when the call's ingress ends; infinity unless the ingress is leaving."""
         self._ingress_ends_s = ends_s
 
     def cancel(self, cause: CancelCause) -> None:
-        """End the call now, or as soon as it opens or reuses a connection."""
+        """Abort the call now, or as soon as it gets a connection if it has none."""
         with self._lock:
             self.cause = self.cause or cause
             if self._socket is not None:
@@ -52,8 +52,8 @@
     def attach(self, connection: socket.socket | None) -> bool:
         """Set the socket that the call uses now; return False for a cancelled call.
 
-        The cause and the socket change under one lock, so that a cancellation either
-        finds the socket to shut down or is noticed here.
+        `cancel` sets the cause under the same lock. Therefore, a later `cancel` shuts
+        this socket down, and after an earlier `cancel` this method returns False.
         """
         with self._lock:
             self._socket = connection
--- a/balsamspindle/backend_servers/client.py
+++ b/balsamspindle/backend_servers/client.py
@@ -1,4 +1,4 @@
-"""HTTP client for backend servers; it returns complete answers only."""
+"""HTTP client for backend servers; an incomplete answer counts as a failure."""
 
 import os
 import socket
@@ -24,9 +24,9 @@
 CONNECT_TIMEOUT_MS = 1000
 IDLE_HANDLES_MAX = 512
 
-# Headers that libcurl would add when the caller did not send them: for example, it
-# would declare a body without a content type as a web form. A name without a value
-# keeps libcurl from adding the header.
+# Headers that libcurl adds if the caller did not send them: for example, it declares a
+# body without a content type as a web form. A name without a value in the list of
+# headers prevents libcurl from adding that header.
 _SUPPRESSED_HEADERS = (
     "Accept:",
     "Accept-Encoding:",
@@ -36,8 +36,8 @@
 )
 
 _BODY_METHODS = frozenset({"POST", "PUT", "PATCH"})
-# Errors of libcurl for received bytes that are not an HTTP answer, such as stray data
-# in a reused connection.
+# libcurl's error codes for received bytes that are not an HTTP answer, such as stray
+# data in a reused connection.
 _NOT_HTTP_CODES = {pycurl.E_UNSUPPORTED_PROTOCOL, pycurl.E_FTP_WEIRD_SERVER_REPLY}
 _FAILURE_REASONS = {pycurl.E_OPERATION_TIMEDOUT: Reason.SILENCE}
 
@@ -98,10 +98,10 @@
             handle.close()
             if execution is not Execution.IDEMPOTENT or not handle.was_reused():
                 return result
-            # The reused connection still held a second copy of an earlier answer, or
-            # other stray bytes. This request, on which the backend server is working,
-            # must not fail because of them. It is idempotent, so send it again on a
-            # new connection.
+            # The reused connection contained a second copy of an earlier answer, or
+            # other stray bytes. This request must not fail because of them. The backend
+            # server may be working on the request already, but the request is
+            # idempotent, so send it again on a new connection.
             handle = _Handle(execution)
             remaining_ms = (deadline_s - time.monotonic()) * 1000
             result = self._perform(handle, request, remaining_ms, token)
@@ -121,15 +121,16 @@
         )
         remaining_ms = max(1, int(timeout_ms))
         handle.curl.setopt(pycurl.URL, f"http://{request.address}/")
-        # Set the target separately: in the URL an `@` in it would change the host.
+        # Set the target separately: within the URL, an `@` in the target would change
+        # the host.
         handle.curl.setopt(pycurl.REQUEST_TARGET, request.target.encode("latin-1"))
         handle.curl.setopt(pycurl.TIMEOUT_MS, remaining_ms)
         handle.curl.setopt(
             pycurl.HTTPHEADER,
             [
                 *_header_lines(request.headers, self._names),
-                # Tell the backend server the remaining time, so that it can stop
-                # working once the caller has stopped waiting.
+                # Send the remaining time, so that the backend server can stop working
+                # once the caller has stopped waiting.
                 f"{self._names.timeout_ms}: {remaining_ms}",
                 *_SUPPRESSED_HEADERS,
             ],
@@ -150,7 +151,7 @@
 
 
 class _Call:
-    """State of one call: its deadline, whether it was sent, and its answer so far."""
+    """State of a call: its deadline, whether the request was sent, and the answer."""
 
     def __init__(self, token, deadline_s, reader):
         self.token: CancelToken = token
@@ -160,11 +161,11 @@
         self.too_late = False
 
     def may_send(self, connection: socket.socket | None) -> bool:
-        """Decide, once connected, whether to send the request.
+        """Return whether to send the request, now that the connection is open.
 
-        The process may have been suspended since the attempt was admitted, or while
-        it connected. Without this second check of the deadline the request could run
-        long after its caller was told that it timed out.
+        The process may have been suspended after the attempt was admitted, or while the
+        connection was opened. Without this second check of the deadline, the request
+        could run long after its caller received a timeout.
         """
         if not self.token.attach(connection):
             return False
@@ -177,8 +178,9 @@
     def _timed_out_before_sending(self) -> bool:
         """Return whether the deadline passed before the request was sent.
 
-        Such a timeout shows nothing about the backend server. If the server counted as
-        unreachable, each request with little time left would lower its health.
+        Such a timeout is no evidence about the backend server. If the backend server
+        counted as unreachable, each request that arrives shortly before its deadline
+        would count against the backend server's health.
         """
         return not self.sent and time.monotonic() >= self.deadline_s
 
@@ -199,7 +201,7 @@
 
 
 class _Handle:
-    """A curl handle with at most one connection and access to its socket."""
+    """A curl handle with at most one connection; stores that connection's socket."""
 
     def __init__(self, execution: Execution) -> None:
         self.curl = pycurl.Curl()
@@ -209,9 +211,9 @@
         self._set_options()
         if execution is Execution.NON_IDEMPOTENT:
             # When a reused connection turns out to be closed, libcurl sends the request
-            # again on a new connection by itself, and the backend server could run it
-            # twice. libcurl never sends it again when the connection was new, so use a
-            # new connection for each non-idempotent request.
+            # again on a new connection by itself, and the backend server could run the
+            # request twice. libcurl never repeats a request that it sent on a new
+            # connection, so use a new connection for each non-idempotent request.
             self.curl.setopt(pycurl.FRESH_CONNECT, 1)
             self.curl.setopt(pycurl.FORBID_REUSE, 1)
 
@@ -281,8 +283,8 @@
 
     The pool's lock is also the memory barrier when a handle passes from one thread to
     another. The gate's slots limit the handles in use, and thereby the connections
-    that a backend server has to hold. If each thread cached its own handles instead,
-    there would be a connection for each pair of thread and backend server.
+    to each backend server. If each thread cached its own handles instead, there would
+    be a connection for each pair of thread and backend server.
     """
 
     def __init__(self) -> None:
@@ -312,7 +314,7 @@
     def _pop_surplus(self) -> _Handle | None:
         """Remove and return a handle of the least recently used address.
 
-        None while the pool holds at most `IDLE_HANDLES_MAX` handles.
+        Return None if the pool contains at most `IDLE_HANDLES_MAX` handles.
         """
         if self._count <= IDLE_HANDLES_MAX:
             return None
@@ -331,8 +333,8 @@
 def _pool_key(address: str, execution: Execution) -> str:
     """Return the pool key of a handle.
 
-    Handles for non-idempotent requests keep no connection, so any of them can be used
-    for any address, and all have the same key.
+    Handles for non-idempotent requests close their connection after each call. They
+    can therefore be used for any address, and all have the same key.
     """
     return address if execution is Execution.IDEMPOTENT else ""
 
--- a/balsamspindle/backend_servers/crash_watch.py
+++ b/balsamspindle/backend_servers/crash_watch.py
@@ -1,4 +1,4 @@
-"""Detects at a gate that a backend server crashed, and which requests ran there."""
+"""Detects crashes of a gate's backend servers, and the requests that ran in each."""
 
 import errno
 import socket
@@ -26,14 +26,15 @@
 __all__ = ["CrashWatch", "refuses_connections"]
 
 # A run that was lost at most this long before a crash was detected counts as lost in
-# that crash: before the crash is detected, the caller may disconnect, or the thread of
-# the run may notice the end of its connection.
+# that crash. A run can be lost before the crash is detected because its caller
+# disconnects, or because its thread first notices that the connection has ended.
 LOST_TOGETHER_S = 1.0
 # The longest time from the crash of a backend server until another one announces
 # itself at the same address.
 REPLACED_WITHIN_S = 5.0
 CONNECT_TIMEOUT_S = 0.25
-# On a busy VM, an answer sent before a crash may be read up to this long after it.
+# On a busy VM, an answer that was sent before a crash may be read up to this long after
+# the crash.
 LATE_READ_S = 1.0
 STARTS_MAX = 64
 REPORTED_RUNS_MAX = 32
@@ -61,7 +62,7 @@
 
 @dataclass
 class _Start:
-    """One start of a backend server: its runs, and when its end was detected."""
+    """One process of a backend server: its runs, and when its end was detected."""
 
     running: dict[AttemptId, _Run] = field(default_factory=dict)
     lost: deque[_LostRun] = field(
@@ -73,14 +74,15 @@
 
     @property
     def has_ended(self) -> bool:
-        """Whether the end of this start was detected."""
+        """Whether the end of this process was detected."""
         return self.ended_s is not None
 
     def is_refuted_by_answer(self, run: _Run | None, now_s: float) -> bool:
-        """Return whether an answer received now shows that this start did not end.
+        """Return whether an answer received now shows that this process still runs.
 
-        The answer shows it if the run that it belongs to began after the supposed end,
-        or if it arrives too late to have been sent before the supposed end.
+        The answer shows this if its run began after the supposed end of the process, or
+        if the supposed end is more than `LATE_READ_S` ago: an answer that was sent
+        before the end would have been read earlier.
         """
         if self.ended_s is None or run is None:
             return False
@@ -90,16 +92,16 @@
 class CrashWatch:
     """Watches the runs at the backend servers of one gate; thread-safe.
 
-    A connection that ends without an answer may mean that the backend server crashed,
-    or that it is still running and broke off the answer. The backend server has
-    crashed if it refuses connections afterwards, or has been restarted or replaced.
+    If a connection ends without an answer, the backend server may have crashed, or may
+    still be running and have closed only this connection. It has crashed if it refuses
+    connections afterwards, or has been restarted or replaced.
 
     Parameters
     ----------
     history : CrashHistory
         Records crashes and answers.
     on_update : callable
-        Called with each update of the history and the present time.
+        Called after each change of `history`, with the change and the present time.
     is_down : callable, default=refuses_connections
         Returns whether no process listens at an address.
     """
@@ -137,7 +139,10 @@
         end: RunEnd,
         now_s: float,
     ) -> bool:
-        """Record a run's end; return whether the backend server crashed during it."""
+        """Record a run's end, and return whether the backend server's crash ended it.
+
+        Only an end with `is_broken` can be the effect of a crash.
+        """
         key = _key(server)
         with self._lock:
             start = self._start_of(key)
@@ -150,8 +155,8 @@
             was_refuted = end.is_answer and start.is_refuted_by_answer(run, now_s)
             start.ended_s = None if was_refuted else start.ended_s
         if was_refuted:
-            # The backend server refused a connection only because it had no room for
-            # it. It still answers, so no request has crashed it.
+            # The answer shows that the backend server has not crashed. It refused a
+            # connection only because it had no room for another one.
             self._on_update(self._history.retract(key, now_s), now_s)
             self._events.emit("backend_server_crash_retracted", backend_server=key[0])
         if end.is_success and run is not None:
@@ -159,12 +164,12 @@
         return end.is_broken and self._detect_crash(server, start, now_s)
 
     def record_replacement(self, server: LocalBackendServer, now_s: float) -> None:
-        """Record the crash of a backend server whose address another one has now.
+        """Record the crash of a backend server whose address another one now has.
 
-        Call it only if the backend server was not draining. If the new backend server
-        starts soon after the crash, the gate's check of the address reaches the new one
-        and does not detect the crash. Runs that broke off shortly before were lost in
-        the crash.
+        Must not be called for a backend server that was draining. If the new backend
+        server starts soon after the crash, `is_down` reaches the new one and does not
+        detect the crash. If a run's connection ended without an answer at most
+        `REPLACED_WITHIN_S` ago, the crash is recorded as of that time.
         """
         with self._lock:
             start = self._start_of(_key(server))
@@ -173,25 +178,33 @@
             if start.has_ended:
                 return
             start.ended_s = now_s
-        # If no run broke off recently, the backend server crashed while idle, and no
-        # request is the cause. The crash is recorded nevertheless, because such crashes
-        # show how often backend servers crash by themselves.
+        # If no run's connection ended recently, the backend server crashed while idle,
+        # and no request is the cause. Record this crash, too, because such crashes show
+        # how often backend servers crash without a request that causes it.
         is_recent = broken_s and now_s - broken_s[-1] <= REPLACED_WITHIN_S
         self._record_crash(server, start, broken_s[-1] if is_recent else now_s)
 
     def _detect_crash(
         self, server: LocalBackendServer, start: _Start, now_s: float
     ) -> bool:
-        """Return whether this start has ended; record its crash when first detected."""
+        """Return whether this process has crashed; record a crash not detected before.
+
+        Parameters
+        ----------
+        now_s : float
+            When a run's connection ended without an answer.
+        """
         with start.probe_lock:
             if start.has_ended:
                 return True
             if not (server.has_restarted or server.is_replaced):
                 if server.state is BackendServerState.DRAINING:
-                    # The backend server had announced its end, so this is no crash.
+                    # The backend server had announced that it would stop, so its end
+                    # is not a crash.
                     return False
                 if now_s <= start.probed_s:
-                    # A probe made after the end of this run found the server running.
+                    # The address was checked after this run had ended, and the backend
+                    # server was running.
                     return False
                 start.probed_s = now_s
                 if not self._is_down(_address(server)):
@@ -224,7 +237,11 @@
 
 
 def _runs_at(start: _Start, now_s: float) -> list[CrashedRun]:
-    """Return the requests lost in a crash, each once, the shortest run first."""
+    """Return the requests lost in a crash, each once, the shortest run first.
+
+    Requests without a content hash are left out, and so are the longest runs if there
+    are more than `REPORTED_RUNS_MAX`.
+    """
     run_times_s = {
         run.content_hash: max(0.0, now_s - run.started_s)
         for run in start.running.values()
@@ -245,8 +262,8 @@
 def refuses_connections(address: str) -> bool:
     """Return whether no process listens at an address.
 
-    A timeout does not count as a refusal: a running backend server ignores attempts to
-    connect while its queue of new connections is full.
+    A timeout does not count as a refusal: the kernel also leaves connection requests
+    unanswered while the queue of new connections of a running backend server is full.
     """
     host, _, port = address.partition(":")
     with socket.socket() as probe:
--- a/balsamspindle/backend_servers/dispatches.py
+++ b/balsamspindle/backend_servers/dispatches.py
@@ -1,4 +1,4 @@
-"""Values that a gate derives from the message of an attempt."""
+"""Functions that derive values from the message of an attempt at its gate."""
 
 import math
 
@@ -16,7 +16,11 @@
 
 
 def attempt_deadline_s(dispatch: Dispatch, received_s: float) -> float:
-    """Return the deadline of an attempt on this gate's monotonic clock."""
+    """Return the deadline of an attempt on this gate's monotonic clock.
+
+    The remaining time in the message is counted from `received_s`. If the message also
+    contains the deadline on this gate's clock, the earlier time is returned.
+    """
     by_duration_s = received_s + dispatch.remaining_ms / 1000
     if dispatch.gate_deadline_s is None:
         return by_duration_s
@@ -24,14 +28,17 @@
 
 
 def ingress_ends_s(dispatch: Dispatch, received_s: float) -> float:
-    """Return when the ingress of an attempt ends; infinity while it is not leaving."""
+    """Return when an attempt's ingress ends; infinity unless the ingress is leaving."""
     if dispatch.ingress_remaining_ms is None:
         return math.inf
     return received_s + dispatch.ingress_remaining_ms / 1000
 
 
 def is_keyed(dispatch: Dispatch) -> bool:
-    """Return whether an attempt has a key whose request must run only once."""
+    """Return whether an attempt is non-idempotent and has an idempotency key.
+
+    The requests with such a key must run only once.
+    """
     return (
         dispatch.idempotency_key is not None
         and dispatch.execution is Execution.NON_IDEMPOTENT
@@ -41,8 +48,8 @@
 def unchecked_key_outcome(dispatch: Dispatch) -> Outcome:
     """Return the outcome of an attempt that is refused before its key is checked.
 
-    For a keyed attempt the outcome is 'unknown', as an earlier attempt with the same
-    key may have run.
+    For a keyed attempt the outcome is 'unknown', because an earlier attempt with the
+    same key may have run.
     """
     return Outcome.UNKNOWN if is_keyed(dispatch) else Outcome.NOT_RUN
 
--- a/balsamspindle/backend_servers/evidence.py
+++ b/balsamspindle/backend_servers/evidence.py
@@ -1,4 +1,4 @@
-"""Evidence of backend servers' health, and the interface that receives it."""
+"""Evidence of backend servers' health, and the interface to its receiver."""
 
 from enum import StrEnum
 from typing import NamedTuple, Protocol
@@ -18,9 +18,10 @@
 class WorkResult(StrEnum):
     """How a dispatched attempt ended at the backend server.
 
-    ``SHED`` is a 503 or 429: evidence of load, not of sickness. ``CANCELLED``
-    is an attempt that this node ended or whose failure has another known cause;
-    it is no evidence about the backend server.
+    ``SHED`` is a 503 or 429: evidence of load, not of sickness. ``SILENCE`` is a
+    timeout after the request was sent. ``CANCELLED`` is an attempt that was cancelled,
+    or whose failure is known to have a cause outside the backend server; such an
+    attempt is no evidence about the backend server.
     """
 
     ANSWERED = "answered"
@@ -62,9 +63,9 @@
 
 
 class HealthObserver(Protocol):
-    """Receives the start and end of each attempt from the gate.
+    """Collects evidence from the gate and decides which attempts it may dispatch.
 
-    Called from the threads that run attempts; `now_s` is monotonic.
+    The threads that run attempts call the methods concurrently; `now_s` is monotonic.
     """
 
     def record_start(
@@ -94,16 +95,19 @@
         now_s: float,
         is_last_try: bool = False,
     ) -> bool:
-        """Tell whether an attempt may go to the backend server now.
+        """Return whether an attempt may be dispatched to the backend server now.
 
         Parameters
         ----------
         is_last_try : bool
-            Whether the request cannot be tried again after this attempt.
+            Whether the request cannot be retried if this attempt fails.
         """
 
     def held_out(self, backend_server_id: str, now_s: float) -> HoldOut:
-        """Return for how long the gate refuses ordinary work, and on what evidence."""
+        """Return how long the gate will refuse attempts, and on what evidence.
+
+        Attempts of last resort and attempts that a trial accepts are not refused.
+        """
 
 
 class NullHealthObserver:
--- a/balsamspindle/backend_servers/failed_calls.py
+++ b/balsamspindle/backend_servers/failed_calls.py
@@ -1,10 +1,10 @@
-"""Failed calls that were made through this node.
+"""The latest failed call that a backend server made through this node.
 
-While a backend server works on a request, it may make calls of its own through the
-node beside it. When such a call fails, the backend server answers the request with an
-error. That error is no evidence against the backend server. If it counted, one sick
-service would cause the ejection of healthy backend servers of every service that
-calls it.
+While a backend server works on a request, it may call other services through the node
+beside it. When such a call fails, the backend server answers its own request with an
+error. This error is no evidence against the backend server. If the error counted, one
+sick service would cause the ejection of healthy backend servers of every service that
+calls the sick one.
 """
 
 import threading
@@ -30,5 +30,5 @@
             self._last_s = max(self._last_s, now_s)
 
     def explains_error(self, now_s: float) -> bool:
-        """Tell whether an error received now may result from a failed call."""
+        """Return whether an error received now may result from a failed call."""
         return now_s - self._last_s <= ERROR_DELAY_MAX_S
--- a/balsamspindle/backend_servers/gate.py
+++ b/balsamspindle/backend_servers/gate.py
@@ -1,4 +1,4 @@
-"""The gate: sole authority over the backend servers beside this node.
+"""The gate: alone decides which attempts run at the backend servers of this node.
 
 An attempt is refused, dispatched or cancelled under one lock. It is therefore either
 refused or dispatched, never both, and never dispatched after it was cancelled. An
@@ -66,7 +66,7 @@
 
 __all__ = ["Gate"]
 
-# How long the gate keeps a cancellation that does not give the attempt's deadline.
+# How long a cancellation without the attempt's deadline stays in the attempt table.
 CANCELLATION_TTL_S = 60.0
 
 
@@ -86,8 +86,8 @@
     grants : RetryGrants, default=grants all repeats
         Limits repeats at this gate. By default only the sending nodes limit them.
     crash_history : CrashHistory, default=an empty one
-        Knows which requests are suspected of crashing backend servers, or blocked.
-    crash_watch : CrashWatch, default=one that reports to `crash_history` alone
+        Records which requests are suspected of crashing backend servers, or blocked.
+    crash_watch : CrashWatch, default=one that updates only `crash_history`
     """
 
     def __init__(
@@ -129,7 +129,7 @@
         self._admission.refuse_new_attempts()
 
     def set_end_time(self, ends_s: float) -> None:
-        """Set when this node ends; refuse attempts that could not finish by then."""
+        """Set the time at which this node ends; refuse attempts that may run longer."""
         self._admission.set_end_time(ends_s)
 
     def cancel_all(self) -> None:
@@ -141,7 +141,7 @@
     def refuse_busy(self, dispatch: Dispatch, received_s: float) -> Reply | None:
         """Refuse an attempt because too many others wait for a worker thread.
 
-        Returns None for a duplicate message, as `handle` does.
+        Returns None for a duplicate message, which gets no reply.
         """
         begin = self._begin(
             dispatch, CancelToken(), attempt_deadline_s(dispatch, received_s)
@@ -155,7 +155,7 @@
     def begin_claim_era(
         self, version_min: int, after_s: float, now_s: float
     ) -> list[ClaimedKey]:
-        """Return the keys whose claims the store may have lost.
+        """Refuse claims below `version_min`; return the keys whose claims may be lost.
 
         See `RunLedger.begin_era`.
         """
@@ -177,8 +177,8 @@
     ) -> None:
         """Cancel an attempt, even if its message has not arrived yet.
 
-        If the request was not sent to the backend server yet, the attempt is refused.
-        Otherwise the connection to the backend server is closed.
+        If the request has not been sent to the backend server, the attempt is refused.
+        Otherwise the call is aborted and its connection to the backend server closed.
         """
         now_s = time.monotonic()
         with self._servers.changed:
@@ -199,7 +199,7 @@
         return self._admission.outlasting_attempts(now_s)
 
     def handle(self, dispatch: Dispatch, received_s: float) -> Reply | None:
-        """Handle one attempt until it is refused or its run has ended.
+        """Refuse an attempt, or run it and wait for its end; return the reply.
 
         Parameters
         ----------
@@ -259,7 +259,7 @@
         return begin
 
     def _handle_keyed(self, dispatch, token, deadline_s) -> Reply:
-        """Handle an attempt whose idempotency key must run once across all gates."""
+        """Handle an attempt whose key may be used for only one run across all gates."""
         match self._ledger.begin(dispatch, time.monotonic()):
             case KeyRefused(outcome, reason):
                 return self._refuse(dispatch, reason, outcome)
@@ -285,8 +285,8 @@
         if not self._health_admits(dispatch):
             return self._refuse(dispatch, Reason.SUSPECTED)
         service, weight = dispatch.service, dispatch.weight
-        # A request suspected of crashing backend servers fails by its own fault. It
-        # gets only repeats that are not reserved for other requests.
+        # A request suspected of crashing backend servers probably causes its failures
+        # itself. It gets only repeats that are not reserved for other requests.
         if dispatch.is_repeat and not self._grants.try_grant(
             service,
             weight,
@@ -317,7 +317,8 @@
                 return msgspec.structs.replace(reply, retry_after_ms=retry_after_ms)
             case Admitted() as admitted:
                 # Check the health again: the backend server may have become unhealthy
-                # while attempts waited, and all of them would fail there one by one.
+                # while attempts waited. Without this check, all waiting attempts would
+                # be dispatched and fail one by one.
                 if not self._health_admits(dispatch):
                     self._admission.release(admitted, WorkEnd.DONE)
                     return self._refuse(dispatch, Reason.SUSPECTED)
@@ -331,7 +332,8 @@
         """Run an attempt that has a slot, unless its request crashes backend servers.
 
         The crash history is checked again here, because copies of a request may wait
-        for slots while another copy crashes a backend server.
+        for slots while another copy crashes a backend server. A suspected request is
+        refused while a different one runs at the same backend server.
         """
         status = self._crash_history.status_of(dispatch.content_hash, time.monotonic())
         if status.blocked_ms:
@@ -354,7 +356,7 @@
         return msgspec.structs.replace(reply, retry_after_ms=blocked_ms)
 
     def repeat_fraction(self) -> float:
-        """Return the fraction of this node's present runs that are repeats."""
+        """Return the fraction of this gate's running attempts that are repeats."""
         return self._grants.repeat_fraction()
 
     def _health_admits(self, dispatch: Dispatch | AdmissionQuery) -> bool:
--- a/balsamspindle/backend_servers/health.py
+++ b/balsamspindle/backend_servers/health.py
@@ -19,24 +19,26 @@
 
 LIGHTEST_WEIGHT_EXPIRY_S = 5.0
 
-# A hold-out ends early when the score has fallen to this part of the threshold. It can
-# fall because some attempts still reach a backend server that is held out.
+# A hold-out ends early when the score has fallen to this fraction of the threshold. The
+# score can fall because some attempts still reach a backend server that is held out.
 RECOVERED_SCORE_FRACTION = 0.5
-# The estimated duration of a trial, about as long as a request takes. The gate tells
-# ingresses for how long it refuses work: the remaining time of the hold-out plus this.
+# The estimated duration of a trial, about as long as a request takes. A gate reports to
+# ingresses how long it will refuse attempts: the remaining time of the hold-out plus
+# this estimate.
 TRIAL_ESTIMATE_MS = 100.0
-# For this long after its start, a trial accepts only idempotent requests. If each
-# backend server gets a few requests a second, some idempotent ones arrive in that time.
+# During this first part of a trial, only idempotent requests that can be retried are
+# accepted. If each backend server gets a few requests per second, some idempotent ones
+# arrive in that time.
 TRIAL_WAIT_S = 3.0
-# For this long after its start, a trial accepts only the lightest of the idempotent
-# requests.
+# During this first part of a trial, only the lightest of the idempotent requests are
+# accepted.
 LIGHTEST_WAIT_S = 0.7
 # A backend server is probed after `PROBE_AFTER_IDLE_S` without work, provided that an
 # attempt was dispatched to it within the last `PROBE_DEMAND_WINDOW_S`.
 PROBE_AFTER_IDLE_S = 2.0
 PROBE_DEMAND_WINDOW_S = 60.0
-# The values of the published suspicion. They are few, because each change of a backend
-# server's record is sent to all nodes of the fleet.
+# The values of the published suspicion, besides 0. There are only a few, because each
+# change of a backend server's record is sent to all nodes of the fleet.
 SUSPICION_ON_TRIAL = 0.5
 SUSPICION_HELD_OUT = 1.0
 SUSPICION_STRONG = 2.0
@@ -54,8 +56,8 @@
     slow_ms : float
         Requests that take longer count as slow.
     peers_bad_share : float
-        Share of the service's other backend servers whose latest request failed
-        or was slow, between 0 and 1.
+        Estimated fraction of the service's other backend servers whose latest request
+        failed or was slow, between 0 and 1.
     evidence : dict of str to int
         Number of requests and probes by result since the score was last 0.
     hold_out_remaining_s : float
@@ -103,9 +105,9 @@
         self._last_attempt_s = -PROBE_DEMAND_WINDOW_S
         self._lightest_weight = LightestWeight()
         self._bad_in_a_row = 0
-        # Whether `SUSPICION_STRONG` is published while held out. Once True, it stays
-        # True until the next ejection. Otherwise a score that goes up and down would
-        # change the published record each time.
+        # Whether `SUSPICION_STRONG` is published while held out. Stays True until the
+        # next ejection, even if the score falls. Otherwise each rise and fall of the
+        # score would change the published record.
         self._is_strongly_suspected = False
 
     @property
@@ -161,33 +163,32 @@
         now_s: float,
         is_last_try: bool = False,
     ) -> bool:
-        """Tell whether an attempt may go to the backend server now.
+        """Return whether an attempt may be dispatched to the backend server now.
 
-        A backend server on trial gets one attempt at a time. At first, only
-        idempotent attempts are admitted: if one of them fails, its request can be
-        retried at another backend server, while a request that must not run twice
-        would be lost. For the same reason, attempts of requests that cannot be tried
-        again are not admitted at first. Of the idempotent attempts the lightest are
-        admitted first, because a heavier one may be a call that a non-idempotent
-        request waits for.
+        A backend server on trial gets one attempt at a time. In the first
+        `TRIAL_WAIT_S` of the trial it gets only idempotent attempts whose requests can
+        be retried. If such an attempt fails, its request is retried at another backend
+        server; any other request would be lost. In the first `LIGHTEST_WAIT_S` it gets
+        only the lightest of these attempts, because a heavier one may be a call that a
+        non-idempotent request waits for.
 
         Parameters
         ----------
         is_last_try : bool
-            Whether the request cannot be tried again after this attempt.
+            Whether the request cannot be retried if this attempt fails.
         """
         if execution is Execution.IDEMPOTENT:
             self._lightest_weight.record(weight, now_s)
         if not self._work.detection.independent_errors:
-            # The gate refuses nothing, because all nodes know the published suspicion.
-            # An ingress that still sends work here has no other backend server.
+            # Admit every attempt: all nodes receive the published suspicion, so an
+            # ingress still uses this backend server only if it has no other.
             return True
         self._update_phase(now_s)
         match self.phase:
             case HealthPhase.SERVING:
                 return True
             case HealthPhase.ON_TRIAL:
-                # A trial is reserved for suitable requests for a limited time only.
+                # The trial refuses unsuitable attempts for a limited time only.
                 # Otherwise a service that gets no idempotent requests would never use
                 # the backend server again.
                 since_s = self._readmission.since_s
@@ -200,20 +201,20 @@
     def _trial_wait_s(
         self, execution: Execution, weight: float, is_last_try: bool
     ) -> float:
-        """Return for how many seconds from its start a trial refuses the attempt."""
+        """Return how long after its start a trial begins to accept an attempt."""
         if execution is Execution.NON_IDEMPOTENT or is_last_try:
             return TRIAL_WAIT_S
         return 0.0 if weight <= self._lightest_weight.weight else LIGHTEST_WAIT_S
 
     def held_out_ms(self, now_s: float) -> float:
-        """Return for how long the gate refuses ordinary work; 0 while it refuses none.
-
-        Without `independent_errors` it is always 0: the gate then refuses nothing,
-        and publishes its suspicion to all nodes instead. An ingress that also knew the
-        length of a hold-out would send no requests until its end, even if a restart or
-        good work ended the hold-out early. It would also leave out backend servers
-        that have to stay in use, because they are on trial, or because too little of
-        the service's capacity (less than its floor) would remain without them.
+        """Return how long the gate will refuse attempts; 0 if it refuses none.
+
+        The time is always 0 without `independent_errors`: the gate then admits all
+        attempts and publishes its suspicion to all nodes instead. If an ingress also
+        received the length of a hold-out, it would send no requests until the planned
+        end, even if a restart or good requests ended the hold-out early. It would also
+        avoid backend servers that have to stay in use: those on trial, and those
+        without which the service's remaining capacity would be below its floor.
         """
         refuses = self._work.detection.independent_errors
         if self.phase is HealthPhase.SERVING or not refuses:
@@ -221,23 +222,23 @@
         return TRIAL_ESTIMATE_MS + self._readmission.hold_out_remaining_s(now_s) * 1000
 
     def held_out(self, now_s: float) -> HoldOut:
-        """Return for how long the gate refuses ordinary work, and on what evidence."""
+        """Return how long the gate will refuse attempts, and on what evidence."""
         held_out_ms = self.held_out_ms(now_s)
         return HoldOut(held_out_ms, self._bad_in_a_row) if held_out_ms else NOT_HELD_OUT
 
     def needs_probe(self, now_s: float) -> bool:
-        """Tell whether a probe would add evidence that requests do not give.
+        """Return whether the backend server should be probed now.
 
-        A backend server that serves is probed only while it has no work, because
-        requests are stronger evidence. A backend server that got no attempt for
-        `PROBE_DEMAND_WINDOW_S` is not in demand, and is not probed.
+        In the serving phase it is probed only while it has no requests, because
+        requests are stronger evidence. In any phase, it is not probed if it has got no
+        attempt for `PROBE_DEMAND_WINDOW_S`, because no ingress uses it then.
         """
         if now_s - self._last_attempt_s > PROBE_DEMAND_WINDOW_S:
             return False
         if self._work.detection.independent_errors:
             # The health endpoints of services with `independent_errors` answer
-            # "healthy" while requests fail. A probe would use a slot and show less than
-            # the next trial.
+            # "healthy" while requests fail. A probe would use a slot and be weaker
+            # evidence than the next trial.
             return False
         if self.phase is not HealthPhase.SERVING:
             return True
@@ -250,14 +251,15 @@
         """Record the result of a probe.
 
         Health endpoints may answer while requests hang, and fail while requests
-        succeed, so a probe counts for less than a request. A passed probe does not
-        lower the score. Several passed probes in a row shorten a hold-out, and end a
-        trial that got no request. After a trial that probes ended, the score is so near
-        the threshold that one bad request ejects the backend server again. A failed
-        probe raises the score. Probes that fail by a refused connection count like
-        failed requests; all other failed probes alone never raise the score to the
-        threshold. No failed probe counts within `PROBE_AFTER_IDLE_S` of a request's
-        verdict.
+        succeed, so a probe counts for less than a request.
+
+        A passed probe does not lower the score. Several passed probes in a row shorten
+        a hold-out, and end a trial that got no request. After such a trial, the score
+        is so near the threshold that one bad request ejects the backend server again.
+
+        A failed probe raises the score, unless a request gave a verdict within the last
+        `PROBE_AFTER_IDLE_S`. A refused connection counts like a failed request. Without
+        bad requests, other failed probes never raise the score to the threshold.
         """
         self._readmission.record_probe_result(result is ProbeResult.PASSED)
         if (
@@ -272,16 +274,19 @@
     def record_restart(self, now_s: float) -> None:
         """Discard the work in flight after a restart of the backend server.
 
-        If the backend server is held out, a trial begins. The next hold-out is still
-        longer than the last one, because a backend server that keeps restarting keeps
-        failing.
+        If the backend server is held out, a trial begins. The restart does not undo the
+        increase of the next hold-out, because a backend server that restarts again and
+        again also fails again and again.
         """
         self._work.discard_in_flight()
         if self.phase is HealthPhase.HELD_OUT:
             self._start_trial(now_s)
 
     def undo_crash_ejection(self, now_s: float) -> None:
-        """End a hold-out or trial that followed a crash caused by a request."""
+        """End a hold-out or trial after a crash that a request caused.
+
+        The ejection does not make the next hold-out longer.
+        """
         if self.phase is not HealthPhase.SERVING:
             self._work.lower_for_trial(now_s)
             self._readmission.undo_ejection(now_s)
@@ -337,16 +342,16 @@
                     self._work.score >= STRONG_SCORE_FACTOR * threshold
                 )
                 recovered = self._work.score <= RECOVERED_SCORE_FRACTION * threshold
-                # The score also falls when the peers are slow for a moment. That does
-                # not show that this backend server has recovered, so a good request
-                # is required as well.
+                # The score also falls when the peers are slow for a moment. Such a fall
+                # does not show that this backend server has recovered, so a good
+                # request is required as well.
                 recovered &= self._work.had_good_work_since(self._readmission.since_s)
                 recovered &= not self._work.detection.independent_errors
                 if recovered or not self._readmission.hold_out_remaining_s(now_s):
                     self._start_trial(now_s)
 
     def _has_passed_trial(self, now_s: float) -> bool:
-        """Tell whether a trial is passed by an attempt that outlasts errors."""
+        """Return whether an attempt ends a trial by running longer than errors do."""
         return (
             self.phase is HealthPhase.ON_TRIAL
             and self._work.detection.independent_errors
--- a/balsamspindle/backend_servers/health_latency.py
+++ b/balsamspindle/backend_servers/health_latency.py
@@ -10,24 +10,25 @@
 # The largest latency of this many requests is close enough to the 99th percentile
 # to start the running estimate from.
 SETTLING_REQUESTS = 100
-# The estimate is reported to ingresses once this many requests were seen. It is then
-# the largest latency seen times `SETTLING_REQUESTS` / `REPORTABLE_REQUESTS`, so ten
+# The estimate is reported to ingresses once this many requests were seen. At that point
+# it is the largest latency seen times `SETTLING_REQUESTS` / `REPORTABLE_REQUESTS`: ten
 # times that latency.
 REPORTABLE_REQUESTS = 10
-# Step by which the estimate's logarithm changes. An estimate that is twice too high is
-# corrected within about 350 requests, and one outlier raises the estimate by a fifth.
+# Step by which the estimate's logarithm changes. An estimate that is twice the correct
+# value is corrected within about 350 requests, and one outlier raises the estimate by a
+# fifth.
 LOG_STEP = 0.2
 
 
 class LatencyP99:
-    """Estimates the latency that a share `SLOW_FRACTION` of requests exceeds.
+    """Estimates the latency that a fraction `SLOW_FRACTION` of requests exceeds.
 
     Until `SETTLING_REQUESTS` requests were seen, the estimate is the largest latency
-    so far times `SETTLING_REQUESTS` / requests seen. That extrapolates from few
-    requests to the 99th percentile if the distribution of latencies has a tail as
-    heavy as a Pareto distribution of index 1. At a few requests a second it takes half
-    a minute to see `SETTLING_REQUESTS`. If the estimate were a fixed value until then,
-    a hang that is shorter than this value would go undetected.
+    so far times `SETTLING_REQUESTS` / requests seen, but at most `INITIAL_P99_MS`. This
+    formula extrapolates from few requests to the 99th percentile, for latencies with a
+    tail as heavy as that of a Pareto distribution of index 1. At a few requests per
+    second it takes half a minute to see `SETTLING_REQUESTS`. If the estimate were a
+    fixed value until then, a hang shorter than this value would not be detected.
 
     After that the estimate is a stochastic approximation of the quantile: each
     request that takes longer than the estimate raises it by a step, and each faster
--- a/balsamspindle/backend_servers/health_monitor.py
+++ b/balsamspindle/backend_servers/health_monitor.py
@@ -26,8 +26,8 @@
 __all__ = ["TICK_S", "HealthMonitor"]
 
 TICK_S = 0.05
-# How long the health of a backend server is kept after its announcements have stopped.
-# If it comes back within this time, the length of its next hold-out is not reset.
+# How long a backend server's health is stored after its announcements have stopped. If
+# they start again within this time, the length of the next hold-out is not reset.
 ABSENT_EXPIRY_S = 900.0
 
 
@@ -55,7 +55,7 @@
         self.previous_start: int | None = None
 
     def needs_peer_evidence_from(self, other: "_MonitoredServer") -> bool:
-        """Tell whether this server also needs the summaries sent for `other`."""
+        """Return whether this server needs the peer summaries sent for `other`, too."""
         held_out = self.health.phase is HealthPhase.HELD_OUT
         return held_out and self.service == other.service
 
@@ -76,8 +76,8 @@
     detection : callable
         Returns the detection settings of a service.
     is_crash_explained : callable
-        Tells whether a given start of a backend server ended in a crash that a
-        request caused.
+        Called with a backend server's id and the `start_id` of one of its processes;
+        returns whether that process ended in a crash that a request caused.
     """
 
     def __init__(
@@ -101,7 +101,7 @@
             self.tick(time.monotonic())
 
     def stop(self) -> None:
-        """End `run` soon."""
+        """Make `run` return, after the present tick if one is in progress."""
         self._stopped.set()
 
     def record_start(
@@ -160,12 +160,12 @@
             if monitored is None:
                 return
             monitored.health.record_peer_evidence(evidence, now_s)
-            # A backend server that is held out gets no dispatch, and so no summary of
-            # its peers. In an overload that affects all peers it would therefore stay
-            # held out. So it also gets the summaries for the other backend servers of
-            # its service on this node. Each of these summaries counts the held-out
-            # server as a bad peer. Subtract it from the count, or the server's own
-            # failures would look like failures of its peers.
+            # A backend server that is held out gets no dispatch, and therefore no
+            # summary of its peers. Without a summary, it would stay held out in an
+            # overload that affects all peers. So it also gets the summaries for the
+            # other backend servers of its service on this node. Each of these summaries
+            # counts the held-out server as a bad peer. Subtract it from the count, or
+            # the server's own failures would look like failures of its peers.
             others = evidence._replace(
                 judged_count=max(0, evidence.judged_count - 1),
                 bad_count=max(0, evidence.bad_count - 1),
@@ -201,7 +201,7 @@
             }
 
     def tick(self, now_s: float) -> None:
-        """Update all backend servers, and publish the changes."""
+        """Update the health of all backend servers, and publish the changes."""
         servers = self._servers.all()
         with self._lock:
             changes = [
@@ -241,10 +241,10 @@
     ) -> None:
         """Undo the ejection of a backend server that a request has crashed.
 
-        This is checked at each tick, because the crash may be attributed to the request
-        before or after the backend server is back. If the ejection stayed, each such
-        crash would keep a healthy backend server from all other callers, for longer
-        each time.
+        Called at each tick, because the crash may be attributed to the request before
+        or after the backend server has restarted. If the ejection were not undone, no
+        other caller could use the healthy backend server for some time after each such
+        crash, and for a longer time after each further crash.
         """
         if monitored.previous_start is None:
             return
@@ -262,12 +262,12 @@
             del self._monitored[backend_server_id]
 
     def _publish(self, server: LocalBackendServer) -> None:
-        """Publish the suspicion to all nodes, unless the gate refuses work instead.
+        """Publish the suspicion to all nodes, unless the gate refuses attempts instead.
 
-        The gate refuses work where `independent_errors` is set: there backend servers
-        fall sick and recover every few seconds. Published changes would arrive too late
-        and use more bytes than all other messages. A refusal by the gate costs one
-        round trip and is never out of date.
+        The gate refuses attempts for a service with `independent_errors`, because its
+        backend servers become sick and recover every few seconds. Published changes
+        would arrive too late and use more bytes than all other messages. A refusal by
+        the gate costs one round trip and is never out of date.
         """
         if self._detection(server.announcement.service).independent_errors:
             return
--- a/balsamspindle/backend_servers/health_peers.py
+++ b/balsamspindle/backend_servers/health_peers.py
@@ -12,8 +12,8 @@
 __all__ = ["PeerAggregate"]
 
 DECAY_TIME_S = 3.0
-# Good peers that are assumed in addition to the peers seen, so that one bad peer among
-# few gives a small share of bad peers.
+# Number of good peers added to the peers seen when the fraction of bad peers is
+# calculated. Without them, one bad peer among few would be a large fraction.
 PRIOR_GOOD_PEERS = 2.0
 # Weight of a new summary's 99th percentile in the moving average.
 P99_SMOOTHING = 0.1
@@ -55,16 +55,17 @@
     def mark_p99_stale(self) -> None:
         """Let the next summary with a higher percentile replace the average.
 
-        A backend server that is held out gets no dispatches, and so few summaries of
-        its peers: the average is stale when the hold-out ends. If all peers have become
-        slow meanwhile, the average would move toward their present percentile by only a
-        tenth of the difference with each summary. A backend server that is as slow as
-        its peers would be held out again after its first answer, for twice as long.
+        A backend server that is held out gets no dispatches, and therefore few
+        summaries of its peers: the average is stale when the hold-out ends. If all
+        peers have become slow during the hold-out, each summary would move the average
+        toward their present percentile by only a tenth of the difference. A backend
+        server that is as slow as its peers would be held out again after its first
+        answer, for twice as long.
         """
         self._is_p99_stale = True
 
     def bad_fraction(self, now_s: float) -> float:
-        """Return the share of bad peers, between 0 and 1."""
+        """Return the estimated fraction of bad peers, between 0 and 1."""
         decay = self._decay_factor(now_s)
         return self._peers_bad * decay / (self._peers_seen * decay + PRIOR_GOOD_PEERS)
 
--- a/balsamspindle/backend_servers/health_readmission.py
+++ b/balsamspindle/backend_servers/health_readmission.py
@@ -7,10 +7,10 @@
                               +--------threshold---------+
 
 On trial a backend server gets idempotent requests, one at a time. Each ejection
-multiplies the length of the next hold-out, up to a bound, and each period of good
-service undoes one multiplication. So a backend server that fails again and again
-causes only a bounded number of failed requests an hour, and a backend server that
-failed once soon serves again.
+multiplies the length of the next hold-out, up to a bound, and each period of `calm_s`
+in the serving phase undoes one multiplication. This rule bounds the failed requests per
+hour of a backend server that fails again and again, while a backend server that failed
+once soon serves again.
 """
 
 from enum import StrEnum
@@ -23,7 +23,8 @@
 # This many passed probes in a row halve the length of a hold-out, or end a trial in
 # which no request arrived.
 PROBES_TO_SHORTEN = 3
-# Passed probes end a trial only after it has lasted this long without a request.
+# Passed probes end a trial only after it has lasted this long, and only if no request
+# has ended during it.
 TRIAL_IDLE_MIN_S = 10.0
 
 
@@ -59,7 +60,11 @@
         self._good_service_since_s = now_s
 
     def eject(self, now_s: float) -> None:
-        """Begin a hold-out, longer than the last one but at most `hold_out_max_s`."""
+        """Begin a hold-out, and increase the length of the next one.
+
+        The length grows with each ejection, up to `hold_out_max_s`, and is reduced by
+        one step for each `calm_s` that the serving phase has lasted.
+        """
         self._reduce_growth(now_s)
         grown_s = (
             self.detection.hold_out_s
@@ -96,12 +101,12 @@
         self._probes_passed = self._probes_passed + 1 if passed else 0
 
     def probes_end_trial(self, last_verdict_s: float, now_s: float) -> bool:
-        """Tell whether passed probes end a trial in which no request has ended.
+        """Return whether passed probes end a trial in which no request has ended.
 
         Parameters
         ----------
         last_verdict_s : float
-            When a request last gave a verdict.
+            When a request last ended as good or bad.
         """
         return (
             self.phase is HealthPhase.ON_TRIAL
@@ -116,7 +121,7 @@
         self._enter(HealthPhase.SERVING, now_s)
 
     def undo_ejection(self, now_s: float) -> None:
-        """Enter the serving phase, and undo the last growth of the next hold-out."""
+        """Enter the serving phase, and undo the last increase of the next hold-out."""
         self.growth_exponent = max(0, self.growth_exponent - 1)
         self.readmit(now_s)
 
