--- a/balsamspindle/backend_servers/admission.py
+++ b/balsamspindle/backend_servers/admission.py
@@ -329,7 +329,7 @@
             server.account.release(end, ran_s, now_s, admitted.kind)
             self._servers.changed.notify_all()
             queue = self._queue(server.announcement.service)
-            waiting = queue.waiting_for(server.backend_server_id)
+            waiting = queue.count_waiting(server.backend_server_id)
             return server.account.free(self._slots(server, now_s), now_s) - waiting
 
 
--- a/balsamspindle/backend_servers/health.py
+++ b/balsamspindle/backend_servers/health.py
@@ -345,7 +345,9 @@
                 # The score also falls when the peers are slow for a moment. Such a fall
                 # does not show that this backend server has recovered, so a good
                 # request is required as well.
-                recovered &= self._work.had_good_work_since(self._readmission.since_s)
+                recovered &= self._work.had_good_attempt_since(
+                    self._readmission.since_s
+                )
                 recovered &= not self._work.detection.independent_errors
                 if recovered or not self._readmission.hold_out_remaining_s(now_s):
                     self._start_trial(now_s)
--- a/balsamspindle/backend_servers/health_score.py
+++ b/balsamspindle/backend_servers/health_score.py
@@ -1,17 +1,18 @@
-"""The sequential test that tells a sick backend server from a healthy one.
-
-Each ended request is bad if it failed or was slow, else good. The score is a
-CUSUM (cumulative sum) of log-likelihood ratios of "sick" against "healthy": bad
-requests raise it, and good requests lower it, but never below 0. When it reaches
-the threshold, the backend server is suspected. For a given rate of false alarms no
-other test on the same evidence has a shorter worst-case detection delay.
+"""Sequential test that detects sick backend servers.
+
+A request that has ended is bad if it failed or was slow, and good otherwise. The score
+is a CUSUM (cumulative sum) of log-likelihood ratios of "sick" against "healthy": a bad
+request raises the score, and a good request lowers it, but never below 0. A backend
+server is suspected when its score reaches the threshold. Among all tests of the same
+evidence with the same rate of false alarms, CUSUM has the shortest worst-case detection
+delay.
 """
 
 import math
 from typing import NamedTuple
 
 __all__ = [
-    "SHARED_CAUSE_SHARE",
+    "SHARED_CAUSE_FRACTION",
     "LearnedRate",
     "Rates",
     "adjust_for_peers",
@@ -19,10 +20,11 @@
     "good_request_score",
 ]
 
-SHARED_CAUSE_SHARE = 0.5
+SHARED_CAUSE_FRACTION = 0.5
 HEALTHY_RATE_MIN = 0.002
-# Window of a learned rate's moving average, in requests. It begins at the minimum, so
-# the initial rate weighs as much as that many requests, and grows to the maximum.
+# Length of the moving average of a learned rate, in requests. It starts at the minimum,
+# so the initial rate counts as much as that many requests, and grows by one with each
+# request up to the maximum.
 LEARNING_REQUESTS_MIN = 100
 LEARNING_REQUESTS_MAX = 2000
 HEALTHY_RATE_MAX = 0.99
@@ -30,12 +32,12 @@
 
 
 class Rates(NamedTuple):
-    """Shares of bad requests at a healthy and at a sick backend server.
+    """Fractions of bad requests at a healthy and at a sick backend server.
 
     Attributes
     ----------
     healthy, sick : float
-        Between 0 and 1, `healthy` below `sick`.
+        Between 0 and 1. After `adjust_for_peers`, `healthy` is not above `sick`.
     """
 
     healthy: float
@@ -43,11 +45,11 @@
 
 
 class LearnedRate:
-    """Estimate of the share of bad requests at a healthy backend server.
+    """Estimate of the fraction of bad requests at a healthy backend server.
 
-    It is the moving average for one kind of fault: errors or slowness. The configured
-    rate is only the initial value, because with a rate that is too high each bad
-    request adds too little to the score.
+    One object estimates the rate of one kind of fault: errors or slowness. The estimate
+    is a moving average that starts at the initial rate. If that rate stayed fixed and
+    were too high, each bad request would add too little to the score.
 
     Attributes
     ----------
@@ -60,22 +62,23 @@
         self._window_requests = LEARNING_REQUESTS_MIN
 
     def learn(self, bad: bool) -> None:
-        """Update the estimate with the end of a request at a healthy backend server."""
+        """Update the estimate with an ended request at a healthy backend server."""
         value = self.value + (bad - self.value) / self._window_requests
         self.value = max(HEALTHY_RATE_MIN, value)
         self._window_requests = min(LEARNING_REQUESTS_MAX, self._window_requests + 1)
 
 
 def adjust_for_peers(rates: Rates, peers_bad_share: float) -> Rates:
-    """Return the rates that the test uses while this share of the peers is bad.
+    """Return the rates, adjusted to the fraction of peers that are bad now.
 
-    When all backend servers of a service fail or are slow at once, the cause is
-    the load or something that they share. Tested against a fixed rate, each of
-    them would be suspected, and each ejection would add load to the others. From
-    `SHARED_CAUSE_SHARE` on, both rates are equal, so no request changes the score.
+    When all backend servers of a service fail or are slow at once, the cause is the
+    load or a resource that they share. If the test used fixed rates, all of them would
+    be suspected, and each ejection would add load to the remaining ones. If at least
+    `SHARED_CAUSE_FRACTION` of the peers are bad, both returned rates are equal, so no
+    request changes the score.
     """
-    if peers_bad_share >= SHARED_CAUSE_SHARE:
-        return Rates(SHARED_CAUSE_SHARE, SHARED_CAUSE_SHARE)
+    if peers_bad_share >= SHARED_CAUSE_FRACTION:
+        return Rates(SHARED_CAUSE_FRACTION, SHARED_CAUSE_FRACTION)
     healthy = min(HEALTHY_RATE_MAX, max(rates.healthy, peers_bad_share))
     sick = healthy + (1 - healthy) * rates.sick
     return Rates(healthy, min(SICK_RATE_MAX, sick))
--- a/balsamspindle/backend_servers/health_verdicts.py
+++ b/balsamspindle/backend_servers/health_verdicts.py
@@ -1,4 +1,4 @@
-"""Derives a verdict on a backend server from the end of one request."""
+"""Decides whether a request's result counts for or against its backend server."""
 
 from enum import StrEnum
 
@@ -16,21 +16,21 @@
 
 
 def judge(result: WorkResult, is_slow: bool) -> Verdict:
-    """Return the verdict that follows from a request's result and slowness."""
+    """Return the verdict for a request with this result."""
     return _VERDICTS[result, is_slow]
 
 
-# Results that count as bad only if the request was slow, each with the name under
-# which it is then counted as evidence.
+# Results that count as bad only if the request was slow. The value is the key under
+# which `WorkScore.evidence` counts the slow request.
 SLOW_RESULTS = {
     WorkResult.ANSWERED: "slow",
     WorkResult.SILENCE: WorkResult.SILENCE.value,
 }
 
-# Silence (no answer before the timeout) counts only if the request was slow: a caller
-# with a timeout of one millisecond must not get a healthy backend server ejected. Shed
-# requests are evidence of load, and cancelled attempts were ended by this node, so
-# neither counts.
+# Silence (no answer before the timeout) counts as bad only if the request was slow.
+# Otherwise a caller with a timeout of one millisecond could cause the ejection of a
+# healthy backend server. Shed requests are evidence of load, and this node itself ends
+# cancelled attempts, so neither result counts for or against a backend server.
 _VERDICTS = {
     (WorkResult.ANSWERED, False): Verdict.GOOD,
     (WorkResult.ANSWERED, True): Verdict.BAD,
--- a/balsamspindle/backend_servers/health_work.py
+++ b/balsamspindle/backend_servers/health_work.py
@@ -1,4 +1,4 @@
-"""The score of one backend server: a sequential test over its attempts."""
+"""Score of one backend server, computed from its attempts by a sequential test."""
 
 import math
 from collections import Counter
@@ -7,7 +7,7 @@
 from balsamspindle.backend_servers.health_latency import SLOW_FRACTION, LatencyP99
 from balsamspindle.backend_servers.health_peers import PeerAggregate
 from balsamspindle.backend_servers.health_score import (
-    SHARED_CAUSE_SHARE,
+    SHARED_CAUSE_FRACTION,
     LearnedRate,
     Rates,
     adjust_for_peers,
@@ -20,39 +20,39 @@
 
 __all__ = ["WorkScore"]
 
-# Upper bound of the score, as a multiple of the threshold: more evidence would not
+# Upper bound of the score, as a multiple of the threshold. A higher score would not
 # change any decision.
 SCORE_MAX = 2.0
-# The most that one attempt adds to the score, as a part of the threshold: ejection
-# takes at least two bad attempts.
-ONE_ATTEMPT_MAX = 0.6
-# A backend server is at a standstill if at least `STANDSTILL_REQUESTS_MIN` requests
-# hang. It is not if the share of bad peers is `STANDSTILL_PEERS_BAD_MAX` or more: then
-# the load may be the cause.
+# Without `independent_errors`, one attempt adds at most this fraction of the threshold
+# to the score, so that ejection takes at least two bad attempts.
+ATTEMPT_SCORE_MAX = 0.6
+# A standstill is detected if at least `STANDSTILL_REQUESTS_MIN` requests hang, but not
+# while the fraction of bad peers is `STANDSTILL_PEERS_BAD_MAX` or more, because the
+# load may be the cause.
 STANDSTILL_REQUESTS_MIN = 2
 STANDSTILL_PEERS_BAD_MAX = 0.1
 # Times that differ by less than this count as the same moment.
 SAME_MOMENT_S = 0.05
-# Healthy rates and latencies are learned only up to this score, as a part of the
-# threshold: the latencies of a sick backend server must not become the normal ones.
-LEARNING_SCORE = 0.25
-# An attempt is not expected to end in an error once it has run for this many times the
-# duration of errors at its backend server, and at least for the minimum. Thread
-# switches make the duration of errors vary.
-OUTLIVED_FACTOR = 4.0
-OUTLIVED_MIN_S = 0.02
-# The recorded duration of errors is that of the latest error, but at least this
-# fraction of the duration recorded before.
+# Rates and latencies are learned only while the score is at most this fraction of the
+# threshold. Otherwise the latencies of a sick backend server would count as normal.
+LEARNING_SCORE_MAX = 0.25
+# An attempt is expected to succeed once it has run `OUTLASTED_FACTOR` times as long as
+# errors of its backend server take, and at least `OUTLASTED_MIN_S`. This margin is
+# needed because thread switches make the duration of errors vary.
+OUTLASTED_FACTOR = 4.0
+OUTLASTED_MIN_S = 0.02
+# After each error, the recorded duration is the error's own duration, or this fraction
+# of the duration recorded before, whichever is longer.
 ERROR_DURATION_DECAY = 0.5
-# Names of the evidence that is not an error: slow or good requests.
+# Keys of `WorkScore.evidence` that count slow or good requests, not errors.
 SLOW_EVIDENCE = {
     "in_flight_too_long",
     "standstill",
     SLOW_RESULTS[WorkResult.ANSWERED],
     WorkResult.ANSWERED.value,
 }
-# A trial starts with the score below the threshold by this fraction of what a bad
-# request adds to the score, so that one bad request ends the trial.
+# A trial starts with a score that is lower than the threshold by this fraction of a bad
+# request's increment, so that one bad request ends the trial.
 TRIAL_MARGIN = 0.9
 
 
@@ -68,12 +68,12 @@
 
 
 class WorkScore:
-    """The score of one backend server, and the evidence that it sums up.
+    """Score of one backend server, and the evidence on which it is based.
 
     Attributes
     ----------
     detection : Detection
-        The settings; when they are replaced, score and evidence stay.
+        The settings; replacing them changes neither score nor evidence.
     score : float
         0 is healthy; at `detection.threshold` the backend server is ejected.
     evidence : Counter
@@ -109,24 +109,24 @@
         return bool(self._in_flight)
 
     def has_attempt_since(self, since_s: float) -> bool:
-        """Tell whether an attempt that began after `since_s` is still in flight."""
+        """Return whether an attempt that began at or after `since_s` is in flight."""
         return any(attempt.started_s >= since_s for attempt in self._in_flight.values())
 
     def has_attempt_outlasting_errors(self, since_s: float, now_s: float) -> bool:
-        """Tell whether an attempt begun after `since_s` has outlasted usual errors.
+        """Return whether an attempt has already run longer than errors usually take.
 
-        A sick backend server answers with an error within a millisecond, so an attempt
-        that runs for longer will probably succeed. Waiting for its answer would leave
-        the other slots empty for the length of a request at each trial.
+        Only attempts begun at or after `since_s` count. A sick backend server returns
+        errors within a millisecond, so a longer attempt will probably succeed. A trial
+        that waited for its answer would leave the other slots unused until then.
         """
-        lasts_s = max(OUTLIVED_MIN_S, OUTLIVED_FACTOR * self._error_duration_s)
+        lasts_s = max(OUTLASTED_MIN_S, OUTLASTED_FACTOR * self._error_duration_s)
         return any(
             since_s <= attempt.started_s <= now_s - lasts_s
             for attempt in self._in_flight.values()
         )
 
-    def had_good_work_since(self, since_s: float) -> bool:
-        """Tell whether a good attempt has ended after `since_s`."""
+    def had_good_attempt_since(self, since_s: float) -> bool:
+        """Return whether a good attempt has ended after `since_s`."""
         return self._last_good_s > since_s
 
     @property
@@ -141,32 +141,32 @@
         return max(slow_ms, self.detection.slow_ms_min)
 
     def peers_bad_share(self, now_s: float) -> float:
-        """Return the share of bad peers, between 0 and 1."""
+        """Return the fraction of bad peers, between 0 and 1."""
         return self._peers.bad_fraction(now_s)
 
     def has_shared_cause(self, now_s: float) -> bool:
-        """Tell whether the cause of the score is shared with the peers.
+        """Return whether this backend server and its peers probably share a problem.
 
-        Either many peers are bad now, or all peers have become slow, and the requests
-        that were counted as slow at this backend server are normal among them.
+        True if many peers are bad now, or if all peers have become slow, so that the
+        latencies counted as slow at this backend server are normal for its peers.
         """
-        if self.peers_bad_share(now_s) >= SHARED_CAUSE_SHARE:
+        if self.peers_bad_share(now_s) >= SHARED_CAUSE_FRACTION:
             return True
         return self._is_normal_among_peers(now_s)
 
     def _is_normal_among_peers(self, now_s: float) -> bool:
-        """Tell whether the latency that was counted as slow is normal for the peers.
+        """Return whether the latency that was counted as slow is normal for the peers.
 
-        If it is, this server's ejection can be undone without a full trial: five
-        requests would take half a minute, since a server on trial gets about 4 of 100
-        requests when all servers are slow. The share of bad peers does not show this
-        case: by the time that the trial begins, the peers' percentiles have adapted to
-        the higher latency, and the peers no longer count as bad.
+        If the latency is normal, the ejection can be undone without a full trial of
+        five requests. That trial would take half a minute, because a server on trial
+        gets about 4 of 100 requests when all servers are slow. The fraction of bad
+        peers does not show this slowness: when a trial begins, the peers' percentiles
+        have adapted to the higher latency, and the peers no longer count as bad.
         """
         if not self._slowest_counted_ms or self.evidence.keys() - SLOW_EVIDENCE:
             return False
         peers_slow_ms = self.detection.slow_factor * self._peers.p99_ms
-        # Use the present ages of attempts in flight; they were younger when counted.
+        # Attempts in flight have aged since they were counted: use their present ages.
         started_s = (attempt.started_s for attempt in self._in_flight.values())
         oldest_ms = (now_s - min(started_s, default=now_s)) * 1000
         return max(self._slowest_counted_ms, oldest_ms) <= peers_slow_ms
@@ -184,7 +184,7 @@
     ) -> Verdict:
         """Record an attempt's end, and return whether it counts as good or bad.
 
-        An attempt that is not known to be in flight gives no verdict.
+        Return `Verdict.NOTHING` for an attempt that is not known to be in flight.
 
         Parameters
         ----------
@@ -202,47 +202,47 @@
             return verdict
         if may_learn:
             self._learn(result, verdict, latency_ms)
-        self._score_end(verdict, result, attempt, now_s)
+        self._score_ended(verdict, result, attempt, now_s)
         return verdict
 
     def discard_in_flight(self) -> None:
-        """Discard all attempts in flight, which a restart has ended."""
+        """Discard all attempts in flight because a restart has ended them."""
         self._in_flight.clear()
 
     def tick(self, now_s: float) -> None:
-        """Score attempts that are in flight for too long."""
+        """Raise the score if attempts in flight are slow or all work has stopped."""
         self._rescale_to_peers(now_s)
         slow_ms = self.slow_ms()
         for attempt in sorted(self._in_flight.values(), key=_times_counted):
             age_ms = (now_s - attempt.started_s) * 1000
-            # Count a hanging request now, not only when its timeout ends it.
+            # Count a hanging request now instead of waiting for its timeout.
             if age_ms > _SLOW_AGE_FACTORS[attempt.slow_count] * slow_ms:
                 self._count_slow(attempt, "in_flight_too_long", now_s)
         self._detect_standstill(now_s)
 
     def add_failed_probe(self, result: ProbeResult, now_s: float) -> None:
-        """Raise the score, to the threshold only if the connection was refused."""
+        """Raise the score; only refused connections can raise it to the threshold."""
         self.evidence[f"probe_{result}"] += 1
-        limit = ONE_ATTEMPT_MAX * self.detection.threshold
+        limit = ATTEMPT_SCORE_MAX * self.detection.threshold
         increment = bad_request_score(self._error_rates(now_s))
         if result is ProbeResult.FAILED:
             increment = min(increment, limit - self.score)
         self._add_to_score(max(0.0, min(increment, limit)))
 
     def lower_for_trial(self, now_s: float) -> None:
-        """Lower the score so far that one bad request raises it to the threshold."""
+        """Lower the score for a trial, so that one more bad request ends the trial."""
         self._peers.mark_p99_stale()
         if self.detection.independent_errors:
-            # Start the trial at a score of 0. One error ends it at any score, but with
-            # a score above 0 a single slow answer could end it as well.
+            # One error ends a trial at any score. At a score above 0, one slow answer
+            # could also end the trial, so the trial starts at 0.
             self._set_score(0.0)
             return
         increments = (
             bad_request_score(self._slow_rates(now_s)),
             bad_request_score(self._error_rates(now_s)),
         )
-        near = max(0.0, self.detection.threshold - TRIAL_MARGIN * min(increments))
-        self.score = min(self.score, near)
+        limit = max(0.0, self.detection.threshold - TRIAL_MARGIN * min(increments))
+        self.score = min(self.score, limit)
 
     def _slow_rates(self, now_s: float) -> Rates:
         return self._rates(self._slow_rate, now_s)
@@ -257,10 +257,10 @@
     def _rescale_to_peers(self, now_s: float) -> None:
         """Lower the score when more peers turn out to be bad.
 
-        The first bad requests of an overload are scored before summaries show that
-        the peers are bad, too. Once that is known, these requests must count as little
-        as new ones, so the score is multiplied by the ratio of what a slow request adds
-        now to what it added before.
+        The first bad requests of an overload are scored before summaries show that the
+        peers are bad, too. While many peers are bad, each bad request adds less. To
+        reduce what the first ones added, the score is multiplied by the ratio of a slow
+        request's present increment to its previous increment.
         """
         increment = bad_request_score(self._slow_rates(now_s))
         if increment < self._slow_request_score:
@@ -269,7 +269,7 @@
 
     def _learn(self, result: WorkResult, verdict: Verdict, latency_ms: float) -> None:
         """Learn healthy rates and latencies from a request, if the score is low."""
-        if self.score > LEARNING_SCORE * self.detection.threshold:
+        if self.score > LEARNING_SCORE_MAX * self.detection.threshold:
             return
         answered = result is WorkResult.ANSWERED
         self._error_rate.learn(not answered)
@@ -277,8 +277,8 @@
             self._slow_rate.learn(verdict is Verdict.BAD)
             self._latency.learn(latency_ms)
 
-    def _score_end(self, verdict, result, attempt: _InFlight, now_s: float) -> None:
-        """Add one ended attempt to the score."""
+    def _score_ended(self, verdict, result, attempt: _InFlight, now_s: float) -> None:
+        """Update the score and the evidence with one ended attempt."""
         self.last_verdict_s = now_s
         if verdict is Verdict.GOOD:
             self._last_good_s = now_s
@@ -308,11 +308,11 @@
         self._error_duration_s = max(duration_s, ERROR_DURATION_DECAY * previous_s)
 
     def _count_slow(self, attempt: _InFlight, evidence: str, now_s: float) -> None:
-        """Count a slow attempt, unless a pause that is already counted delayed it.
+        """Count a slow attempt, unless a pause that was already counted delayed it.
 
-        A pause of a backend server makes all requests of that moment slow. It is
-        one event, however many requests it delays. If each of them counted, a busy
-        healthy backend server would be suspected at every pause.
+        A pause of a backend server delays all requests that run there, but counts as
+        one event. If each delayed request counted, a busy healthy backend server would
+        be suspected at every pause.
         """
         is_pause = (now_s - self._last_slow_s) * 1000 < self.detection.pause_ms
         if is_pause and not self._is_outside_last_pause(attempt, now_s):
@@ -326,14 +326,15 @@
         self.evidence[evidence] += 1
 
     def _is_outside_last_pause(self, attempt: _InFlight, now_s: float) -> bool:
-        """Tell whether an attempt was slow for another reason than the last pause.
+        """Return whether an attempt was slow for a reason other than the last pause.
 
         The pause is not the reason if a good request ended after the pause and before
         the attempt began, or if a good request began after the attempt and ended before
-        it. A good request that ended at the same moment as the attempt proves nothing:
-        all requests end together at the end of a pause. An attempt that began at the
-        same moment as the attempt last counted always belongs to its pause: threads
-        that wait for a processor are delayed for different times.
+        the attempt. A good request that ended at the same moment proves nothing,
+        because all requests end together at the end of a pause. An attempt that began
+        at the same moment as the last counted one was always delayed by the same pause,
+        even if it ends later: threads that wait for a processor are delayed for
+        different times.
         """
         if abs(attempt.started_s - self._last_slow_start_s) < SAME_MOMENT_S:
             return False
@@ -346,11 +347,11 @@
         return is_after_good or is_overtaken
 
     def _detect_standstill(self, now_s: float) -> None:
-        """Raise the score by a whole threshold if all work has stopped.
+        """Add the threshold to the score if all work has stopped.
 
-        Two requests that hang while none succeeds, for longer than a healthy server
-        may pause (`pause_ms`), are enough evidence. Waiting for more would only
-        cost callers failed requests.
+        Two hanging requests are enough evidence if the older one began more than
+        `pause_ms` ago (the longest pause of a healthy server) and no request has
+        succeeded since then. Waiting for more would only make more requests fail.
         """
         slow_ms = self.slow_ms()
         hanging_s = [
@@ -374,7 +375,7 @@
 
     def _add_bad(self, attempt: _InFlight, increment: float) -> None:
         """Add an attempt's increment to the score, up to the bound for one attempt."""
-        limit = ONE_ATTEMPT_MAX * self.detection.threshold
+        limit = ATTEMPT_SCORE_MAX * self.detection.threshold
         increment = min(increment, limit - attempt.score_added)
         attempt.score_added += increment
         self._add_to_score(increment)
--- a/balsamspindle/backend_servers/heaviest_weight.py
+++ b/balsamspindle/backend_servers/heaviest_weight.py
@@ -1,9 +1,10 @@
-"""Determines the part of a service's retries reserved for heavier requests."""
+"""Determines the fraction of a service's retries reserved for heavier requests."""
 
 __all__ = ["RESERVED_FOR_HEAVIER_FRACTION", "HeaviestWeight"]
 
-# Part of a service's retries that lighter requests must leave to heavier ones. Heavier
-# requests may be calls that other requests wait for, or requests of greater value.
+# Fraction of a service's retries that lighter requests must leave to heavier ones.
+# Heavier requests may be calls whose answers other requests need, or requests of
+# greater value.
 RESERVED_FOR_HEAVIER_FRACTION = 0.5
 
 HEAVIEST_WEIGHT_EXPIRY_S = 10.0
@@ -25,8 +26,8 @@
             self._weight, self._recorded_s = weight, now_s
 
     def reserved_fraction(self, weight: float) -> float:
-        """Return the part of the retries that a request must leave to heavier requests.
+        """Return the fraction of retries that a request must leave to heavier requests.
 
-        Between 0 and 1; 0 for the heaviest requests.
+        Between 0 and 1; 0 if no heavier request is recorded.
         """
         return RESERVED_FOR_HEAVIER_FRACTION if weight < self._weight else 0.0
--- a/balsamspindle/backend_servers/hold_outs.py
+++ b/balsamspindle/backend_servers/hold_outs.py
@@ -1,10 +1,11 @@
 """Makes hold-outs longer in zones with many backend servers of a service.
 
-This applies to services whose backend servers are often sick for some seconds, several
-of them at a time (`independent_errors`). A trial mostly fails while the backend server
-is still sick, and then costs its caller a retry, so long hold-outs save retries. But
-during a hold-out the zone lacks the slots of that backend server. In a zone with few
-other backend servers, requests would then have to go to other zones.
+Only services with the setting `independent_errors` get longer hold-outs: their backend
+servers are often sick for some seconds, several of them at a time. A trial usually
+fails if it begins while the backend server is still sick, and each failed trial costs a
+caller one retry. Longer hold-outs avoid such trials. But a backend server that is held
+out leaves its zone with fewer slots. In a zone with few other backend servers, requests
+would have to go to other zones, so hold-outs are not made longer there.
 """
 
 from collections.abc import Callable
@@ -15,8 +16,8 @@
 
 __all__ = ["LARGE_ZONE_SERVERS", "ZoneDetection", "adjust_hold_outs"]
 
-# In a zone with at least this many backend servers of a service, the others can do the
-# work of one that is held out.
+# In a zone with at least this many backend servers of a service, the remaining ones can
+# do the work of one that is held out.
 LARGE_ZONE_SERVERS = 6
 # Factors by which `hold_out_growth` and `hold_out_max_s` are multiplied in a zone with
 # at least `LARGE_ZONE_SERVERS` backend servers of the service.
@@ -30,7 +31,7 @@
     Parameters
     ----------
     in_zone : int
-        Backend servers of the service in this zone.
+        Number of the service's backend servers in this zone.
     """
     if not detection.independent_errors or in_zone < LARGE_ZONE_SERVERS:
         return detection
--- a/balsamspindle/backend_servers/ledger.py
+++ b/balsamspindle/backend_servers/ledger.py
@@ -1,4 +1,4 @@
-"""The requests with an Idempotency-Key that ran, or may have run, at this gate."""
+"""Ledger of the requests with an Idempotency-Key that ran or may have run at a gate."""
 
 import heapq
 import threading
@@ -11,7 +11,7 @@
 
 __all__ = ["KEY_RETENTION_S", "EarlierAnswer", "ClaimedKey", "KeyRefused", "RunLedger"]
 
-# How long the ledger keeps a key after the key's request has ended.
+# How long a key's entry remains in the ledger after the key's request has ended.
 KEY_RETENTION_S = 1800.0
 # Enough for 28 keyed requests a second at each gate if each key is kept for
 # `KEY_RETENTION_S`.
@@ -31,18 +31,18 @@
 
 @dataclass(frozen=True)
 class EarlierAnswer:
-    """The stored answer to a key's first attempt, which later attempts get again."""
+    """The stored answer to a key's request, returned to each later attempt."""
 
     reply: Reply
 
 
 class ClaimedKey(NamedTuple):
-    """A key that ran at this gate, or may have run.
+    """A key whose request ran, or may have run, at this gate.
 
     Attributes
     ----------
     claimed_s : float
-        Time of its claim, on this gate's monotonic clock.
+        When the key was claimed, on this gate's monotonic clock.
     """
 
     service: str
@@ -56,18 +56,19 @@
 
     fingerprint: tuple[str, str, int]
     claimed_s: float
-    # When the claim was last written into the store, or a moment before the write.
+    # Time of the last write of the claim into the store, or a moment earlier.
     stored_s: float
     reply: Reply | None = None
 
 
 class RunLedger:
-    """Records which keys ran at this gate, and their answers.
+    """Records the keys whose requests ran at this gate, and the answers.
 
-    The claim of a key names the only gate, and the incarnation of that gate, that may
-    run the key's request. If the claim is younger than `KEY_RETENTION_S` and the ledger
-    has no entry for the key, the request never ran: the entry would still be there. If
-    the claim is older, the request may have run, and the outcome is `unknown`.
+    The claim of a key names the only gate, and the only incarnation of that gate, that
+    may run the key's request. If the claim is younger than `KEY_RETENTION_S` and the
+    ledger has no entry for the key, the request never ran, because its entry could not
+    have expired yet. If the claim is older, the request may have run, so its outcome is
+    `unknown`.
 
     Parameters
     ----------
@@ -80,17 +81,18 @@
         self._incarnation = incarnation
         self._lock = threading.Lock()
         self._entries: dict[Key, _Entry] = {}
-        # The highest version of each key's claim for which this gate replied
-        # 'not run'. Another gate may have claimed the key since, so the key must not
-        # run under a claim of this version or a lower one.
+        # For each key, the highest version of its claim for which this gate replied
+        # 'not run'. After the reply another gate may have claimed the key, so the
+        # request must not run here with a claim of this version or a lower one.
         self._released_versions: dict[Key, int] = {}
-        # Sizes of the stored answers, oldest first.
+        # Sizes of the stored answers in bytes, oldest first.
         self._answers: OrderedDict[Key, int] = OrderedDict()
         self._answers_bytes = 0
         # Claims with a version below this are refused: the store may have lost them.
         self._version_min = 0
-        # Time of expiry, key and version of each item that will expire. The version is
-        # that of a released claim, or 0 for an item of `_entries`.
+        # Heap of expiry times, each with the key and version of the item that expires.
+        # The version is 0 for an item of `_entries`, and above 0 for an item of
+        # `_released_versions`.
         self._expiries: list[tuple[float, Key, int]] = []
 
     def begin(
@@ -116,24 +118,25 @@
     ) -> list[ClaimedKey]:
         """Return the keys whose claims the store may have lost.
 
-        The code that calls this method writes the claims of these keys into the store
-        again. From now on `begin` refuses each attempt whose claim has a version below
-        `version_min`. If it registered the key of such an attempt, the key would be
-        missing from the returned list, and another gate could claim it.
+        The code that calls this method writes the claims of the returned keys into the
+        store again. From now on `begin` refuses each attempt whose claim has a version
+        below `version_min`. If `begin` registered such an attempt later, its key would
+        not be in the returned list. The claim would not be written again, and another
+        gate could claim the key.
 
         Parameters
         ----------
         after_s : float
-            Claims written before this time are not lost.
+            The store still has all claims written at or before this time.
         """
         with self._lock:
             self._version_min = max(self._version_min, version_min)
-            held = []
+            keys = []
             for key, entry in self._entries.items():
                 if entry.stored_s > after_s:
                     entry.stored_s = now_s
-                    held.append(ClaimedKey(*key, entry.claimed_s))
-            return held
+                    keys.append(ClaimedKey(*key, entry.claimed_s))
+            return keys
 
     def end(self, dispatch: Dispatch, reply: Reply, now_s: float) -> None:
         """Record the result of an attempt for which `begin` returned None."""
@@ -167,8 +170,9 @@
         if claim.version <= self._released_versions.get(key, 0):
             return KeyRefused(Outcome.NOT_RUN, Reason.CLAIM_MOVED)
         if len(self._entries) + len(self._released_versions) >= KEYS_MAX:
-            # The outcome must not be 'not run': another gate could then claim the key,
-            # and there is no room to record that this claim no longer counts.
+            # After the outcome 'not run', another gate could claim the key. This gate
+            # would have to record that the present claim is released, but there is no
+            # room.
             return KeyRefused(Outcome.UNKNOWN, Reason.NO_FREE_SLOT)
         return None
 
@@ -177,7 +181,8 @@
         self._answers[key] = len(reply.body)
         self._answers_bytes += len(reply.body)
         while self._answers_bytes > ANSWERS_MAX_BYTES:
-            # The key stays registered: a resend gets 'unknown' and does not run again.
+            # Only the answer is discarded. The entry remains, so that a resent request
+            # gets the outcome 'unknown' and does not run again.
             oldest, size = self._answers.popitem(last=False)
             self._answers_bytes -= size
             self._entries[oldest].reply = None
--- a/balsamspindle/backend_servers/lifetimes.py
+++ b/balsamspindle/backend_servers/lifetimes.py
@@ -1,9 +1,10 @@
-"""Decides which start of a backend server an announcement belongs to, and if it counts.
+"""Applies the announcements of backend servers, and ignores those that arrive late.
 
-Announcements may arrive seconds late and out of order. A late one must not bring back
-a start that has ended, and a late "ready" must not undo a "draining". A backend server
-may restart under the same id: each announcement gives the time of the start, which
-tells the two starts apart.
+Announcements may arrive seconds late and out of order. A late announcement must not
+make a backend server available again after it has left, and a late "ready" must not
+cancel a "draining". A backend server may restart under the same id. Each announcement
+contains the time of the start to which it belongs. A lifetime is the period that begins
+with one start.
 """
 
 import threading
@@ -18,26 +19,27 @@
 
 __all__ = ["AnnouncedStatus", "Lifetimes"]
 
-# Number of backend servers whose latest start is remembered. It is enough, as a node
-# has one backend server at a time.
+# Maximum number of backend servers whose latest lifetime is stored. The limit is ample
+# because a node has one backend server at a time.
 LIFETIMES_MAX = 1000
-# The announcement of a start replaces an earlier start, or another backend server at
-# the same address. If no announcement of the new start follows for this long, the one
-# that arrived was a late one. Announcements of the replaced start or backend server
-# then count again. Live backend servers announce themselves every second or two.
+# The first announcement of a start replaces an earlier start of the same backend
+# server, and any other backend server at the same address. If no further announcement
+# of the new start arrives for this long, the first one was late, so announcements of
+# the replaced start or backend server are applied again. A live backend server sends an
+# announcement every second or two.
 REPLACED_SILENT_S = 4.0
-_EARLIER_START = "the backend server has started again since"
+_EARLIER_START = "a later start of the backend server is known"
 
 
 class AnnouncedStatus(NamedTuple):
-    """The present state that a backend server reports.
+    """The state that a backend server reports with an announcement.
 
     Attributes
     ----------
     sequence : int
-        Rises with each announcement, and begins anew at each start.
+        Number of the announcement; increases until the next start.
     cold_s : float
-        How long the backend server will still be slow because of its start.
+        Remaining time for which the backend server is slow because of its start.
     start_unix_ms : int
         Unix time of the backend server's start by its own clock, in milliseconds; 0 if
         not reported.
@@ -51,7 +53,7 @@
 
 @dataclass
 class _Lifetime:
-    """The last reported state of one start of a backend server."""
+    """One start of a backend server, with its last announced state."""
 
     start_unix_ms: int
     sequence: int
@@ -59,14 +61,14 @@
     has_left: bool = False
     is_draining: bool = False
 
-    def outranks_earlier(self, now_s: float) -> bool:
+    def blocks_earlier_starts(self, now_s: float) -> bool:
         """Return whether announcements with an earlier start time are ignored as late.
 
         If the clock of a backend server is set back before a restart, the new start has
-        an earlier start time than the old start, but must still get work. Once the old
-        start has been silent for `REPLACED_SILENT_S`, announcements with an earlier
-        start time are therefore no longer ignored. But they stay ignored if the old
-        start has left or drains.
+        an earlier start time than the old start, but must still get work. Announcements
+        with an earlier start time are therefore accepted once the old start has not
+        been announced for `REPLACED_SILENT_S`. After the old start has left or begun to
+        drain, they are always ignored.
         """
         is_silent = now_s - self.announced_s >= REPLACED_SILENT_S
         return self.has_left or self.is_draining or not is_silent
@@ -80,8 +82,8 @@
         self._events = events
         self._lock = threading.Lock()
         self._lifetimes: OrderedDict[str, _Lifetime] = OrderedDict()
-        # For each address, the id of the backend server that has it now.
-        self._address_holders: dict[str, str] = {}
+        # For each address, the id of the backend server that uses the address now.
+        self._ids_by_address: dict[str, str] = {}
 
     def announce(
         self,
@@ -92,8 +94,8 @@
     ) -> None:
         """Apply an announcement unless it is late.
 
-        The announcement's `boot_id` is replaced by one made from the backend server's
-        id and the time of its start.
+        The announcement's `boot_id` is replaced by a value that is made from the
+        backend server's id and the time of its start.
         """
         with self._lock:
             cause = self._ignore_cause(server_id, announcement, status, now_s)
@@ -105,12 +107,12 @@
     def record_leave(
         self, server_id: str, cause: str | None = None, start_unix_ms: int = 0
     ) -> None:
-        """Record that a start is leaving; later announcements of it are ignored.
+        """Drain a leaving backend server, and ignore its start's later announcements.
 
         Parameters
         ----------
         start_unix_ms : int
-            Identifies the start; 0 for the latest one known.
+            Start time of the lifetime that ends; 0 for the latest known start.
         """
         with self._lock:
             lifetime = self._lifetimes.get(server_id)
@@ -124,7 +126,7 @@
             self._emit("backend_server_leaving", server_id, cause)
 
     def record_misdirected(self, server_id: str) -> None:
-        """Record that a request to this address reached another backend server."""
+        """Record that a request for this backend server reached a different one."""
         self.record_leave(server_id, "another backend server has its address")
 
     def _ignore_cause(
@@ -134,24 +136,24 @@
         status: AnnouncedStatus,
         now_s: float,
     ) -> str | None:
-        """Return why an announcement is to be ignored, None if it counts."""
+        """Return why an announcement must be ignored, or None if it must be applied."""
         lifetime = self._lifetimes.get(server_id)
         if lifetime is None:
             return None
         if status.start_unix_ms < lifetime.start_unix_ms:
-            return _EARLIER_START if lifetime.outranks_earlier(now_s) else None
+            return _EARLIER_START if lifetime.blocks_earlier_starts(now_s) else None
         if status.start_unix_ms > lifetime.start_unix_ms:
             return None
         if lifetime.has_left:
             return "the backend server has left"
         if status.sequence <= lifetime.sequence:
             return "a later announcement arrived first"
-        holder = self._lifetimes.get(
-            self._address_holders.get(announcement.address, "")
+        current = self._lifetimes.get(
+            self._ids_by_address.get(announcement.address, "")
         )
-        if holder is None or holder is lifetime:
+        if current is None or current is lifetime:
             return None
-        if now_s - holder.announced_s < REPLACED_SILENT_S:
+        if now_s - current.announced_s < REPLACED_SILENT_S:
             return "another backend server has its address"
         return None
 
@@ -162,7 +164,7 @@
         status: AnnouncedStatus,
         now_s: float,
     ) -> None:
-        replaced = self._address_holders.get(announcement.address)
+        replaced = self._ids_by_address.get(announcement.address)
         if replaced not in (None, server_id):
             self._servers.mark_replaced(replaced, now_s)
             self._emit("backend_server_replaced", replaced, f"by {server_id}")
@@ -171,11 +173,11 @@
             lifetime = self._add(
                 server_id, _Lifetime(status.start_unix_ms, status.sequence, now_s)
             )
-        self._address_holders[announcement.address] = server_id
+        self._ids_by_address[announcement.address] = server_id
         lifetime.sequence, lifetime.announced_s = status.sequence, now_s
         if replaced not in (None, server_id) and not lifetime.is_draining:
-            # An earlier, late announcement of the replaced backend server may have
-            # drained the backend server that announces itself now.
+            # A late announcement of the replaced backend server may have drained the
+            # present backend server, which has not announced that it is draining.
             self._servers.undrain(server_id)
         announcement = msgspec.structs.replace(
             announcement, boot_id=_boot_id(server_id, status.start_unix_ms)
--- a/balsamspindle/backend_servers/link_server.py
+++ b/balsamspindle/backend_servers/link_server.py
@@ -33,24 +33,24 @@
 
 REPLIES_ENDPOINT = "inproc://link-server-replies"
 POLL_MS = 200
-# Messages received in one go before replies are sent.
+# Maximum number of messages received before the next replies are sent.
 MESSAGES_PER_POLL_MAX = 1000
 STOP_TIMEOUT_S = 5.0
 LINGER_MS = 2000
-# How long the connections stay open after the last reply. A peer that reads a reply
-# together with the end of the connection drops the reply.
+# How long the connections stay open after the last reply. A peer discards a reply that
+# it reads together with the end of the connection.
 LAST_REPLY_DELAY_S = 0.05
-# The most attempts that are handled at the same time: the number of the executor's
-# threads. Further attempts would wait in the executor's queue, which is unbounded and
-# ignores deadlines.
+# Maximum number of attempts handled at the same time, equal to the number of the
+# executor's threads. Further attempts would wait in the executor's queue, which is
+# unbounded and ignores deadlines.
 PENDING_MAX = 256
 
 
 class LinkServer:
     """Receives attempts from peers, runs them at the gate and sends the replies.
 
-    The thread in `run` owns the ROUTER socket. Each attempt runs in a thread of the
-    executor, which passes the reply to `run` over its own inproc socket.
+    Only the thread that executes `run` uses the ROUTER socket. Each attempt runs in an
+    executor thread, which sends the reply to `run` through an inproc socket of its own.
     """
 
     def __init__(
@@ -70,17 +70,18 @@
         self._stopped = threading.Event()
         self._thread_sockets = threading.local()
         # Number of attempts whose reply `run` has not received from the executor's
-        # threads yet; changed only in the thread of `run`.
+        # threads yet. Only the thread that executes `run` changes this number.
         self._pending = 0
-        # The peers of pending attempts. An entry is removed at the end of its attempt,
-        # or when its peer is notified that this node may end before the attempt.
+        # The peer that sent each pending attempt. An entry is removed at the end of its
+        # attempt, or when its peer is notified that this node may end before the
+        # attempt.
         self._peers: dict[AttemptId, bytes] = {}
         self._replied_s = 0.0
-        # Attempts whose message the gate has not handled yet, each with the time at
-        # which its ingress ends.
-        self._ends_s: dict[AttemptId, float] = {}
+        # When the ingress of an attempt ends, for attempts that are unknown to the
+        # gate.
+        self._ingress_ends_s: dict[AttemptId, float] = {}
         self._router = context.socket(zmq.ROUTER)
-        # When the socket is closed, queued replies are still sent for this long.
+        # After the socket is closed, queued replies are still sent for this long.
         self._router.setsockopt(zmq.LINGER, LINGER_MS)
         protect_listener(self._router, keys)
         self._router.bind(f"tcp://{address}")
@@ -93,13 +94,13 @@
     ) -> None:
         """Register handlers of other message types; call it before `run`.
 
-        Handlers run in the thread that owns the sockets, so they must not block. A
+        Handlers run in the thread that executes `run`, so they must not block. A
         handler returns the answer to send, or None.
         """
         self._handlers.update(handlers)
 
     def run(self) -> None:
-        """Handle messages until `stop` is called and all replies are sent."""
+        """Handle messages until `stop` takes effect."""
         poller = zmq.Poller()
         poller.register(self._router, zmq.POLLIN)
         poller.register(self._replies, zmq.POLLIN)
@@ -111,14 +112,14 @@
             if self._router in ready:
                 self._receive_all()
             self._notify_node_ending(time.monotonic())
-            self._pass_ingress_ends(time.monotonic())
+            self._report_ingress_ends(time.monotonic())
             if self._stopped.is_set() and stop_s is None:
                 stop_s = time.monotonic() + STOP_TIMEOUT_S
         self._router.close()
         self._replies.close()
 
     def stop(self) -> None:
-        """Make `run` return once each attempt has its reply, or after a timeout."""
+        """Make `run` return when all replies are sent, or after `STOP_TIMEOUT_S`."""
         self._stopped.set()
 
     def pending(self) -> int:
@@ -144,32 +145,33 @@
     def _notify_node_ending(self, now_s: float) -> None:
         """Notify ingresses of attempts that may not finish before this node ends.
 
-        If an ingress learned that only when the run is interrupted, it would look for
-        another backend server when most of the caller's time is gone, and its own node
-        might be about to leave as well.
+        If an ingress were notified only when the run is interrupted, it would look for
+        another backend server after most of the caller's time has elapsed. By then, the
+        node of the ingress might be about to leave as well.
         """
         for attempt_id in self._gate.outlasting_attempts(now_s):
             peer = self._peers.pop(attempt_id, None)
             if peer is not None:
                 self._router.send_multipart([peer, encode(GateEnding(attempt_id))])
 
-    def _pass_ingress_ends(self, now_s: float) -> None:
-        """Tell the gate when the ingresses of present and later attempts end.
+    def _report_ingress_ends(self, now_s: float) -> None:
+        """Report to the gate when the ingresses of its attempts end.
 
-        The `IngressEnding` message of an ingress can arrive while an attempt of this
-        ingress still waits for a thread and is unknown to the gate. If the message were
-        dropped, the attempt could start just before its ingress ends.
+        An `IngressEnding` message can arrive while its attempt still waits for a thread
+        and is unknown to the gate. The end is therefore reported again until the gate
+        knows the attempt, for up to `ATTEMPT_RETENTION_S` after the end. Otherwise the
+        attempt could start just before its ingress ends.
         """
-        for attempt_id, ends_s in list(self._ends_s.items()):
+        for attempt_id, ends_s in list(self._ingress_ends_s.items()):
             is_over = now_s >= ends_s + ATTEMPT_RETENTION_S
             if self._gate.set_ingress_end(attempt_id, ends_s) or is_over:
-                del self._ends_s[attempt_id]
+                del self._ingress_ends_s[attempt_id]
 
     def _receive_all(self) -> None:
         """Receive all queued messages and handle cancellations before attempts.
 
-        After the process was suspended, attempts may be queued with their cancellations
-        behind them. Attempts that were cancelled meanwhile must not begin.
+        After the process was suspended, an attempt and its cancellation may both be
+        queued, the attempt first. A cancelled attempt must not begin.
         """
         received_s = time.monotonic()
         dispatches = []
@@ -188,8 +190,10 @@
         match message:
             case Cancel(attempt_id, _, gate_deadline_s, cause):
                 self._gate.cancel(attempt_id, gate_deadline_s, cause)
-            case IngressEnding(attempt_id, left_ms):
-                self._ends_s[attempt_id] = time.monotonic() + left_ms / 1000
+            case IngressEnding(attempt_id, remaining_ms):
+                self._ingress_ends_s[attempt_id] = (
+                    time.monotonic() + remaining_ms / 1000
+                )
             case AdmissionQuery() as query:
                 answer = self._gate.preview(query, time.monotonic())
                 self._router.send_multipart([peer, encode(answer)])
@@ -227,11 +231,11 @@
         frames = [peer]
         try:
             self._events.clock.observe(dispatch.hlc, time.time())
-            ends_s = self._ends_s.get(dispatch.attempt_id)
+            ends_s = self._ingress_ends_s.get(dispatch.attempt_id)
             if ends_s is not None:
-                left_ms = (ends_s - received_s) * 1000
+                remaining_ms = (ends_s - received_s) * 1000
                 dispatch = msgspec.structs.replace(
-                    dispatch, ingress_remaining_ms=left_ms
+                    dispatch, ingress_remaining_ms=remaining_ms
                 )
             reply = self._gate.handle(dispatch, received_s)
             if reply is not None:
@@ -261,7 +265,7 @@
 
 
 def _receive_ready(socket: zmq.Socket) -> Iterator[list[bytes]]:
-    """Yield the messages that can be received without waiting."""
+    """Yield up to `MESSAGES_PER_POLL_MAX` messages that have already arrived."""
     for _ in range(MESSAGES_PER_POLL_MAX):
         try:
             yield socket.recv_multipart(zmq.NOBLOCK)
--- a/balsamspindle/backend_servers/probes.py
+++ b/balsamspindle/backend_servers/probes.py
@@ -1,7 +1,7 @@
 """Probes of health endpoints, sent when requests give too little evidence.
 
-A probe is weak evidence: health endpoints lag behind, or answer while requests
-hang. See `ServerHealth.record_probe_result` for how much a probe counts.
+A probe is weak evidence: a health endpoint may report an outdated state, or answer
+while requests hang. See `ServerHealth.record_probe_result` for how much a probe counts.
 """
 
 import threading
@@ -55,11 +55,11 @@
             while not self._stopped.wait(PROBE_INTERVAL_S):
                 # `list` waits for all probes of the round. Otherwise the probes of a
                 # hanging backend server would accumulate in the executor's queue.
-                wanted = self._monitor.servers_to_probe(time.monotonic())
-                list(executor.map(self._probe, wanted))
+                server_ids = self._monitor.servers_to_probe(time.monotonic())
+                list(executor.map(self._probe, server_ids))
 
     def stop(self) -> None:
-        """End `run` soon."""
+        """Make `run` return after the present round of probes."""
         self._stopped.set()
 
     def _probe(self, backend_server_id: str) -> None:
--- a/balsamspindle/backend_servers/queue.py
+++ b/balsamspindle/backend_servers/queue.py
@@ -1,8 +1,9 @@
-"""The short queue of attempts that wait for a slot at one gate.
+"""Queue of attempts that wait for a slot at one gate.
 
-There is one queue per service. It decides which attempts start, wait or are shed. The
-waiting itself is done by the threads that handle the attempts; they request a slot
-again after each change. All calls are made under the gate's lock.
+Each service has its own queue, which decides which attempts start, wait or are shed.
+The queue does not block: the thread that handles an attempt waits, and requests a slot
+again after each change of the slots or the queue. All methods must be called under the
+gate's lock.
 """
 
 from collections import Counter
@@ -16,14 +17,15 @@
 __all__ = ["Order", "SlotQueue", "Ticket", "Verdict"]
 
 
-# Service times vary, so an answer is likely to meet its latency target only if at least
-# this many times the mean service time is left until then.
+# An attempt is expected to meet its latency target if the time until the target is at
+# least this many times the mean service time. The factor is above 1 because service
+# times vary.
 IN_TIME_FACTOR = 1.5
 # Mean service time that is assumed until the backend server has answered once.
 DEFAULT_SERVICE_TIME_S = 0.1
-# A waiting attempt is refused after this many times its permitted wait, so that it can
-# go to another gate. The factor is above 1 because an attempt that moves loses its
-# place in this queue.
+# An attempt is refused after it has waited for this many times its `wait_max_s`, so
+# that it can be sent to another gate. The factor is above 1 because an attempt that
+# moves loses its place in this queue.
 WAIT_OVERRUN_FACTOR = 1.3
 
 
@@ -39,10 +41,10 @@
 
     START = "start"
     WAIT = "wait"
-    # The queue is full of attempts that take precedence, or a later attempt has taken
-    # the place of this one.
+    # The queue is full, and the waiting attempts take precedence or another attempt has
+    # displaced this one.
     SHED = "shed"
-    # The attempt could not end before its deadline any more.
+    # The attempt would end after its deadline.
     TOO_LATE = "too_late"
     # The attempt would wait, or has waited, longer than its `wait_max_s` permits.
     WAIT_TOO_LONG = "too_long"
@@ -63,7 +65,7 @@
     target_s : float
         The ticket's `target_s` plus its `rank_s`; 0 without a target.
     sequence : int
-        Number of the arrival, negative for `Order.LIFO`.
+        Arrival number, negated for `Order.LIFO`.
     """
 
     lightness: float
@@ -85,7 +87,7 @@
     is_shed : bool
         Set when another attempt has taken its place in a full queue.
     key : OrderKey or None
-        Its place in the order of starts; None unless it waits.
+        Its sort key among the waiting tickets; None unless it waits.
     wait_max_s : float or None
         How long it may wait; None means until its deadline.
     target_s : float or None
@@ -124,12 +126,12 @@
 class SlotQueue:
     """Priority queue of one service's attempts.
 
-    The heaviest attempt starts first, so lighter attempts never make it miss its
-    deadline. Among attempts of the same weight customers take turns, so a customer with
-    many requests delays its own requests only. Among attempts with the same turn
-    number, the attempt with the earliest latency target starts first; if these are
-    equal, `order` decides. Attempts that will miss their target go behind the others of
-    their weight.
+    The heaviest attempt starts first, so that lighter attempts never make it miss its
+    deadline. Among attempts of the same weight, those that will miss their latency
+    target start last. Otherwise customers take turns, so that a customer with many
+    requests delays only its own requests. Among attempts with the same turn number, the
+    attempt with the earliest latency target starts first. If the targets are equal,
+    too, `order` decides.
 
     Parameters
     ----------
@@ -164,9 +166,11 @@
         service_time_s: float,
         now_s: float,
     ) -> Verdict:
-        """Decide on an attempt, at its arrival and again after each change.
+        """Decide whether an attempt starts, waits or is refused.
 
-        After any verdict other than ``WAIT`` the attempt is not in the queue.
+        Call this method when the attempt arrives, and again after each change of the
+        slots or the queue. After any verdict other than ``WAIT`` the attempt is not in
+        the queue.
 
         Parameters
         ----------
@@ -209,7 +213,7 @@
             return Verdict.SHED
         return verdict
 
-    def waiting_for(self, backend_server_id: str) -> int:
+    def count_waiting(self, backend_server_id: str) -> int:
         """Return how many attempts wait for one backend server."""
         return sum(
             ticket.backend_server_id == backend_server_id for ticket in self._waiting
@@ -232,13 +236,14 @@
             return Verdict.TOO_LATE
         if ticket.is_shed:
             return Verdict.SHED
-        ahead, competing = self._competing(ticket, now_s)
+        ahead, competing = self._count_competing(ticket, now_s)
         wait_s = _expected_wait_s(ahead, free_slots, effective_slots, service_time_s)
         run_time_s = ticket.route_time_s or service_time_s
         ends_s = now_s + wait_s + run_time_s
-        # An attempt that has a slot and no competitors starts even if the estimate says
-        # that it would end too late. Only completed attempts can correct the estimate;
-        # if it is far too high, all attempts would otherwise be refused for good.
+        # An attempt with a free slot and no competing attempts starts even if it is
+        # expected to end after its deadline. The estimate may be far too high, and only
+        # completed attempts correct it. If all attempts were refused, the estimate
+        # would never change.
         has_slot = ahead < free_slots
         if ends_s > ticket.deadline_s and (competing or not has_slot):
             return Verdict.TOO_LATE
@@ -251,14 +256,13 @@
             return Verdict.WAIT_TOO_LONG
         return Verdict.WAIT
 
-    def _competing(self, ticket: Ticket, now_s: float) -> tuple[int, int]:
+    def _count_competing(self, ticket: Ticket, now_s: float) -> tuple[int, int]:
         """Count the other attempts that wait for the same backend server.
 
         Returns
         -------
         tuple of int
-            The number of these attempts that start before the ticket, and the number of
-            all of them.
+            How many of these attempts start before the ticket, and how many there are.
         """
         key = _current_order(ticket, ticket.key or self._next_key(ticket), now_s)
         ahead = competing = 0
@@ -275,8 +279,8 @@
 
         It sorts by weight (the heaviest first), then by the customer's turn, by latency
         target and by arrival. Because of the target, a short request whose answer is
-        due soon starts before a long request that has time. Tickets without a target
-        sort by arrival.
+        due soon starts before a long request whose answer is due later. Tickets without
+        a target sort by arrival.
         """
         sequence = self._sequence + 1
         target_s = 0.0 if ticket.target_s is None else ticket.target_s + ticket.rank_s
@@ -300,15 +304,16 @@
     def _shed_for(self, ticket: Ticket) -> bool:
         """Shed one of the lightest waiting attempts to make room for the ticket.
 
-        Among the lightest attempts it selects the newest one of the customer that has
-        the most of them. This attempt is shed if it is lighter than the ticket, or if
-        it has the same weight and its customer has more attempts of that weight waiting
-        than the ticket's customer would have with the ticket.
+        The candidate is the newest of the lightest attempts of one customer: the
+        customer that has the most of the lightest attempts. The candidate is shed if it
+        is lighter than the ticket. It is also shed if it is as heavy as the ticket, and
+        its customer has more waiting attempts of that weight than the ticket's customer
+        would have with the ticket.
 
         Returns
         -------
         bool
-            False if none was shed.
+            False if no attempt was shed.
         """
         if not self._waiting:
             return False
@@ -333,25 +338,28 @@
 def _current_order(
     ticket: Ticket, key: OrderKey, now_s: float
 ) -> tuple[float, bool, int, float, int]:
-    """Return a ticket's sort key at this moment; late tickets go behind others.
+    """Return a ticket's present sort key; late tickets of a weight come last.
 
-    If the earliest target always started first, each answer would be slightly too late
-    under overload: with three quarters of the slots that all attempts need, no answer
-    would be in time. So an attempt whose answer will be late in any case goes behind
-    the attempts of its weight that can still meet their targets.
+    If the attempt with the earliest target always started first, each answer would be
+    slightly too late under overload. For example, if only three quarters of the needed
+    slots exist, no answer would be in time. Therefore an attempt whose answer will be
+    late in any case starts after the attempts of its weight that can still meet their
+    targets.
     """
     weight, turn, target_s, sequence = key
     return weight, _is_late(ticket, now_s), turn, target_s, sequence
 
 
 def _is_late(ticket: Ticket, now_s: float) -> bool:
-    # An attempt whose earlier run was lost with a node is late because of that, and has
-    # already waited for a slot once. Behind all new attempts it would never start.
+    # An attempt whose earlier run was lost with a node is late because of this loss,
+    # and has already waited for a slot once. If it started after all new attempts, it
+    # would never start.
     if ticket.target_s is None or ticket.run_was_lost:
         return False
-    # Attempts with a rank are calls made for one request, which needs all of their
-    # answers, late or not. If late calls went behind new attempts, some calls of the
-    # request would be late at one gate, and others not late at another gate.
+    # Attempts with the same rank are calls that a backend server makes for one request,
+    # which needs all of their answers, even late ones. If late calls started after new
+    # attempts, one gate could delay some of the calls while another gate does not delay
+    # the others.
     if ticket.rank_s:
         return False
     return now_s + IN_TIME_FACTOR * ticket.route_time_s > ticket.target_s
@@ -374,6 +382,6 @@
         return False
     if ticket.key is None:
         return ticket.expected_wait_s > ticket.wait_max_s
-    # The wait that was estimated when the ticket was enqueued was too short. Refuse the
-    # ticket, because another gate may be faster.
+    # The wait takes longer than was estimated when the ticket was enqueued. The ticket
+    # is refused, because another gate may be faster.
     return now_s - ticket.enqueued_s > WAIT_OVERRUN_FACTOR * ticket.wait_max_s
--- a/balsamspindle/backend_servers/refusals.py
+++ b/balsamspindle/backend_servers/refusals.py
@@ -3,7 +3,7 @@
 If the deployment has a header by which backend servers mark requests that they did
 not run, only that header counts as proof: a failing backend server may answer 503 to
 a request that it has already run. If the deployment has no such header, error answers
-are passed on to the caller like all other answers.
+are forwarded to the caller like all other answers.
 """
 
 from http import HTTPStatus
@@ -39,7 +39,7 @@
 def is_unproven_refusal(answer: BackendAnswer, names: HeaderNames) -> bool:
     """Return whether the status suggests "not run", but the answer does not prove it.
 
-    Call it only for answers for which `proves_not_run` is false.
+    Call this function only if `proves_not_run` is false for the answer.
     """
     return bool(names.not_run) and answer.status in _NOT_RUN_STATUSES
 
@@ -47,15 +47,15 @@
 def classify_result(
     result: BackendAnswer | BackendFailure, has_restarted: bool, names: HeaderNames
 ) -> BackendAnswer | BackendFailure:
-    """Return a call's result, as a failure if the backend server refused the request.
+    """Return a call's result, changed to a failure if the request was refused.
 
-    A cancelled call becomes a broken answer if the backend server was restarted during
-    the call. All other results are returned unchanged.
+    A cancelled call gets the reason `BROKEN_ANSWER` if the backend server was restarted
+    during the call. All other results are returned unchanged.
 
     Parameters
     ----------
     has_restarted : bool
-        The backend server was restarted after the call began.
+        Whether the backend server was restarted after the call began.
     """
     match result:
         case BackendFailure(Reason.CANCELLED) if has_restarted:
--- a/balsamspindle/backend_servers/retry_grants.py
+++ b/balsamspindle/backend_servers/retry_grants.py
@@ -1,19 +1,19 @@
 """Retry budget of a service, granted by the service's gates.
 
-A repeat is a retry of a request that reached a backend server before, or may have.
-
-A service's retry budget includes a fixed number that does not depend on the request
-rate, and each node that grants retries needs a share of it. If all nodes that callers
-use granted retries, the shares would be too small: less than two retries each in a
-fleet of 35, most of them unused at nodes that need none while other nodes refuse
-retries. Therefore gates grant them. A service has only a few gates, every repeat
-arrives at one of them, and a gate whose share is used up refuses the repeat, which then
-goes to the next gate.
-
-A run that is a repeat also makes its own calls to other services again. At those
-services the calls are repeats, but they look like new requests. The node beside the
-calling backend server knows which fraction of its runs are repeats and sends it with
-each request. The gate of the called service counts that fraction as a repeat.
+A repeat is a retry of a request that may already have reached a backend server.
+
+A service's retry budget includes a fixed number of retries that does not depend on the
+request rate. This number is divided among the nodes that grant retries. If every node
+of a fleet of 35 granted retries, each node would get less than two of them. Nodes that
+need no retries would leave theirs unused while other nodes refuse retries. Therefore
+only gates grant repeats. A service has only a few gates, and every repeat arrives at
+one of them. A gate that has used up its retries refuses the repeat, which is then sent
+to the next gate.
+
+When a backend server runs a repeat, it also makes its own calls to other services
+again. At those services the calls look like new requests. The calling backend server's
+node therefore sends with each call the fraction of its present runs that are repeats.
+The gate of the called service counts the call as this fraction of a repeat.
 """
 
 import threading
@@ -45,7 +45,7 @@
     ----------
     budget : callable
         Returns the retry budget of a service at a given time, including this gate's
-        share of the fleet's fixed number of retries.
+        portion of the fleet's fixed number of retries.
     """
 
     def __init__(self, budget: Callable[[str, float], RetryBudget]) -> None:
@@ -68,11 +68,12 @@
         Parameters
         ----------
         may_repeat : bool
-            Whether the request may be repeated. If not, no repeats are reserved for
-            requests of its weight. Otherwise half of all grants could stay unused while
-            lighter requests are refused repeats, for example 67 of them within 15 s.
+            Whether the request may be repeated. If not, its weight does not cause
+            repeats to be reserved. If repeats were reserved for requests that are never
+            repeated, half of all grants could stay unused while repeats of lighter
+            requests are refused, for example 67 repeats within 15 s.
         repeat_fraction : float
-            Probability that the request is a call made by a run that is a repeat.
+            Probability that the request was sent by a run that is a repeat.
         """
         with self._lock:
             state = self._state(service)
@@ -83,19 +84,19 @@
                 state.window.record_retries(repeat_fraction, now_s)
 
     def record_run_start(self, is_repeat: bool) -> None:
-        """Count the start of a run at a backend server beside this node."""
+        """Count the start of a run at a backend server of this node."""
         with self._lock:
             self._running += 1
             self._running_repeats += is_repeat
 
     def record_run_end(self, is_repeat: bool) -> None:
-        """Count the end of a run at a backend server beside this node."""
+        """Count the end of a run at a backend server of this node."""
         with self._lock:
             self._running -= 1
             self._running_repeats -= is_repeat
 
     def repeat_fraction(self) -> float:
-        """Return the fraction of this node's present runs that are repeats."""
+        """Return the fraction of this node's present runs that are repeats, 0 to 1."""
         with self._lock:
             return (
                 self._running_repeats / self._running if self._running_repeats else 0.0
@@ -141,10 +142,10 @@
             return state.window.try_spend(budget, now_s, reserved_fraction)
 
     def return_grant(self, service: str) -> None:
-        """Take back the grant of a repeat that did not run.
+        """Return the grant of a repeat that did not run to the retry budget.
 
-        Otherwise an overload would use up the budget without a single run, because
-        a busy gate refuses each granted repeat for lack of a slot.
+        A gate without a free slot refuses repeats that were granted. If these grants
+        counted, an overload would use up the budget without a single run.
         """
         with self._lock:
             self._state(service).window.refund()
--- a/balsamspindle/backend_servers/retry_window.py
+++ b/balsamspindle/backend_servers/retry_window.py
@@ -1,11 +1,11 @@
 """Sliding-window limit on the retries of one service at one gate.
 
-Over any ten seconds, all nodes together may retry a fraction of a service's requests
-plus a fixed number. Each gate limits itself to that fraction of the requests that it
-sees, plus its share of the fixed number, so the total stays within the limit
-whatever the other gates do. A token bucket could hold only half of the gate's share: it
-may be full at the start of a window and be filled again before the window ends, so that
-twice its size is spent within one window.
+In any ten seconds, the retries of a service in the fleet are limited to a fraction of
+the service's requests plus a fixed number. Each gate applies the fraction to the
+requests that it receives, and adds its portion of the fixed number. The limits of all
+gates add up to the fleet's limit, so the gates need no coordination. A token bucket
+could have only half the size of a gate's limit: a bucket that is full at the start of a
+window can be filled again within the window, so that twice its size is spent.
 """
 
 from collections import deque
@@ -42,7 +42,7 @@
 
 
 class RetryWindow:
-    """The retries that one gate may grant now for one service."""
+    """Limit on the retries that one gate grants for one service."""
 
     def __init__(self) -> None:
         self._requests = _WindowedCount(WINDOW_S - STEP_S)
@@ -89,7 +89,7 @@
         self._retries.add(-1, self._now_s)
 
     def _allowed(self, budget: RetryBudget) -> float:
-        """Return the retries allowed in this window, those already made included."""
+        """Return the number of retries allowed in this window, including those made."""
         by_requests = budget.fraction * self._requests.total
         return by_requests + budget.fleet_per_s_min * WINDOW_S
 
--- a/balsamspindle/backend_servers/runner.py
+++ b/balsamspindle/backend_servers/runner.py
@@ -113,10 +113,10 @@
         return self._reply(dispatch, result, free_slots, judgement, ran_s)
 
     def _evidence(self, result: BackendAnswer | BackendFailure | None) -> WorkResult:
-        """Return what a call's end shows about the backend server's health.
+        """Return a call's result as evidence of the backend server's health.
 
-        An error does not count against the backend server if it may follow from the
-        failure of a call that the backend server made itself.
+        An error is no evidence if it may result from the failure of a call that the
+        backend server itself made.
         """
         evidence = work_result(result)
         is_explained = self._failed_calls.explains_error(time.monotonic())
--- a/balsamspindle/backend_servers/servers.py
+++ b/balsamspindle/backend_servers/servers.py
@@ -1,4 +1,4 @@
-"""The backend servers that are announced to this node."""
+"""The backend servers that announce themselves to this node."""
 
 import threading
 from collections.abc import Callable
@@ -34,7 +34,7 @@
 
 
 class Announcement(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """The description that a backend server gives of itself.
+    """Description of a backend server, sent by the backend server itself.
 
     Attributes
     ----------
@@ -62,10 +62,11 @@
     running : set of CancelToken
         Tokens of the attempts that have a slot at this backend server.
     has_restarted : bool
-        Whether the backend server has restarted since the start that this object stands
-        for. Requests sent to it before the restart get no answer.
+        Whether the backend server has restarted, so that this object describes an
+        earlier start. Requests sent before the restart get no answer.
     is_replaced : bool
-        Whether another backend server took its address while it was not draining.
+        Whether another backend server began to use this one's address while this one
+        was not draining.
     """
 
     def __init__(self, backend_server_id, announcement, now_s, cold_s=0.0):
@@ -84,11 +85,11 @@
         self.suspicion = 0.0
 
     def cancel_runs(self) -> None:
-        """Cancel all attempts that run here, as the backend server has restarted.
+        """Cancel all running attempts because the backend server has restarted.
 
         A backend server that loses power does not reset its connections, so attempts
-        would wait until their deadline for an answer that cannot come. If they are
-        cancelled now, there is time to repeat them where their route allows it.
+        would wait until their deadline for an answer that cannot come. If the attempts
+        are cancelled now, there is time to repeat those whose route allows repeats.
         """
         self.has_restarted = True
         for token in self.running:
@@ -128,8 +129,8 @@
     version : int
         Rises with each change that must be sent to the other nodes.
     on_replaced : callable
-        Called with a backend server whose address another one has now, and the
-        present time.
+        Called with a backend server and the present time when another backend server
+        has begun to use its address.
     """
 
     def __init__(self, announcement_ttl_s: float = ANNOUNCEMENT_TTL_S) -> None:
@@ -182,7 +183,7 @@
             return self._set_state(backend_server_id, BackendServerState.DRAINING)
 
     def mark_replaced(self, backend_server_id: str, now_s: float) -> None:
-        """Drain a backend server whose address another backend server has now."""
+        """Drain a backend server because another one uses its address now."""
         with self.changed:
             server = self._servers.get(backend_server_id)
             is_unexpected = (
@@ -197,13 +198,13 @@
             self.on_replaced(server, now_s)
 
     def undrain(self, backend_server_id: str) -> bool:
-        """Let a draining backend server get work again; False if it is unknown."""
+        """Make a backend server accept new work; return False if it is unknown."""
         with self.changed:
             self._drained_boot_ids.pop(backend_server_id, None)
             return self._set_state(backend_server_id, BackendServerState.READY)
 
     def set_suspicion(self, backend_server_id: str, suspicion: float) -> bool:
-        """Set the suspicion that other nodes see; False if the server is unknown."""
+        """Set the suspicion sent to other nodes; return False for an unknown server."""
         with self.changed:
             server = self._servers.get(backend_server_id)
             if server is None:
--- a/balsamspindle/backend_servers/slots.py
+++ b/balsamspindle/backend_servers/slots.py
@@ -8,7 +8,7 @@
 __all__ = ["SlotAccount", "WorkEnd", "WorkKind", "ramped_slots"]
 
 # Weight of the newest sample in the moving averages of service times.
-SAMPLE_SHARE = 0.1
+SERVICE_TIME_SMOOTHING = 0.1
 ROUTES_MAX = 1000
 # Time constant of the moving averages of the slots that the requests of each weight
 # occupy (their load). It is long enough for a steady average at a few requests per
@@ -20,15 +20,15 @@
 # slot idle for 80% of the time while lighter requests are refused.
 LOAD_ROUNDING = 0.7
 # Heavier requests are assumed to leave at least this many slots to lighter requests,
-# because the average load is off by a few tenths of a slot.
+# because the average load is accurate only to a few tenths of a slot.
 EFFECTIVE_SLOTS_MIN = 0.25
 # Bounds of the time for which a slot stays occupied after `WorkEnd.IN_DOUBT`.
-HOLD_MIN_S = 0.1
-HOLD_MAX_S = 5.0
+RELEASE_DELAY_MIN_S = 0.1
+RELEASE_DELAY_MAX_S = 5.0
 
 
 class WorkEnd(StrEnum):
-    """What the end of an attempt says about the backend server's work on it."""
+    """Whether the backend server may still be working on an attempt that ended."""
 
     # Finished with an answer; its duration counts as a service time.
     ANSWERED = "answered"
@@ -87,15 +87,16 @@
 
 
 class SlotAccount:
-    """Counts the slots in use at a backend server, as far as its gate can know.
+    """Counts the slots of a backend server that are, or may still be, in use.
 
     An attempt that ended without an answer (timed out, cancelled, broken) may still
     run at the backend server. Its slot therefore stays occupied for as long again as
-    the attempt has run. If it were freed at once, a hanging backend server would get
-    a new request for each one that timed out, far more than it has slots. If it were
-    never freed, each lost answer would cost the backend server a slot for good. A
-    backend server that honours cancellation or its deadline within that time never
-    has more work than slots.
+    the attempt has run, within `RELEASE_DELAY_MIN_S` and `RELEASE_DELAY_MAX_S`. If the
+    slot were freed at once, a hanging backend server would get a new request for each
+    one that timed out, and soon run far more requests than it has slots. If the slot
+    were never freed, the backend server would permanently lose a slot with each lost
+    answer. A backend server that stops work on a cancelled or late request within this
+    delay never runs more requests than it has slots.
 
     Attributes
     ----------
@@ -109,12 +110,14 @@
         self._running_by_weight: Counter[float] = Counter()
         self._loads = _LoadAverages()
         self._route_time_s: dict[int, float] = {}
-        self._held_until_s: list[float] = []
+        self._delayed_releases_s: list[float] = []
 
     def free(self, slots: int, now_s: float) -> int:
         """Return how many of `slots` are free; negative if `slots` was reduced."""
-        self._held_until_s = [end for end in self._held_until_s if end > now_s]
-        return slots - self._running - len(self._held_until_s)
+        self._delayed_releases_s = [
+            end for end in self._delayed_releases_s if end > now_s
+        ]
+        return slots - self._running - len(self._delayed_releases_s)
 
     def reserved_for_heavier(self, weight: float, slots: int, now_s: float) -> int:
         """Return how many free slots a request must leave to heavier requests.
@@ -134,11 +137,11 @@
     def effective_slots(self, weight: float, slots: int, now_s: float) -> float:
         """Return the average number of slots not occupied by heavier requests.
 
-        A request is heavier if its weight is above `weight`. The result serves to
+        A request is heavier if its weight is above `weight`. The result is used to
         estimate how long a request of this weight waits. Heavier requests that arrive
-        later are served first, too. An estimate from the present queue alone would let
-        a light request wait until its deadline at a gate whose slots are always
-        occupied by heavier requests.
+        later also start before it. An estimate from the present queue alone would
+        ignore them, and a light request would wait until its deadline at a gate whose
+        slots are always occupied by heavier requests.
         """
         return max(EFFECTIVE_SLOTS_MIN, slots - self._loads.heavier_than(weight, now_s))
 
@@ -169,12 +172,14 @@
         self._loads.record(kind.weight, ran_s, now_s)
         match end:
             case WorkEnd.IN_DOUBT:
-                hold_s = min(max(ran_s, HOLD_MIN_S), HOLD_MAX_S)
-                self._held_until_s.append(now_s + hold_s)
+                delay_s = min(max(ran_s, RELEASE_DELAY_MIN_S), RELEASE_DELAY_MAX_S)
+                self._delayed_releases_s.append(now_s + delay_s)
             case WorkEnd.ANSWERED:
                 if not self.service_time_s:
                     self.service_time_s = ran_s
-                self.service_time_s += SAMPLE_SHARE * (ran_s - self.service_time_s)
+                self.service_time_s += SERVICE_TIME_SMOOTHING * (
+                    ran_s - self.service_time_s
+                )
                 self._update_route_time(kind.route_id, ran_s)
 
     def _update_route_time(self, route_id: int, ran_s: float) -> None:
@@ -183,22 +188,25 @@
             if len(self._route_time_s) >= ROUTES_MAX:
                 del self._route_time_s[next(iter(self._route_time_s))]
             known_s = ran_s
-        self._route_time_s[route_id] = known_s + SAMPLE_SHARE * (ran_s - known_s)
+        self._route_time_s[route_id] = known_s + SERVICE_TIME_SMOOTHING * (
+            ran_s - known_s
+        )
 
     def next_delayed_release_s(self) -> float:
-        """Return when the next slot that an unanswered attempt still occupies is freed.
+        """Return when the next slot of an unanswered attempt is freed.
 
-        Infinity if there is no such slot. Why a slot stays occupied after an attempt
-        without an answer: see `SlotAccount`.
+        Infinity if no unanswered attempt occupies a slot. `SlotAccount` describes why
+        these slots stay occupied for a while.
         """
-        return min(self._held_until_s, default=math.inf)
+        return min(self._delayed_releases_s, default=math.inf)
 
 
 def ramped_slots(slots: int, age_s: float, cold_start_s: float) -> int:
     """Return how many slots may be used at a backend server of this age.
 
-    A cold backend server that gets its full load at once times out on most of it.
-    It starts with one slot and reaches all of them after `cold_start_s`.
+    The number rises from one slot at the start to all slots after `cold_start_s`. A
+    backend server that gets its full load directly after its start does not answer most
+    of the requests in time.
     """
     if age_s >= cold_start_s:
         return slots
--- a/balsamspindle/backend_servers/suspect_runs.py
+++ b/balsamspindle/backend_servers/suspect_runs.py
@@ -1,8 +1,8 @@
-"""Ensures that different suspected requests never run at the same backend server.
+"""Prevents different suspected requests from running together at a backend server.
 
-If two requests are always lost in the same crashes, it is impossible to tell which of
-them causes the crashes. When they run separately, the next crash identifies the cause,
-and the other request is answered.
+If two requests are always lost in the same crashes, it is unknown which of them causes
+the crashes. When they run at different times or backend servers, the next crash
+identifies the cause, and the other request is answered.
 """
 
 import threading
@@ -21,7 +21,7 @@
     def begin(self, backend_server_id: str, content_hash: int) -> bool:
         """Register a run, unless another suspected request runs at the server.
 
-        Return False if the run was not registered and must not start.
+        Return False if the run was not registered; in this case it must not start.
         """
         with self._lock:
             running = self._running.setdefault(backend_server_id, Counter())
--- a/balsamspindle/backend_servers/work_ends.py
+++ b/balsamspindle/backend_servers/work_ends.py
@@ -22,7 +22,7 @@
 def work_result(result: BackendAnswer | BackendFailure | None) -> WorkResult:
     """Return a call's result as evidence of the backend server's health.
 
-    None as the result stands for a fault of this node, which is no evidence about the
+    The result is None after a fault of this node, which is no evidence about the
     backend server.
     """
     match result:
--- a/tests/test_ending_ingresses.py
+++ b/tests/test_ending_ingresses.py
@@ -201,7 +201,7 @@
             self.executor.submit(busy.wait, PATIENCE_S)
         link, attempt_id = self._send(1)
         link.notify_node_stop(attempt_id, 0.5 * USUAL_S)
-        wait_until(lambda: self.server._ends_s, "the notice has arrived")
+        wait_until(lambda: self.server._ingress_ends_s, "the notice has arrived")
         busy.set()
         reply = self._wait(link, attempt_id).reply
         self.assertEqual(
