--- a/balsamspindle/requests/attempts.py
+++ b/balsamspindle/requests/attempts.py
@@ -196,7 +196,7 @@
             route_id=route_id(route),
             is_repeat=is_repeat,
             repeat_fraction=self._gate.repeat_fraction(),
-            ingress_remaining_ms=self._link_attempts.left_ms(),
+            ingress_remaining_ms=self._link_attempts.time_to_stop_ms(),
             run_was_lost=forwarded.run_was_lost,
             rank_ms=forwarded.rank_ms,
             content_hash=forwarded.content_hash,
@@ -243,7 +243,7 @@
             dispatch.attempt_id,
             cause=CancelCause.ANSWERED_ELSEWHERE,
         )
-        with self._link_attempts.listening_for_parked(forwarded, cancel) as result:
+        with self._link_attempts.receiving_parked_reply(forwarded, cancel) as result:
             reply = self._gate.handle(dispatch, self._clock())
         return reply, result.answer
 
--- a/balsamspindle/requests/forwarding.py
+++ b/balsamspindle/requests/forwarding.py
@@ -291,7 +291,7 @@
         ):
             return
         left = None
-        if not self._retries.granted_by_gates(route.service):
+        if not self._retries.gates_limit_retries(route.service):
             left = round(
                 self._retries.remaining_tokens(route.service, self._clock()), 1
             )
--- a/balsamspindle/requests/ingress.py
+++ b/balsamspindle/requests/ingress.py
@@ -33,15 +33,15 @@
 ACCEPT_FAILED_PAUSE_S = 0.05
 BACKLOG = 512
 READY_POLL_S = 0.02
-# How long a stopping node waits, after its last accepted connection, for the first
+# After a stopping node has closed its listener, it waits this long for the first
 # request on each connection that has not received any.
 FIRST_REQUEST_TIMEOUT_S = 1.0
 ERROR_STATUS_MIN = 500
 
 # Fraction of the shutdown timeout during which a leaving node still accepts requests.
 # Callers are directed to other nodes during the first half of the timeout. Requests
-# that arrive a little later were already on their way, and a request that takes some
-# seconds still ends before the timeout.
+# that arrive a little later were sent before their callers switched. The rest of the
+# timeout is long enough for a request that takes some seconds.
 LAST_REQUEST_FRACTION = 0.55
 
 
@@ -96,7 +96,7 @@
         host, _, port = settings.caller_address.partition(":")
         self._listener = socket.socket()
         self._listener.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-        # Accepted connections inherit the option.
+        # Accepted connections inherit TCP_NODELAY from the listener.
         self._listener.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         self._listener.bind((host, int(port)))
         self._listener.settimeout(ACCEPT_POLL_S)
@@ -107,14 +107,16 @@
         Parameters
         ----------
         ready : callable, default=always
-            Connections are refused until this function returns True, but for at most
-            `start_wait_s`. A node that has just started knows no backend servers and
-            would reject requests that any other node could serve.
+            Returns whether this node knows backend servers. Connections are refused
+            until it returns True, but for at most `start_wait_s`. Without this wait, a
+            node that has just started would reject requests that other nodes can serve.
         """
-        give_up_s = time.monotonic() + self._settings.start_wait_s
+        listen_by_s = time.monotonic() + self._settings.start_wait_s
         self._ready_wait_end_s = time.monotonic() + self._settings.start_hold_s
         self._is_ready = ready
-        while not (ready() or time.monotonic() >= give_up_s or self._stopped.is_set()):
+        while not (
+            ready() or time.monotonic() >= listen_by_s or self._stopped.is_set()
+        ):
             time.sleep(READY_POLL_S)
         self._listener.listen(BACKLOG)
         self._accepting.set()
@@ -122,8 +124,8 @@
             self._accept()
         close_listener(self._listener, self._serve_or_refuse)
         self._connections.close_idle()
-        # The first request of a newly accepted connection is probably on its way, so
-        # connections without a request are closed a little later.
+        # The caller of a new connection has probably sent its first request already.
+        # Connections without a request are therefore closed only after a short wait.
         self._connections.wait_for_first_requests(FIRST_REQUEST_TIMEOUT_S)
         self._connections.close_idle(include_new=True)
         self._connection_refuser.shutdown()
@@ -205,10 +207,10 @@
                 return
             if request is None:
                 if was_shut:
-                    # The caller may have sent a request just as this node shut the
-                    # connection down. That request is never read, and this answer
-                    # says that it did not run. After a reset, the caller couldn't
-                    # tell whether the request ran.
+                    # The caller may have sent a request while this node shut the
+                    # connection down. The request is not read, and the refusal says
+                    # that the request did not run. Without the refusal, the caller
+                    # would only see a reset, and not know whether the request ran.
                     self._refuse(caller, self._closing_reason())
                 return
             keep_alive = self._serve_request(caller, request, refused) and not was_shut
@@ -216,7 +218,11 @@
     def _read(
         self, caller: HttpConnection
     ) -> tuple[CallerRequest | None, Refused | None]:
-        """Read a request, but not its body if the request is refused by its head."""
+        """Read the next request; read only its head if the request is refused then.
+
+        Returns the request, which is None if the caller closed the connection, and the
+        refusal, which is None if the request was not refused by its head.
+        """
         request = caller.read_head()
         if request is None or request.is_whole:
             return request, None
@@ -227,11 +233,11 @@
         return caller.read_body(), None
 
     def _is_too_late(self) -> bool:
-        """Return whether this node leaves and no longer accepts requests."""
+        """Return whether this node has been leaving for too long to accept requests."""
         if not self._leaving.is_set():
             return False
-        passed_s = time.monotonic() - self._log.leaving_s
-        return passed_s > LAST_REQUEST_FRACTION * self._settings.shutdown_timeout_s
+        elapsed_s = time.monotonic() - self._log.leaving_s
+        return elapsed_s > LAST_REQUEST_FRACTION * self._settings.shutdown_timeout_s
 
     def _closing_reason(self) -> Reason:
         return Reason.NODE_LEAVING if self._leaving.is_set() else Reason.GAVE_WAY
@@ -277,10 +283,12 @@
             time.sleep(READY_POLL_S)
 
     def _decide_keep_alive(self, request: CallerRequest) -> bool:
-        """Decide, right before the answer, whether the connection is kept open.
+        """Return whether the connection stays open; update `request.keep_alive`.
 
-        It is closed if the node leaves or the request's body was not read: after an
-        unread body, the start of the next request can't be determined.
+        The connection is closed if the request demands that, if this node is leaving,
+        or if the request's body was not read: after an unread body, the start of the
+        next request can't be determined. Called right before the answer is sent,
+        because this node may start to leave while the request is served.
         """
         can_continue = request.is_whole and not self._leaving.is_set()
         request.keep_alive = request.keep_alive and can_continue
@@ -296,8 +304,8 @@
             self._admissions.refund(admitted)
             refused = Refused(error.reason)
             return self._encode_refusal(request, request_id, refused, error.detail)
-        # With the request id, entries of the backend server's log can be matched with
-        # entries of the event log.
+        # The backend server can log the request id, by which its log entries can be
+        # matched with entries of the event log.
         request.headers.append((self._names.request_id, request_id))
         route = self._shares.choose(route)
         deadline_s = received_s + timeout_ms / 1000
@@ -318,8 +326,8 @@
         if reply.outcome is not Outcome.ANSWERED or reply.status >= ERROR_STATUS_MIN:
             # The failure is reported before the answer is sent. The caller may be the
             # backend server beside this node, which made this call while it served
-            # another request. If that other request fails as a result, this node's gate
-            # must already know of the failed call.
+            # another request. If the other request fails because of this failure, this
+            # node's gate must already have recorded the failed call.
             self._on_failure(time.monotonic())
         if reply.outcome is Outcome.NOT_RUN:
             self._admissions.refund(admitted)
--- a/balsamspindle/requests/latency_estimate.py
+++ b/balsamspindle/requests/latency_estimate.py
@@ -1,4 +1,4 @@
-"""Estimates the latency of a route's answers, as an ingress sees it."""
+"""Estimates the latency of a route's answers from the latencies at one ingress."""
 
 __all__ = ["LatencyEstimate"]
 
@@ -6,19 +6,19 @@
 class LatencyEstimate:
     """Mean and approximate 95th percentile of the latency of a route's answers.
 
-    The percentile `p95_s` moves up by 19 steps for an answer that took longer than
-    `p95_s`, and down by one step for any other answer. In the long run, 1 of 20
-    answers takes longer than `p95_s`.
+    An answer that took longer than `p95_s` increases `p95_s` by 19 times the fraction
+    `STEP`; any other answer decreases `p95_s` by the fraction `STEP`. In the long run,
+    1 of 20 answers takes longer than `p95_s`.
 
     Attributes
     ----------
     mean_s : float
-        0 before the first answer.
+        Exponential moving average of the latency; 0 before the first answer.
     p95_s : float or None
-        None before the first answer.
+        Estimate of the 95th percentile; None before the first answer.
     p99_s : float
-        The backend server's 99th percentile of latency, above which the gate counts
-        an answer as slow; 0 while unknown.
+        The backend server's 99th percentile of latency, as last reported by a gate; 0
+        while unknown. A gate counts answers with a higher latency as slow.
     """
 
     STEP = 0.005
@@ -29,9 +29,9 @@
         self.p99_s = 0.0
 
     def record(self, took_s: float, p99_ms: float = 0.0) -> None:
-        """Record the latency of one answer and the 99th percentile its gate reported.
+        """Record the latency of one answer, and the percentile that its gate reported.
 
-        If `p99_ms` is 0, the gate reported no percentile, and `p99_s` is kept.
+        If `p99_ms` is 0, the gate reported no 99th percentile; `p99_s` is unchanged.
         """
         self.p99_s = p99_ms / 1000 or self.p99_s
         if self.p95_s is None:
--- a/balsamspindle/requests/link_attempts.py
+++ b/balsamspindle/requests/link_attempts.py
@@ -1,10 +1,10 @@
 """Attempts sent to the gates of other nodes over links.
 
-An attempt without a reply may get a second attempt in parallel at another gate.
+If the reply to an attempt is late, a hedge may be sent to another gate in parallel.
 
 When a gate's node is leaving, the gate sends a notice for each attempt that may
-not finish before the node ends. Such an attempt is parked: it stays open while
-the request is sent to another gate, and the first successful answer is used.
+not finish before the node stops. The ingress then parks the attempt: it stays open
+while the request is sent to another gate. The first successful answer is used.
 """
 
 import math
@@ -30,14 +30,14 @@
 
 __all__ = ["LinkAttempts"]
 
-# A leaving node announces a stop time to the gates that is this much before its real
-# one. So their refusals of its attempts still reach the node before it stops. If a
-# refusal is lost, the caller gets `unknown` instead of `not_run`.
+# The stop time that a leaving node announces to gates is this much before the node's
+# real stop time, so that a gate's refusal arrives before the node stops. If the refusal
+# were lost, the caller would get `unknown` instead of `not_run`.
 REPLY_RESERVE_S = 0.2
 
 
 class ParkedResult:
-    """The successful reply to a parked attempt, in `answer`; None without one."""
+    """A parked attempt's successful reply; `answer` is None until one arrives."""
 
     def __init__(self) -> None:
         self.answer: Reply | None = None
@@ -49,9 +49,9 @@
     Parameters
     ----------
     build_dispatch : callable
-        Counts an attempt; returns the message that starts it at the gate.
+        Counts an attempt and returns the message that starts the attempt at the gate.
     track : callable
-        Starts to track an attempt at a placement for this ingress's estimates.
+        Records the start of an attempt; returns the object that records its end.
     next_id : callable
         Returns a new attempt id.
     """
@@ -82,8 +82,8 @@
         """Set this node's stop time; gates then start no run that would end later."""
         self._announced_end_s = ends_s - REPLY_RESERVE_S
 
-    def left_ms(self) -> float | None:
-        """Return the time until this node's announced end; None without one."""
+    def time_to_stop_ms(self) -> float | None:
+        """Return the time until this node's announced stop; None before `end_by`."""
         if math.isinf(self._announced_end_s):
             return None
         return (self._announced_end_s - self._clock()) * 1000
@@ -95,9 +95,9 @@
     def send(
         self, forwarded: ForwardedRequest, placement: Placement, hedge: Hedge | None
     ) -> Reply:
-        """Make an attempt, and a second one in parallel if the first gets no reply.
+        """Make an attempt and return its reply; send a hedge if the reply is late.
 
-        The reply has reason `gate_ending` if the attempt was parked.
+        If the attempt was parked, the returned reply has the reason `gate_ending`.
         """
         link = None
         if self._queries.should_query(forwarded, placement):
@@ -138,17 +138,17 @@
         attempts: list[SentAttempt],
         hedge: Hedge | None,
     ) -> WaitResult | None:
-        """Wait for a reply; add a second attempt if none comes in `hedge_delay_s`."""
+        """Wait for a reply; send a hedge if none arrives within `hedge_delay_s`."""
         if hedge is not None:
-            alone_until_s = self._clock() + hedge.hedge_delay_s
-            waited = self._wait(forwarded, attempts, alone_until_s)
+            hedge_start_s = self._clock() + hedge.hedge_delay_s
+            waited = self._wait(forwarded, attempts, hedge_start_s)
             if waited or self._find_attempt_to_park(forwarded, attempts, waited):
                 return waited
-            if self._is_silent_but_connected(forwarded, attempts[0], alone_until_s):
+            if self._should_hedge(forwarded, attempts[0], hedge_start_s):
                 attempts += self._start_hedge(forwarded, hedge)
         return self._wait(forwarded, attempts, forwarded.deadline_s)
 
-    def _is_silent_but_connected(
+    def _should_hedge(
         self, forwarded: ForwardedRequest, attempt: SentAttempt, until_s: float
     ) -> bool:
         return (
@@ -158,11 +158,11 @@
         )
 
     def _may_park(self, forwarded: ForwardedRequest) -> bool:
-        """Return whether an attempt may stay open while its request is sent elsewhere.
+        """Return whether to keep an attempt open while another gate gets the request.
 
-        A leaving node cancels its runs when it stops. Without parking, a long read
-        would be sent to another gate only after that stop. The time until then would
-        be lost, and the ingress's own node might be leaving by then, too.
+        A leaving node cancels its runs when it stops. Without parking, a long-running
+        request would be sent to another gate only after that stop. The time until the
+        stop would be lost, and the ingress's own node might be leaving by then, too.
         """
         return (
             forwarded.route.execution is Execution.IDEMPOTENT
@@ -176,10 +176,10 @@
         attempts: list[SentAttempt],
         waited: WaitResult | None,
     ) -> SentAttempt | None:
-        """Return the only attempt without a reply if it is to be parked, else None.
+        """Return the attempt to park; None if none has to be parked.
 
-        It is parked if its gate's node may stop before the attempt ends, no other
-        attempt was answered, and the request may be sent to another gate.
+        An attempt is parked if it is the only one without a reply, its gate has sent a
+        notice, no other attempt was answered, and another gate may get the request.
         """
         replies = {} if waited is None else waited.replies
         unanswered = [sent for sent in attempts if sent.link not in replies]
@@ -192,7 +192,7 @@
         return unanswered[0]
 
     def cancel_parked(self, forwarded: ForwardedRequest, has_answer: bool) -> None:
-        """Cancel the request's parked attempt if it is still open."""
+        """Cancel the parked attempt, if still open; `has_answer` decides the cause."""
         if has_answer:
             cause = CancelCause.ANSWERED_ELSEWHERE
         else:
@@ -209,7 +209,7 @@
         return self._outcomes.final_reply(forwarded, attempts, waited)
 
     @contextmanager
-    def listening_for_parked(
+    def receiving_parked_reply(
         self, forwarded: ForwardedRequest, on_answer: Callable[[], None]
     ) -> Iterator[ParkedResult]:
         """Receive the parked attempt's reply while this thread makes another attempt.
@@ -220,14 +220,14 @@
         Parameters
         ----------
         on_answer : callable
-            Called in another thread when the reply arrives, if it is a success.
+            Called in another thread when a successful reply arrives.
         """
         result = ParkedResult()
         listener_end, own_end = socket.socketpair()
 
         def listen() -> None:
             attempts = forwarded.parked.all()
-            # This wait ends when `own_end` is closed, after the other attempt.
+            # The wait ends when `own_end` is closed after the other attempt.
             wait = self._build_wait(
                 forwarded, forwarded.deadline_s, listener_end.fileno(), lambda: True
             )
@@ -269,7 +269,7 @@
         return [second]
 
     def _declined_reply(self, forwarded, placement, declined: DeclinedAttempt) -> Reply:
-        """Record an attempt that was declined before it was sent; return its reply."""
+        """Record an attempt that was declined before it was sent; return a refusal."""
         forwarded.tried.add(placement.backend_server.backend_server_id)
         forwarded.attempts += 1
         reply = Reply(
@@ -287,7 +287,7 @@
     def _start(
         self, forwarded, placement, link: Link | None = None
     ) -> SentAttempt | Reply:
-        """Send an attempt over a link; return a reply instead if it was not sent."""
+        """Send an attempt over a link; return a reply with the reason if that fails."""
         node_id = placement.node.node_id
         dispatch = self._build_dispatch(forwarded, placement, forwarded.deadline_s)
         unreachable = Reply(dispatch.attempt_id, Outcome.NOT_RUN, Reason.UNREACHABLE)
@@ -320,7 +320,7 @@
     def _release_unused(
         self, forwarded: ForwardedRequest, dispatch: Dispatch, link: Link
     ) -> Reply:
-        """Release an unused link, because this node has given up all requests."""
+        """Release an unused link; return a refusal with reason `node_stopping`."""
         self._links.release(link)
         forwarded.sends -= 1
         return Reply(dispatch.attempt_id, Outcome.NOT_RUN, Reason.NODE_STOPPING)
@@ -339,7 +339,7 @@
         descriptor: int,
         is_over: Callable[[], bool],
     ) -> WaitOptions:
-        """Return options for a wait; a readable `descriptor` ends it if `is_over()`."""
+        """Return options; the wait ends if `descriptor` is readable and `is_over()`."""
         return WaitOptions(
             until_s,
             descriptor,
@@ -353,14 +353,14 @@
         )
 
     def _on_parked(self, forwarded: ForwardedRequest, link: Link, reply: Reply) -> None:
-        """Keep a parked attempt's failed reply, in case all other attempts fail."""
+        """Store a parked attempt's failed reply; used if all other attempts fail."""
         forwarded.parked_replies.append(reply)
         self._finish_parked(forwarded, {link: reply})
 
     def _finish_parked(
         self, forwarded: ForwardedRequest, replies: Mapping[Link, Reply]
     ) -> None:
-        """Remove the parked attempts that got replies."""
+        """Remove the parked attempts that got replies, and release their links."""
         for sent in forwarded.parked.all():
             if sent.link in replies:
                 forwarded.record_loss(replies[sent.link], sent.link.last_received_s)
@@ -375,21 +375,21 @@
         """Release the links of attempts that got replies; end the other attempts.
 
         If another attempt was answered, an attempt without a reply is not cancelled;
-        only its link is closed. Its gate uses the duration of the run to detect a
-        backend server that hangs; if the run were cancelled, that server would look
-        healthy. While an attempt is parked, though, the answer may be to the parked
-        one; an attempt without a reply may then have just started, and is cancelled.
+        only its link is closed. The gate can then measure how long the run takes, and
+        detect a backend server that hangs. Exception: while an attempt is parked, the
+        answer may be the parked attempt's, and the attempt without a reply may have
+        just started. The attempt without a reply is then cancelled.
         """
         replies = {} if waited is None else waited.replies
-        is_silent = is_answered(waited) and not forwarded.parked
+        may_continue = is_answered(waited) and not forwarded.parked
         for sent in attempts:
             reply = replies.get(sent.link)
             sent.on_end(reply)
             if reply is not None:
-                # After the release, another task may change `last_received_s`.
+                # Another task may change `last_received_s` after the release.
                 forwarded.record_loss(reply, sent.link.last_received_s)
                 self._links.release(sent.link)
-            elif is_silent:
+            elif may_continue:
                 sent.link.close()
             else:
                 sent.cancel(self._outcomes.cancel_cause(forwarded, waited))
--- a/balsamspindle/requests/links.py
+++ b/balsamspindle/requests/links.py
@@ -54,8 +54,8 @@
 
     The gate's time in a message is out of date when the message arrives, so the
     estimate is never ahead of the gate's clock. A deadline that is converted to the
-    gate's time is never too late, and too early by at most the delay of one message
-    from the gate.
+    gate's time is therefore never too late. It is too early by at most the delay of one
+    message from the gate.
     """
 
     def __init__(self) -> None:
@@ -93,13 +93,14 @@
         self._last_received_s = float("-inf")
         self._gate_deadline_s: float | None = None
         self._ending_sent = False
-        # The attempt of which the gate announced that it may outlast the gate's node.
+        # The attempt for which the gate sent the last notice; see `has_ending_notice`.
         self._ending_attempt_id: AttemptId | None = None
         self._socket = context.socket(zmq.DEALER)
         self._socket.setsockopt(zmq.LINGER, 0)
-        # IMMEDIATE rejects messages to an absent peer. Otherwise they would be queued
-        # and delivered when the peer comes up, after their requests were reported as
-        # not run. Without reconnects, no message outlives its connection.
+        # With IMMEDIATE, sending fails while there is no connection. Otherwise, ZeroMQ
+        # would queue the message and deliver it once the peer is up, after the request
+        # was reported as not run. Reconnects are disabled, so that no message is
+        # delivered over a later connection.
         self._socket.setsockopt(zmq.IMMEDIATE, 1)
         self._socket.setsockopt(zmq.RECONNECT_IVL, -1)
         self._disconnect_monitor = self._socket.get_monitor_socket(
@@ -110,11 +111,11 @@
 
     @property
     def last_received_s(self) -> float:
-        """When the gate's last message arrived, on the monotonic clock."""
+        """Monotonic time of the gate's last message; -inf before the first message."""
         return self._last_received_s
 
     def connected(self) -> bool:
-        """Return whether the connection is up, as far as this end can tell."""
+        """Return whether ZeroMQ reports the connection as up; sends nothing."""
         return bool(self._socket.poll(0, zmq.POLLOUT))
 
     def check_ready(
@@ -122,9 +123,10 @@
     ) -> bool:
         """Return whether the link works in both directions.
 
-        Exchanges a greeting with the gate unless a message came recently. A request
-        that is sent over a broken link which still looks open would end as `unknown`.
-        If the check finds the link broken first, the request is known not to have run.
+        Exchanges a greeting with the gate, unless a message arrived within
+        `CHECK_VALID_S`. A broken link may still look open, and a request sent over it
+        would end as `unknown`. If this check fails, the request is not sent over the
+        link, so it did not run.
         """
         if now_s - self._last_received_s < CHECK_VALID_S[execution]:
             return self.connected()
@@ -140,9 +142,9 @@
                     return True
         return False
 
-    def _wait(self, event: int, give_up_s: float) -> bool:
+    def _wait(self, event: int, timeout_end_s: float) -> bool:
         """Wait for an event; return False at the timeout or if the connection ended."""
-        return self._socket in self._poll(event, poll_timeout_ms(give_up_s))
+        return self._socket in self._poll(event, poll_timeout_ms(timeout_end_s))
 
     def _wait_for_peer(self, event: int, timeout: PeerTimeout) -> bool:
         """Wait as `_wait` does, not counting time in which this process was stalled."""
@@ -162,12 +164,12 @@
         return dict(poller.poll(timeout_ms))
 
     def query(
-        self, query: AdmissionQuery | LimitQuestion, give_up_s: float
+        self, query: AdmissionQuery | LimitQuestion, timeout_end_s: float
     ) -> AdmissionAnswer | LimitAnswer | None:
-        """Send a question and return its answer; None if no answer came in time."""
+        """Send a query and return its answer; None if no answer arrived in time."""
         if not self._send(query):
             return None
-        while self._wait(zmq.POLLIN, give_up_s):
+        while self._wait(zmq.POLLIN, timeout_end_s):
             match decode_link(self._socket.recv()):
                 case AdmissionAnswer() | LimitAnswer() as answer if (
                     answer.number == query.number
@@ -177,7 +179,7 @@
         return None
 
     def send(self, message: LinkMessage) -> None:
-        """Send a message that needs no answer."""
+        """Send a message that needs no answer; discard it if there is no connection."""
         self._send(message)
 
     def send_dispatch(self, dispatch: Dispatch, deadline_s: float) -> bool:
@@ -194,7 +196,7 @@
         return self._send(message)
 
     def has_ending_notice(self, attempt_id: AttemptId) -> bool:
-        """Return whether the gate announced that the attempt may outlast its node."""
+        """Return whether the gate sent notice that the attempt may outlast the gate."""
         return self._ending_attempt_id == attempt_id
 
     def notify_node_stop(self, attempt_id: AttemptId, remaining_s: float) -> None:
@@ -217,7 +219,7 @@
         self._socket.close()
 
     def register(self, poller: zmq.Poller) -> None:
-        """Register the link's replies and its disconnection with a poller."""
+        """Register with a poller, which then reports replies and disconnection."""
         poller.register(self._socket, zmq.POLLIN)
         poller.register(self._disconnect_monitor, zmq.POLLIN)
 
@@ -257,8 +259,8 @@
                     self._record_received(reply.gate_time_s)
                     self._metrics.record(Hop.LINK, self._last_received_s - self._sent_s)
                     return _verify_checksum(reply)
-                # A late reply to an earlier attempt over this link. It must not be
-                # passed to the caller of the present attempt as its answer.
+                # This is a late reply to an earlier attempt over this link. The caller
+                # of the present attempt must not receive it as an answer.
                 on_dropped("reply to another attempt")
             case GateEnding(ending_id):
                 self._ending_attempt_id = ending_id
@@ -270,7 +272,7 @@
 
 
 class LinkPool:
-    """A pool of idle links to all peers."""
+    """A pool of idle links to all peers, by address; thread-safe."""
 
     def __init__(
         self, context: zmq.Context, events: EventLog, keys: FleetKeys | None = None
@@ -299,11 +301,11 @@
             )
             if link.check_ready(time.monotonic(), timeout, execution):
                 return link
-            # If a new link fails, or a connected one gets no reply, the idle links to
-            # this peer don't work either and are closed.
-            is_silent = link.connected()
+            # If a new link fails, or a connected link gets no greeting, the peer
+            # is unreachable. Its idle links don't work either and are closed.
+            is_unresponsive = link.connected()
             link.close()
-            if is_new or is_silent:
+            if is_new or is_unresponsive:
                 self._close_idle(address)
                 return None
 
@@ -314,7 +316,7 @@
             link.close()
 
     def release(self, link: Link) -> None:
-        """Keep a link for reuse; close it if enough links to its peer are idle."""
+        """Return a link to the pool; close it if enough links to its peer are idle."""
         with self._lock:
             idle = self._idle.setdefault(link.address, [])
             if len(idle) < IDLE_LINKS_PER_PEER_MAX:
@@ -329,7 +331,7 @@
 
 
 def _verify_checksum(reply: Reply) -> Reply:
-    """Return a reply, or an `unknown` one if its body was damaged in transit.
+    """Return the reply, or an `unknown` reply if the body was damaged in transit.
 
     The checksum is verified before any use of the reply: a damaged answer would
     otherwise count as a success and end another attempt that is still running.
@@ -342,5 +344,5 @@
 
 
 def poll_timeout_ms(deadline_s: float) -> int:
-    """Return the time until a deadline, rounded up so that no poll ends before it."""
+    """Return the time until a deadline, rounded up so that no poll ends too early."""
     return max(0, int((deadline_s - time.monotonic()) * 1000) + 1)
--- a/balsamspindle/requests/placement_selection.py
+++ b/balsamspindle/requests/placement_selection.py
@@ -1,11 +1,12 @@
 """Selects the backend server for a request's next attempt and its maximum queue wait.
 
-The selection suits services with a few backend servers in each zone, a third of which
-are unhealthy at any time, at a utilization of two thirds or more. Only a gate knows how
-many of its slots are free; what an ingress knows of them is seconds old. Asking a gate
-takes a round trip and, if the gate is in another zone, also traffic that is paid for.
-So each attempt carries the longest time that it may wait for a slot, and the gate
-refuses the attempt at once if it expects a longer wait:
+The selection is made for services that have a few backend servers in each zone, run at
+a utilization of two thirds or more, and have a third of their backend servers unhealthy
+at any time. Only a gate has the current number of its free slots; an ingress's
+estimate is seconds old. A query to a gate costs a round trip and, if the gate is in
+another zone, also paid traffic. Each attempt therefore carries the longest time that it
+may wait for a slot, and the gate refuses the attempt at once if it expects a longer
+wait:
 
 ========== ===================================== ==============================
 step       gates that get an attempt             maximum wait for a slot
@@ -17,16 +18,16 @@
 FAR        a few in other zones, those with      `near_wait_ms`
            most free slots first
 QUEUE      of all gates that refused, the one    `QUEUE_WAIT_FRACTION` of the
-           with the shortest queue               time left
+           with the shortest queue               remaining time
 ========== ===================================== ==============================
 
 In NEAR_QUEUE, an attempt joins a queue whose reported wait is at most `near_wait_ms`,
 and may then wait a little longer than the gate reported (`QUEUE_MARGIN`).
 
 A short queue in the own zone is preferred to a free slot in another zone, because the
-traffic between zones costs more than the delay; a long queue is not. If every queue is
-longer than a request may wait, the request is refused at once, so that its caller has
-time left to retry.
+traffic between zones costs more than the delay. A long queue is not preferred. If every
+queue is longer than a request may wait, the request is refused at once, so that its
+caller has time to retry.
 """
 
 import random
@@ -44,25 +45,26 @@
 __all__ = ["PlacementSelector", "Selection", "near_wait_ms"]
 
 # Fraction of the route's target time that a request may wait for a slot in its own
-# zone before other zones are asked. It grows with the size of the route's answers up to
-# LARGE_ANSWER_BYTES. A run takes a quarter to a third of the target time, so an answer
-# is in time even after the longest of these waits. A megabyte of traffic between zones
-# costs as much as a hundred requests are worth: an answer of 5 KB costs half of what
-# its request is worth, an answer of 400 bytes next to nothing. So for large answers a
-# longer wait in the own zone pays off.
+# zone before it is sent to other zones. The fraction grows with the mean size of the
+# route's answers, up to LARGE_ANSWER_BYTES. A run takes a quarter to a third of the
+# target time, so an answer is in time even after the longest allowed wait. A megabyte
+# of traffic between zones costs as much as a hundred requests are worth. An answer of
+# 5 KB thus costs half of the value of its request; an answer of 400 bytes costs almost
+# nothing. For large answers, a longer wait in the own zone is therefore cheaper.
 NEAR_WAIT_FRACTION_MIN, NEAR_WAIT_FRACTION_MAX = 0.1, 0.6
 LARGE_ANSWER_BYTES = 5000
-# Maximum number of gates in the own zone that a request asks for a free slot. If five
-# gates have none, the zone is full. If requests asked all gates in a zone of sixteen
-# gates with two slots each, each run would take seven attempts, six of which are
-# refused.
+# Maximum number of gates in the own zone to which a request is sent in step NEAR. If
+# five gates have no free slot, the zone is full. If requests were sent to all gates in
+# a zone of sixteen gates with two slots each, each run would take seven attempts, and
+# gates would refuse six of the seven.
 NEAR_TRIES_MAX = 5
-# Maximum number of gates in other zones that a request asks before it joins one of the
-# long queues (step QUEUE).
+# Maximum number of gates in other zones to which a request is sent in step FAR, before
+# it joins one of the long queues in step QUEUE.
 FAR_TRIES_MAX = 3
 # In step NEAR_QUEUE, an attempt may wait for QUEUE_MARGIN times the wait that the gate
-# reported, and QUEUE_MARGIN_MS more. The reported wait is off by about the duration of
-# one request; if it were the maximum wait, the gate would refuse half of the attempts.
+# reported, and QUEUE_MARGIN_MS more. The error of the reported wait is about the
+# duration of one request. Without the margin, the gate would refuse half of these
+# attempts.
 QUEUE_MARGIN = 1.5
 QUEUE_MARGIN_MS = 50.0
 # Fraction of a request's remaining time that it may wait in the queues of step QUEUE.
@@ -70,10 +72,10 @@
 # at the deadline, too late for their callers to retry. The time that remains after
 # this fraction is enough for a retry.
 QUEUE_WAIT_FRACTION = 0.5
-# A request joins a queue whose wait a gate reported when it refused another request, if
-# the reported wait is at most this fraction of the time that the joining request may
-# wait in queues. A longer queue indicates an overload, in which a suspected backend
-# server is the better choice.
+# A gate that refuses a request reports the wait in its queue. Another request may join
+# this queue if the reported wait is at most this fraction of the time that the other
+# request may still wait in queues. A longer queue indicates an overload, in which a
+# suspected backend server is the better choice.
 SHORT_QUEUE_FRACTION = 0.5
 
 
@@ -92,7 +94,7 @@
 
 
 def near_wait_ms(target_ms: float, answer_bytes: float) -> float:
-    """Return how long a request may wait in its own zone before others are asked.
+    """Return how long a request may wait in its own zone before it tries others.
 
     Parameters
     ----------
@@ -101,9 +103,9 @@
     answer_bytes : float
         Mean size of the route's answers.
     """
-    largeness = min(1.0, answer_bytes / LARGE_ANSWER_BYTES)
+    size_fraction = min(1.0, answer_bytes / LARGE_ANSWER_BYTES)
     span = NEAR_WAIT_FRACTION_MAX - NEAR_WAIT_FRACTION_MIN
-    return (NEAR_WAIT_FRACTION_MIN + span * largeness) * target_ms
+    return (NEAR_WAIT_FRACTION_MIN + span * size_fraction) * target_ms
 
 
 class PlacementSelector:
@@ -126,17 +128,17 @@
 
     def select(self, forwarded: ForwardedRequest, now_s: float) -> Selection | None:
         """Return where to send the next attempt; None when no placement is left."""
-        cut_off = self._behind_broken_links(forwarded.route.service, now_s)
+        unreachable = self._find_unreachable_servers(forwarded.route.service, now_s)
         tried, held_out_servers = set(forwarded.tried), self._sender.held_out_servers
         if forwarded.is_last_resort:
             # Only suspected backend servers are left. Those with several errors in a
             # row are selected in the second pass only: a backend server that fails
             # all requests has all of its slots free and would always be preferred.
-            passes = [tried | held_out_servers.failing(now_s) | cut_off, tried]
+            passes = [tried | held_out_servers.failing(now_s) | unreachable, tried]
         else:
             suspected = tried | held_out_servers.held_out(now_s)
             # Backend servers at unreachable nodes are selected in the second pass only.
-            passes = [suspected | cut_off, suspected]
+            passes = [suspected | unreachable, suspected]
         with self._lock:
             selected = self._select(forwarded, passes[0], now_s)
             if selected is None and passes[0] != passes[1]:
@@ -168,22 +170,24 @@
                 search.near_tries += 1
                 return self._select_freest(near, excluded, 0.0, now_s)
             case Step.NEAR_QUEUE:
-                # The total wait in the queues of the own zone is limited. Otherwise a
-                # request could spend half of its time in one queue after the other,
-                # each longer than reported, while other zones have free slots.
-                near_ms = _near_wait_left_ms(search, wait_ms, now_s)
+                # The total wait in all queues of the own zone is limited. Without this
+                # limit, a request could spend half of its time in several queues in
+                # turn, all longer than reported, while other zones have free slots.
+                near_ms = _remaining_near_wait_ms(search, wait_ms, now_s)
                 return self._select_shortest_queue(near, near_ms, search)
             case Step.FAR if search.far_tries < FAR_TRIES_MAX:
                 search.far_tries += 1
-                # Gates that just reported a longer wait are left out: they would
-                # refuse again, at the cost of traffic between zones.
-                busy = self._sender.queue_hints.longer_than(wait_ms, now_s)
-                return self._select_freest(far, excluded | busy, wait_ms, now_s)
+                # Gates that just reported a wait longer than `wait_ms` are excluded:
+                # they would refuse again, and each attempt costs traffic between zones.
+                long_queues = self._sender.queue_hints.longer_than(wait_ms, now_s)
+                return self._select_freest(far, excluded | long_queues, wait_ms, now_s)
             case Step.QUEUE:
-                left_ms = _queue_wait_left_ms(forwarded, now_s)
+                remaining_ms = _remaining_queue_wait_ms(forwarded, now_s)
                 places = (*near, *far)
-                self._add_reported_queues(search, places, excluded, left_ms, now_s)
-                return self._select_shortest_queue(near, left_ms, search, far, wait_ms)
+                self._add_reported_queues(search, places, excluded, remaining_ms, now_s)
+                return self._select_shortest_queue(
+                    near, remaining_ms, search, far, wait_ms
+                )
         return None
 
     def _add_reported_queues(
@@ -191,20 +195,22 @@
         search: Search,
         places: Iterable[Placement],
         excluded: Set[str],
-        left_ms: float,
+        remaining_ms: float,
         now_s: float,
     ) -> None:
-        """Add to a search the short queues of gates that just refused other requests.
+        """Add to a search the short queues that gates just reported to other requests.
 
-        A gate that reported a queue is left out for a while in step FAR. A request
-        that therefore asked no gate itself would know of no queue. It would be sent
-        to a suspected backend server, where 37 of 100 calls fail, although the wait
-        for a healthy one is only 0.2 s.
+        For a while after a gate reported a long queue, step FAR excludes the gate. A
+        search in which all gates are excluded has no reported queues of its own. Its
+        request would then be sent to a suspected backend server, where 37 of 100 calls
+        fail, although the wait for a healthy backend server is only 0.2 s.
         """
         for place in places:
             server_id = place.backend_server.backend_server_id
             wait_ms = self._sender.queue_hints.wait_ms(server_id, now_s)
-            is_short = wait_ms is not None and wait_ms <= SHORT_QUEUE_FRACTION * left_ms
+            is_short = (
+                wait_ms is not None and wait_ms <= SHORT_QUEUE_FRACTION * remaining_ms
+            )
             if is_short and server_id not in excluded:
                 search.queue_wait_ms.setdefault(server_id, wait_ms)
 
@@ -223,23 +229,23 @@
         wait_max_ms: float,
         search: Search,
         far: Iterable[Placement] = (),
-        far_ms: float = 0.0,
+        far_penalty_ms: float = 0.0,
     ) -> Selection | None:
         """Return the placement with the shortest queue; None if all are too long.
 
         Parameters
         ----------
         wait_max_ms : float
-            The longest wait with which a queue is joined.
-        far_ms : float
-            How much shorter the wait in another zone must be than in the own zone
-            for that other zone to be selected. With 0, the traffic between zones
-            grows by a quarter under high load.
+            A queue is selected only if its reported wait is at most this long.
+        far_penalty_ms : float
+            Added to the waits of queues in other zones before all waits are compared. A
+            queue in another zone is thus selected only if its wait is shorter by this
+            much. With 0, the traffic between zones grows by a quarter under high load.
         """
         reported_ms = search.queue_wait_ms
         queues = [
-            (reported_ms[place.backend_server.backend_server_id], handicap_ms, place)
-            for places, handicap_ms in ((near, 0.0), (far, far_ms))
+            (reported_ms[place.backend_server.backend_server_id], penalty_ms, place)
+            for places, penalty_ms in ((near, 0.0), (far, far_penalty_ms))
             for place in places
             if place.backend_server.backend_server_id in reported_ms
         ]
@@ -262,7 +268,7 @@
         )
         return None if placement is None else Selection(placement)
 
-    def _behind_broken_links(self, service: str, now_s: float) -> set[str]:
+    def _find_unreachable_servers(self, service: str, now_s: float) -> set[str]:
         """Return the ids of the backend servers at nodes held out as unreachable."""
         hold_outs = self._sender.link_hold_outs
         if not hold_outs:
@@ -274,22 +280,23 @@
         }
 
 
-def _near_wait_left_ms(search: Search, wait_ms: float, now_s: float) -> float:
+def _remaining_near_wait_ms(search: Search, wait_ms: float, now_s: float) -> float:
     """Return how much longer a request may wait in queues of its own zone.
 
-    The time for these waits begins with the first call in a search.
+    The allowed time ends `wait_ms` after the first call in a search.
     """
     if search.queue_near_until_s is None:
         search.queue_near_until_s = now_s + wait_ms / 1000
     return (search.queue_near_until_s - now_s) * 1000
 
 
-def _queue_wait_left_ms(forwarded: ForwardedRequest, now_s: float) -> float:
+def _remaining_queue_wait_ms(forwarded: ForwardedRequest, now_s: float) -> float:
     """Return how much longer a request may wait in the queues of step QUEUE.
 
-    The time for these waits begins with the first call for a request.
+    The first call for a request sets the end of the allowed time, by means of
+    `QUEUE_WAIT_FRACTION`.
     """
     if forwarded.queue_until_s is None:
-        left_s = forwarded.deadline_s - now_s
-        forwarded.queue_until_s = now_s + QUEUE_WAIT_FRACTION * left_s
+        remaining_s = forwarded.deadline_s - now_s
+        forwarded.queue_until_s = now_s + QUEUE_WAIT_FRACTION * remaining_s
     return (forwarded.queue_until_s - now_s) * 1000
--- a/balsamspindle/requests/reply_wait.py
+++ b/balsamspindle/requests/reply_wait.py
@@ -30,12 +30,12 @@
 
 @dataclass(frozen=True)
 class WaitOptions:
-    """Conditions that end a wait for replies, and what is reported during it.
+    """Conditions that end a wait for replies, and callbacks for events during it.
 
     Attributes
     ----------
     deadline_s : float
-        When the wait ends, on the monotonic clock.
+        Monotonic time at which the wait ends at the latest.
     caller_fd : int
         File descriptor that is readable when the caller has sent more data or closed
         its connection.
@@ -47,14 +47,16 @@
     is_aborted : callable, default=never
         Returns whether this node has given up all requests.
     node_ends_s : callable, default=infinity
-        Returns when this node stops, on the monotonic clock. Once finite, the time is
-        sent to the gates, which then start no run whose reply would come too late.
+        Returns the monotonic time at which this node stops; infinity before the time is
+        set. Once set, the time is sent to the gates, which then start no run whose
+        reply would arrive after it.
     ends_at_notice : callable, default=never
-        Returns whether the wait ends when only one attempt is left and its gate gave
-        notice that its node may stop before the attempt ends.
+        Called when only one attempt has no reply, and its gate has sent notice that
+        the gate's node may stop before the attempt ends. Returns whether the wait then
+        ends.
     parked_attempts : mapping of Link to AttemptId, default=none
         Attempts of the same request that stay open at gates of leaving nodes. The
-        wait ends when a parked attempt succeeds, or when only parked ones are left.
+        wait ends when a parked attempt succeeds, or when all other attempts have ended.
     on_parked : callable, default=nothing
         Called with the link and the reply when a parked attempt ends without
         success.
@@ -94,11 +96,11 @@
     -------
     WaitResult or None
         The reply that ended the wait: a success, or any answer of a backend server to
-        one of `attempts`. Without such a reply, the last other reply to one of
-        `attempts`, such as a gate's refusal. None if the wait ended without either: at
-        the deadline, when the links or the caller's connection closed, when this node
-        gave up all requests, or at a gate's notice that its node may stop before the
-        attempt ends.
+        one of `attempts`. If there was no such reply, the last reply to one of
+        `attempts`, such as a gate's refusal; None if there was no reply to any of them.
+        If no answer arrives, the wait ends at the deadline, when the links or the
+        caller's connection close, when this node gives up all requests, or at a gate's
+        notice that its node may stop before the attempt ends.
     """
     waiting = {**wait.parked_attempts, **attempts}
     poller = zmq.Poller()
@@ -109,8 +111,8 @@
     replies: dict[Link, Reply] = {}
     is_end_sent = False
     while waiting.keys() & attempts.keys():
-        # The links are polled at least once, even after the deadline: a reply that
-        # has arrived counts, however long this process was stalled.
+        # The links are polled at least once, even after the deadline, so that a reply
+        # is not lost if it arrived while this process was stalled.
         remaining_ms = poll_timeout_ms(wait.deadline_s)
         ready = dict(poller.poll(min(remaining_ms, CHECK_INTERVAL_MS)))
         for link in list(waiting):
@@ -130,17 +132,17 @@
                 wait.on_parked(link, reply)
         if wait.is_aborted() or (not ready and remaining_ms <= CHECK_INTERVAL_MS):
             return last
-        if _is_last_ending(waiting, attempts) and wait.ends_at_notice():
+        if _is_last_with_notice(waiting, attempts) and wait.ends_at_notice():
             return last
         if not is_end_sent and wait.node_ends_s() < math.inf:
             is_end_sent = True
-            left_s = wait.node_ends_s() - time.monotonic()
+            time_to_stop_s = wait.node_ends_s() - time.monotonic()
             for link, attempt_id in waiting.items():
-                link.notify_node_stop(attempt_id, left_s)
+                link.notify_node_stop(attempt_id, time_to_stop_s)
         if wait.caller_fd in ready:
             if wait.caller_gone():
                 return last
-            # The caller has already sent its next request, which is read later.
+            # The caller has sent its next request, which is read after this answer.
             poller.unregister(wait.caller_fd)
     return last
 
@@ -150,9 +152,11 @@
     return is_success(reply) or (is_waited_for and reply.outcome is Outcome.ANSWERED)
 
 
-def _is_last_ending(
+def _is_last_with_notice(
     waiting: Mapping[Link, AttemptId], attempts: Mapping[Link, AttemptId]
 ) -> bool:
-    """Return whether only one attempt is left and may outlast its gate's node."""
-    left = [link for link in waiting if link in attempts]
-    return len(left) == 1 and left[0].has_ending_notice(attempts[left[0]])
+    """Return whether only one attempt is open, and its gate sent an ending notice."""
+    unanswered = [link for link in waiting if link in attempts]
+    return len(unanswered) == 1 and unanswered[0].has_ending_notice(
+        attempts[unanswered[0]]
+    )
--- a/balsamspindle/requests/request_log.py
+++ b/balsamspindle/requests/request_log.py
@@ -29,7 +29,7 @@
     def received(
         self, request_id: str, request: CallerRequest, content_hash: int
     ) -> None:
-        """Log a request, with the hash of its content if its body has been read."""
+        """Log a received request, and its content hash if its body was read."""
         self._events.emit(
             "request_received",
             request=request_id,
--- a/balsamspindle/requests/retries.py
+++ b/balsamspindle/requests/retries.py
@@ -38,10 +38,11 @@
 
     # No other attempt is allowed.
     FINAL = "final"
-    # No token, for example because the gate was selected with outdated information.
+    # No token, for example because the ingress's information on the gate was outdated.
     FREE = "free"
-    # No token after the first reply with this reason, one token after each further
-    # reply with it. Nothing ran, but all gates may be busy.
+    # No token after a request's first reply with this reason; one token after each
+    # further reply with the same reason. The attempts did not run, but all gates may
+    # be busy.
     FIRST_FREE = "first_free"
     # One token.
     PAID = "paid"
@@ -50,7 +51,8 @@
 _REFUSAL_COSTS = {
     Reason.NO_BACKEND_SERVER: RetryCost.FREE,
     Reason.DRAINING: RetryCost.FREE,
-    # The run would not end before a node stops; at a faster backend server it may.
+    # The gate's node or the ingress's node would stop before the run ends. At a faster
+    # backend server, the run may end in time.
     Reason.NODE_STOPPING: RetryCost.FREE,
     Reason.UNREACHABLE: RetryCost.FREE,
     Reason.DAMAGED: RetryCost.FREE,
@@ -66,9 +68,10 @@
 
 
 # Costs of a retry after the gate of a leaving node has cancelled the run, or is about
-# to. The retry budget protects a failing service from more load; here no backend server
-# failed, and there are at most as many retries as the gate has slots. If these retries
-# cost tokens, they would use the budget up, and requests with time left would fail.
+# to. The retry budget protects a failing service from additional load. In this case, no
+# backend server failed, and there are at most as many retries as the gate has slots. If
+# these retries cost tokens, they would use up the budget, and requests would fail
+# although they have time for a retry.
 _LOST_RUN_COSTS = {Reason.GATE_ENDING: RetryCost.FREE, Reason.CANCELLED: RetryCost.FREE}
 
 _TRY_ELSEWHERE_REASONS = frozenset(
@@ -84,7 +87,7 @@
 def is_success(reply: Reply) -> bool:
     """Return whether a reply is an answer with a status below 500 other than 429.
 
-    The latency estimate uses such answers only.
+    Only the latencies of successful answers are used for the latency estimate.
     """
     is_answer = reply.outcome is Outcome.ANSWERED and not is_shed(reply)
     return is_answer and reply.status < ERROR_STATUS_MIN
@@ -100,7 +103,7 @@
     """Return what another attempt costs after a reply.
 
     A non-idempotent request is retried only with proof that it did not run. An attempt
-    without a reply may have run, and a backend server's 503 is no proof either.
+    without a reply may have run. A 503 from a backend server is no proof either.
     """
     match reply.outcome:
         case Outcome.NOT_RUN:
@@ -114,11 +117,11 @@
 
 
 def _is_below_limits(replies: list[Reply], attempts_max: int, denials_max: int) -> bool:
-    """Return whether a request has reached none of the limits on its attempts."""
+    """Return whether another attempt is within the limits on a request's attempts."""
     try_elsewhere = sum(reply.reason in _TRY_ELSEWHERE_REASONS for reply in replies)
     denials = sum(reply.reason is Reason.RETRY_BUDGET for reply in replies)
-    # A notice that a gate's node is leaving is no result of the attempt, which stays
-    # open. The attempt is counted when its own reply comes.
+    # `GATE_ENDING` is only a notice that the gate's node is leaving; the attempt stays
+    # open. The attempt is counted when its reply arrives.
     notices = sum(reply.reason is Reason.GATE_ENDING for reply in replies)
     sent = len(replies) - sum(map(is_refusal, replies)) - notices
     return (
@@ -149,17 +152,17 @@
 
 
 class RetryPolicy:
-    """Decides on retries and second attempts for all services of one ingress.
+    """Decides on retries and hedges for all services of one ingress.
 
     Parameters
     ----------
     budget : callable
-        Returns the retry budget that the settings now give a service.
+        Returns a service's retry budget from the current settings.
     """
 
-    # A second attempt starts when the first has taken SLOW_FACTOR times the 95th
+    # A hedge starts when the first attempt has taken SLOW_FACTOR times the 95th
     # percentile of the route's latency, or HEDGE_LATEST_FRACTION of the request's
-    # remaining time if that is shorter.
+    # remaining time, whichever is shorter.
     SLOW_FACTOR = 2.0
     HEDGE_LATEST_FRACTION = 1 / 3
     # An attempt at the own gate is ended early only after SLOWEST_FACTOR times the 99th
@@ -184,8 +187,8 @@
     ) -> None:
         """Record an answer's latency and the 99th percentile that its gate reported.
 
-        The latency is recorded per route, because latencies within a service may
-        differ tenfold, and the delay before a second attempt has to differ as much.
+        The latency is recorded per route, because the latencies of a service's routes
+        may differ tenfold, and the delays before hedges have to differ as much.
         """
         with self._lock:
             self._state(service).latency(route_id).record(took_s, p99_ms)
@@ -203,7 +206,7 @@
         weight: float = 1.0,
         run_was_lost: bool = False,
     ) -> bool:
-        """Return whether a request may have another attempt; if so, pay for it.
+        """Return whether to make another attempt; if so, spend the token that it costs.
 
         Parameters
         ----------
@@ -215,10 +218,10 @@
         attempts_max : int
             Maximum number of attempts that reach a backend server.
         weight : float
-            Weight of the route.
+            Weight of the request's route; some tokens are reserved for heavier routes.
         run_was_lost : bool
-            See `ForwardedRequest.run_was_lost`. If True, all gates may be asked for the
-            retry, even after `DENIALS_MAX` of them denied it.
+            See `ForwardedRequest.run_was_lost`. If True, the retry may be sent to more
+            gates even after `DENIALS_MAX` of them denied it.
         """
         denials_max = TRY_ELSEWHERE_MAX if run_was_lost else DENIALS_MAX
         with self._lock:
@@ -243,22 +246,25 @@
             return cost is RetryCost.FREE
 
     def refund(self, service: str) -> None:
-        """Refund the token of a retry that was paid for and not made."""
+        """Refund the token that was spent on a retry that was not made."""
         with self._lock:
             self._state(service).tokens.refund()
 
     def is_final(self, service: str, reply: Reply) -> bool:
-        """Return whether a reply goes to the caller at once, despite open attempts."""
+        """Return whether a reply goes to the caller even if other attempts are open."""
         is_error = reply.outcome is Outcome.ANSWERED and not is_shed(reply)
         return is_success(reply) or (is_error and not self._budget(service).on_errors)
 
-    def granted_by_gates(self, service: str) -> bool:
+    def gates_limit_retries(self, service: str) -> bool:
         """Return whether the gates, not this ingress, limit a service's retries."""
         return bool(self._budget(service).fleet_per_s_min)
 
     def may_hedge(self, service: str, now_s: float, weight: float = 1.0) -> bool:
-        """Pay for a second attempt beside a slow one; return False if not allowed."""
-        if self.granted_by_gates(service):
+        """Return whether a hedge is allowed.
+
+        Spends a token for the hedge, unless the gates limit the service's retries.
+        """
+        if self.gates_limit_retries(service):
             return True
         with self._lock:
             state = self._state(service)
@@ -283,30 +289,30 @@
         now_s: float,
         route_id: int = 0,
     ) -> float:
-        """Return how long an idempotent request's first attempt runs alone.
+        """Return the time for which an idempotent request's first attempt runs alone.
 
         Parameters
         ----------
         is_own : bool
-            Whether the attempt is at this node's own gate, where it ends after the
-            returned time. That time is then longer than the 99th percentile of latency
-            that the gate reported: otherwise the gate would not count the attempt as
-            slow, and would not detect a backend server that hangs.
+            Whether the attempt is at this node's own gate, where it is ended after the
+            returned time. The returned time is then longer than the 99th percentile of
+            latency that the gate reported. If it were shorter, the gate would not count
+            the attempt as slow, and would not detect a backend server that hangs.
         remaining_s : float
             Time until the request's deadline.
 
         Returns
         -------
         float
-            `remaining_s` if no retry can be paid for, or if a retry would not end
-            before the deadline.
+            `remaining_s` if no token is available, or if a retry would not end before
+            the deadline.
         """
         with self._lock:
             state = self._state(service)
             latency = state.latency(route_id)
-            if self.granted_by_gates(service):
+            if self.gates_limit_retries(service):
                 if is_own:
-                    # If the attempt ended early, all gates might deny its retry.
+                    # If the attempt were ended early, all gates might deny its retry.
                     return remaining_s
             elif not state.tokens.available(self._budget(service), now_s):
                 return remaining_s
@@ -327,7 +333,7 @@
         rng: random.Random,
         now_s: float,
     ) -> float:
-        """Record a request's end; return after how many ms its caller may retry.
+        """Record a request's end; return the time in ms until its caller may retry.
 
         Returns 0 for a request that was answered.
 
--- a/balsamspindle/requests/retry_after.py
+++ b/balsamspindle/requests/retry_after.py
@@ -15,8 +15,8 @@
     """Suggests when callers whose requests were not answered should retry.
 
     The retries are spread over the time in which the service, at its present rate
-    of answers, could answer all of them. If all callers were given the same time, their
-    retries would be one burst, which could not be answered either.
+    of answers, could answer all of them. If all callers got the same time, their
+    retries would arrive in one burst, and the service could not answer them either.
     """
 
     def __init__(self) -> None:
@@ -33,7 +33,7 @@
         self._unanswered = self._unanswered * decay + (not is_answered)
 
     def suggest_ms(self, earliest_ms: float, rng: random.Random) -> float:
-        """Return a random time after which one caller should retry.
+        """Return a random time in ms after which one caller should retry.
 
         Parameters
         ----------
--- a/balsamspindle/requests/retry_tokens.py
+++ b/balsamspindle/requests/retry_tokens.py
@@ -8,16 +8,16 @@
 
 # Time constant of the exponential decay of the tokens that requests add.
 WINDOW_S = 10.0
-# Unused tokens of the budget's minimum rate accumulate for at most this long.
+# Tokens that are added at the budget's minimum rate accumulate for at most this long.
 FLOOR_BURST_S = 2.0
 
 
 class RetryTokens:
-    """The retries that are available to one service at one ingress.
+    """The tokens for retries of one service at one ingress; a retry costs one token.
 
     Each request adds the budget's `fraction` of a token; the tokens added by requests
-    decay exponentially over `WINDOW_S`. Besides, `per_s_min` tokens are added every
-    second, so that a service with few requests can make retries, too.
+    decay exponentially with the time constant `WINDOW_S`. In addition, `per_s_min`
+    tokens are added every second, so that a service with few requests can retry, too.
     """
 
     def __init__(self) -> None:
@@ -41,7 +41,7 @@
         return self._floor >= 1 or self._earned >= 1
 
     def take(self, budget: RetryBudget, now_s: float, reserved: float = 0.0) -> bool:
-        """Spend a token on a retry; return False if this request may not spend one.
+        """Spend a token on a retry; return False if too few tokens are available.
 
         Parameters
         ----------
@@ -59,12 +59,12 @@
         return True
 
     def refund(self) -> None:
-        """Add back a token that was spent on a retry which was not made."""
+        """Add back a token that was spent on a retry that was not made."""
         self._floor += 1
 
     def _advance_time(self, budget: RetryBudget, now_s: float) -> None:
-        passed_s = max(0.0, now_s - self._changed_s)
+        elapsed_s = max(0.0, now_s - self._changed_s)
         self._changed_s = max(now_s, self._changed_s)
-        self._earned *= math.exp(-passed_s / WINDOW_S)
+        self._earned *= math.exp(-elapsed_s / WINDOW_S)
         floor_max = max(1.0, budget.per_s_min * FLOOR_BURST_S)
-        self._floor = min(floor_max, self._floor + budget.per_s_min * passed_s)
+        self._floor = min(floor_max, self._floor + budget.per_s_min * elapsed_s)
--- a/balsamspindle/requests/sent_attempts.py
+++ b/balsamspindle/requests/sent_attempts.py
@@ -19,7 +19,7 @@
     gate : str
         Id of the gate's node.
     on_end : callable
-        Called when the attempt ends, with its reply; with None if no reply came.
+        Called when the attempt ends, with its reply or, without a reply, with None.
     """
 
     link: Link
@@ -37,7 +37,7 @@
         self.link.cancel(self.attempt_id, self.dispatch.hlc, cause)
 
     def has_ending_notice(self) -> bool:
-        """Return whether the gate announced that the attempt may outlast its node."""
+        """Return whether the gate sent notice that the attempt may outlast the gate."""
         return self.link.has_ending_notice(self.attempt_id)
 
 
@@ -45,7 +45,7 @@
     """One request's attempts at gates whose nodes may stop before the attempts end.
 
     The parked attempts stay open while the request is sent to other gates. The first
-    successful answer is used.
+    successful answer to any of the request's attempts is used.
     """
 
     def __init__(self) -> None:
@@ -63,7 +63,7 @@
         return list(self._sent)
 
     def by_link(self) -> dict[Link, AttemptId]:
-        """Return the id of each parked attempt by its link."""
+        """Return the ids of the parked attempts, with their links as keys."""
         return {sent.link: sent.attempt_id for sent in self._sent}
 
     def finish(
@@ -77,7 +77,7 @@
                 release(sent.link)
 
     def cancel(self, cause: CancelCause) -> None:
-        """Cancel all parked attempts."""
+        """Cancel all parked attempts and close their links."""
         for sent in self._sent:
             sent.on_end(None)
             sent.cancel(cause)
--- a/balsamspindle/requests/tracking.py
+++ b/balsamspindle/requests/tracking.py
@@ -27,8 +27,8 @@
     Parameters
     ----------
     record_hold_out : callable
-        Called with the `HoldOut` of each reply, also if it reports that the backend
-        server is not held out.
+        Called for each reply with the placement, the reply's `HoldOut` and the time.
+        The `HoldOut` may state that the backend server is not held out.
     """
 
     def __init__(
@@ -55,11 +55,11 @@
         peer_evidence.record_start(self._service, server_id, self._started_s)
 
     def end(self, reply: Reply | None) -> None:
-        """Record how the attempt ended.
+        """Record the end of the attempt in the estimates.
 
         After a failure this ingress prefers other backend servers for
         `AVOID_AFTER_FAILURE_S`. The backend server that failed still gets requests
-        when all others are busy, so that a single failure costs no capacity.
+        when all others are busy, so that a single failure doesn't reduce the capacity.
 
         Parameters
         ----------
--- a/balsamspindle/requests/zone_hints.py
+++ b/balsamspindle/requests/zone_hints.py
@@ -1,8 +1,10 @@
 """Shares hold-outs of other zones' backend servers among the nodes of one zone.
 
-A gate reports a hold-out with its refusal, and each refusal from another zone costs
-traffic between zones. Traffic within a zone is free, so a node that was refused shares
-the hold-out with the other nodes of its zone, which then don't ask the gate in vain.
+A gate that refuses an attempt because the backend server is held out reports the
+hold-out. Each refusal by a gate of another zone costs traffic between zones, while
+traffic within a zone is free. A node that gets such a refusal therefore shares the
+hold-out with the other nodes of its zone, so that they send no attempts to the backend
+server in vain.
 """
 
 import random
@@ -18,10 +20,10 @@
 
 # Maximum number of nodes to which a hold-out is sent. In a small zone, these are all
 # other nodes. In a large zone, about this many nodes send requests to the same backend
-# server within a second, and so need the hold-out.
+# server within a second; only these nodes need the hold-out.
 PEERS_MAX = 12
 # A hold-out is shared again only if it was extended by at least this much. Each further
-# reply from the gate extends the hold-out by a few ms, which are not worth a message.
+# reply from the gate extends the hold-out by a few ms; this is not worth a message.
 EXTENSION_MIN_MS = 150.0
 REPORTED_MAX = 1000
 
@@ -60,7 +62,7 @@
         held_out: HoldOut,
         now_s: float,
     ) -> None:
-        """Send a hold-out reported by another zone's gate to nodes of this zone."""
+        """Share a hold-out of another zone's backend server with nodes of this zone."""
         held_out_ms = held_out.held_out_ms
         if not held_out_ms or node.availability_zone == self._own.availability_zone:
             return
