--- a/balsamspindle/backend_servers/health_work.py
+++ b/balsamspindle/backend_servers/health_work.py
@@ -113,7 +113,7 @@
         return any(attempt.started_s >= since_s for attempt in self._in_flight.values())
 
     def has_attempt_outlasting_errors(self, since_s: float, now_s: float) -> bool:
-        """Return whether an attempt has already run longer than errors usually take.
+        """Return whether any attempt in flight has run longer than errors usually take.
 
         Only attempts begun at or after `since_s` count. A sick backend server returns
         errors within a millisecond, so a longer attempt will probably succeed. A trial
--- a/balsamspindle/backend_servers/hold_outs.py
+++ b/balsamspindle/backend_servers/hold_outs.py
@@ -25,15 +25,15 @@
 LARGE_ZONE_MAX_FACTOR = 2.0
 
 
-def adjust_hold_outs(detection: Detection, in_zone: int) -> Detection:
+def adjust_hold_outs(detection: Detection, servers_in_zone: int) -> Detection:
     """Return a service's detection settings, with longer hold-outs in a large zone.
 
     Parameters
     ----------
-    in_zone : int
+    servers_in_zone : int
         Number of the service's backend servers in this zone.
     """
-    if not detection.independent_errors or in_zone < LARGE_ZONE_SERVERS:
+    if not detection.independent_errors or servers_in_zone < LARGE_ZONE_SERVERS:
         return detection
     return msgspec.structs.replace(
         detection,
@@ -49,22 +49,22 @@
     ----------
     detection : callable
         Returns a service's detection settings.
-    in_zone : callable
+    count_in_zone : callable
         Returns the number of a service's backend servers in the zone.
     """
 
     def __init__(
-        self, detection: Callable[[str], Detection], in_zone: Callable[[str], int]
+        self, detection: Callable[[str], Detection], count_in_zone: Callable[[str], int]
     ) -> None:
         self._detection = detection
-        self._in_zone = in_zone
+        self._count_in_zone = count_in_zone
         self._cache: dict[tuple[Detection, bool], Detection] = {}
 
     def __call__(self, service: str) -> Detection:
         """Return a service's detection settings, adjusted to the zone."""
         detection = self._detection(service)
-        in_zone = self._in_zone(service)
-        key = (detection, in_zone >= LARGE_ZONE_SERVERS)
+        servers_in_zone = self._count_in_zone(service)
+        key = (detection, servers_in_zone >= LARGE_ZONE_SERVERS)
         if key not in self._cache:
-            self._cache = {key: adjust_hold_outs(detection, in_zone)}
+            self._cache = {key: adjust_hold_outs(detection, servers_in_zone)}
         return self._cache[key]
--- a/balsamspindle/backend_servers/link_server.py
+++ b/balsamspindle/backend_servers/link_server.py
@@ -47,7 +47,7 @@
 
 
 class LinkServer:
-    """Receives attempts from peers, runs them at the gate and sends the replies.
+    """Receives attempts from other nodes, runs them at the gate and sends the replies.
 
     Only the thread that executes `run` uses the ROUTER socket. Each attempt runs in an
     executor thread, which sends the reply to `run` through an inproc socket of its own.
@@ -104,8 +104,8 @@
         poller = zmq.Poller()
         poller.register(self._router, zmq.POLLIN)
         poller.register(self._replies, zmq.POLLIN)
-        stop_s = None
-        while not self._can_end(stop_s):
+        stop_deadline_s = None
+        while not self._can_end(stop_deadline_s):
             ready = dict(poller.poll(POLL_MS))
             if self._replies in ready:
                 self._send_replies()
@@ -113,8 +113,8 @@
                 self._receive_all()
             self._notify_node_ending(time.monotonic())
             self._report_ingress_ends(time.monotonic())
-            if self._stopped.is_set() and stop_s is None:
-                stop_s = time.monotonic() + STOP_TIMEOUT_S
+            if self._stopped.is_set() and stop_deadline_s is None:
+                stop_deadline_s = time.monotonic() + STOP_TIMEOUT_S
         self._router.close()
         self._replies.close()
 
@@ -126,12 +126,12 @@
         """Return the number of attempts whose reply was not sent yet."""
         return self._pending
 
-    def _can_end(self, stop_s: float | None) -> bool:
-        if stop_s is None:
+    def _can_end(self, stop_deadline_s: float | None) -> bool:
+        if stop_deadline_s is None:
             return False
         now_s = time.monotonic()
         is_done = not self._pending and now_s - self._replied_s >= LAST_REPLY_DELAY_S
-        return is_done or now_s >= stop_s
+        return is_done or now_s >= stop_deadline_s
 
     def _send_replies(self) -> None:
         for frames in _receive_ready(self._replies):
@@ -163,8 +163,8 @@
         attempt could start just before its ingress ends.
         """
         for attempt_id, ends_s in list(self._ingress_ends_s.items()):
-            is_over = now_s >= ends_s + ATTEMPT_RETENTION_S
-            if self._gate.set_ingress_end(attempt_id, ends_s) or is_over:
+            is_expired = now_s >= ends_s + ATTEMPT_RETENTION_S
+            if self._gate.set_ingress_end(attempt_id, ends_s) or is_expired:
                 del self._ingress_ends_s[attempt_id]
 
     def _receive_all(self) -> None:
--- a/balsamspindle/backend_servers/queue.py
+++ b/balsamspindle/backend_servers/queue.py
@@ -24,8 +24,8 @@
 # Mean service time that is assumed until the backend server has answered once.
 DEFAULT_SERVICE_TIME_S = 0.1
 # An attempt is refused after it has waited for this many times its `wait_max_s`, so
-# that it can be sent to another gate. The factor is above 1 because an attempt that
-# moves loses its place in this queue.
+# that it can be sent to another gate. The factor is above 1 because an attempt that is
+# sent to another gate loses its place in this queue.
 WAIT_OVERRUN_FACTOR = 1.3
 
 
@@ -321,16 +321,16 @@
         counts = Counter(
             other.customer for other in self._waiting if other.weight == weight
         )
-        lightest = max(
+        candidate = max(
             (other for other in reversed(self._waiting) if other.weight == weight),
             key=lambda other: counts[other.customer] if other.customer else 0,
         )
-        is_fair = counts[lightest.customer] > counts[ticket.customer] + 1
-        is_fair &= bool(ticket.customer and lightest.customer)
-        if weight > ticket.weight or (weight == ticket.weight and not is_fair):
+        has_more = counts[candidate.customer] > counts[ticket.customer] + 1
+        has_more &= bool(ticket.customer and candidate.customer)
+        if weight > ticket.weight or (weight == ticket.weight and not has_more):
             return False
-        lightest.is_shed = True
-        self._waiting.remove(lightest)
+        candidate.is_shed = True
+        self._waiting.remove(candidate)
         self._on_change()
         return True
 
