--- a/balsamspindle/backend_servers/admission.py
+++ b/balsamspindle/backend_servers/admission.py
@@ -369,8 +369,8 @@
 ) -> Refused:
     if verdict is Verdict.WAIT_TOO_LONG:
         return Refused(Reason.WOULD_WAIT, ticket.expected_wait_s * 1000)
-    busy_ms = _busy_ms(len(queue), availability.slots, availability.service_time_s)
-    return Refused(Reason.NO_FREE_SLOT, busy_ms)
+    delay_ms = _backlog_ms(len(queue), availability.slots, availability.service_time_s)
+    return Refused(Reason.NO_FREE_SLOT, delay_ms)
 
 
 def _ticket(
@@ -394,6 +394,6 @@
     )
 
 
-def _busy_ms(waiting: int, slots: int, service_time_s: float) -> float:
+def _backlog_ms(waiting: int, slots: int, service_time_s: float) -> float:
     """Return the estimated time until all attempts that wait now have ended."""
     return (waiting / max(1, slots) + 1) * service_time_s * 1000
--- a/balsamspindle/backend_servers/crash_watch.py
+++ b/balsamspindle/backend_servers/crash_watch.py
@@ -36,7 +36,7 @@
 # On a busy VM, an answer that was sent before a crash may be read up to this long after
 # the crash.
 LATE_READ_S = 1.0
-STARTS_MAX = 64
+PROCESSES_MAX = 64
 REPORTED_RUNS_MAX = 32
 
 
@@ -61,15 +61,15 @@
 
 
 @dataclass
-class _Start:
+class _ServerProcess:
     """One process of a backend server: its runs, and when its end was detected."""
 
     running: dict[AttemptId, _Run] = field(default_factory=dict)
     lost: deque[_LostRun] = field(
         default_factory=lambda: deque(maxlen=REPORTED_RUNS_MAX)
     )
-    probed_s: float = float("-inf")
-    probe_lock: threading.Lock = field(default_factory=threading.Lock)
+    checked_s: float = float("-inf")
+    check_lock: threading.Lock = field(default_factory=threading.Lock)
     ended_s: float | None = None
 
     @property
@@ -118,7 +118,7 @@
         self._on_update = on_update
         self._is_down = is_down or refuses_connections
         self._lock = threading.Lock()
-        self._starts: OrderedDict[tuple[str, int], _Start] = OrderedDict()
+        self._processes: OrderedDict[tuple[str, int], _ServerProcess] = OrderedDict()
 
     def record_start(
         self,
@@ -129,8 +129,8 @@
     ) -> None:
         """Record that a request starts to run."""
         with self._lock:
-            start = self._start_of(_key(server))
-            start.running[attempt_id] = _Run(content_hash, now_s)
+            process = self._process_of(_key(server))
+            process.running[attempt_id] = _Run(content_hash, now_s)
 
     def record_end(
         self,
@@ -145,15 +145,15 @@
         """
         key = _key(server)
         with self._lock:
-            start = self._start_of(key)
-            run = start.running.pop(attempt_id, None)
+            process = self._process_of(key)
+            run = process.running.pop(attempt_id, None)
             if run is not None and end.is_lost:
                 ran_s = now_s - run.started_s
-                start.lost.append(
+                process.lost.append(
                     _LostRun(run.content_hash, ran_s, now_s, end.is_broken)
                 )
-            was_refuted = end.is_answer and start.is_refuted_by_answer(run, now_s)
-            start.ended_s = None if was_refuted else start.ended_s
+            was_refuted = end.is_answer and process.is_refuted_by_answer(run, now_s)
+            process.ended_s = None if was_refuted else process.ended_s
         if was_refuted:
             # The answer shows that the backend server has not crashed. It refused a
             # connection only because it had no room for another one.
@@ -161,31 +161,32 @@
             self._events.emit("backend_server_crash_retracted", backend_server=key[0])
         if end.is_success and run is not None:
             self._on_update(self._history.record_answer(run.content_hash, now_s), now_s)
-        return end.is_broken and self._detect_crash(server, start, now_s)
+        return end.is_broken and self._detect_crash(server, process, now_s)
 
     def record_replacement(self, server: LocalBackendServer, now_s: float) -> None:
         """Record the crash of a backend server whose address another one now has.
 
-        Must not be called for a backend server that was draining. If the new backend
-        server starts soon after the crash, `is_down` reaches the new one and does not
-        detect the crash. If a run's connection ended without an answer at most
-        `REPLACED_WITHIN_S` ago, the crash is recorded as of that time.
+        Must not be called for a backend server that was draining, because its end is
+        not a crash. If the new backend server starts soon after a crash, `is_down`
+        reaches the new one and does not detect the crash. If a run's connection ended
+        without an answer at most `REPLACED_WITHIN_S` ago, that run was lost in the
+        crash, and the crash is recorded as of that time.
         """
         with self._lock:
-            start = self._start_of(_key(server))
-            broken_s = [lost.lost_s for lost in start.lost if lost.is_broken]
-        with start.probe_lock:
-            if start.has_ended:
+            process = self._process_of(_key(server))
+            broken_s = [lost.lost_s for lost in process.lost if lost.is_broken]
+        with process.check_lock:
+            if process.has_ended:
                 return
-            start.ended_s = now_s
+            process.ended_s = now_s
         # If no run's connection ended recently, the backend server crashed while idle,
         # and no request is the cause. Record this crash, too, because such crashes show
         # how often backend servers crash without a request that causes it.
         is_recent = broken_s and now_s - broken_s[-1] <= REPLACED_WITHIN_S
-        self._record_crash(server, start, broken_s[-1] if is_recent else now_s)
+        self._record_crash(server, process, broken_s[-1] if is_recent else now_s)
 
     def _detect_crash(
-        self, server: LocalBackendServer, start: _Start, now_s: float
+        self, server: LocalBackendServer, process: _ServerProcess, now_s: float
     ) -> bool:
         """Return whether this process has crashed; record a crash not detected before.
 
@@ -194,30 +195,30 @@
         now_s : float
             When a run's connection ended without an answer.
         """
-        with start.probe_lock:
-            if start.has_ended:
+        with process.check_lock:
+            if process.has_ended:
                 return True
             if not (server.has_restarted or server.is_replaced):
                 if server.state is BackendServerState.DRAINING:
                     # The backend server had announced that it would stop, so its end
                     # is not a crash.
                     return False
-                if now_s <= start.probed_s:
+                if now_s <= process.checked_s:
                     # The address was checked after this run had ended, and the backend
                     # server was running.
                     return False
-                start.probed_s = now_s
+                process.checked_s = now_s
                 if not self._is_down(_address(server)):
                     return False
-            start.ended_s = now_s
-        self._record_crash(server, start, now_s)
+            process.ended_s = now_s
+        self._record_crash(server, process, now_s)
         return True
 
     def _record_crash(
-        self, server: LocalBackendServer, start: _Start, now_s: float
+        self, server: LocalBackendServer, process: _ServerProcess, now_s: float
     ) -> None:
         with self._lock:
-            runs = _runs_at(start, now_s)
+            runs = _runs_at(process, now_s)
         crash = Crash(*_key(server), server.announcement.service, 0, tuple(runs))
         self._events.emit(
             "backend_server_crashed",
@@ -227,16 +228,16 @@
         )
         self._on_update(self._history.merge(CrashUpdate([crash]), now_s), now_s)
 
-    def _start_of(self, key: tuple[str, int]) -> _Start:
-        start = self._starts.get(key)
-        if start is None:
-            start = self._starts[key] = _Start()
-            if len(self._starts) > STARTS_MAX:
-                self._starts.popitem(last=False)
-        return start
+    def _process_of(self, key: tuple[str, int]) -> _ServerProcess:
+        process = self._processes.get(key)
+        if process is None:
+            process = self._processes[key] = _ServerProcess()
+            if len(self._processes) > PROCESSES_MAX:
+                self._processes.popitem(last=False)
+        return process
 
 
-def _runs_at(start: _Start, now_s: float) -> list[CrashedRun]:
+def _runs_at(process: _ServerProcess, now_s: float) -> list[CrashedRun]:
     """Return the requests lost in a crash, each once, the shortest run first.
 
     Requests without a content hash are left out, and so are the longest runs if there
@@ -244,9 +245,9 @@
     """
     run_times_s = {
         run.content_hash: max(0.0, now_s - run.started_s)
-        for run in start.running.values()
+        for run in process.running.values()
     }
-    for lost in start.lost:
+    for lost in process.lost:
         if now_s - lost.lost_s <= LOST_TOGETHER_S:
             run_times_s[lost.content_hash] = min(
                 lost.ran_s, run_times_s.get(lost.content_hash, lost.ran_s)
@@ -266,9 +267,9 @@
     unanswered while the queue of new connections of a running backend server is full.
     """
     host, _, port = address.partition(":")
-    with socket.socket() as probe:
-        probe.settimeout(CONNECT_TIMEOUT_S)
-        return probe.connect_ex((host, int(port))) == errno.ECONNREFUSED
+    with socket.socket() as connection:
+        connection.settimeout(CONNECT_TIMEOUT_S)
+        return connection.connect_ex((host, int(port))) == errno.ECONNREFUSED
 
 
 def _key(server: LocalBackendServer) -> tuple[str, int]:
--- a/balsamspindle/backend_servers/health_latency.py
+++ b/balsamspindle/backend_servers/health_latency.py
@@ -21,7 +21,7 @@
 
 
 class LatencyP99:
-    """Estimates the latency that a fraction `SLOW_FRACTION` of requests exceeds.
+    """Estimates the latency that the fraction `SLOW_FRACTION` of requests exceeds.
 
     Until `SETTLING_REQUESTS` requests were seen, the estimate is the largest latency
     so far times `SETTLING_REQUESTS` / requests seen, but at most `INITIAL_P99_MS`. This
--- a/balsamspindle/backend_servers/health_monitor.py
+++ b/balsamspindle/backend_servers/health_monitor.py
@@ -40,7 +40,7 @@
         Phase that the latest event reported.
     last_present_s : float
         When the backend server was last in the list of announced backend servers.
-    previous_start : int or None
+    previous_start_id : int or None
         Id of the backend server's previous process; see `start_id`. None when there
         was none, or when the crash of that process has been attributed to a request.
     """
@@ -52,7 +52,7 @@
         self.phase = health.phase
         self.last_present_s = 0.0
 
-        self.previous_start: int | None = None
+        self.previous_start_id: int | None = None
 
     def needs_peer_evidence_from(self, other: "_MonitoredServer") -> bool:
         """Return whether this server needs the peer summaries sent for `other`, too."""
@@ -223,7 +223,7 @@
             )
         monitored.last_present_s = now_s
         if monitored.boot_id != server.announcement.boot_id:
-            monitored.previous_start = start_id(monitored.boot_id)
+            monitored.previous_start_id = start_id(monitored.boot_id)
             monitored.boot_id = server.announcement.boot_id
             monitored.health.record_restart(now_s)
         self._undo_explained_ejection(monitored, server.backend_server_id, now_s)
@@ -246,10 +246,10 @@
         other caller could use the healthy backend server for some time after each such
         crash, and for a longer time after each further crash.
         """
-        if monitored.previous_start is None:
+        if monitored.previous_start_id is None:
             return
-        if self._is_crash_explained(server_id, monitored.previous_start):
-            monitored.previous_start = None
+        if self._is_crash_explained(server_id, monitored.previous_start_id):
+            monitored.previous_start_id = None
             monitored.health.undo_crash_ejection(now_s)
 
     def _discard_absent(self, now_s: float) -> None:
