--- a/balsamspindle/requests/admission_queries.py
+++ b/balsamspindle/requests/admission_queries.py
@@ -1,16 +1,16 @@
-"""Asks a gate whether it would admit an attempt, before the attempt is sent.
-
-Gates in other zones refuse two of three attempts that look for a free slot. An
-attempt carries its whole request, at least 0.7 KB, and traffic between zones is paid
-for by the byte. A query and its answer take 0.2 KB and a round trip. The gate does not
-reserve a slot for the attempt: if another attempt takes the last free slot before this
-one arrives, the gate refuses this one after all.
-
-An attempt with a large body is preceded by a query even to a gate in the own zone.
-Gates of a busy service refuse three of four attempts. With bodies of 60 KB on 10 Mbit/s
-links, the refused attempts would fill a quarter of each gate's link. Queries and short
-requests would be delayed by a quarter of a second, and the gate would be considered
-unreachable.
+"""Queries whether a gate would admit an attempt, before the attempt is sent.
+
+Queries save traffic between zones, which is paid for by the byte. Gates in other zones
+refuse two of three attempts that look for a free slot. An attempt carries its complete
+request, at least 0.7 KB, while a query and its answer have 0.2 KB together. A query
+costs one round trip. The gate does not reserve a slot when it answers a query: if other
+attempts occupy all slots before the attempt arrives, the gate refuses the attempt.
+
+Before an attempt with a large body is sent, its gate is queried even if the gate is in
+the own zone. Gates of a busy service refuse three of four attempts. With bodies of
+60 KB on 10 Mbit/s links, the refused attempts would fill a quarter of each gate's link.
+They would delay queries and short requests by a quarter of a second, and the gate would
+be considered unreachable.
 """
 
 import itertools
@@ -38,8 +38,8 @@
 # 10 Mbit/s link a body of this size takes as long as a query and its answer within a
 # zone, including the processing at both ends.
 LARGE_BODY_BYTES = 8 * 1024
-# How long an ingress waits for the answer to a query. That is enough for several round
-# trips; the gate itself needs almost no time to answer.
+# How long an ingress waits for the answer to a query: enough for several round trips.
+# The gate itself needs almost no time to answer.
 QUERY_TIMEOUT_S = 0.25
 
 
@@ -63,7 +63,7 @@
 
 
 class AdmissionQueries:
-    """Asks gates, mostly in other zones, whether they would admit an attempt."""
+    """Queries whether gates, mostly in other zones, would admit an attempt."""
 
     def __init__(
         self,
@@ -83,8 +83,9 @@
 
         A query is sent for a large body, and for an attempt that looks for a free slot
         in another zone and is not a last-resort attempt. Other attempts are sent
-        without a query: within the own zone traffic is free, last-resort attempts are
-        rarely refused, and attempts that wait in a queue are refused only later.
+        without a query. Traffic within the own zone is free. Last-resort attempts are
+        rarely refused. An attempt that may wait in a gate's queue is refused only after
+        its wait, so the answer to a query would not predict the refusal.
         """
         if len(forwarded.request.body) >= LARGE_BODY_BYTES:
             return True
@@ -95,10 +96,10 @@
     def query(
         self, forwarded: ForwardedRequest, placement: Placement
     ) -> Link | DeclinedAttempt:
-        """Ask a gate whether it would admit an attempt.
+        """Query whether a gate would admit an attempt.
 
-        Returns the link over which to send the attempt if the gate would admit it, and
-        otherwise the reason not to send it.
+        Returns the link over which to send the attempt if the gate would admit it.
+        Otherwise, logs the declined attempt and returns it with the gate's reason.
         """
         now_s = self._clock()
         link = self._links.acquire(
--- a/balsamspindle/requests/admissions.py
+++ b/balsamspindle/requests/admissions.py
@@ -1,7 +1,7 @@
 """Admits or refuses requests by their heads, before their bodies are read.
 
-Bodies may be large or arrive slowly, so the body of a refused request is not read. A
-refused request does not count against its customer's limit.
+Bodies may be large or arrive slowly, so the body of a refused request is not read.
+Refused requests do not count against their customers' limits.
 """
 
 from balsamspindle.customers import Admitted, CustomerAdmission, Refused
@@ -29,9 +29,10 @@
         self._customers = customers
 
     def admit(self, request: CallerRequest, now_s: float) -> Admitted | Refused:
-        """Find a request's route and customer; count it against the customer's limit.
+        """Admit a request and count it against its customer's limit, or refuse it.
 
-        May block for a moment while another node is asked to grant the request.
+        The request's route and customer are determined first. May block for a moment
+        to request a grant from another node.
         """
         match self._route(request):
             case RouteDocument() as route:
@@ -42,10 +43,10 @@
     def refuse_on_head(self, request: CallerRequest, now_s: float) -> Refused | None:
         """Return a request's refusal before its body is read; None if it is admitted.
 
-        An admitted request is counted against its customer's limit only later, when
-        its body has arrived. If requests were counted by their heads, those counted at
-        different times could all run at the same moment, when their bodies have
-        arrived, and together exceed the limit.
+        This method does not count the request against its customer's limit; `admit` is
+        called again when the body has arrived. If requests were counted when their
+        heads arrive, their bodies could arrive later, all at the same time. The
+        requests would then run at once and together exceed the limit.
         """
         match self.admit(request, now_s):
             case Refused() as refused:
--- a/balsamspindle/requests/answers.py
+++ b/balsamspindle/requests/answers.py
@@ -22,7 +22,7 @@
 # Sent instead of a status in NOT_RUN_STATUSES if an earlier attempt may have run.
 UNKNOWN_STATUS = 502
 # Sent instead of 502 or 504 if no attempt ran. From a 502 or 504 the caller would have
-# to assume that the request may have run, and could not resend a non-idempotent one.
+# to assume that the request may have run. It could not resend a non-idempotent request.
 NOT_RUN_STATUS = 503
 _AMBIGUOUS_STATUSES = frozenset({502, 504})
 
@@ -80,14 +80,16 @@
     retry_after_ms : float, default=0
         Time after which this caller may retry; 0 for the default time of `reason`.
     retry_after_decimals : int, default=0
-        Decimal places of the Retry-After header. The HTTP standard allows only whole
-        seconds there, so the JSON body also gives the time in milliseconds.
+        Decimal places of the seconds in the Retry-After header. The HTTP standard
+        allows only 0 decimal places, so the JSON body also has the time in
+        milliseconds.
     """
     problem = PROBLEMS[reason]
     status = problem.status
     if outcome is not Outcome.NOT_RUN and status in NOT_RUN_STATUSES:
-        # The last attempt was refused, but an earlier one may have run. With the
-        # refusal's status, the caller would retry, and the request could run twice.
+        # The last attempt was refused, but an earlier attempt may have run. If the
+        # caller got the refusal's status, it would retry, and the request could run
+        # twice.
         status = UNKNOWN_STATUS
     if outcome is Outcome.NOT_RUN and status in _AMBIGUOUS_STATUSES:
         status = NOT_RUN_STATUS
--- a/balsamspindle/requests/attempt_outcomes.py
+++ b/balsamspindle/requests/attempt_outcomes.py
@@ -29,8 +29,7 @@
     Parameters
     ----------
     is_aborted : callable
-        Returns whether this node is leaving and has stopped waiting for the replies to
-        all of its attempts.
+        Returns whether this node is leaving and no longer waits for any replies.
     """
 
     def __init__(
@@ -49,10 +48,10 @@
         attempts: list[SentAttempt],
         waited: WaitResult | None,
     ) -> Reply:
-        """Return the reply with which the wait for one request's attempts ended.
+        """Return the reply that ended the wait for a request's attempts.
 
-        If none of the attempts got a reply, log each of them and return the outcome
-        `unknown` with reason `silence`.
+        If `waited` is None, no attempt got a reply: each attempt is logged, and the
+        returned reply has the outcome `unknown` and the reason `silence`.
         """
         if waited is None:
             for sent in attempts:
@@ -60,8 +59,8 @@
             attempt_id = attempts[0].dispatch.attempt_id
             return Reply(attempt_id, Outcome.UNKNOWN, Reason.SILENCE)
         reply = waited.reply
-        # An attempt other than the one with this reply may be running or have run,
-        # unless its gate refused it.
+        # Each other attempt may be running, or may have run, unless its gate refused
+        # it.
         forwarded.may_have_run |= any(
             not _was_refused(waited.replies.get(sent.link))
             for sent in attempts
@@ -74,10 +73,10 @@
     def cancel_cause(
         self, forwarded: ForwardedRequest, waited: WaitResult | None = None
     ) -> CancelCause:
-        """Return the cause with which a request's open attempts are to be cancelled."""
+        """Return why a request's open attempts are cancelled, for the gates' logs."""
         if is_answered(waited):
             return CancelCause.ANSWERED_ELSEWHERE
-        if forwarded.caller.caller_gone():
+        if forwarded.caller.caller_left():
             return CancelCause.CALLER_LEFT
         if self._clock() >= forwarded.deadline_s:
             return CancelCause.DEADLINE
--- a/balsamspindle/requests/attempts.py
+++ b/balsamspindle/requests/attempts.py
@@ -41,7 +41,7 @@
     ----------
     on_hold_out : callable, optional
         Called after each reply with the gate's node, the backend server's id, the
-        hold-out that the gate reported (0 ms if there is none) and the present time.
+        hold-out that the gate reported (0 ms if there is none) and the monotonic time.
     """
 
     def __init__(
@@ -88,7 +88,7 @@
         return AttemptId(self._own.node_id, self._own.incarnation, next(self._sequence))
 
     def set_end_time(self, ends_s: float) -> None:
-        """Set this node's stop time; gates then start no run that would end later."""
+        """Set when this node ends; gates start no run for it that would end later."""
         self._link_attempts.set_end_time(ends_s)
 
     def abort_attempts(self) -> None:
@@ -99,10 +99,10 @@
         """Return the reply to a parked attempt; None if no attempt is parked.
 
         A parked attempt stays open at a gate whose node is leaving, while the request
-        is sent to other gates. This method is called when the attempts at these other
-        gates have failed; it waits for the parked attempt's reply if that has not
-        arrived. If the reply reports that the leaving gate cancelled the run, the
-        request may be sent once more, as backend servers may have free slots by now.
+        is sent to other gates. This method is called when the attempts at the other
+        gates have failed. It waits for the reply if none has arrived yet. If the
+        leaving gate cancelled the run, the calling code may send the request again:
+        backend servers that were busy before may have free slots by then.
         """
         if forwarded.parked_replies:
             return forwarded.parked_replies.pop()
@@ -111,13 +111,13 @@
         return None
 
     def cancel_parked(self, forwarded: ForwardedRequest, has_answer: bool) -> None:
-        """Cancel the request's parked attempt if it is still open.
+        """Cancel the request's parked attempts that are still open.
 
         Parameters
         ----------
         has_answer : bool
-            Whether the request was answered by another attempt, which is then the cause
-            of the cancellation that the gate gets.
+            Whether another attempt was answered. If so, the gates are sent this as the
+            cause of the cancellation.
         """
         self._link_attempts.cancel_parked(forwarded, has_answer)
 
@@ -205,9 +205,9 @@
         )
 
     def _send_to_own_gate(self, forwarded, placement, hedge: Hedge | None) -> Reply:
-        # This thread makes the call to the backend server itself and cannot start a
-        # second attempt in parallel. So if a second attempt is planned, the first is
-        # ended after `hedge_delay_s`, and the second is made after it.
+        # This thread makes the call to the backend server itself, so it cannot start a
+        # second attempt in parallel. If a second attempt is planned, the first attempt
+        # is ended after `hedge_delay_s`, before the second attempt starts.
         deadline_s = forwarded.deadline_s
         if hedge is not None:
             deadline_s = min(deadline_s, self._clock() + hedge.hedge_delay_s)
@@ -233,8 +233,8 @@
     ) -> tuple[Reply, Reply | None]:
         """Run an attempt at the own gate; return two replies.
 
-        The first is the reply to this attempt. The second is the reply to the
-        request's parked attempt if it succeeded during the run, else None.
+        The first is the reply to this attempt. The second is the reply to a parked
+        attempt of the request that succeeded during this run; None if there is none.
         """
         if not forwarded.parked:
             return self._gate.handle(dispatch, self._clock()), None
--- a/balsamspindle/requests/caller_protocol.py
+++ b/balsamspindle/requests/caller_protocol.py
@@ -38,8 +38,8 @@
     def limits(self) -> HttpLimits:
         """Return the limits for callers' connections.
 
-        Limits in the fleet's settings take precedence over this process's limits,
-        except that a body must never exceed this process's limit.
+        Limits in the fleet's settings replace this process's own limits. The limit of
+        a request's body is the lower of the two.
         """
         settings, configuration = self._settings, self._configuration.get()
         limits = HttpLimits(
@@ -53,8 +53,8 @@
             return limits
         return limits._replace(
             head_max_bytes=fleet.head_max_bytes,
-            # Several copies of a request body are in memory at a time. So this
-            # process's limit, which depends on its memory, bounds the fleet's limit.
+            # Several copies of a request body are in memory at a time. This process's
+            # limit is set according to its memory, so the fleet can't raise the limit.
             body_max_bytes=min(fleet.body_max_bytes, settings.request_body_max_bytes),
             idle_timeout_s=fleet.idle_timeout_ms / 1000,
             head_timeout_s=fleet.head_timeout_ms / 1000,
--- a/balsamspindle/requests/caller_watch.py
+++ b/balsamspindle/requests/caller_watch.py
@@ -1,10 +1,11 @@
 """Detects callers that disconnect while this node's own gate runs their requests.
 
-When the gate is on another node, the task that serves the caller waits for messages on
-the link to that node, and checks the caller's connection while it waits. When the gate
-is in the same process, the task itself calls the backend server, so that the call
-passes through no other thread. During the call the task can't check the caller's
-connection, so a separate thread checks the connections of all these callers.
+If a request runs at another node's gate, the task that serves its caller waits for
+messages on the link to that node and checks the caller's connection while it waits. If
+a request runs at the own gate, the task calls the backend server itself, without a
+transfer of the call to another thread. The task cannot check the caller's connection
+during the call. Therefore one separate thread checks the connections of all callers
+whose requests run at the own gate.
 """
 
 import threading
@@ -54,19 +55,19 @@
                 self._changed.wait_for(lambda: self._callers)
             # Most attempts end during this sleep and need no check.
             time.sleep(CHECK_INTERVAL_S)
-            self._cancel_if_gone()
+            self._cancel_disconnected()
 
-    def _cancel_if_gone(self) -> None:
-        # While the lock is held, no attempt leaves `watching`, so the callers'
-        # connections stay open. If one were closed during the check, its file
+    def _cancel_disconnected(self) -> None:
+        # While the lock is held, no context of `watching` ends, so the callers'
+        # connections stay open. If a connection were closed during the check, its file
         # descriptor might already belong to another connection.
         with self._changed:
-            gone = [
+            disconnected = [
                 attempt_id
                 for attempt_id, caller in self._callers.items()
-                if caller.caller_gone()
+                if caller.caller_left()
             ]
-            for attempt_id in gone:
+            for attempt_id in disconnected:
                 del self._callers[attempt_id]
-        for attempt_id in gone:
+        for attempt_id in disconnected:
             self._cancel(attempt_id)
--- a/balsamspindle/requests/claim_eras.py
+++ b/balsamspindle/requests/claim_eras.py
@@ -2,11 +2,11 @@
 
 A store that is restored from an older copy has lost the claims written after the copy
 was made, and it starts a new era. In that era a key without a claim may have been
-claimed before the restore. The era is settled once every process that may know lost
-claims has written its claims again and has confirmed in the store that it did: from
-then on a key without a claim counts as unclaimed. If one of these processes ended
-before it confirmed, requests whose keys have no claim are not run until callers can no
-longer resend the keys of the lost claims.
+claimed before the restore. The era is settled when every process that may know lost
+claims has written its claims again and has confirmed in the store that it wrote them.
+In a settled era, a key without a claim counts as unclaimed. If one of these processes
+ended before it confirmed, the era is settled only when callers can no longer resend the
+keys of the lost claims. Until then, requests whose keys have no claim are not run.
 """
 
 import threading
@@ -25,16 +25,16 @@
     "ClaimHolder",
 ]
 
-# The era of a store until its first restore from a copy. Era 0 stands for a store that
-# reports no era.
+# The era of a store until its first restore from a copy. Era 0 means that the store has
+# not reported an era.
 FIRST_ERA = 1
 # A store is not restored from a copy that is older than this.
 COPY_AGE_MAX_S = 60.0
 # Time after its start by which a process knows all other processes of the fleet.
 FLEET_KNOWN_AFTER_S = 5.0
 # An era is settled no earlier than this time after its start. A process that reaches
-# the store but not its peers may be missing among the processes that have to confirm
-# the era. Such a process writes its claims again within this time.
+# the store but not its peers may be unknown to them, and then they don't wait for its
+# confirmation. This time is long enough for such a process to write its claims again.
 RESTORE_MIN_S = 1.0
 # Requests wait for an era to be settled only until this time after the era's start.
 RESTORE_WAIT_S = 2.0
@@ -48,7 +48,7 @@
 
 
 class Confirmation(msgspec.Struct, frozen=True):
-    """Row of the store by which a process confirms that it wrote its claims again.
+    """Row of the store in which a process confirms that it wrote its claims again.
 
     Attributes
     ----------
@@ -67,7 +67,7 @@
     ----------
     resend_max_s : float
         Time for which callers may resend a key. If a process ended before it confirmed
-        an era, it is unknown for this time whether keys without a claim are unclaimed.
+        an era, the era is settled only this time after its start.
     on_request : callable
         Called with an era when a request waits for the era to be settled.
     """
@@ -94,9 +94,9 @@
     ) -> None:
         """Record which processes of the fleet are running now.
 
-        The store is never restored from a copy older than `COPY_AGE_MAX_S`. Removes
-        the processes that ended before the oldest usable copy was made, because every
-        such copy has all of their claims.
+        Removes the processes that ended before the oldest copy was made from which the
+        store can be restored, because the copy has all of their claims. The store is
+        never restored from a copy older than `COPY_AGE_MAX_S`.
 
         Parameters
         ----------
@@ -115,7 +115,7 @@
                 del self._seen_s[ended]
 
     def begin(self, era: int, now_s: float) -> bool:
-        """Begin an era of the store; return False if it or a later one began before."""
+        """Begin an era; return False if this era or a later one has already begun."""
         with self._changed:
             if era <= self._era:
                 return False
@@ -142,16 +142,16 @@
             self._newest_settled_era = max(self._newest_settled_era, era)
             self._changed.notify_all()
 
-    def wait_until_settled(self, era: int, now_s: float, give_up_s: float) -> bool:
+    def wait_until_settled(self, era: int, now_s: float, deadline_s: float) -> bool:
         """Wait for an era to be settled; return whether it is.
 
-        The wait ends at `give_up_s`, but no later than `RESTORE_WAIT_S` after the
-        current era began. A later call returns at once: a process that has not
-        confirmed the era by then may never confirm it.
+        The wait ends at `deadline_s`, but no later than `RESTORE_WAIT_S` after the
+        current era began. Calls after that time return at once, because a process that
+        has not confirmed the era by then may have ended and may never confirm it.
         """
         self._on_request(era)
         with self._changed:
-            until_s = min(give_up_s, self._era_began_s + RESTORE_WAIT_S)
+            until_s = min(deadline_s, self._era_began_s + RESTORE_WAIT_S)
             return self._changed.wait_for(
                 lambda: self.is_settled(era), max(0.0, until_s - now_s)
             )
@@ -161,7 +161,7 @@
     ) -> set[ClaimHolder] | None:
         """Return the processes that still have to confirm the current era.
 
-        None if this process doesn't know all of them.
+        Returns None if this process doesn't know all processes that have to confirm.
 
         Parameters
         ----------
@@ -180,9 +180,9 @@
     def can_settle(self, missing: set[ClaimHolder] | None, now_s: float) -> bool:
         """Return whether this process can declare the current era settled.
 
-        If all processes have confirmed the era, it can from `RESTORE_MIN_S` after the
-        start of the era. Otherwise it can only when callers can no longer resend the
-        keys of lost claims.
+        If all processes have confirmed the era, the result is True from `RESTORE_MIN_S`
+        after the start of the era. Otherwise it is True only when callers can no longer
+        resend the keys of lost claims.
 
         Parameters
         ----------
@@ -196,8 +196,8 @@
     def _holders_before(self, now_s: float) -> set[ClaimHolder] | None:
         """Return the processes that have to confirm an era that begins now.
 
-        The store may have lost claims that these processes know. None if this process
-        can't know all of them.
+        The store may have lost claims that these processes know. Returns None if this
+        process may not know all of the processes.
         """
         if self._era == 0 or self._first_seen_s is None:
             return None
@@ -209,11 +209,12 @@
 
 
 def _confirms(confirmation: Confirmation | None, holder: ClaimHolder, era: int) -> bool:
-    """Return whether a process itself confirmed an era, not its node's next process.
+    """Return whether a node's confirmation of an era is from the given process.
 
-    Peers may know the process by a higher incarnation than its confirmation has, since
-    a process raises its incarnation to refute outdated reports about itself. A process
-    that starts later on the same node has an incarnation higher than both.
+    The confirmation may be from a process that started later on the same node. The
+    incarnation of a later process is higher than any incarnation of `holder`. The
+    incarnation in the confirmation of `holder` itself may be lower than the one in
+    `holder`: a process raises its incarnation to refute outdated reports about itself.
     """
     if confirmation is None or confirmation.era < era:
         return False
--- a/balsamspindle/requests/claim_restorer.py
+++ b/balsamspindle/requests/claim_restorer.py
@@ -2,12 +2,13 @@
 
 A process knows the keys that its gate ran and the claims that its ingress wrote. It
 writes claims for these keys, and the claims of its ingress, to the store again. Then it
-confirms in its node's row of `CLAIM_ERAS_TABLE` that it did. Once all processes have
-confirmed, one of them marks the store's new era as settled: from then on a key without
-a claim counts as unclaimed (see `balsamspindle.requests.claim_eras`).
+confirms in its node's row of `CLAIM_ERAS_TABLE` that it wrote them. When all processes
+have confirmed, one of them marks the store's new era as settled: a key without a claim
+then counts as unclaimed (see `balsamspindle.requests.claim_eras`).
 
-A process that has no claims to write does nothing until a request with a key arrives at
-any node. So a fleet whose callers send no keys makes no calls to the store.
+A process that has no claims to write does not confirm the era until a request with a
+key waits, at any node, for the era to be settled. So a fleet whose callers send no keys
+makes no calls to the store.
 """
 
 import math
@@ -51,8 +52,8 @@
 # Interval at which `run` checks for a new era of the store when nothing wakes it.
 IDLE_INTERVAL_S = 1.0
 RETRY_DELAY_MIN_S, RETRY_DELAY_MAX_S = 0.1, 10.0
-# Incarnation that no process has. A gate does not run a key whose claim has this
-# incarnation, but replies that the key may have run.
+# Incarnation that no process has. If the claim of a key has this incarnation, no gate
+# runs the key; gates reply that the key may have run.
 NO_INCARNATION = 0
 
 
@@ -62,8 +63,8 @@
     Attributes
     ----------
     overrides : bool
-        Whether this claim replaces another claim that the store has for the key. True
-        if the key ran at this process's gate.
+        Whether this claim replaces a different claim that the store has for the key.
+        True if the key ran at this process's gate.
     """
 
     key: str
@@ -140,11 +141,11 @@
         self._changed.set()
 
     def wake(self) -> None:
-        """Make `run` check the era of the store now."""
+        """Make `run` check the era of the store without waiting for its interval."""
         self._changed.set()
 
     def request_era(self, era: int) -> None:
-        """Record that requests wait for an era to be settled."""
+        """Record that a request waits for an era to be settled; wake `run`."""
         self._requested_era = max(self._requested_era, era)
         self._changed.set()
 
@@ -176,9 +177,10 @@
     def _update_era(self, era: int, now_s: float) -> None:
         self._eras.begin(era, now_s)
         if era > self._era:
-            # At `_answered_s` this process got its last answer of the previous era. The
-            # store was restored later, from a copy made at most COPY_AGE_MAX_S before
-            # that answer. Claims written after the copy was made may be lost.
+            # `_answered_s` is the time of the last answer that this process got from
+            # the store in the previous era. The store was restored after this time, so
+            # the copy was made at most COPY_AGE_MAX_S before it. Claims that were
+            # written after the copy was made may be lost.
             oldest_s = self._answered_s - COPY_AGE_MAX_S
             self._lost_after_s = min(self._lost_after_s, oldest_s)
             self._era, self._to_rewrite = era, None
@@ -191,8 +193,9 @@
 
     def _record_fleet(self, now_s: float) -> None:
         self._answered_s = self._tables.answered_s
-        # An isolated process does not see all processes of the fleet. With a time of
-        # -inf, `record_holders` removes no process that was seen earlier.
+        # A process that gets no answers from its peers does not see all processes of
+        # the fleet. So it passes the time -inf, with which `record_holders` removes no
+        # process that was seen earlier.
         answered_s = -math.inf if self._is_isolated() else self._answered_s
         self._eras.record_holders([self._own, *self._fleet()], answered_s, now_s)
 
@@ -207,12 +210,12 @@
             for written_claim in self._take_written_claims(after_s, now_s)
             if written_claim.key not in known
         ]
-        # A key's claim is written anew each time it is moved to another gate. Only the
-        # last one that was written is in force, so earlier ones are dropped.
+        # A key has several claims in this list if its claim was moved to another gate.
+        # Only the claim that was written last is in force, so the others are dropped.
         return list({claim.key: claim for claim in claims}.values())
 
     def _write_and_confirm(self, claims: list[_ClaimRewrite], era: int) -> bool:
-        """Write claims to the store, then confirm the era; return False on failure."""
+        """Write claims to the store, confirm the era; return whether both succeeded."""
         for first in range(0, len(claims), CLAIMS_PER_BATCH):
             if not self._write_batch(claims[first : first + CLAIMS_PER_BATCH], era):
                 return False
@@ -230,7 +233,7 @@
         )
 
     def _write_batch(self, claims: list[_ClaimRewrite], era: int) -> bool:
-        """Write those claims that the store does not have; return False on failure."""
+        """Write the claims that the store lacks or must replace; False on failure."""
         versions = dict.fromkeys((claim.key for claim in claims), 0)
         for _ in range(BATCH_ATTEMPTS_MAX):
             if not claims:
@@ -262,7 +265,7 @@
         return False
 
     def _check_settled(self, era: int, now_s: float) -> bool:
-        """Return whether the era is settled, after settling it if that is possible."""
+        """Settle the era if possible; return whether it is settled."""
         match self._tables.scan(CLAIM_ERAS_TABLE):
             case Result(tag="ok", ok=rows):
                 confirmations = {row.key: _confirmation(row) for row in rows}
@@ -309,9 +312,9 @@
 def _rewrite_without_run(written_claim: WrittenClaim) -> _ClaimRewrite:
     """Return a claim of this node's ingress, changed so that no gate runs its key.
 
-    The gate that the claim names may have replied 'not run' after the claim was
-    written, or its process may have ended. A gate that did run the key replaces the
-    changed claim with its own.
+    The original claim cannot be written again: the gate that it names may have replied
+    'not run' after the claim was written, or its process may have ended. If a gate ran
+    the key, its process replaces the changed claim with a claim for this gate.
     """
     stored = msgspec.structs.replace(written_claim.stored, incarnation=NO_INCARNATION)
     return _ClaimRewrite(written_claim.key, stored, False)
--- a/balsamspindle/requests/claims.py
+++ b/balsamspindle/requests/claims.py
@@ -1,14 +1,14 @@
 """Claims, which bind each Idempotency-Key to the one gate that may run it.
 
-A gate remembers the keys that it ran, but a caller may resend a request through
-another ingress, which may see other nodes and choose another gate. Before the first
-attempt with a key, the ingress therefore writes a row into the platform's table
-service: the claim, which names the only gate that may run the key and the incarnation
-of that gate's process. It is written only if the key has no claim yet. After the gate
-replied 'not run', the claim may be moved to another gate. It is moved only if its row
-still has the version to which that reply applies: the previous gate never runs the key
-under that version again. Claims depend on no lease or clock, so a claim does not expire
-while its gate is paused.
+A gate records the keys that it ran and does not run them again. But a caller may resend
+a request through another ingress, which may see other nodes and choose another gate.
+Therefore the ingress claims a key before the first attempt with it: it writes a row
+into the platform's table service. The claim names the only gate that may run the key,
+and the incarnation of that gate's process. A claim is written only if the key has no
+claim yet. After the gate replied 'not run', the claim may be moved to another gate, but
+only if its row still has the version that the gate got with the attempt. The gate never
+runs the key under that version again. Claims depend on no lease or clock, so a claim
+does not expire while its gate is paused.
 """
 
 import threading
@@ -50,9 +50,10 @@
 CLAIMS_TABLE = "claims"
 STORE_CALLS_MAX = 16
 WRITE_ATTEMPTS_MAX = 2
-# How long after a request's deadline its claim may still be read for the final reply:
-# enough for a few calls to a store that answers within milliseconds. If the read fails,
-# the caller gets `unknown` and has to resend the request with the same key.
+# How long after a request's deadline its claim may still be read to determine the reply
+# for the caller: enough for a few calls to a store that answers within milliseconds. If
+# the read fails, the caller gets `unknown` and has to resend the request with the same
+# key.
 FINAL_READ_TIMEOUT_S = 0.1
 # For a claim with this version, a gate repeats an earlier answer but starts no run.
 REPEAT_ONLY_VERSION = 0
@@ -101,7 +102,7 @@
 
 
 class ClaimsTable:
-    """Reads and writes the claims table; each call waits only until its deadline.
+    """Reads and writes the claims table; each call has a deadline.
 
     Parameters
     ----------
@@ -152,9 +153,9 @@
             return self.read(key, deadline_s).default_value(None)
         value = StoredClaim(*gate, gate_time_s, time.time())
         claim = self._call_store(deadline_s, lambda: self._write(key, version, value))
-        # The store may have been restored from an older copy during the call. If it
-        # lost a claim of this key, the write found no conflict, but another gate may
-        # run the key. So the new claim is not used unless the era is settled.
+        # The store may have been restored from an older copy during the call and may
+        # have lost a claim of this key. Then the write found no conflict, but another
+        # gate may run the key. So the new claim is used only if the era is settled.
         return claim if self._is_settled() else None
 
     def read(self, key: str, deadline_s: float) -> Result[Claim | None, None]:
@@ -163,9 +164,10 @@
         Returns `Ok` with the claim, or with None if the key has no claim; `Error` if
         the platform did not answer or may have lost the claim.
 
-        While the store's era is not settled, the store may lack claims, and a claim
-        that it has may have replaced a lost one. Any claim is then returned with
-        `REPEAT_ONLY_VERSION`: its gate may repeat an earlier answer, but starts no run.
+        While the store's era is not settled, the store may have lost claims, and a
+        claim in the store may have been written in place of a lost claim. Each claim is
+        then returned with `REPEAT_ONLY_VERSION`: the gate that it names may repeat an
+        earlier answer, but starts no run.
         """
         answer = self._call_store(
             deadline_s, lambda: self._tables.read(CLAIMS_TABLE, [key])
@@ -184,8 +186,8 @@
     def take_written_claims(self, after_s: float, now_s: float) -> list[WrittenClaim]:
         """Return the claims that this process wrote later than `after_s`.
 
-        The calling code writes these claims again, so their time of writing becomes
-        `now_s`. Claims that were written up to `after_s` are discarded.
+        The calling code writes these claims again, so their time of writing is set to
+        `now_s`. Claims that were written at `after_s` or earlier are discarded.
         """
         with self._lock:
             recent = [
@@ -210,9 +212,9 @@
         """Return the result of a call to the store, made in a thread of the pool.
 
         Returns None if the node has no platform, or if the deadline passes before the
-        call ends. The platform may hang for longer than the request can wait. A write
-        that takes effect after the deadline is harmless. Its claim names a gate that
-        may run the key, and a resent request finds that claim.
+        call ends: the platform may not answer for longer than the request can wait. A
+        write that takes effect after the deadline is harmless. It leaves a valid claim
+        of the key, which a resent request then uses.
         """
         if self._tables is None:
             return None
@@ -235,8 +237,9 @@
                         self._written.append(WrittenClaim(key, value, self._clock()))
                     return _claim(Row(key, written_version, msgspec.to_builtins(value)))
                 case Result(error=Conflict(rows)):
-                    # If the answer to the previous try was lost, that try may have
-                    # written this row; the claim is then this process's own.
+                    # The row has another version than expected. If the answer to the
+                    # previous try was lost, that try may have written the row; its
+                    # claim is then the one to be written here.
                     return _claim(rows[0])
                 case Result(error=Unknown()):
                     continue
@@ -280,9 +283,10 @@
         self._unavailable = False
 
     def look_up(self) -> None:
-        """Read the key's claim for a request that no backend server can run now.
+        """Read the key's claim if no gate was found that could run the request now.
 
-        The gate that the claim names can still report whether it ran the key.
+        The request is then sent to the gate that the claim names, which can report
+        whether it ran the key.
         """
         if self._claim is not None or self._unavailable:
             return
@@ -330,11 +334,12 @@
     def final_reply(self, reply: Reply) -> Reply:
         """Return the reply for the caller, with 'not run' only if the key did not run.
 
-        'Not run' applies to the key, not only to this request. A caller that receives
-        'not run' after an earlier 'unknown' would send the request with a new key, so
-        that it could run twice. Even if the claim's gate replied 'not run', the caller
-        may have resent the request. The resent request may have moved the claim to
-        another gate and be running there. So the claim is read once more.
+        'Not run' applies to the key, not only to this request. If an earlier request
+        with the key had the outcome 'unknown', a caller that now receives 'not run'
+        would send the request with a new key, and the request could run twice. Even if
+        the claim's gate replied 'not run', the caller may have resent the request, and
+        the resent request may have moved the claim to another gate and may be running
+        there. So the claim is read once more.
         """
         if reply.outcome is not Outcome.NOT_RUN or reply.reason is Reason.KEY_REUSED:
             return reply
@@ -346,7 +351,8 @@
             return reply
         reason = reply.reason
         if reason is Reason.CLAIM_MOVED:
-            # No attempt reached the gate that the claim names; it may have run the key.
+            # No attempt was sent to the gate that the claim names, and this gate may
+            # have run the key.
             reason = Reason.DUPLICATE
         return msgspec.structs.replace(reply, outcome=Outcome.UNKNOWN, reason=reason)
 
--- a/balsamspindle/requests/closing.py
+++ b/balsamspindle/requests/closing.py
@@ -1,4 +1,4 @@
-"""Closes listeners and connections for callers without interrupting a request."""
+"""Closes listeners and callers' connections without interrupting a request."""
 
 import ctypes
 import socket
@@ -33,12 +33,13 @@
 ) -> None:
     """Close a listener after all connections in its backlog have been accepted.
 
-    After its handshake, a connection waits in the kernel for `accept`. If the listener
-    were closed then, the kernel would reset the connection, possibly after its caller
-    has sent a request. Therefore the kernel is first told to drop new handshakes. Their
-    callers repeat the handshake a little later, when the listener is closed, and are
-    refused before they send a request. Handshakes in progress have
-    `HANDSHAKES_TIMEOUT_S` to complete before the listener is closed.
+    After its handshake, a connection waits in the kernel's backlog for `accept`. If the
+    listener were closed while a connection waits, the kernel would reset the
+    connection, possibly after its caller has sent a request. Therefore this function
+    first installs a filter with which the kernel drops new handshakes. Callers repeat a
+    dropped handshake a little later. The listener is closed by then, so these callers
+    are refused before they send a request. Handshakes that began before the filter was
+    installed have `HANDSHAKES_TIMEOUT_S` to complete before the listener is closed.
 
     Parameters
     ----------
@@ -69,25 +70,26 @@
     try:
         listener.setsockopt(socket.SOL_SOCKET, SO_ATTACH_FILTER, program)
     except OSError:
-        # The filter is not essential: without it, a connection that arrives in the
-        # microseconds between the last accept and the close is reset.
+        # The listener can be closed without the filter. Then a connection is reset if
+        # it arrives in the microseconds between the last `accept` and the close.
         pass
 
 
 def close_gracefully(connection: socket.socket) -> None:
     """Close a connection so that the caller can still read the last answer.
 
-    If this node has not read all bytes from the caller before the close, the kernel
-    sends a reset, and the caller loses the answer. Unread bytes can be a request that
-    the caller sent before it read the last answer, or the body of a refused request.
-    Therefore only the sending side is closed first. Then the caller's bytes are read
-    and discarded, up to a limit in time and in bytes.
+    If a connection is closed before this node has read all bytes from the caller, the
+    kernel sends a reset, and the caller may lose the last answer. Unread bytes can be a
+    request that the caller sent before it read the last answer, or the body of a
+    refused request. Therefore only the sending side is closed first. Then the caller's
+    bytes are read and discarded until the caller closes the connection, or until
+    `LINGER_S` or `DISCARD_MAX_BYTES` is reached.
     """
     end_s, discarded = time.monotonic() + LINGER_S, 0
     try:
         connection.shutdown(socket.SHUT_WR)
-        while (left_s := end_s - time.monotonic()) > 0:
-            connection.settimeout(left_s)
+        while (remaining_s := end_s - time.monotonic()) > 0:
+            connection.settimeout(remaining_s)
             data = connection.recv(DISCARD_READ_BYTES)
             discarded += len(data)
             if not data or discarded > DISCARD_MAX_BYTES:
--- a/balsamspindle/requests/connection_refuser.py
+++ b/balsamspindle/requests/connection_refuser.py
@@ -1,4 +1,4 @@
-"""Refuses callers' connections that exceed the number this node can serve."""
+"""Refuses callers' connections beyond the number that this node can serve."""
 
 import socket
 import threading
@@ -35,7 +35,11 @@
         self._capacity = threading.Semaphore(WAITING_MAX)
 
     def refuse(self, connection: socket.socket) -> None:
-        """Close a connection; if there is capacity, answer it before, in background."""
+        """Answer and close a connection in the background.
+
+        Closes the connection at once, without an answer, if `WAITING_MAX` connections
+        already wait for their answers.
+        """
         if self._capacity.acquire(blocking=False):
             submit_logged(
                 self._executor, self._events, self._answer_and_close, connection
@@ -44,7 +48,7 @@
             connection.close()
 
     def shutdown(self) -> None:
-        """Take no more connections; return before the refused ones are closed."""
+        """Accept no more connections; don't wait until refused ones are closed."""
         self._executor.shutdown(wait=False)
 
     def _answer_and_close(self, connection: socket.socket) -> None:
--- a/balsamspindle/requests/connections.py
+++ b/balsamspindle/requests/connections.py
@@ -1,4 +1,4 @@
-"""Tracks the callers' connections of one node and bounds their number."""
+"""Tracks the callers' connections of one node and limits their number."""
 
 import socket
 import threading
@@ -9,10 +9,10 @@
 class OpenConnections:
     """Limits the number of connections; at the limit, a new one replaces an idle one.
 
-    A connection is idle until the first byte of its next request arrives. To close an
-    idle connection, only its reading side is shut down. The task that waits for the
-    next request then wakes up at once, and a request that arrives at the same moment is
-    still read and answered.
+    A connection is idle while it waits for the first byte of its next request. To end
+    an idle connection, this class shuts down only its reading side. The task that waits
+    for the next request then wakes up at once and closes the connection. A request that
+    arrives at the same moment is still read and answered.
     """
 
     def __init__(self, connections_max: int) -> None:
@@ -26,10 +26,10 @@
         self._closing = False
 
     def admit(self, connection: socket.socket) -> bool:
-        """Add a connection; return False at the limit if no other connection is idle.
+        """Add a connection; return whether it was added.
 
         At the limit, the connection that has been idle for the longest time is shut
-        down to make room.
+        down to make room. If no connection is idle, the new one is not added.
         """
         with self._changed:
             if (
@@ -49,12 +49,12 @@
                 self._shut_idle(connection)
 
     def set_busy(self, connection: socket.socket) -> bool:
-        """Record that a connection no longer waits for a request.
+        """Record that a connection no longer waits for its next request.
 
         Returns
         -------
         bool
-            Whether this object shut the connection down while it was idle.
+            True if the connection was shut down by this object while it was idle.
         """
         with self._changed:
             if connection in self._without_request:
--- a/balsamspindle/requests/forwarded.py
+++ b/balsamspindle/requests/forwarded.py
@@ -51,11 +51,11 @@
     Attributes
     ----------
     NO_PLACE
-        No backend server was left to send the request to.
+        There was no further backend server to which the request could be sent.
     ATTEMPTS_MAX
         The route allows no more attempts.
     REPEAT_DENIED
-        The request may not be retried, or no time or no retry token was left.
+        The request may not be retried, or no time or no retry token remained.
     NODE_LEAVING
         This node is leaving and no longer waits for replies.
     CALLER_LEFT
@@ -84,10 +84,11 @@
         free slot.
     queue_near_until_s : float or None
         Until when the request may wait in queues of its own zone, on the monotonic
-        clock; None until the search first looks for a queue in the own zone.
+        clock; None until the search looks for a queue in the own zone.
     queue_wait_ms : dict of str to float
-        How long a request would wait for a slot, by backend server id. Gates reported
-        these waits when they refused this or another request because of a long wait.
+        Expected wait for a slot in ms, by backend server id. Gates reported these waits
+        when they refused this request, or another one, because its wait would be too
+        long.
     """
 
     step: Step = Step.NEAR
@@ -112,7 +113,7 @@
     deadline_s : float
     tried : set of str
         Ids of the backend servers that the present search for a placement excludes,
-        because they already had an attempt.
+        because an attempt was already sent to them.
     may_have_run : bool
         Whether an attempt had an unknown outcome, so that the request may have run.
     caller_service : str
@@ -128,17 +129,17 @@
     failed : set of str
         Ids of the backend servers at which an attempt failed.
     search_until_s : float or None
-        Until when the request, refused by all gates, is sent to them again and again;
+        Until when the request is sent again to all gates after they have refused it;
         None until all gates have refused it once.
     is_last_resort : bool
-        Whether the request may be sent to suspected backend servers, because no others
-        are left.
+        Whether the request may be sent to suspected backend servers, because all other
+        backend servers were tried or refused it.
     target_s : float or None
-        When the route's target time ends, after which an answer is worth less; None
-        where the route sets no target.
+        Time until which the request should be answered, according to its route; a later
+        answer is worth less. None if the route sets no target.
     wait_max_ms : float or None
-        The longest time that the present attempt may wait for a slot; None to wait
-        until its deadline.
+        The longest time that the present attempt may wait for a slot; None if it may
+        wait until its deadline.
     queue_until_s : float or None
         Until when the request may wait in the queues of step `QUEUE`; None before
         that step.
@@ -155,13 +156,13 @@
         Arrival time of the first reply with which a gate reported that it cancelled
         a run, or that a run ended without a complete answer; None before such a reply.
     rank_ms : float
-        Added to the request's target time when gates sort their queues; see
-        `balsamspindle.requests.siblings`.
+        Time that gates add to the request's target time when they sort their queues;
+        see `balsamspindle.requests.siblings`.
     content_hash : int
         Hash that is the same for all repeats of the request, from
         `balsamspindle.requests.content`; 0 when it is not known.
     customer : str
-        Empty for a request without a customer.
+        Customer that sent the request; empty for a request without a customer.
     stopped_by : StopReason or None
         Why the request gets no further attempt; None while attempts are made, and
         after a success.
@@ -199,9 +200,9 @@
     def restart_search(self) -> None:
         """Restart the search for a request whose run was lost with its gate's node.
 
-        Gates that refused the request before the lost run may get it again: their
-        refusals are seconds old, and they may have free slots by now. Backend servers
-        at which an attempt failed stay excluded.
+        The request may be sent again to gates that refused it before the lost run: the
+        refusals are seconds old, and these gates may have free slots by now. Backend
+        servers at which an attempt failed stay excluded.
         """
         self.run_was_lost = True
         self.search.restart()
@@ -220,9 +221,9 @@
             self.run_lost_s = received_s
 
     def target_remaining_ms(self, now_s: float) -> float | None:
-        """Return the time left until the route's target time ends.
+        """Return the remaining time in ms until `target_s`.
 
-        Negative after its end; None where the route sets no target.
+        The time is negative after `target_s`, and None if the route sets no target.
         """
         return None if self.target_s is None else (self.target_s - now_s) * 1000
 
@@ -237,14 +238,14 @@
         How long the first attempt runs alone.
     choose_placement : callable
         Selects a placement for a second attempt and pays for the attempt from the
-        retry budget. Returns the placement; None if there is none, or if the budget
-        is used up.
+        retry budget. Returns the placement, or None if there is none or if the budget
+        is exhausted.
     is_paid : bool
-        Whether a retry token was already spent on the second attempt. This is done if
-        the first attempt runs at the own gate, because that attempt is ended after
-        `hedge_delay_s`, before the second one starts. If no token were left then, the
-        request would lose a slow attempt that might still have been answered, and
-        would get no second attempt.
+        Whether a retry token was already spent on the second attempt. It is spent in
+        advance if the first attempt runs at the own gate, because such an attempt is
+        ended after `hedge_delay_s`, before the second attempt starts. If no token
+        remained at that time, the slow first attempt, which might still have been
+        answered, would be ended, and no second attempt could be made.
     """
 
     hedge_delay_s: float
--- a/balsamspindle/requests/forwarding.py
+++ b/balsamspindle/requests/forwarding.py
@@ -41,14 +41,14 @@
 __all__ = ["ForwardedRequest", "Forwarder"]
 
 # Every SEARCH_AGAIN_S (half of gate_links.HOLD_OUT_S), a request that all gates refused
-# is sent to them again, for a fraction of its remaining time. Then it may be sent to a
-# backend server that is suspected of having failed. An idempotent request may be sent
-# there at once: if it waited, the gates' queues would be full by then.
+# is sent to them again. After a fraction of its remaining time, it may be sent to a
+# suspected backend server. An idempotent request may be sent to one at once: if the
+# request waited, the gates' queues would be full after the wait.
 SEARCH_AGAIN_S = 0.25
 SEARCH_AGAIN_FRACTIONS = {Execution.IDEMPOTENT: 0.0, Execution.NON_IDEMPOTENT: 0.1}
-# A run with one of these reasons was lost because of the gate's node, without a failure
-# of the backend server. The request may then be sent again to gates that refused it
-# before the run.
+# If the reply to an attempt has one of these reasons, the run was lost because of the
+# gate's node, not because of the backend server. The request may then be sent again to
+# gates that refused it before the run.
 _LOST_WITH_GATE = frozenset({Reason.GATE_ENDING, Reason.CANCELLED, Reason.SILENCE})
 
 
@@ -63,7 +63,7 @@
         Returns the present time on the monotonic clock, in s.
     on_hold_out : callable, optional
         Called after each reply with the gate's node, the backend server's id, the
-        hold-out that the gate reported (0 ms if there is none) and the present time.
+        hold-out that the gate reported (0 ms if there is none) and the monotonic time.
     crash_history : CrashHistory, default=an empty one
         Crashes of backend servers, and the requests quarantined because of them.
     """
@@ -112,16 +112,16 @@
         return self._sender.held_out_servers
 
     def set_end_time(self, ends_s: float) -> None:
-        """Set this node's stop time; gates then start no run that would end later."""
+        """Set when this node ends; gates start no run for it that would end later."""
         self._sender.set_end_time(ends_s)
 
     def abort_attempts(self) -> None:
-        """Stop waiting for replies; end each request with the replies it has got."""
+        """Stop waiting for replies; end requests with the replies received so far."""
         self._aborted.set()
         self._sender.abort_attempts()
 
     def forward(self, forwarded: ForwardedRequest) -> Reply:
-        """Make attempts as needed and allowed; return the reply for the caller."""
+        """Make attempts for a request; return the reply for its caller."""
         if len(forwarded.idempotency_key or "") > IDEMPOTENCY_KEY_MAX_CHARACTERS:
             return self._not_run_reply(Reason.BAD_REQUEST)
         forwarded.claimant = self._claimant(forwarded)
@@ -136,7 +136,7 @@
         if forwarded.claimant is not None:
             reply = forwarded.claimant.final_reply(reply)
         if reply.outcome is Outcome.NOT_RUN and forwarded.may_have_run:
-            # The last attempt did not run; an earlier one may have.
+            # The last attempt did not run, but an earlier attempt may have run.
             reply = msgspec.structs.replace(reply, outcome=Outcome.UNKNOWN)
         return self._with_retry_after(forwarded, reply)
 
@@ -174,7 +174,7 @@
         return best_reply([*forwarded.parked_replies, *replies]) if replies else not_run
 
     def _try_gates(self, forwarded: ForwardedRequest, replies: list[Reply]) -> None:
-        """Make attempts until one succeeds or no more are allowed; fill `replies`."""
+        """Make attempts until one succeeds or none is allowed; append to `replies`."""
         forwarded.stopped_by = None
         while not self._aborted.is_set():
             blocked = self._blocked(forwarded)
@@ -188,8 +188,8 @@
                     continue
                 forwarded.stopped_by = StopReason.NO_PLACE
                 break
-            # If an attempt is parked, the answer may come from the parked attempt,
-            # which started long ago; so no latency is recorded then.
+            # If an attempt is parked, an answer may be the reply to the parked attempt,
+            # which started long ago. So the latency is not recorded in this case.
             is_alone = not forwarded.parked
             started_s = self._clock()
             hedge = self._hedge_planner.plan(forwarded, selected, started_s)
@@ -197,8 +197,8 @@
             replies.append(reply)
             now_s = self._clock()
             if is_success(reply):
-                took_s = now_s - started_s if is_alone else None
-                self._record_success(forwarded, reply, took_s)
+                latency_s = now_s - started_s if is_alone else None
+                self._record_success(forwarded, reply, latency_s)
                 self._hedge_planner.refund(forwarded, hedge)
                 break
             self._record_failure(forwarded, selected.placement, reply)
@@ -218,8 +218,8 @@
     def _blocked(self, forwarded: ForwardedRequest) -> Reply | None:
         """Return the refusal if the request crashes backend servers, else None.
 
-        Checked before each attempt: earlier attempts, or requests with the same
-        content hash, may have crashed backend servers since the request was received.
+        Called before each attempt: since the request was received, its own attempts
+        or requests with the same content hash may have crashed backend servers.
         """
         status = self._crash_history.status_of(forwarded.content_hash, self._clock())
         if not status.blocked_ms:
@@ -234,15 +234,15 @@
         self._aborted.wait(wait_s)
 
     def _record_success(
-        self, forwarded: ForwardedRequest, reply: Reply, took_s: float | None
+        self, forwarded: ForwardedRequest, reply: Reply, latency_s: float | None
     ) -> None:
-        """Record an answer, its size and, unless `took_s` is None, its latency."""
+        """Record an answer, its size and, unless `latency_s` is None, its latency."""
         route = forwarded.route
-        # The gate's node, which reports answers to the fleet, may stop before it does.
+        # The gate's node also reports the answer to the fleet, but it may stop first.
         self._crash_history.record_answer(forwarded.content_hash, self._clock())
-        if took_s is not None:
+        if latency_s is not None:
             self._retries.record_answer(
-                route.service, took_s, reply.p99_ms, route_id(route)
+                route.service, latency_s, reply.p99_ms, route_id(route)
             )
         self._sizes.record(route, len(reply.body))
 
@@ -256,8 +256,8 @@
         if not is_refusal(reply):
             forwarded.failed.add(server_id)
         if reply.reason is Reason.SERVER_CRASHED:
-            # The request is not at fault, just as when a run is lost with its node. So
-            # it may use the retries that are reserved for heavier requests.
+            # The failure is not attributed to the request, just as if a node had ended.
+            # So the request may use retries that are reserved for heavier requests.
             forwarded.run_was_lost = True
 
     def _may_retry(
@@ -284,7 +284,7 @@
         )
 
     def _report_retry_denied(self, forwarded: ForwardedRequest, reply: Reply) -> None:
-        """Emit `retry_denied`, except for a request that must not run a second time."""
+        """Emit `retry_denied`, but not if a non-idempotent request may have run."""
         route = forwarded.route
         if reply.outcome is not Outcome.NOT_RUN and (
             route.execution is Execution.NON_IDEMPOTENT
@@ -306,10 +306,10 @@
     def _widen_search(self, forwarded: ForwardedRequest) -> bool:
         """Prepare a new search after all gates refused; return False to end the search.
 
-        Suspected backend servers are on trial again within a second, so a
-        non-idempotent request is sent to all gates again for a fraction of its time.
-        After that time it may be sent to a suspected backend server as the last resort.
-        An idempotent request may be sent to one at once. So a service whose backend
+        A suspected backend server gets a trial within a second. So a non-idempotent
+        request is sent to all gates again for a fraction of its remaining time; after
+        that it may be sent to a suspected backend server as a last resort. An
+        idempotent request may be sent to one at once. So a service whose backend
         servers are all suspected or busy still answers some requests.
         """
         now_s = self._clock()
@@ -321,19 +321,19 @@
         forwarded.search.restart()
         if forwarded.search_until_s is None:
             fraction = SEARCH_AGAIN_FRACTIONS[forwarded.route.execution]
-            left_s = forwarded.deadline_s - now_s
-            forwarded.search_until_s = now_s + fraction * left_s
+            remaining_s = forwarded.deadline_s - now_s
+            forwarded.search_until_s = now_s + fraction * remaining_s
         if now_s + SEARCH_AGAIN_S < forwarded.search_until_s:
             # After `abort_attempts`, send no attempt: this node is about to close its
             # callers' connections.
             if self._aborted.wait(SEARCH_AGAIN_S):
                 return False
-            return not forwarded.caller.caller_gone()
+            return not forwarded.caller.caller_left()
         forwarded.is_last_resort = True
         return True
 
     def _has_suspects(self, forwarded: ForwardedRequest, now_s: float) -> bool:
-        """Return whether a suspected backend server is left for the request."""
+        """Return whether a backend server of the request's service is suspected."""
         if forwarded.refused_as_suspect:
             return True
         held_out = self._sender.held_out_servers.held_out(now_s)
@@ -357,12 +357,12 @@
         return selected
 
     def _select_at_owner(self, forwarded, claimant: KeyClaimant) -> Selection | None:
-        """Select the gate that the request's claim names; None if it is not known."""
+        """Select the gate that the claim names; None if no placement of it is known."""
         placement = self._picker.locate(claimant.owner_id(), forwarded.route.service)
         return None if placement is None else Selection(placement)
 
     def _must_stop(self, forwarded: ForwardedRequest, reply: Reply) -> bool:
-        """Return whether to make no more attempts; after a failed run, search anew."""
+        """Return whether to make no more attempts; after a run, restart the search."""
         if not is_refusal(reply):
             if not forwarded.may_send():
                 return True
@@ -370,7 +370,7 @@
                 forwarded.restart_search()
             else:
                 forwarded.search.restart()
-        return self._aborted.is_set() or forwarded.caller.caller_gone()
+        return self._aborted.is_set() or forwarded.caller.caller_left()
 
     def _stop_reason(self, forwarded: ForwardedRequest) -> StopReason:
         if self._aborted.is_set():
@@ -380,10 +380,10 @@
         return StopReason.CALLER_LEFT
 
     def _with_retry_after(self, forwarded: ForwardedRequest, reply: Reply) -> Reply:
-        """Add the time to retry to a reply, unless every retry would be refused."""
+        """Set the Retry-After time of a reply, unless every retry would be refused."""
         if reply.reason is Reason.CRASHES_SERVERS:
-            # Retries are refused at any load of the service, so this request is not
-            # counted in the estimate of when other callers should retry.
+            # Retries of this request are refused at any load of the service. So the
+            # request does not count in the estimate of when other callers should retry.
             return reply
         is_answered = reply.outcome is Outcome.ANSWERED
         with self._random_lock:
--- a/balsamspindle/requests/gate_links.py
+++ b/balsamspindle/requests/gate_links.py
@@ -14,7 +14,7 @@
 
 
 class GateLinks:
-    """Provides links for attempts; records and logs which gates are unreachable.
+    """Provides links to gates; records and logs which gates are unreachable.
 
     Attributes
     ----------
@@ -48,11 +48,11 @@
         return link
 
     def record_unreachable(self, placement: Placement, now_s: float) -> None:
-        """Hold out a gate that did not answer; log only the first failure in a row."""
+        """Hold out a gate that did not answer; log only the first of a series."""
         node_id = placement.node.node_id
         if self.hold_outs.record_failure(node_id, now_s):
             self._events.emit("gate_unreachable", gate=node_id)
 
     def release(self, link: Link) -> None:
-        """Return a link to the pool."""
+        """Return a link to the pool, so that other attempts can use it."""
         self._links.release(link)
--- a/balsamspindle/requests/heads.py
+++ b/balsamspindle/requests/heads.py
@@ -1,9 +1,9 @@
 """Validates the heads of callers' requests and sorts their headers.
 
-The HTTP parser, llhttp, rejects a request with errors in its framing: two lengths, a
-length together with a transfer coding, invalid chunks, control characters. The checks
-here reject requests that llhttp accepts although two implementations could interpret
-them differently.
+The HTTP parser, llhttp, rejects requests with errors in their framing: two lengths, a
+length together with a transfer coding, invalid chunks, control characters. This module
+also rejects requests that llhttp accepts but that two HTTP implementations could
+interpret differently.
 """
 
 import re
@@ -62,7 +62,7 @@
 
 
 class BadRequest(Exception):
-    """A request that is rejected; its connection is closed after the answer."""
+    """Raised for an invalid request; after the answer its connection is closed."""
 
     def __init__(self, reason: Reason, detail: str) -> None:
         super().__init__(detail)
@@ -80,12 +80,12 @@
     host : str
         Host header; empty when an HTTP/1.0 caller sent none.
     headers : list of tuple of str
-        Headers that are passed on to the backend server.
+        Headers that are forwarded to the backend server.
     control_headers : dict of str to str
         Headers that the proxy itself reads, by lower-case name.
     key_digest : str or None
         Digest of the customer's key; None if the request has no key header, empty if
-        the header's value can't be a key. The key itself is not kept.
+        the header's value can't be a key. The key itself is not stored.
     """
 
     method: str
@@ -106,7 +106,7 @@
     control_headers : frozenset of str
         Headers that the proxy itself reads.
     removed : frozenset of str
-        Headers that are removed before the request is passed on.
+        Headers that are removed before the request is forwarded.
     """
 
     single: frozenset[str]
@@ -117,8 +117,8 @@
 @lru_cache(maxsize=8)
 def _header_rules(names: HeaderNames) -> _HeaderRules:
     single = _SINGLE_HEADERS | {names.timeout_ms.lower(), names.api_key.lower()}
-    # The fleet's own headers are not passed on from callers, who could otherwise choose
-    # the backend server or impersonate another service.
+    # The fleet's own headers are removed from callers' requests. Otherwise a caller
+    # could choose the backend server or impersonate another service.
     own = {
         name.lower()
         for name in (
@@ -150,10 +150,11 @@
     Raises
     ------
     BadRequest
+        If the head is invalid or uses a feature that is not supported.
     """
     if version not in _VERSIONS:
         raise BadRequest(
-            Reason.HTTP_VERSION, "Only HTTP/1.0 and HTTP/1.1 are taken here."
+            Reason.HTTP_VERSION, "Only HTTP/1.0 and HTTP/1.1 are supported."
         )
     headers, control_headers = _sort_headers(raw_headers, _header_rules(names))
     _check_framing(version, control_headers)
@@ -191,8 +192,9 @@
         lower = name.lower()
         if lower in rules.control_headers:
             _add_control_header(lower, value, control_headers, rules.single)
-        # A header is also removed if it has "_" in its name where a removed header has
-        # "-": a framework that treats both alike would take it for one of the fleet's.
+        # A header is also removed if its name differs from a removed header's name only
+        # by "_" in place of "-". Some frameworks treat "_" and "-" alike and would read
+        # the header as one of the fleet's.
         if lower.replace("_", "-") not in rules.removed:
             headers.append((name, value))
     if "connection" in control_headers:
@@ -217,16 +219,16 @@
 def _check_framing(version: str, control_headers: dict[str, str]) -> None:
     coding = control_headers.get("transfer-encoding")
     if coding is not None and (coding.lower() != "chunked" or version != "1.1"):
-        # A recipient that ignores or does not know the transfer coding would find the
-        # end of the body at another byte.
+        # A recipient that ignores or does not know the transfer coding would place the
+        # end of the body at another byte than this node does.
         raise BadRequest(
             Reason.BAD_REQUEST,
-            "The only transfer coding taken is chunked, with HTTP/1.1.",
+            "The only supported transfer coding is chunked, with HTTP/1.1.",
         )
     expected = control_headers.get("expect")
     if expected is not None and expected.lower() != "100-continue":
         raise BadRequest(
-            Reason.EXPECTATION, "The only expectation taken is 100-continue."
+            Reason.EXPECTATION, "The only supported expectation is 100-continue."
         )
 
 
--- a/balsamspindle/requests/hedging.py
+++ b/balsamspindle/requests/hedging.py
@@ -20,7 +20,7 @@
 
 
 class HedgePlanner:
-    """Decides when and where a second attempt starts beside the first.
+    """Decides when and where a second attempt starts while the first has no reply.
 
     Parameters
     ----------
@@ -57,26 +57,25 @@
         if route.execution is not Execution.IDEMPOTENT:
             return None
         if route.target_ms and forwarded.search.step is Step.QUEUE:
-            # All gates are busy; a second attempt would only make their queues
-            # longer.
+            # All gates are busy. A second attempt would only make a queue longer.
             return None
-        places = self._picker.view(route.service).tiers[-1]
-        if len(places) <= len(forwarded.tried) + 1:
+        placements = self._picker.view(route.service).tiers[-1]
+        if len(placements) <= len(forwarded.tried) + 1:
             return None
-        left_s = forwarded.deadline_s - now_s
+        remaining_s = forwarded.deadline_s - now_s
         is_own = self._sender.is_own(placement)
         hedge_delay_s = self._retries.hedge_delay_s(
-            route.service, is_own, left_s, now_s, route_id(route)
+            route.service, is_own, remaining_s, now_s, route_id(route)
         )
         # The time that the first attempt may wait for a slot is added to the delay,
         # because waiting for a slot does not mean that the backend server is slow.
         hedge_delay_s = min(
-            left_s, hedge_delay_s + (selected.wait_max_ms or 0.0) / 1000
+            remaining_s, hedge_delay_s + (selected.wait_max_ms or 0.0) / 1000
         )
         is_paid = False
-        if is_own and hedge_delay_s < left_s:
+        if is_own and hedge_delay_s < remaining_s:
             is_paid = self._retries.may_hedge(route.service, now_s, route.weight)
-            hedge_delay_s = hedge_delay_s if is_paid else left_s
+            hedge_delay_s = hedge_delay_s if is_paid else remaining_s
         return Hedge(
             hedge_delay_s, lambda: self._choose_second_placement(forwarded), is_paid
         )
--- a/balsamspindle/requests/http.py
+++ b/balsamspindle/requests/http.py
@@ -2,8 +2,8 @@
 
 The parser is llhttp, through httptools. Each connection is read and written by one
 task. The connection's socket is in blocking mode, with timeouts set in the kernel
-(SO_RCVTIMEO and SO_SNDTIMEO), because the socket timeouts of Python itself cost a poll
-before each call.
+(SO_RCVTIMEO and SO_SNDTIMEO). Python's own socket timeouts are not used, because with
+them Python polls the socket before each call.
 """
 
 import select
@@ -45,11 +45,11 @@
 
 @dataclass
 class CallerRequest:
-    """One request of a caller; `RequestHead` describes the fields of the head.
+    """A caller's request; `RequestHead` describes the fields of the head.
 
     Attributes
     ----------
-    is_whole : bool
+    is_complete : bool
         Whether the request has been read to the end of its body.
     """
 
@@ -61,7 +61,7 @@
     host: str = ""
     control_headers: dict[str, str] = field(default_factory=dict)
     key_digest: str | None = None
-    is_whole: bool = False
+    is_complete: bool = False
 
     @property
     def path(self) -> str:
@@ -110,7 +110,8 @@
     def wait_for_request(self) -> bool:
         """Wait for the first byte of a request; return False if none arrives.
 
-        The connection may be closed during this wait: no request is lost then.
+        The wait ends after the idle timeout, or when the connection is closed. If this
+        node closes the connection during the wait, no request is lost.
         """
         if self._complete or self._parse_error or self._in_request:
             return True
@@ -123,7 +124,9 @@
         return bool(data)
 
     def read_request(self) -> CallerRequest | None:
-        """Return the current request with its body; None if the caller closes first.
+        """Return the current request with its body.
+
+        Returns None if the caller closes the connection before the end of the request.
 
         Raises
         ------
@@ -131,7 +134,7 @@
             If the request is invalid, exceeds a limit or arrives too slowly.
         """
         request = self.read_head()
-        return request if request is None or request.is_whole else self.read_body()
+        return request if request is None or request.is_complete else self.read_body()
 
     def read_head(self) -> CallerRequest | None:
         """Return the current request as soon as its head has been read.
@@ -143,9 +146,9 @@
         ------
         BadRequest
         """
-        give_up_s = time.monotonic() + self._limits.head_timeout_s
+        deadline_s = time.monotonic() + self._limits.head_timeout_s
         while not (self._complete or self._is_in_body()):
-            if not self._read_more(give_up_s):
+            if not self._read_more(deadline_s):
                 return None
         return self._complete.popleft() if self._complete else self._current
 
@@ -158,19 +161,19 @@
         ------
         BadRequest
         """
-        give_up_s = time.monotonic() + self._limits.body_timeout_s
+        deadline_s = time.monotonic() + self._limits.body_timeout_s
         if not self._complete:
             self._send_continue_if_expected()
         while not self._complete:
-            if not self._read_more(give_up_s):
+            if not self._read_more(deadline_s):
                 return None
         return self._complete.popleft()
 
-    def caller_gone(self) -> bool:
+    def caller_left(self) -> bool:
         """Return whether the caller has closed the connection; does not block."""
-        # Poll first, because on a socket with a timeout, recv waits for data even with
-        # MSG_DONTWAIT: it would block for the idle timeout, and a caller that is only
-        # waiting for its answer would then count as gone.
+        # Poll first: on a socket with a timeout, recv waits for data even with
+        # MSG_DONTWAIT. It would block for the idle timeout, and a caller that waits for
+        # its answer would then count as disconnected.
         poller = select.poll()
         poller.register(self._socket, select.POLLIN)
         if not poller.poll(0):
@@ -188,30 +191,30 @@
         Raises
         ------
         OSError
-            If the caller has left or reads the answer too slowly.
+            If the caller has disconnected or reads the answer too slowly.
         """
         sent = self._socket.send(data)
         if sent == len(data):
             return
         # The timeout of the socket restarts with each send. Without a limit for the
-        # whole answer, a caller that reads a byte now and then would forever occupy
-        # the task that serves it.
-        give_up_s = time.monotonic() + self._limits.answer_timeout_s
+        # complete answer, a caller that reads a byte from time to time would forever
+        # occupy the task that serves it.
+        deadline_s = time.monotonic() + self._limits.answer_timeout_s
         rest = memoryview(data)[sent:]
         while rest:
-            if time.monotonic() >= give_up_s:
+            if time.monotonic() >= deadline_s:
                 raise TimeoutError
             rest = rest[self._socket.send(rest) :]
 
     def _is_in_body(self) -> bool:
         return self._in_request and self._head_complete
 
-    def _read_more(self, give_up_s: float) -> bool:
-        """Receive and parse more bytes; return False if the caller has closed."""
+    def _read_more(self, deadline_s: float) -> bool:
+        """Receive and parse more bytes; return False if the connection is closed."""
         if self._parse_error is not None:
             raise self._parse_error
         try:
-            data = self._receive(give_up_s - time.monotonic())
+            data = self._receive(deadline_s - time.monotonic())
         finally:
             self._set_timeout(socket.SO_RCVTIMEO, self._limits.idle_timeout_s)
         if data:
@@ -219,9 +222,9 @@
         return bool(data)
 
     def _receive(self, timeout_s: float) -> bytes:
-        # Each receive may take only the time that is left for the whole head or body.
-        # Otherwise a caller that sends a byte now and then would occupy its task
-        # forever.
+        # Each receive may take only the time that remains for the complete head or
+        # body. Otherwise a caller that sends a byte from time to time would forever
+        # occupy the task that serves it.
         try:
             if timeout_s > 0:
                 self._set_timeout(socket.SO_RCVTIMEO, timeout_s)
@@ -230,7 +233,7 @@
             pass
         raise BadRequest(
             Reason.REQUEST_TIMEOUT,
-            "The request's head or body was still not whole after "
+            "The request's head or body was still incomplete after "
             f"{self._limits.head_timeout_s:g} or {self._limits.body_timeout_s:g} s.",
         )
 
@@ -247,9 +250,9 @@
             self._socket.send(_CONTINUE)
 
     def _parse_received(self, data: bytes) -> None:
-        """Parse received bytes; an error is kept in `_parse_error`."""
+        """Parse received bytes; an error is stored in `_parse_error`, not raised."""
         if self._in_request and not self._head_complete:
-            # llhttp buffers an unfinished header without a limit, so count its bytes.
+            # llhttp buffers an incomplete header without a limit, so count its bytes.
             self._incomplete_head_bytes += len(data)
         while data and self._parse_error is None:
             data = self._parse_until_upgrade(data)
@@ -259,11 +262,11 @@
             )
 
     def _parse_until_upgrade(self, data: bytes) -> bytes:
-        """Parse bytes; return those that a new parser has to read, if any."""
+        """Parse bytes; return the bytes that a new parser has to read, if any."""
         try:
             self._parser.feed_data(data)
         except httptools.HttpParserUpgrade as error:
-            # The request offers an upgrade to another protocol. A server may ignore the
+            # The request offers an upgrade to another protocol. This node ignores the
             # offer, but llhttp stops after the head, so a new parser reads the body.
             self._parser = httptools.HttpRequestParser(self)
             return self._body_framing() + data[error.args[0] :]
@@ -272,10 +275,10 @@
         return b""
 
     def _body_framing(self) -> bytes:
-        """Return a minimal request head for a new parser, to precede an unread body.
+        """Return a minimal request head that a new parser reads before an unread body.
 
-        Without this head the body would be parsed as the next request. Empty if there
-        is no unread body.
+        Without this head the new parser would read the body as the next request.
+        Empty if there is no unread body.
         """
         if self._upgrade_head is None:
             return b""
@@ -290,7 +293,7 @@
             return None
         return BadRequest(
             Reason.HEAD_TOO_LARGE,
-            f"The request's head is over {self._limits.head_max_bytes} bytes.",
+            f"The request's head exceeds {self._limits.head_max_bytes} bytes.",
         )
 
     # Callbacks of httptools.
@@ -311,7 +314,7 @@
         self._target += url
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Add one header, raising `BadRequest` if there are over `HEADERS_MAX`."""
+        """Add one header; raise `BadRequest` if there are more than `HEADERS_MAX`."""
         self._head_bytes += len(name) + len(value) + 4
         self._raw_headers.append((name, value))
         if len(self._raw_headers) > HEADERS_MAX:
@@ -321,7 +324,7 @@
             )
 
     def on_headers_complete(self) -> None:
-        """Check the head and create the request, raising `BadRequest` if invalid."""
+        """Check the head and create the request; raise `BadRequest` if invalid."""
         if self._upgrade_head is not None:
             self._upgrade_head = None
             self._head_complete = True
@@ -332,7 +335,7 @@
         parser = self._parser
         method = parser.get_method().decode("latin-1")
         if method == "CONNECT":
-            raise BadRequest(Reason.BAD_REQUEST, "CONNECT is not taken here.")
+            raise BadRequest(Reason.BAD_REQUEST, "The method CONNECT is not supported.")
         self._head: RequestHead = read_head(
             method,
             self._target.decode("latin-1"),
@@ -340,8 +343,8 @@
             self._raw_headers,
             self._names,
         )
-        # Trailers, the headers after a body, are not added to the request's headers.
-        # Some implementations would trust a "Host" trailer and others would not.
+        # Trailers, the headers after a body, are not added to the request's headers:
+        # some implementations would use a "Host" trailer, and others would not.
         self._raw_headers = []
         self._keep_alive = (
             parser.should_keep_alive() and parser.get_http_version() == "1.1"
@@ -361,7 +364,7 @@
         self._head_complete = True
 
     def on_body(self, body: bytes) -> None:
-        """Append a part of the body, raising `BadRequest` if it grows too large."""
+        """Append a part of the body; raise `BadRequest` if the body is too large."""
         self._body_bytes += len(body)
         self._check_body_bytes(self._body_bytes)
         self._body.append(body)
@@ -377,7 +380,7 @@
             self._upgrade_head = self._head
             return
         self._current.body = b"".join(self._body)
-        self._current.is_whole = True
+        self._current.is_complete = True
         self._complete.append(self._current)
         self._body = []
         self._in_request = False
@@ -386,7 +389,7 @@
         if count > self._limits.body_max_bytes:
             raise BadRequest(
                 Reason.BODY_TOO_LARGE,
-                f"The request's body is over {self._limits.body_max_bytes} bytes.",
+                f"The request's body exceeds {self._limits.body_max_bytes} bytes.",
             )
 
 
--- a/balsamspindle/requests/ingress.py
+++ b/balsamspindle/requests/ingress.py
@@ -224,7 +224,7 @@
         refusal, which is None if the request was not refused by its head.
         """
         request = caller.read_head()
-        if request is None or request.is_whole:
+        if request is None or request.is_complete:
             return request, None
         self._wait_until_ready()
         refused = self._admissions.refuse_on_head(request, time.monotonic())
@@ -290,7 +290,7 @@
         next request can't be determined. Called right before the answer is sent,
         because this node may start to leave while the request is served.
         """
-        can_continue = request.is_whole and not self._leaving.is_set()
+        can_continue = request.is_complete and not self._leaving.is_set()
         request.keep_alive = request.keep_alive and can_continue
         return request.keep_alive
 
--- a/balsamspindle/requests/link_attempts.py
+++ b/balsamspindle/requests/link_attempts.py
@@ -154,7 +154,7 @@
         return (
             self._clock() >= until_s
             and attempt.link.connected()
-            and not forwarded.caller.caller_gone()
+            and not forwarded.caller.caller_left()
         )
 
     def _may_park(self, forwarded: ForwardedRequest) -> bool:
@@ -187,7 +187,7 @@
             return None
         if is_answered(waited) or not self._may_park(forwarded):
             return None
-        if self._aborted or forwarded.caller.caller_gone():
+        if self._aborted or forwarded.caller.caller_left():
             return None
         return unanswered[0]
 
@@ -329,7 +329,7 @@
         self, forwarded: ForwardedRequest, attempts: list[SentAttempt], until_s: float
     ) -> WaitResult | None:
         caller = forwarded.caller
-        wait = self._build_wait(forwarded, until_s, caller.fileno(), caller.caller_gone)
+        wait = self._build_wait(forwarded, until_s, caller.fileno(), caller.caller_left)
         return wait_first({sent.link: sent.attempt_id for sent in attempts}, wait)
 
     def _build_wait(
--- a/balsamspindle/requests/reply_wait.py
+++ b/balsamspindle/requests/reply_wait.py
@@ -39,7 +39,7 @@
     caller_fd : int
         File descriptor that is readable when the caller has sent more data or closed
         its connection.
-    caller_gone : callable
+    caller_left : callable
         Returns whether the caller closed its connection.
     on_dropped : callable
         Called with the cause for each message that is dropped because it is not a
@@ -64,7 +64,7 @@
 
     deadline_s: float
     caller_fd: int
-    caller_gone: Callable[[], bool]
+    caller_left: Callable[[], bool]
     on_dropped: Callable[[str], None]
     is_aborted: Callable[[], bool] = _never
     node_ends_s: Callable[[], float] = _no_end
@@ -140,7 +140,7 @@
             for link, attempt_id in waiting.items():
                 link.notify_node_stop(attempt_id, time_to_stop_s)
         if wait.caller_fd in ready:
-            if wait.caller_gone():
+            if wait.caller_left():
                 return last
             # The caller has sent its next request, which is read after this answer.
             poller.unregister(wait.caller_fd)
--- a/balsamspindle/requests/request_log.py
+++ b/balsamspindle/requests/request_log.py
@@ -35,7 +35,7 @@
             request=request_id,
             method=request.method,
             path=request.path[:LOGGED_PATH_MAX],
-            content=f"{content_hash:016x}" if request.is_whole else None,
+            content=f"{content_hash:016x}" if request.is_complete else None,
         )
 
     def ended(
--- a/tests/test_caller_watch.py
+++ b/tests/test_caller_watch.py
@@ -23,12 +23,12 @@
         `CallerWatch` would block in it with its lock held, which delays the answer,
         and after the timeout it would take the caller for one that has left.
         """
-        self.assertFalse(self.connection.caller_gone())
+        self.assertFalse(self.connection.caller_left())
 
     def test_a_caller_with_a_next_request_is_not_gone(self):
         self.caller.sendall(b"GET / HTTP/1.1\r\n")
-        self.assertFalse(self.connection.caller_gone())
+        self.assertFalse(self.connection.caller_left())
 
     def test_a_caller_that_closed_is_gone(self):
         self.caller.close()
-        self.assertTrue(self.connection.caller_gone())
+        self.assertTrue(self.connection.caller_left())
