--- a/balsamspindle/requests/ingress.py
+++ b/balsamspindle/requests/ingress.py
@@ -46,7 +46,7 @@
 
 
 class Ingress:
-    """Receives callers' requests and gives each exactly one answer.
+    """Receives callers' requests and answers each of them exactly once.
 
     Parameters
     ----------
@@ -132,7 +132,7 @@
         self._listener_closed.set()
 
     def leave(self) -> None:
-        """From now on, close each connection after its next answer."""
+        """Start to leave: from now on, close each connection after its next answer."""
         if not self._leaving.is_set():
             self._log.leaving_s = time.monotonic()
         self._leaving.set()
--- a/balsamspindle/requests/links.py
+++ b/balsamspindle/requests/links.py
@@ -92,7 +92,7 @@
         self.gate: tuple[str, int] = ("", 0)
         self._last_received_s = float("-inf")
         self._gate_deadline_s: float | None = None
-        self._ending_sent = False
+        self._stop_notice_sent = False
         # The attempt for which the gate sent the last notice; see `has_ending_notice`.
         self._ending_attempt_id: AttemptId | None = None
         self._socket = context.socket(zmq.DEALER)
@@ -187,7 +187,7 @@
         now_s = time.monotonic()
         self._sent_s = now_s
         self._gate_deadline_s = self.gate_clock.at(deadline_s)
-        self._ending_sent = dispatch.ingress_remaining_ms is not None
+        self._stop_notice_sent = dispatch.ingress_remaining_ms is not None
         message = msgspec.structs.replace(
             dispatch,
             remaining_ms=(deadline_s - now_s) * 1000,
@@ -201,9 +201,9 @@
 
     def notify_node_stop(self, attempt_id: AttemptId, remaining_s: float) -> None:
         """Notify the gate, once per attempt, that this node stops in `remaining_s`."""
-        if self._ending_sent:
+        if self._stop_notice_sent:
             return
-        self._ending_sent = True
+        self._stop_notice_sent = True
         self._send(IngressEnding(attempt_id, remaining_s * 1000))
 
     def cancel(self, attempt_id: AttemptId, hlc: int, cause: CancelCause) -> None:
@@ -232,7 +232,7 @@
         """Read one message if there is any; return it if it is the attempt's reply."""
         if self._socket not in ready:
             return None
-        return self._matching_reply(attempt_id, on_dropped)
+        return self._read_reply(attempt_id, on_dropped)
 
     def is_disconnected(self, ready) -> bool:
         """Return whether the connection ended and all replies were read."""
@@ -252,7 +252,7 @@
         self._last_received_s = time.monotonic()
         self.gate_clock.update(gate_time_s, self._last_received_s)
 
-    def _matching_reply(self, attempt_id, on_dropped) -> Reply | None:
+    def _read_reply(self, attempt_id, on_dropped) -> Reply | None:
         match decode_link(self._socket.recv()):
             case Reply() as reply:
                 if reply.attempt_id == attempt_id:
--- a/balsamspindle/requests/retries.py
+++ b/balsamspindle/requests/retries.py
@@ -38,13 +38,14 @@
 
     # No other attempt is allowed.
     FINAL = "final"
-    # No token, for example because the ingress's information on the gate was outdated.
+    # The next attempt costs no token. For example, the ingress selected the gate with
+    # outdated information.
     FREE = "free"
-    # No token after a request's first reply with this reason; one token after each
-    # further reply with the same reason. The attempts did not run, but all gates may
-    # be busy.
+    # The next attempt costs no token after a request's first reply with this reason,
+    # and one token after each further reply with the same reason. The attempts did not
+    # run, but all gates may be busy.
     FIRST_FREE = "first_free"
-    # One token.
+    # The next attempt costs one token.
     PAID = "paid"
 
 
--- a/balsamspindle/requests/retry_tokens.py
+++ b/balsamspindle/requests/retry_tokens.py
@@ -21,24 +21,24 @@
     """
 
     def __init__(self) -> None:
-        self._earned = 0.0
-        self._floor = math.inf
+        self._request_tokens = 0.0
+        self._rate_tokens = math.inf
         self._changed_s = 0.0
 
     def record_request(self, budget: RetryBudget, now_s: float) -> None:
         """Add the fraction of a token that one request earns."""
         self._advance_time(budget, now_s)
-        self._earned += budget.fraction
+        self._request_tokens += budget.fraction
 
     def remaining(self, budget: RetryBudget, now_s: float) -> float:
         """Return the number of tokens available."""
         self._advance_time(budget, now_s)
-        return self._floor + self._earned
+        return self._rate_tokens + self._request_tokens
 
     def available(self, budget: RetryBudget, now_s: float) -> bool:
         """Return whether a whole token is available."""
         self._advance_time(budget, now_s)
-        return self._floor >= 1 or self._earned >= 1
+        return self._rate_tokens >= 1 or self._request_tokens >= 1
 
     def take(self, budget: RetryBudget, now_s: float, reserved: float = 0.0) -> bool:
         """Spend a token on a retry; return False if too few tokens are available.
@@ -50,21 +50,23 @@
         """
         if not self.available(budget, now_s):
             return False
-        if reserved and (self._floor + self._earned) * (1 - reserved) < 1:
+        if reserved and (self._rate_tokens + self._request_tokens) * (1 - reserved) < 1:
             return False
-        if self._floor >= 1:
-            self._floor -= 1
+        if self._rate_tokens >= 1:
+            self._rate_tokens -= 1
         else:
-            self._earned -= 1
+            self._request_tokens -= 1
         return True
 
     def refund(self) -> None:
         """Add back a token that was spent on a retry that was not made."""
-        self._floor += 1
+        self._rate_tokens += 1
 
     def _advance_time(self, budget: RetryBudget, now_s: float) -> None:
         elapsed_s = max(0.0, now_s - self._changed_s)
         self._changed_s = max(now_s, self._changed_s)
-        self._earned *= math.exp(-elapsed_s / WINDOW_S)
-        floor_max = max(1.0, budget.per_s_min * FLOOR_BURST_S)
-        self._floor = min(floor_max, self._floor + budget.per_s_min * elapsed_s)
+        self._request_tokens *= math.exp(-elapsed_s / WINDOW_S)
+        rate_tokens_max = max(1.0, budget.per_s_min * FLOOR_BURST_S)
+        self._rate_tokens = min(
+            rate_tokens_max, self._rate_tokens + budget.per_s_min * elapsed_s
+        )
--- a/balsamspindle/requests/siblings.py
+++ b/balsamspindle/requests/siblings.py
@@ -23,10 +23,10 @@
 
 # Calls that arrive within this time of each other may belong to one request. The calls
 # of one request are made within 1 ms; the other 19 ms allow for delays on a shared CPU.
-TOGETHER_S = 0.02
+GROUPING_WINDOW_S = 0.02
 # Calls whose deadlines differ by more than this belong to different requests, because
 # all calls of one request have the request's deadline.
-SAME_DEADLINE_S = 0.02
+DEADLINE_TOLERANCE_S = 0.02
 # Requests of a route are ranked if at least this fraction of them arrive together with
 # the route's previous request. For calls made in pairs, the fraction is a half; for
 # callers' independent requests at one node, it is almost 0. Requests without ranks are
@@ -75,8 +75,8 @@
         """
         with self._lock:
             state = self._route_state(route_id(route))
-            is_sibling = now_s - state.arrived_s <= TOGETHER_S
-            is_sibling &= abs(deadline_s - state.deadline_s) <= SAME_DEADLINE_S
+            is_sibling = now_s - state.arrived_s <= GROUPING_WINDOW_S
+            is_sibling &= abs(deadline_s - state.deadline_s) <= DEADLINE_TOLERANCE_S
             if not is_sibling:
                 state.rank = self._random.random()
             state.arrived_s, state.deadline_s = now_s, deadline_s
