--- a/balsamspindle/requests/ingress.py
+++ b/balsamspindle/requests/ingress.py
@@ -218,7 +218,7 @@
     def _read(
         self, caller: HttpConnection
     ) -> tuple[CallerRequest | None, Refused | None]:
-        """Read the next request; read only its head if the request is refused then.
+        """Read the next request, or only its head if the head is enough to refuse it.
 
         Returns the request, which is None if the caller closed the connection, and the
         refusal, which is None if the request was not refused by its head.
--- a/balsamspindle/requests/links.py
+++ b/balsamspindle/requests/links.py
@@ -272,7 +272,7 @@
 
 
 class LinkPool:
-    """A pool of idle links to all peers, by address; thread-safe."""
+    """A pool of idle links to all peers, by peer address."""
 
     def __init__(
         self, context: zmq.Context, events: EventLog, keys: FleetKeys | None = None
--- a/balsamspindle/requests/siblings.py
+++ b/balsamspindle/requests/siblings.py
@@ -45,7 +45,7 @@
 
 
 class _RouteState:
-    """The last request of a route, and the fraction of requests that come together."""
+    """A route's last request, and the fraction of requests that arrive together."""
 
     def __init__(self) -> None:
         self.arrived_s = float("-inf")
