--- a/balsamspindle/crashes/attribution.py
+++ b/balsamspindle/crashes/attribution.py
@@ -18,15 +18,15 @@
 
 @dataclass
 class KnownCrash:
-    """A crash as one node knows it.
+    """A crash in the history of one node.
 
     Attributes
     ----------
     at_s : float
         Time of the crash, on this node's monotonic clock.
     runs : dict of int to float
-        Run time in seconds of each request that was running, by its content hash.
-        Requests that are answered later are removed.
+        Run time in seconds of each request that was running, by its content hash. A
+        request that is answered after the crash is removed.
     """
 
     crash: Crash
@@ -37,14 +37,14 @@
 class CrashAttribution:
     """Attributes each crash to the request that most probably caused it.
 
-    Results are cached, so crashes and quarantines must not change during the use of an
-    instance.
+    Results are cached, so crashes and quarantines must not change while an instance is
+    in use.
 
     Parameters
     ----------
     is_quarantined : callable
-        Tells whether the request with a content hash is quarantined.
-    servers : callable
+        Returns whether the request with a content hash is quarantined.
+    count_servers : callable
         Returns the number of a service's backend servers.
     """
 
@@ -52,17 +52,17 @@
         self,
         crashes: Collection[KnownCrash],
         is_quarantined: Callable[[int], bool],
-        servers: Callable[[str], int],
+        count_servers: Callable[[str], int],
     ) -> None:
         self._crashes = crashes
         self._is_quarantined = is_quarantined
-        self._servers = servers
+        self._count_servers = count_servers
         self._probabilities: dict[int, float] = {}
 
     def cause_of(self, known: KnownCrash) -> int | None:
         """Return the content hash of the cause of a crash; None when unclear.
 
-        If quarantined requests were running, only they are considered.
+        If quarantined requests were running at the crash, only they are considered.
         """
         quarantined = self._quarantined_in(known)
         probabilities = dict.fromkeys(known.runs, 1.0)
@@ -87,7 +87,7 @@
     def _probability(self, content_hash: int) -> float:
         """Return the probability that a request ran at its crashes by coincidence.
 
-        Crashes in which a quarantined request ran are left out.
+        Crashes at which a quarantined request was running are left out.
         """
         if content_hash not in self._probabilities:
             unexplained = [
@@ -117,7 +117,7 @@
             for known in self._crashes
         )
         return CauseEvidence(
-            own_crashes, service_crash_count, sum(map(self._servers, services))
+            own_crashes, service_crash_count, sum(map(self._count_servers, services))
         )
 
     def _quarantined_in(self, known: KnownCrash) -> list[int]:
--- a/balsamspindle/crashes/gossip.py
+++ b/balsamspindle/crashes/gossip.py
@@ -5,10 +5,10 @@
 milliseconds, even while the platform is unavailable.
 
 Each membership message carries a digest of the crashes and quarantines that its sender
-knows. When the digests of two nodes differ for longer than an update takes, each sends
-the other a repair: the crashes and quarantines that it knows. So a node that missed
-updates, was disconnected or has just started catches up within about a second of its
-first message.
+knows. When the digests of two nodes differ for longer than an update takes to arrive,
+each node sends the other a repair: the crashes and quarantines that it knows. So a node
+that missed updates, was disconnected or has just started catches up within about a
+second of its first message.
 """
 
 import threading
@@ -23,16 +23,17 @@
 
 __all__ = ["CrashGossip"]
 
-# A peer is sent no repair for this long after a change of this node's own digest. The
-# update that makes the digests equal may still be on its way.
+# A node sends no repair for this long after its own digest changed, because the update
+# that makes both digests equal may not have arrived yet.
 SETTLE_TIME_S = 0.4
 REPAIR_INTERVAL_S = 0.8
 REPAIRED_PEERS_MAX = 1000
 # The first repair that is sent to a peer contains only crashes up to this age, which
-# the peer is most likely to have missed. If the digests still differ after it, further
-# repairs contain all crashes.
+# the peer is most likely to have missed. If the digests still differ after the first
+# repair, further repairs contain all crashes.
 RECENT_S = 15.0
-# This many crashes take about 5 KB in a message, if six requests ran at each.
+# Maximum number of crashes in a message. They take about 5 KB if six requests were
+# running at each.
 CRASHES_PER_MESSAGE = 40
 QUARANTINES_PER_MESSAGE = 100
 
@@ -62,8 +63,8 @@
         self._clock = clock
         self._lock = threading.Lock()
         self._changed_s = float("-inf")
-        # Time of the last repair sent to each peer, by address, until its digest equals
-        # that of this node.
+        # By peer address: the time of the last repair sent to the peer. An entry is
+        # removed when the peer's digest equals that of this node.
         self._repaired_s: OrderedDict[str, float] = OrderedDict()
 
     def share(self, update: CrashUpdate, now_s: float) -> None:
@@ -84,8 +85,8 @@
     def compare_digest(self, address: str, digest: int, now_s: float) -> None:
         """Send a repair to a peer whose digest differs from that of this node.
 
-        No repair is sent while an update may be on its way, or within
-        `REPAIR_INTERVAL_S` of the last repair to the same peer.
+        No repair is sent within `SETTLE_TIME_S` of a change of this node's digest, or
+        within `REPAIR_INTERVAL_S` of the last repair to the peer.
         """
         is_same = digest == self._history.digest()
         with self._lock:
--- a/balsamspindle/crashes/history.py
+++ b/balsamspindle/crashes/history.py
@@ -1,4 +1,4 @@
-"""The crashes and quarantines that one node knows."""
+"""Stores the crashes and quarantines that one node knows."""
 
 import threading
 from collections import Counter, OrderedDict
@@ -30,17 +30,17 @@
 CRASHES_MAX = 256
 CRASH_EXPIRY_S = 600.0
 RUNS_MAX = 32
-# A request is suspected when this many backend servers crashed while running it.
+# A request is suspected when at least this many backend servers crashed running it.
 SUSPECT_CRASHES = 2
-# How long a request's first quarantine blocks it: it is sent to no backend server. Then
-# it is sent again, since the fault in the backend server may have been corrected. One
-# more crash quarantines it again, for twice as long.
+# A request's first quarantine blocks it for this long: it is sent to no backend server.
+# Then it is sent again, as the backend server's fault may have been corrected. If it
+# causes one more crash, the next quarantine blocks it for twice as long.
 BLOCKED_S = 600.0
 BLOCKED_MAX_S = 86_400.0
 QUARANTINES_MAX = 1000
 QUARANTINE_EXPIRY_S = 2 * BLOCKED_MAX_S
-# The estimated time of a crash may be this much too late, as its report takes time to
-# arrive. An answer up to this long before the estimate counts as later than the crash.
+# A crash's estimated time may be late by up to this, the delay of its report. So an
+# answer up to this long before the estimated time counts as later than the crash.
 REPORT_DELAY_MAX_S = 1.0
 EXPIRE_INTERVAL_S = 1.0
 
@@ -56,42 +56,42 @@
 
 
 class CrashHistory:
-    """Crashes and quarantines of the whole fleet; thread-safe.
+    """Stores crashes and quarantines of the whole fleet; thread-safe.
 
     The histories of all nodes become equal, in whatever order and however often they
-    receive updates: crashes are added, a request's run is removed from a crash when the
-    request was answered, and its quarantine is replaced by one with a higher term (the
-    number of its quarantines so far), or by a lifted one with the same term.
+    receive updates. A merge only adds crashes, removes runs of answered requests, and
+    replaces a request's quarantine by one with a higher term (the number of its
+    quarantines so far) or by a lifted one with the same term.
 
     Most requests that are lost in a crash are answered at their next attempt and never
     lost again. Sharing these answers would cost six updates for a crash at which six
-    requests ran. So an answer is shared only when its request is lost once more.
+    requests ran. So an answer after one loss is shared only after a second loss.
 
     Parameters
     ----------
-    servers : callable
+    count_servers : callable
         Returns the number of a service's backend servers.
     on_quarantine : callable
         Called when a quarantine is new to this node or was just lifted. Arguments: the
         quarantine; ids of backend servers that crashed while the request ran; the new
-        evidence, or `NO_EVIDENCE`. It is called with the lock held and must not block.
+        evidence, or `NO_EVIDENCE`. Called with the lock held, so it must not block.
     """
 
     def __init__(
         self,
-        servers: Callable[[str], int],
+        count_servers: Callable[[str], int],
         on_quarantine: Callable[
             [Quarantine, list[str], CauseEvidence], None
         ] = lambda *_: None,
     ) -> None:
-        self._servers = servers
+        self._count_servers = count_servers
         self._on_quarantine = on_quarantine
         self._lock = threading.RLock()
         self._crashes: OrderedDict[tuple[str, int], KnownCrash] = OrderedDict()
         # By content hash: the number of crashes that still list a run of the request.
         self._counts: Counter[int] = Counter()
         # By content hash: the keys of the crashes from which its run was removed.
-        self._cleared: dict[int, set[tuple[str, int]]] = {}
+        self._removed: dict[int, set[tuple[str, int]]] = {}
         self._quarantined: OrderedDict[int, _Quarantined] = OrderedDict()
         self._answers = RecentAnswers()
         self._digest: int | None = 0
@@ -112,11 +112,11 @@
             return QuarantineStatus(True, blocked_ms)
 
     def has_ended(self, backend_server_id: str, start: int) -> bool:
-        """Tell whether the process with a start id is known to have crashed."""
+        """Return whether the process with a start id is known to have crashed."""
         return (backend_server_id, start) in self._crashes
 
     def ran_quarantined_request(self, backend_server_id: str, start: int) -> bool:
-        """Tell whether a quarantined request was running when a process crashed."""
+        """Return whether a quarantined request was running when a process crashed."""
         with self._lock:
             known = self._crashes.get((backend_server_id, start))
             return known is not None and any(map(self._is_quarantined, known.runs))
@@ -130,7 +130,7 @@
                 for crash in update.crashes
                 if self._merge_crash(crash, now_s)
             ]
-            crashes += self._cleared_before(crashes, now_s)
+            crashes += self._related_crashes(crashes, now_s)
             quarantines = [
                 self._export_quarantine(quarantine.content_hash, now_s)
                 for quarantine in update.quarantines
@@ -143,8 +143,8 @@
             return CrashUpdate(crashes, quarantines)
 
     def record_answer(self, content_hash: int, now_s: float) -> CrashUpdate:
-        """Record a request's answer; return the changes that peers have to know."""
-        # Record it even if no crash is known: an earlier one may be reported late.
+        """Record that a request was answered; return the changes to send to peers."""
+        # Needed even if no crash is known: an earlier crash may be reported late.
         self._answers.record(content_hash, now_s)
         if content_hash not in self._counts and content_hash not in self._quarantined:
             return CrashUpdate()
@@ -167,7 +167,7 @@
             return CrashUpdate(cleared if is_watched else [], quarantines)
 
     def retract(self, key: tuple[str, int], now_s: float) -> CrashUpdate:
-        """Remove all runs from a crash that did not happen; return the changes."""
+        """Remove all runs of a falsely reported crash; return the changes for peers."""
         with self._lock:
             known = self._crashes.get(key)
             if known is None or not known.runs:
@@ -244,11 +244,11 @@
         return True
 
     def _was_answered(self, content_hash: int, now_s: float) -> bool:
-        """Tell whether a request was answered too recently for peers to know it."""
+        """Return whether a request was answered so recently that peers may not know."""
         return now_s - self._answers.answered_s(content_hash) < ANSWER_VALID_S
 
     def _quarantine_causes(self, crashes: Iterable[Crash], now_s: float) -> None:
-        """Quarantine causes of crashes that are new or from which a run was removed."""
+        """Quarantine each request in `crashes` that now counts as a cause."""
         attribution = self._attribution()
         for content_hash in {run.content_hash for one in crashes for run in one.runs}:
             quarantined = self._quarantined.get(content_hash)
@@ -267,11 +267,11 @@
 
     def _attribution(self) -> CrashAttribution:
         return CrashAttribution(
-            self._crashes.values(), self._is_quarantined, self._servers
+            self._crashes.values(), self._is_quarantined, self._count_servers
         )
 
     def _is_quarantined(self, content_hash: int) -> bool:
-        """Tell whether a request has an unlifted quarantine, blocked now or not."""
+        """Return whether a request has an unlifted quarantine, blocking or not."""
         quarantined = self._quarantined.get(content_hash)
         return quarantined is not None and not quarantined.is_lifted
 
@@ -281,7 +281,7 @@
         quarantined: _Quarantined,
         attribution: CrashAttribution,
     ) -> bool:
-        """Tell whether a request caused a crash after it was no longer blocked."""
+        """Return whether a request caused a crash after its block ended."""
         return any(
             known.at_s > quarantined.until_s
             and attribution.cause_of(known) == content_hash
@@ -332,21 +332,21 @@
         age_ms = max(0, round((now_s - known.at_s) * 1000))
         return known.crash._replace(age_ms=age_ms, runs=runs)
 
-    def _cleared_before(self, crashes: list[Crash], now_s: float) -> list[Crash]:
-        """Return the earlier crashes of the answered requests in `crashes`.
+    def _related_crashes(self, crashes: list[Crash], now_s: float) -> list[Crash]:
+        """Return other crashes from which runs of requests in `crashes` were removed.
 
-        Peers may not know yet that the requests' runs were removed from them.
+        Peers may not know of the removals: an answer after one loss is not shared.
         """
         content_hashes = {run.content_hash for crash in crashes for run in crash.runs}
-        keys = set().union(*(self._cleared.get(one, ()) for one in content_hashes))
+        keys = set().union(*(self._removed.get(one, ()) for one in content_hashes))
         keys -= {crash.key for crash in crashes}
         return [self._export_crash(self._crashes[key], now_s) for key in sorted(keys)]
 
     def _remove_run(self, known: KnownCrash, content_hash: int) -> None:
-        self._cleared.setdefault(content_hash, set()).add(known.crash.key)
-        self._uncount(known, content_hash)
+        self._removed.setdefault(content_hash, set()).add(known.crash.key)
+        self._delete_run(known, content_hash)
 
-    def _uncount(self, known: KnownCrash, content_hash: int) -> None:
+    def _delete_run(self, known: KnownCrash, content_hash: int) -> None:
         del known.runs[content_hash]
         self._counts[content_hash] -= 1
         if not self._counts[content_hash]:
@@ -355,11 +355,11 @@
     def _remove_crash(self, key: tuple[str, int]) -> None:
         known = self._crashes[key]
         for content_hash in list(known.runs):
-            self._uncount(known, content_hash)
-        for content_hash in [one for one, keys in self._cleared.items() if key in keys]:
-            self._cleared[content_hash].discard(key)
-            if not self._cleared[content_hash]:
-                del self._cleared[content_hash]
+            self._delete_run(known, content_hash)
+        for content_hash in [one for one, keys in self._removed.items() if key in keys]:
+            self._removed[content_hash].discard(key)
+            if not self._removed[content_hash]:
+                del self._removed[content_hash]
         del self._crashes[key]
         self._digest = None
 
@@ -384,8 +384,8 @@
             self._digest = None
 
     def _compute_digest(self) -> int:
-        # Requests that were lost only once are left out: nodes do not tell each other
-        # whether such a request was answered.
+        # Requests that were lost only once are left out: nodes do not share whether
+        # these requests were answered.
         crashes = [
             (key, sorted(run for run in known.runs if self._counts[run] > 1))
             for key, known in sorted(self._crashes.items())
--- a/balsamspindle/crashes/live_servers.py
+++ b/balsamspindle/crashes/live_servers.py
@@ -1,4 +1,4 @@
-"""Counts the backend servers of a service while some of them crash."""
+"""Counts a service's backend servers, without those that have crashed."""
 
 from collections import Counter
 from collections.abc import Callable, Iterable
@@ -12,7 +12,7 @@
 def count_live_servers(
     placements: Iterable[Placement], has_ended: Callable[[str, int], bool]
 ) -> int:
-    """Return the number of backend servers, without those that have ended.
+    """Return the number of backend servers whose processes have not ended.
 
     For some seconds after a crash, the directory lists both the backend server that
     crashed and its replacement, which has another id. A node whose backend servers have
@@ -21,8 +21,8 @@
     Parameters
     ----------
     has_ended : callable
-        Takes the id of a backend server and the `start_id` of its process; tells
-        whether that process has ended.
+        Takes the id of a backend server and the `start_id` of its process; returns
+        whether the process has ended.
     """
     nodes, live = set(), Counter()
     for node, server in placements:
--- a/balsamspindle/crashes/quarantine_store.py
+++ b/balsamspindle/crashes/quarantine_store.py
@@ -1,10 +1,10 @@
-"""Stores quarantines in the platform's tables, for restarts of the whole fleet.
+"""Stores quarantines in the platform's tables, to survive a restart of the fleet.
 
 Nodes send each other their quarantines, but lose them when their processes end. After a
 power loss of the whole fleet, a quarantined request would crash three backend servers
 before it was quarantined again. So each quarantine is written as a row of a table,
-which each node reads at its start. While the platform is unavailable, quarantines only
-pass between nodes, and the row is written later.
+which each node reads at its start. While the platform is unavailable, nodes still send
+each other their quarantines, and write the rows later.
 """
 
 import random
@@ -26,11 +26,11 @@
 __all__ = ["QUARANTINES_TABLE", "QuarantineStore", "QuarantineRow"]
 
 QUARANTINES_TABLE = "quarantines"
-# Nodes that write the row of a quarantine. There are two in case one of them cannot
-# reach the platform.
+# Number of nodes that write the row of a quarantine. There are two in case one of them
+# cannot reach the platform.
 WRITERS = 2
-# Before a node writes a row, it waits for a random time up to this, so that the second
-# writer usually finds the row that the first has written.
+# Before a node writes a row, it waits for a random time up to this. So the second
+# writer usually finds the row of the first and need not write.
 WRITE_DELAY_MAX_S = 1.0
 RETRY_DELAY_MIN_S, RETRY_DELAY_MAX_S = 0.6, 30.0
 PENDING_MAX = 1000
@@ -53,13 +53,13 @@
 
 
 class QuarantineStore:
-    """A task that reads the stored quarantines once and then writes new ones.
+    """Reads the stored quarantines once and then writes new ones.
 
     Parameters
     ----------
     on_update : callable
-        Called with those quarantines read that are new to this node, and the current
-        time.
+        Called after the read, with the stored quarantines that are new to this node and
+        the current time.
     """
 
     def __init__(
@@ -97,13 +97,13 @@
             retry_delay_s = min(2 * retry_delay_s, RETRY_DELAY_MAX_S)
 
     def stop(self) -> None:
-        """Make `run` return soon; pending rows may stay unwritten."""
+        """Make `run` return soon; rows that are still pending may never be written."""
         with self._changed:
             self._stopped = True
             self._changed.notify_all()
 
     def record(self, quarantine: Quarantine, now_unix_s: float) -> None:
-        """Queue a new or lifted quarantine for writing if this node is to write it."""
+        """Queue a new or lifted quarantine for writing if this node writes it."""
         if not self._is_writer(quarantine.content_hash):
             return
         until_unix_s = now_unix_s + quarantine.left_ms / 1000
@@ -152,7 +152,7 @@
         return True
 
     def _write_one(self, content_hash: int, row: QuarantineRow) -> bool:
-        """Write one row, unless the stored row is as recent or more recent.
+        """Write one row, unless the stored row is at least as recent.
 
         Returns
         -------
--- a/balsamspindle/crashes/recent_answers.py
+++ b/balsamspindle/crashes/recent_answers.py
@@ -1,18 +1,18 @@
-"""Remembers which requests were answered recently."""
+"""Records which requests were answered recently."""
 
 import math
 
 __all__ = ["ANSWER_VALID_S", "RecentAnswers"]
 
-# For this long after this node learns that a request was answered, a peer that does not
-# know of the answer may still report a quarantine of the request, or a crash in which
-# the request was lost.
+# How long an answer is used after this node has learned of it. During this time, a peer
+# that does not know of the answer may still report a quarantine of the request, or a
+# crash in which the request was lost.
 ANSWER_VALID_S = 10.0
 ANSWERS_MAX = 10_000
 
 
 class RecentAnswers:
-    """Remembers answers for `ANSWER_VALID_S` to twice as long; thread-safe.
+    """Stores each answer for `ANSWER_VALID_S` to twice as long; thread-safe.
 
     `record` is called for each answer to each request, so it neither takes a lock nor
     searches for old entries. New answers go into one of two tables. After
--- a/balsamspindle/crashes/records.py
+++ b/balsamspindle/crashes/records.py
@@ -33,7 +33,7 @@
 
 
 class Crash(NamedTuple):
-    """The end of a backend server, with the requests that were running there.
+    """The crash of a backend server, with the requests that were running there.
 
     Attributes
     ----------
@@ -54,7 +54,7 @@
 
     @property
     def key(self) -> tuple[str, int]:
-        """The same for all records of a crash, and unique in the fleet."""
+        """Identifies the crash in the fleet; equal in all records of the same crash."""
         return self.backend_server_id, self.start
 
 
@@ -68,7 +68,7 @@
     term : int
         How often the request has been quarantined, including this quarantine.
     left_ms : int
-        How long the request stays blocked after the sending of this record.
+        Remaining time for which the request is blocked when this record is sent.
     is_lifted : bool
         Whether the quarantine has ended because a backend server answered the request.
     """
@@ -87,15 +87,16 @@
 
 
 class QuarantineStatus(NamedTuple):
-    """Whether a request is suspected of crashing backend servers, or blocked.
+    """Whether a request is suspected of causing crashes, and how long it is blocked.
 
     Attributes
     ----------
     is_suspect : bool
-        Whether several backend servers ended while running the request and it has not
-        been answered since, or it is quarantined.
+        Whether the request is quarantined, or several backend servers ended while
+        running it and it has not been answered since.
     blocked_ms : float
-        How long the request must not be sent to a backend server; 0 when it may be.
+        Remaining time for which the request must not be sent to a backend server; 0 if
+        it is not blocked.
     """
 
     is_suspect: bool = False
@@ -106,7 +107,7 @@
 
 
 class RunEnd(NamedTuple):
-    """What the end of a run tells about a crash of the backend server.
+    """How a run ended, as evidence of whether the backend server crashed.
 
     Attributes
     ----------
--- a/balsamspindle/crashes/retry_waits.py
+++ b/balsamspindle/crashes/retry_waits.py
@@ -1,4 +1,4 @@
-"""The delay before the retry of a request that was lost in a crash."""
+"""Computes the delay before the retry of a request that was lost in a crash."""
 
 import random
 
@@ -18,10 +18,12 @@
     """Return how long a request that was lost in a crash waits before its next attempt.
 
     A request that was lost more than once may be the cause of the crashes. The cause is
-    recognized by being lost after the same run time each time. In a wave of crashes at
-    regular intervals, any request that is retried without delay is lost after the same
-    run time, the interval. With a random wait before each retry, only the cause is
-    still lost after equal run times.
+    recognized because its run times are about equal at all its crashes. In a wave of
+    crashes at regular intervals, the run times of any request that is retried without
+    delay are equal, too: they equal the interval. With a random wait before each retry,
+    only the run times of the cause are still about equal.
+
+    The wait is 0 if the request is not suspected.
 
     Parameters
     ----------
--- a/balsamspindle/crashes/verdicts.py
+++ b/balsamspindle/crashes/verdicts.py
@@ -27,13 +27,13 @@
 # A request to which this many crashes are attributed, all after similar run times,
 # counts as their cause whatever the rate of other crashes.
 CRASHES_SUFFICIENT = 6
-# The check of CRASHES_SUFFICIENT takes run times as similar if
+# For CRASHES_SUFFICIENT, run times count as similar if
 # longest <= SIMILAR_TIME_FACTOR * shortest + SIMILAR_TIME_S.
 SIMILAR_TIME_FACTOR, SIMILAR_TIME_S = 2.0, 0.1
-# The crash rate of a service is computed from this long before the first crash that is
-# attributed to a request to the last of these crashes. In a longer window, a wave of
-# crashes that lasts two seconds would raise the rate too little, and a request that
-# runs during the wave by coincidence would count as its cause.
+# The crash rate of a service is computed over a window that begins this long before the
+# first crash attributed to a request and ends with the last one. In a longer window, a
+# wave of crashes that lasts two seconds would raise the rate too little. A request that
+# runs during the wave by coincidence would then count as its cause.
 RATE_LEAD_S = 1.0
 # A crash is attributed to the request that most probably caused it. That request's
 # probability of running at its crashes by coincidence must be at least this many times
@@ -44,8 +44,7 @@
 # The probability that run times are similar by coincidence counts as at least this:
 # similar run times alone are no proof, since timeouts also end runs after equal times.
 SIMILAR_TIMES_PROBABILITY_MIN = 1e-3
-# A run time that is shorter than this counts as this long, since clocks are read late
-# on a busy VM.
+# Shorter run times are raised to this, since clocks are read late on a busy VM.
 RUN_TIME_MIN_S = 0.05
 # Crashes within this time may have one common reason, such as the loss of a rack.
 SIMULTANEOUS_S = 0.1
@@ -60,7 +59,7 @@
 
 
 class AttributedCrash(NamedTuple):
-    """A crash of which a request is the likeliest cause.
+    """A crash that is attributed to a request, its likeliest cause.
 
     Attributes
     ----------
@@ -83,10 +82,10 @@
         The crashes attributed to the request, in the order of time.
     service_crash_count : int
         Number of all crashes of the services in which `crashes` happened, from
-        `RATE_LEAD_S` before the first of `crashes` to the last. Crashes in which a
-        quarantined request ran are not counted.
+        `RATE_LEAD_S` before the first of `crashes` to the last one. Crashes at which a
+        quarantined request was running are not counted.
     server_count : int
-        Number of backend servers of these services.
+        Number of backend servers of the services in which `crashes` happened.
     """
 
     crashes: Sequence[AttributedCrash] = ()
@@ -102,13 +101,13 @@
 ) -> int | None:
     """Return the request that most probably caused a crash; None when unclear.
 
-    The number of crashes does not identify the cause. An innocent request that often
-    runs at the same time as one cause is lost in the same crashes, and one that runs at
-    the same time as several causes may be lost in more crashes than each of them. But
-    an innocent request is lost after various run times, and a cause always after about
-    the same run time. So a crash is attributed to the request that is the least likely
-    to have been running at its crashes by coincidence, and to no request when two are
-    about equally likely.
+    The request that is lost in the most crashes need not be a cause. A request that
+    causes none, but often runs at the same time as one cause, is lost in the same
+    crashes. If it runs at the same time as several causes, it may be lost in more
+    crashes than each of them. But such a request is lost after various run times, and a
+    cause always after about the same run time. So a crash is attributed to the request
+    with the lowest probability of running at its crashes by coincidence, and to no
+    request if the two lowest probabilities are about equal.
 
     Parameters
     ----------
@@ -117,8 +116,8 @@
         been answered since: the probability that the request was running at all its
         crashes by coincidence.
     quarantined : collection of int
-        Content hashes of quarantined requests. If one of them was running, it is the
-        cause; if several were, the cause is unclear.
+        Content hashes of quarantined requests. If one of them was running at the crash,
+        it is the cause; if several were, the cause is unclear.
     """
     known = [
         content_hash for content_hash in probabilities if content_hash in quarantined
@@ -136,13 +135,13 @@
 
 
 def independent_crashes(crashes: Sequence[AttributedCrash]) -> list[AttributedCrash]:
-    """Return the crashes, but only the first of any that one outage may have caused.
+    """Return the crashes, without repeats that a single outage may have caused.
 
     The loss of a rack or an availability zone ends several backend servers at the same
     moment. If copies of a request were running at several of them, the request must not
-    be quarantined for this loss. So of simultaneous crashes only the first is returned.
-    A further one is returned too if the request had been running for about the same
-    time at both, since the request may then have caused both.
+    be quarantined for this loss. So only the first of several simultaneous crashes is
+    returned. A later one is returned too if the request had been running for about the
+    same time at both crashes, since the request may then have caused both.
     """
     kept: list[AttributedCrash] = []
     for crash in crashes:
@@ -155,7 +154,7 @@
 
 
 def is_cause(evidence: CauseEvidence) -> bool:
-    """Tell whether a request causes the crashes that are attributed to it.
+    """Return whether a request causes the crashes that are attributed to it.
 
     The number of crashes at which a request is expected to be running by coincidence is
     the crash rate times the total run time of the request. A request that crashes
@@ -175,7 +174,7 @@
 
 
 def _has_similar_run_times(crashes: Sequence[AttributedCrash]) -> bool:
-    """Tell whether a request was running for about the same time at all its crashes.
+    """Return whether a request was running for about the same time at all its crashes.
 
     A request that is running at crashes by coincidence is lost after various run times.
     The run times of a cause may differ by a factor of two, since a request takes about
@@ -198,7 +197,7 @@
 def _count_probability(count: int, expected: float) -> float:
     """Return the Poisson probability of exactly `count` crashes.
 
-    It is 1 if at least that many crashes are expected.
+    Returns 1 if `count` crashes or more are expected.
     """
     if expected >= count:
         return 1.0
@@ -208,7 +207,7 @@
 
 
 def _similar_times_probability(crashes: Sequence[AttributedCrash]) -> float:
-    """Return the probability that run times are as similar by coincidence.
+    """Return the probability that run times are as similar as these by coincidence.
 
     A request that causes crashes may also be running at crashes with another cause, so
     not all its run times need to be similar. For each number of crashes from
--- a/balsamspindle/customers/admission.py
+++ b/balsamspindle/customers/admission.py
@@ -121,7 +121,7 @@
     ) -> Admitted | Refused:
         """Find a request's customer and count the request against the customer's limit.
 
-        Blocks while a node that grants the customer's requests is asked.
+        Blocks while nodes that grant the customer's requests are queried.
         """
         configuration = self._configuration.get()
         is_fresh = self._freshness.is_fresh(configuration.revision, now_s)
@@ -133,7 +133,7 @@
         return identified
 
     def refund(self, admitted: Admitted) -> None:
-        """Give back the grant of an admitted request that did not run."""
+        """Return the grant of an admitted request that did not run."""
         if self._limiter is not None and admitted.grant is not None:
             self._limiter.refund(admitted.grant)
 
--- a/balsamspindle/customers/buckets.py
+++ b/balsamspindle/customers/buckets.py
@@ -50,8 +50,8 @@
     filled_s : float
         Time up to which tokens have been added at the refill rate.
     unreserved_from_s : float
-        Tokens added before this time are reserved, each for a refused caller that was
-        told to retry when the token is added.
+        Each token added before this time is reserved for one refused caller, whose
+        refusal named the time when the token is added as the time to retry.
     """
 
     tokens: float
@@ -95,15 +95,16 @@
         with self._lock:
             bucket = self._buckets.get(customer)
             if bucket is not None:
-                # If the tokens now exceed the burst, the next `fill` drops the excess.
+                # If the tokens now exceed the burst, the next `fill` removes the
+                # excess.
                 bucket.tokens += 1
 
     def keep_only(self, is_kept: Callable[[str], bool], now_s: float) -> None:
         """Discard the buckets of customers whose requests another node now grants.
 
-        A bucket that was kept would fill up while the other node grants the customer's
-        requests. Once this node grants them again, the customer could use the bursts
-        of both nodes.
+        Without this, a bucket would fill up while the other node grants the customer's
+        requests. Once this node grants them again, the customer could use the bursts of
+        both nodes.
         """
         with self._lock:
             self._ungranted_since_s = now_s
--- a/balsamspindle/customers/freshness.py
+++ b/balsamspindle/customers/freshness.py
@@ -32,7 +32,7 @@
 
 
 class Freshness:
-    """Keeps the newest proof and the newest usable proof; thread-safe.
+    """Stores the newest proof and the newest usable proof; thread-safe.
 
     Parameters
     ----------
@@ -53,7 +53,7 @@
         return self._age_max_s is not None
 
     def record(self, proof: Proof, own_revision: int) -> None:
-        """Keep a proof if it is newer than the newest one.
+        """Store a proof if it is newer than all earlier ones.
 
         Parameters
         ----------
--- a/balsamspindle/customers/granters.py
+++ b/balsamspindle/customers/granters.py
@@ -1,17 +1,18 @@
-"""Selects the nodes that grant a customer's requests, and each node's share of a limit.
+"""Selects the nodes that grant a customer's requests, and each one's fraction.
 
-A fraction of each limit is divided equally among the availability zones. In each zone,
-one node, the customer's granter for the zone, grants the zone's share, because messages
-within a zone cost nothing. The remaining fraction is granted by one node of the whole
-fleet, the customer's granter for the fleet, to requests for which the zone's share does
-not suffice. So a customer whose callers are all in one zone can use more than that
-zone's share.
+One fraction of each limit is divided equally among the availability zones. In each
+zone, one node grants the zone's fraction: the customer's granter for the zone. Each
+node queries the granter in its own zone first, because messages within a zone cost
+nothing. The remaining fraction of the limit is granted by one node of the whole fleet,
+the customer's granter for the fleet. It is queried for requests that exceed the
+fraction of their zone. So a customer whose callers are all in one zone can use more
+than that zone's fraction.
 
 Each node selects the granters by rendezvous hashing over the nodes that it knows,
 without any agreement between nodes. While nodes can't reach each other, a customer may
-have two granters for the same zone or fleet. Each of the two then grants a share
-proportional to the number of nodes that it can reach, so that together they grant no
-more than a single granter would.
+have two granters for the same zone or fleet. Each of the two then grants only a
+fraction proportional to the number of nodes that it can reach. So together they grant
+no more than a single granter would.
 """
 
 from enum import IntEnum
@@ -46,17 +47,17 @@
     Attributes
     ----------
     zones : int
-        Number of availability zones in the fleet; 0 to count those that are known.
+        Number of availability zones in the fleet; if 0, the known zones are counted.
     window_s : float
         Length of a time window. In any window of this length, a customer may run
         `rate_per_s * window_s + burst` requests. If 0, there is no window: a customer
         may run its burst at once, and a spent burst refills at the customer's rate.
     over_fraction : float
-        Fraction of the allowed requests per window by which a customer may exceed
-        them.
+        Number of requests per window by which a customer may exceed its limit, as a
+        fraction of the requests that the limit allows.
     slack : float
-        Number of requests that a customer may run in excess of its limit, in addition
-        to those that `over_fraction` allows.
+        Number of requests by which a customer may exceed its limit, in addition to
+        those that `over_fraction` allows.
     """
 
     zones: int = 0
@@ -79,9 +80,9 @@
 
 
 class Scope(IntEnum):
-    """Whether a granter is selected among the nodes of a zone or of the whole fleet.
+    """The nodes among which a granter is selected: those of a zone or of the fleet.
 
-    A customer's granter of scope `ZONE` is asked first, then the one of scope `FLEET`.
+    A customer's granter of scope `ZONE` is queried first, then that of scope `FLEET`.
     """
 
     ZONE = 0
@@ -89,9 +90,9 @@
 
 
 # Fraction of a limit that a customer's zone granters grant together, and fraction that
-# its granter for the whole fleet grants. A customer whose callers are all in one of
-# three zones can use the share of that zone (0.4 / 3) and that of the fleet (0.6):
-# together more than two thirds of its limit.
+# the customer's granter for the whole fleet grants. A customer whose callers are all in
+# one of three zones can use the zone's fraction (0.4 / 3) and the fleet's fraction
+# (0.6): together more than two thirds of its limit.
 _SCOPE_FRACTIONS = {Scope.ZONE: 0.4, Scope.FLEET: 0.6}
 
 
@@ -114,7 +115,7 @@
         self._rankings: dict[str, tuple[NodeRecord, ...]] = {}
 
     def update(self) -> bool:
-        """Update the scope's nodes from the directory; return whether ids changed."""
+        """Update the scope's nodes from the directory; return whether an id changed."""
         records = self._directory.alive()
         if records is self._last_records:
             return False
@@ -134,7 +135,7 @@
         return is_changed
 
     def ranked(self, customer: str) -> tuple[NodeRecord, ...]:
-        """Return a customer's granter, and the node to ask if it can't be reached.
+        """Return a customer's granter, and the node to query if it can't be reached.
 
         Only the granter is returned if the scope has a single node.
         """
@@ -156,9 +157,10 @@
     def own_rate(self, customer: str, limit: Limit, now_s: float) -> Rate:
         """Return the rate and burst that this node may grant of a customer's limit.
 
-        Each node of the scope has an equal share of what the scope may grant. The
-        granter grants the shares of all nodes that it knows to be alive. Another node
-        is asked if the granter is unreachable. It grants the share of a single node.
+        The rate and burst that the scope may grant are divided equally among its nodes.
+        The granter grants the fractions of all nodes that it knows to be alive. A node
+        that is queried because the granter is unreachable grants the fraction of a
+        single node.
         """
         counted = len(self._nodes) if self.is_own(customer) else 1
         fraction = _SCOPE_FRACTIONS[self._scope] * counted / self._node_count(now_s)
@@ -168,7 +170,7 @@
         return Rate(fleet.per_s * fraction, max(BURST_MIN, fleet.burst * fraction))
 
     def _node_count(self, now_s: float) -> int:
-        """Return the number of the scope's nodes, including recently died ones."""
+        """Return the number of the scope's nodes, including recently dead ones."""
         dead_count = sum(
             self._is_member(view.record) and now_s - view.dead_since_s < DEAD_COUNTED_S
             for view in self._directory.dead()
--- a/balsamspindle/customers/limits.py
+++ b/balsamspindle/customers/limits.py
@@ -1,11 +1,11 @@
 """Enforces customers' limits over all nodes together.
 
 A request of a customer with a limit is forwarded only after a granter of the customer
-has granted it (see `balsamspindle.customers.granters`). The granter for this node's
-zone is asked first. If it does not grant the request, the granter for the whole fleet
-is asked. If a granter can't be reached, another node is asked in its place. That node
-may grant only a much smaller share of the limit. A request that no node grants is not
-run.
+has granted it (see `balsamspindle.customers.granters`). This node queries the granter
+for its zone first. If that granter does not grant the request, this node queries the
+granter for the whole fleet. If a granter can't be reached, this node queries another
+node in its place, which may grant only a much smaller fraction of the limit. A request
+that no node grants is not run.
 """
 
 import itertools
@@ -23,8 +23,8 @@
 __all__ = ["Grant", "Limiter", "LimitLinks"]
 
 # A node that has just started does not know most of the other nodes yet, so it would
-# select itself as the granter of every customer. `Limiter.is_ready` returns False until
-# this time after the start.
+# select itself as the granter of every customer. `Limiter.is_ready` returns False for
+# this long after the start.
 DISCOVERY_S = 1.0
 KNOWN_LIMITS_MAX = 100_000
 
@@ -35,14 +35,14 @@
     def request_grant(
         self, node: NodeRecord, question: LimitQuestion
     ) -> LimitAnswer | None:
-        """Ask a node to grant a request; return None if the node can't be reached."""
+        """Query a node for a grant; return None if the node can't be reached."""
 
     def send(self, node: NodeRecord, message: LimitReturn) -> None:
         """Send a message that may get lost."""
 
 
 class Grant(NamedTuple):
-    """Permission to run one request; given back if the request does not run.
+    """Permission to run one request; returned to its node if the request does not run.
 
     Attributes
     ----------
@@ -89,7 +89,7 @@
         self._question_numbers = itertools.count(1)
 
     def is_ready(self, now_s: float) -> bool:
-        """Return whether this node has had the time to discover the other nodes."""
+        """Return whether `DISCOVERY_S` has elapsed since this node started."""
         return now_s - self._started_s >= DISCOVERY_S
 
     def refresh(self, now_s: float) -> None:
@@ -117,17 +117,17 @@
                 revision,
                 scope,
             )
-            match self._ask_scope(question, scope):
+            match self._request_grant(question, scope):
                 case Grant() as grant:
                     return grant
                 case Denial() as other:
                     denial = min(denial or other, other)
         return denial
 
-    def _ask_scope(
+    def _request_grant(
         self, question: LimitQuestion, scope: Scope
     ) -> Grant | Denial | None:
-        """Ask the scope's granter, or the next node if the granter is unreachable."""
+        """Query the scope's granter, or the next node if the granter is unreachable."""
         for node in self._ranked(question.customer, scope):
             if node.node_id == self._own.node_id:
                 grant = Grant(question.customer, scope=scope)
@@ -139,7 +139,7 @@
         return None
 
     def refund(self, grant: Grant) -> None:
-        """Give a grant back to the node that gave it, as the request did not run."""
+        """Return the grant of a request that did not run to its granting node."""
         if not grant.is_limited:
             return
         if grant.node is None:
@@ -155,7 +155,7 @@
         return LimitAnswer(question.number, denial is None, wait_ms, self._clock())
 
     def receive_return(self, message: LimitReturn) -> None:
-        """Refund the token of a grant that another node gives back unused."""
+        """Refund the token of a grant that another node returns unused."""
         self._buckets[Scope(message.scope)].refund(message.customer)
 
     def _ranked(self, customer: str, scope: Scope) -> tuple[NodeRecord, ...]:
--- a/balsamspindle/customers/proofs.py
+++ b/balsamspindle/customers/proofs.py
@@ -1,10 +1,10 @@
 """Gets proofs that this node's settings are new enough for its keys to be used.
 
-A few nodes of each zone, its readers, read the store. The other nodes ask their zone's
-readers for the newest proof, and read the store themselves only if no node of the zone
-has a newer one. The age of a proof from a peer is the age that the peer reports plus
-the time since the question was sent. If the question or the answer is delayed, for
-instance in a paused process, the proof seems older than it is, but never newer.
+A few nodes of each zone, its readers, read the store. The other nodes query the readers
+of their zone for a newer proof. They read the store themselves only if no node of the
+zone has one. The age of a proof from a peer is the age that the peer reports plus the
+time since the question was sent. If the question or the answer is delayed, for instance
+by a paused process, the proof seems older than it is, but never newer.
 """
 
 import itertools
@@ -33,32 +33,32 @@
 NODES_PER_READER = 32
 # Interval at which readers read the store.
 READ_INTERVAL_S = 1.5
-# Once a node's proof has this age, the node asks peers for a newer one.
+# Once a node's proof has this age, the node queries peers for a newer one.
 ASK_AT_AGE_S = 1.5
-# Interval at which a node asks peers until it gets a newer proof.
-ASK_INTERVAL_S = 0.4
+# Interval at which a node queries peers until it receives a newer proof.
+QUERY_INTERVAL_S = 0.4
 # A node that needs a newer proof first sends READER_QUESTIONS questions to readers of
 # its own zone (the nodes that read the store), then ZONE_QUESTIONS questions to any
-# nodes of its zone. If it still has no newer proof, it asks readers of all zones.
+# nodes of its zone. If it still has no newer proof, it queries readers of all zones.
 READER_QUESTIONS, ZONE_QUESTIONS = 2, 1
 # Once a node's proof has this age, the node may read the store even if it isn't a
 # reader.
 READ_AT_AGE_S = 2.5
-# Interval at which a node that isn't a reader reads the store while it gets no newer
-# proof from peers. The interval is doubled after each read, up to the maximum. If peers
-# answer but have no newer proof, the store is probably unavailable to all nodes, so the
-# interval rises to the maximum after a single read.
+# Interval at which a node that isn't a reader reads the store while it receives no
+# newer proof from peers. The interval is doubled after each read, up to the maximum. If
+# peers answer but have no newer proof, the store is probably unavailable to all nodes,
+# so the interval rises to the maximum after a single read.
 OWN_READ_INTERVAL_S, OWN_READ_INTERVAL_MAX_S = 1.0, 8.0
 OPEN_QUESTIONS_MAX = 16
 
 
 class ProofQuestion(msgspec.Struct, array_like=True, tag="proof_ask", frozen=True):
-    """Asks another node for its newest usable proof.
+    """Queries another node for its newest usable proof.
 
     Attributes
     ----------
     address : str
-        Member address of the node that asks, which gets the answer.
+        Member address of the querying node, to which the answer is sent.
     """
 
     address: str
@@ -126,12 +126,12 @@
         self._next_question_s = 0.0
         self._next_read_s = 0.0
         self._own_read_interval_s = OWN_READ_INTERVAL_S
-        # Numbers of questions sent and of answers received since this node last got a
-        # newer proof.
+        # Number of questions sent and number of answers received since this node last
+        # received a newer proof.
         self._question_count = 0
         self._answer_count = 0
         # Address of the peer that sent the last answer, if it had a newer proof. This
-        # peer is asked first for the next proof.
+        # peer is queried first for the next proof.
         self._preferred_address: str | None = None
         self._was_fresh = False
         self._changed_s = clock()
@@ -143,7 +143,7 @@
                 self._read()
 
     def run_questions(self) -> None:
-        """Ask a peer for a newer proof whenever that is due, until `stop` is called."""
+        """Query a peer for a newer proof whenever due, until `stop` is called."""
         while not self._stopped.wait(TICK_S):
             now_s = self._clock()
             self._log_change(now_s)
@@ -161,7 +161,7 @@
         self._own_read_interval_s = OWN_READ_INTERVAL_S
 
     def answer_question(self, question: ProofQuestion) -> None:
-        """Send this node's newest usable proof to the peer that asked for it."""
+        """Send this node's newest usable proof to the peer that queried it."""
         proof = self._usable_proof()
         age_ms = (self._clock() - proof.began_s) * 1000
         if proof.revision < 0:
@@ -171,15 +171,15 @@
         )
 
     def receive_answer(self, answer: ProofAnswer) -> None:
-        """Record a peer's proof; add the time since the question to the proof's age."""
+        """Record a peer's proof, with the time since the question added to its age."""
         with self._lock:
-            asked = self._open_questions.pop(answer.number, None)
-            self._answer_count += asked is not None
-        if asked is not None and answer.revision >= 0:
-            began_s = asked.sent_s - max(0.0, answer.age_ms) / 1000
+            question = self._open_questions.pop(answer.number, None)
+            self._answer_count += question is not None
+        if question is not None and answer.revision >= 0:
+            began_s = question.sent_s - max(0.0, answer.age_ms) / 1000
             is_newer = self._record_proof(Proof(began_s, answer.revision))
             with self._lock:
-                self._preferred_address = asked.address if is_newer else None
+                self._preferred_address = question.address if is_newer else None
 
     def check_read_due(self, now_s: float) -> bool:
         """Return whether to read the store now; if so, schedule the next read."""
@@ -203,14 +203,14 @@
         return True
 
     def choose_peer(self, now_s: float) -> str | None:
-        """Return the member address of the peer to ask for a newer proof now.
+        """Return the member address of the peer to query for a newer proof now.
 
         None if no question is due or no peer is known. If a question is due, also
         schedules the next question.
         """
         if now_s < self._next_question_s or self._age_s(now_s) < ASK_AT_AGE_S:
             return None
-        self._next_question_s = now_s + ASK_INTERVAL_S
+        self._next_question_s = now_s + QUERY_INTERVAL_S
         with self._lock:
             question_count, preferred = self._question_count, self._preferred_address
         if question_count == 0 and preferred is not None:
@@ -224,7 +224,7 @@
         Parameters
         ----------
         question_count : int
-            Number of questions sent since this node last got a newer proof.
+            Number of questions sent since this node last received a newer proof.
         """
         zones: dict[str, list[NodeRecord]] = {}
         for record in self._directory.alive():
@@ -243,7 +243,7 @@
         ]
 
     def send_question(self, address: str, now_s: float) -> None:
-        """Ask a peer for its newest proof."""
+        """Query a peer for its newest usable proof."""
         number = next(self._numbers)
         with self._lock:
             self._question_count += 1
--- a/balsamspindle/services/answer_sizes.py
+++ b/balsamspindle/services/answer_sizes.py
@@ -1,4 +1,4 @@
-"""The mean size of each route's answers at one ingress."""
+"""Averages the sizes of each route's answers at one ingress."""
 
 import threading
 
--- a/balsamspindle/services/explanation.py
+++ b/balsamspindle/services/explanation.py
@@ -17,24 +17,24 @@
 
 __all__ = ["BackendServerExplanation", "ServiceExplanation", "explain_service"]
 
-_CAUSE_WORDS = {
-    FloorCause.NOBODY_SUSPECTED: "nobody is suspected",
-    FloorCause.SUSPECTS_LEFT_OUT: "all suspects are left out",
-    FloorCause.FLOOR_BINDS: "the floor keeps some suspects in use",
+_CAUSE_TEXTS = {
+    FloorCause.NOBODY_SUSPECTED: "no backend server is suspected",
+    FloorCause.SUSPECTS_LEFT_OUT: "all suspected backend servers are left out",
+    FloorCause.FLOOR_BINDS: "the floor keeps some suspected backend servers in use",
     FloorCause.SHARED_CAUSE_SUSPECTED: (
-        "nearly all look sick: the network or the load is suspected, and nobody "
-        "is left out"
+        "most backend servers are suspected: the network or the load is the likely "
+        "cause, so none is left out"
     ),
 }
 
 
 class BackendServerExplanation(msgspec.Struct, frozen=True):
-    """How one node sees one backend server.
+    """One backend server in the view of one node.
 
     Attributes
     ----------
     capacity_slots : float
-        Slots usable now; fewer than `slots` while the backend server starts cold.
+        Slots usable now; fewer than `slots` during a cold start.
     takes_work : bool
         Whether this node sends requests to the backend server.
     evidence : list of str
@@ -54,7 +54,7 @@
 
 
 class ServiceExplanation(msgspec.Struct, frozen=True):
-    """How one node sees one service.
+    """One service in the view of one node.
 
     Attributes
     ----------
@@ -65,10 +65,11 @@
     is_defined : bool
         Whether the settings in force define the service.
     cause : str
-        Why suspected backend servers of the service are left out or kept.
+        Why suspected backend servers are left out, that is, get no usual requests, or
+        are kept in use.
     known_slots, floor_slots, in_use_slots : float
-        Slots of all known backend servers; the floor, the least number of slots that
-        ejection must leave in use; and the slots that this node uses.
+        Number of slots of all known backend servers; number of slots that ejection must
+        leave in use (the floor); and number of slots that this node uses.
     """
 
     service: str
@@ -92,12 +93,12 @@
     decision: FloorDecision,
     reports: Mapping[str, HealthReport],
 ) -> ServiceExplanation:
-    """Return a node's view of a service.
+    """Explain which backend servers of a service a node uses, and why.
 
     Parameters
     ----------
     decision : FloorDecision
-        Which suspected backend servers the node leaves out and which it keeps.
+        Which suspected backend servers the node leaves out and which it keeps in use.
     reports : mapping of str to HealthReport
         Health reports by backend server id, for the backend servers of this
         node's own gate.
@@ -113,7 +114,7 @@
         node_id,
         settings_revision,
         is_defined,
-        _CAUSE_WORDS[decision.cause],
+        _CAUSE_TEXTS[decision.cause],
         decision.floor_fraction,
         decision.known_slots,
         decision.floor_slots,
@@ -156,39 +157,40 @@
         reasons.append(f"its node is {node.state}")
     if left_out is not None and left_out.suspicion >= SUSPECTED:
         reasons.append(
-            f"left out: its gate saw work fail, suspicion {left_out.suspicion:.2f} "
-            f"of {SUSPECTED:g}"
+            f"left out: its gate reports suspicion {left_out.suspicion:.2f}, "
+            f"threshold {SUSPECTED:g}"
         )
     return reasons
 
 
 def _warnings(placement: Placement, left_out: Suspect | None) -> list[str]:
-    """Return warnings about a backend server that do not exclude it from requests.
+    """Return the signs that a backend server may be unhealthy or lack usable slots.
 
-    A warning says that the backend server is on trial, that it is suspected but still
-    used, or that it offers only a part of its slots because of a cold start.
+    None of these signs stops all requests of the node to the backend server. They are:
+    it is on trial; it is suspected but still used; only a fraction of its slots is
+    usable because of a cold start.
     """
     server = placement.backend_server
     warnings = []
     if left_out is not None and left_out.suspicion < SUSPECTED:
-        warnings.append("on trial: gets a few idempotent requests only")
+        warnings.append("on trial: receives only a few idempotent requests")
     elif left_out is None and server.suspicion >= SUSPECTED:
-        warnings.append(f"suspicion {server.suspicion:.2f}, kept all the same")
+        warnings.append(f"suspicion {server.suspicion:.2f}, but kept in use")
     elif left_out is None and server.suspicion > 0:
-        warnings.append(f"suspicion {server.suspicion:.2f} of {SUSPECTED:g}")
+        warnings.append(f"suspicion {server.suspicion:.2f}, threshold {SUSPECTED:g}")
     if server.capacity < 1:
-        warnings.append(f"cold start: {server.capacity:.0%} of its slots")
+        warnings.append(f"cold start: {server.capacity:.0%} of its slots are usable")
     return warnings
 
 
 def _gate_evidence(report: HealthReport) -> list[str]:
-    """Return the request results that a gate counted, and the score from them."""
+    """Return the results that a gate counted and their score; empty without results."""
     if not report.evidence:
         return []
     results = ", ".join(
         f"{count} {result}" for result, count in sorted(report.evidence.items())
     )
     return [
-        f"its gate: {report.phase}, score {report.score:.1f} of "
-        f"{report.threshold:.1f} from {results}"
+        f"its gate: {report.phase}, score {report.score:.1f}, threshold "
+        f"{report.threshold:.1f}, from {results}"
     ]
--- a/balsamspindle/services/floor.py
+++ b/balsamspindle/services/floor.py
@@ -1,17 +1,19 @@
 """Decides which suspected backend servers of a service to eject.
 
-Ejection must not bring a service's capacity in use below its floor, which is a fraction
-of its known capacity. The picker of each node decides from its own view of the service,
-without coordination, so the floor holds while the platform is down and when the views
-of nodes differ.
-
-*Known capacity* is the sum of the full slots of all backend servers in the view, with
-those that are draining, leaving or in a cold start. *Capacity in use* is the sum of the
-slots that are usable now at the backend servers that are ready and not left out; during
-a cold start, only a growing fraction of the slots is usable. A backend server that is
-left out counts as lost capacity however unhealthy it looks, because the suspicion may
-be wrong. So drains and cold starts reduce the number of ejections that the floor
-allows, and never increase it.
+Ejection must not reduce a service's capacity in use below its floor, which is a
+fraction of its known capacity. The picker of each node decides from its own view of the
+service and doesn't coordinate with other nodes. So the floor is enforced even while the
+platform is down or when the views of nodes differ.
+
+*Known capacity* is the number of all slots of all backend servers in the view,
+including those that are draining, leaving or in a cold start. *Capacity in use* is the
+number of slots that are usable now at the backend servers that are ready and not left
+out. During a cold start, only a growing fraction of the slots is usable. So drains and
+cold starts reduce the capacity in use but not the known capacity, and the floor then
+allows fewer ejections, never more.
+
+A backend server that is left out counts as lost capacity, however high its suspicion,
+because the suspicion may be wrong.
 """
 
 from collections.abc import Iterable, Sequence
@@ -33,19 +35,19 @@
     "is_ready",
 ]
 
-# Suspicion from which a backend server counts as unhealthy and may be ejected.
+# A backend server with at least this suspicion counts as unhealthy and may be ejected.
 SUSPECTED = 1.0
 # Suspicion of a backend server that is being readmitted and gets trial requests only.
 ON_TRIAL = 0.5
 # When backend servers with at least this fraction of the ready capacity are suspected,
 # no backend server is ejected. A shared cause, such as the network or the load, is then
-# likelier than many separate failures, and ejection would only move the load to the
+# likelier than many separate failures. Ejection would then only move the load to the
 # remaining backend servers.
 SHARED_CAUSE_FRACTION = 0.8
 
 
 class FloorCause(StrEnum):
-    """The reason for a `FloorDecision`."""
+    """Why a `FloorDecision` leaves out or keeps the suspected backend servers."""
 
     NOBODY_SUSPECTED = "nobody_suspected"
     SUSPECTS_LEFT_OUT = "suspects_left_out"
@@ -59,8 +61,8 @@
     Attributes
     ----------
     suspicion : float
-        As reported by the backend server's gate; 1 is the service's detection
-        threshold, see `SUSPECTED` and `ON_TRIAL`.
+        Reported by the backend server's gate. It is 1 at the service's detection
+        threshold; see `SUSPECTED` and `ON_TRIAL`.
     capacity_slots : float
         Slots usable now, which are lost if the backend server is left out.
     """
@@ -82,13 +84,13 @@
     floor_slots : float
         Ejections must not reduce the capacity in use below this number of slots.
     ready_slots : float
-        Slots usable now at the backend servers that take new work, with the suspected
-        backend servers.
+        Slots usable now at the backend servers that take new work, including those that
+        are suspected.
     in_use_slots : float
-        `ready_slots` without the capacity of the backend servers left out.
+        `ready_slots` minus the usable slots of the backend servers in `left_out`.
     left_out, kept : tuple of Suspect
-        The suspected backend servers that get no usual requests and those that still
-        do, the most suspected first.
+        `left_out` are the suspects that get no usual requests, `kept` those that still
+        get them. Both begin with the highest suspicion.
     """
 
     cause: FloorCause
@@ -102,7 +104,7 @@
 
 
 def is_ready(placement: Placement) -> bool:
-    """Tell whether a backend server takes new work, whether suspected or not."""
+    """Return whether a backend server takes new work, whether suspected or not."""
     return (
         placement.backend_server.state == BackendServerState.READY
         and placement.node.state == NodeState.ALIVE
@@ -110,11 +112,11 @@
 
 
 def capacity_slots(placement: Placement) -> float:
-    """Return the slots usable now: during a cold start, a part of all slots."""
+    """Return the slots usable now: during a cold start, a fraction of all slots."""
     fraction = placement.backend_server.capacity
-    # The usable fraction of the slots comes from another node, which may report NaN by
-    # a fault. NaN counts as 0. Otherwise each sum of capacities would be NaN, and each
-    # comparison of such a sum with the floor false.
+    # The usable fraction of the slots comes from another node, which may report NaN
+    # because of a fault. NaN counts as 0. Otherwise every sum of capacities would be
+    # NaN and never less than the floor, so all suspects would be ejected.
     fraction = min(1.0, fraction) if fraction > 0 else 0.0
     return _slots(placement) * fraction
 
@@ -134,8 +136,8 @@
     Returns
     -------
     FloorDecision
-        Its `in_use_slots` is at least `floor_slots`, or equals `ready_slots` if that is
-        less: ejection never brings the capacity in use below the floor.
+        Its `in_use_slots` is at least `floor_slots`. If `ready_slots` alone is less
+        than `floor_slots`, nothing is left out and `in_use_slots` equals `ready_slots`.
     """
     ready = [placement for placement in placements if is_ready(placement)]
     suspects = _suspects(ready)
@@ -144,9 +146,9 @@
     ready_slots = sum(map(capacity_slots, ready))
     left_out: list[Suspect] = []
     kept: list[Suspect] = suspects
-    shared_cause = _is_shared(suspects, ready_slots)
+    shared_cause = _has_shared_cause(suspects, ready_slots)
     if not shared_cause:
-        left_out, kept = _split(suspects, ready_slots, floor_slots)
+        left_out, kept = _apply_floor(suspects, ready_slots, floor_slots)
     return FloorDecision(
         _cause(shared_cause, left_out, kept),
         floor_fraction,
@@ -164,7 +166,7 @@
 
 
 def _suspects(ready: Iterable[Placement]) -> list[Suspect]:
-    """Return the suspects, the most suspected first; equal ones are sorted by id."""
+    """Return the suspects, the highest suspicion first, at equal suspicion by id."""
     suspects = [
         Suspect(
             placement.backend_server.backend_server_id,
@@ -185,19 +187,19 @@
     )
 
 
-def _is_shared(suspects: list[Suspect], ready_slots: float) -> bool:
-    """Tell whether so many backend servers are suspected that they share a cause."""
+def _has_shared_cause(suspects: list[Suspect], ready_slots: float) -> bool:
+    """Return whether so many suspects exist that a shared cause is likely."""
     suspected = [suspect for suspect in suspects if suspect.suspicion >= SUSPECTED]
     suspected_slots = sum(suspect.capacity_slots for suspect in suspected)
     return bool(suspected) and suspected_slots >= SHARED_CAUSE_FRACTION * ready_slots
 
 
-def _split(
+def _apply_floor(
     suspects: list[Suspect], ready_slots: float, floor_slots: float
 ) -> tuple[list[Suspect], list[Suspect]]:
     """Split suspects into those left out and those kept because of the floor.
 
-    A suspect is kept if the service would otherwise have less than its floor.
+    A suspect is kept if the capacity in use would be less than the floor without it.
     """
     left_out: list[Suspect] = []
     kept: list[Suspect] = []
--- a/balsamspindle/services/free_slots.py
+++ b/balsamspindle/services/free_slots.py
@@ -14,22 +14,23 @@
 class _Report(NamedTuple):
     free_slots: int
     received_s: float
-    # Attempts of this ingress in flight when the report was received. Their slots are
-    # not counted in `free_slots`.
+    # Number of this ingress's attempts that were in flight when the report was
+    # received. `free_slots` already excludes the slots that they use.
     own_in_flight: int
 
 
 class FreeSlotEstimates:
-    """The free slots that the last reply of each backend server reported.
+    """Estimates the free slots of each backend server from its latest reply.
 
-    A report expires after `FREE_SLOTS_TTL_S`. After that, all usable slots of the
-    backend server count as free, except those of this ingress's attempts. Without
-    expiry, a backend server that was busy once would never be chosen again, so no
-    reply of it could correct the report.
+    Each reply reports the number of free slots. The report expires after
+    `FREE_SLOTS_TTL_S`. After that, all usable slots of the backend server count as
+    free, except those that this ingress's attempts use. If reports did not expire, a
+    backend server that once reported no free slot would never be chosen again, and no
+    reply could correct its report.
 
-    Attempts that this ingress started since the report are subtracted from the free
-    slots. Otherwise all requests of a burst between two replies would go to the same
-    backend server.
+    Attempts that this ingress started after the report are subtracted from the reported
+    free slots. Otherwise all requests of a burst between two replies would go to the
+    same backend server.
     """
 
     def __init__(self) -> None:
--- a/balsamspindle/services/held_out_servers.py
+++ b/balsamspindle/services/held_out_servers.py
@@ -1,6 +1,6 @@
 """Records which backend servers are held out, as the replies of their gates report.
 
-A gate that holds out a backend server sends it no usual work for a while.
+While a gate holds out a backend server, it sends the backend server no usual requests.
 """
 
 import threading
@@ -11,9 +11,10 @@
 __all__ = ["HeldOutServers"]
 
 HOLD_OUTS_MAX = 10_000
-# Bad results in a row from which a backend server counts as failing. A single error is
-# no sign of it: a healthy backend server, which fails one request in a hundred, is as
-# likely to return it as an unhealthy one. Two errors in a row show an unhealthy one.
+# A backend server counts as failing after this many bad results in a row. One error
+# does not show that it fails: a healthy backend server, which fails one request in a
+# hundred, is as likely to be the source of the error as an unhealthy one. Two errors in
+# a row show that the backend server is unhealthy.
 FAILING_IN_A_ROW = 2
 
 
@@ -23,11 +24,12 @@
 
 
 class HeldOutServers:
-    """The time until which each backend server is held out; thread-safe.
+    """Records the time until which each backend server is held out; thread-safe.
 
-    Each reply of a gate, whether a refusal or an answer, carries the rest of the
-    hold-out. So a gate refuses an ingress at most once in each hold-out. The recorded
-    times are hints: the gate decides whether it accepts a request.
+    Each reply of a gate, whether a refusal or an answer, contains the remaining time of
+    the hold-out. So an ingress knows of a hold-out after one reply, and is refused at
+    most once during it. The recorded times are only hints: the gate decides whether it
+    accepts a request.
     """
 
     def __init__(self) -> None:
@@ -35,7 +37,7 @@
         self._hold_outs: dict[str, _HoldOut] = {}
 
     def record(self, backend_server_id: str, held_out: HoldOut, now_s: float) -> None:
-        """Record a reply's report that a backend server is, or is not, held out."""
+        """Record whether a backend server is held out, as its gate replied."""
         if not held_out.held_out_ms and backend_server_id not in self._hold_outs:
             return
         with self._lock:
@@ -54,8 +56,8 @@
     def failing(self, now_s: float) -> set[str]:
         """Return the ids of held-out backend servers that are failing.
 
-        A backend server is failing if the gate, when it last reported the hold-out, had
-        counted at least `FAILING_IN_A_ROW` bad results since the last good one.
+        A backend server is failing if the gate's latest report of the hold-out
+        contained at least `FAILING_IN_A_ROW` bad results since the last good one.
         """
         return self._select(FAILING_IN_A_ROW, now_s)
 
--- a/balsamspindle/services/peer_evidence.py
+++ b/balsamspindle/services/peer_evidence.py
@@ -16,8 +16,8 @@
 # How long a gate's judgement of a backend server's latest answer, good or bad, is used.
 JUDGEMENT_VALID_S = 10.0
 # The evidence on a backend server is discarded when its gate has judged no answer for
-# this long and no attempt is in flight. Until then, the 99th percentile of the latency
-# is used: it changes little, so it is valid for longer than the judgement.
+# this long and no attempt is in flight. Until then, the 99th percentile of its latency
+# is used. The percentile changes little, so it stays valid for longer than a judgement.
 P99_EXPIRY_S = 600.0
 # An attempt counts as hanging when it is in flight for longer than this many times the
 # 99th percentile of its backend server's latency.
@@ -25,7 +25,7 @@
 
 
 class _ServerEvidence:
-    """What this ingress knows of how one backend server answers it."""
+    """How one backend server answers the requests of this ingress."""
 
     __slots__ = ("bad", "in_flight", "judged_s", "p99_ms")
 
@@ -40,14 +40,14 @@
         return now_s - self.judged_s <= JUDGEMENT_VALID_S
 
     def hangs(self, now_s: float) -> bool:
-        """Tell whether the oldest attempt in flight takes unusually long."""
+        """Return whether the oldest attempt in flight takes unusually long."""
         if not self.in_flight or not self.p99_ms:
             return False
         return (now_s - self.in_flight[0]) * 1000 > HANGING_FACTOR * self.p99_ms
 
 
 class PeerEvidenceTracker:
-    """Evidence on each backend server that this ingress uses; thread-safe."""
+    """Records how each backend server answers this ingress; thread-safe."""
 
     def __init__(self) -> None:
         self._lock = threading.Lock()
@@ -107,7 +107,7 @@
                 if hangs or evidence.is_recent(now_s):
                     judged_count += 1
                     bad_count += hangs or evidence.bad
-        # A single value is not used: it may be that of an unhealthy backend server.
+        # A single 99th percentile is not used: its backend server may be unhealthy.
         median_p99_ms = statistics.median(p99s_ms) if len(p99s_ms) > 1 else 0.0
         return PeerEvidence(judged_count, bad_count, median_p99_ms)
 
--- a/balsamspindle/services/picker.py
+++ b/balsamspindle/services/picker.py
@@ -16,8 +16,8 @@
 
 _NO_BACKEND_SERVER = BackendServerRecord("-", "-", "-", 0, "-")
 
-# Two backend servers are drawn from a tier at a time. After this many draws without a
-# free slot the tier counts as busy.
+# Each draw selects two random backend servers of a tier. If none has a free slot in
+# this many draws, the tier counts as busy.
 DRAWS_MAX = 3
 
 
@@ -36,8 +36,8 @@
     configuration : CurrentConfiguration
         Contains the services' floors.
     on_decision : callable, default=nothing
-        Called with a service and its floor decision: with the first decision, and with
-        each whose cause differs from that of the previous decision.
+        Called with a service's name and its floor decision. It is called for the first
+        decision, and for each decision whose cause differs from the previous one's.
     """
 
     def __init__(
@@ -61,7 +61,11 @@
         free_slots: FreeSlots,
         rng: random.Random,
     ) -> Placement | None:
-        """Choose the freer of two random backend servers of the nearest tier.
+        """Choose a backend server for a request.
+
+        Of two random backend servers of the nearest tier, the one with more free slots
+        is chosen. If the tier is busy, the next wider tier is tried. A fraction of the
+        idempotent requests goes to a backend server on trial instead.
 
         Parameters
         ----------
@@ -73,8 +77,8 @@
         Returns
         -------
         Placement or None
-            None when no backend server may be chosen. When all those drawn are busy,
-            a backend server without free slots, whose gate may queue the request.
+            None if no usable backend server remains. If all tiers are busy, a backend
+            server without free slots, whose gate may queue the request.
         """
         view = self.view(service)
         if _draw_trial(view, execution, rng):
@@ -84,8 +88,8 @@
         placement = None
         for tier in view.tiers:
             placement = _choose(tier, excluded, free_slots, rng) or placement
-            # When a tier is busy, try the next wider tier, so that the preference for
-            # the own zone does not overload a zone with few backend servers.
+            # When a tier is busy, try the next wider tier. Otherwise the preference for
+            # the own zone would overload a zone with few backend servers.
             if placement is not None and free_slots(placement) > 0:
                 return placement
         return placement
@@ -95,9 +99,9 @@
     ) -> tuple[Sequence[Placement], Sequence[Placement]]:
         """Return the usable placements in the own zone and those in other zones.
 
-        The placements on the own VM come first. For idempotent requests the second
-        list also contains all backend servers on trial, of whatever zone; their gates
-        decide whether to accept the request.
+        The placements on the own VM come first. For idempotent requests the second list
+        also contains the backend servers on trial in all zones. Their gates decide
+        whether to accept the request.
         """
         view = self.view(service)
         near = (*view.tiers[0], *view.tiers[1])
@@ -107,11 +111,11 @@
         return near, far
 
     def locate(self, node_id: str, service: str) -> Placement | None:
-        """Return a placement at the gate of a node; None when the node is not known.
+        """Return a service's placement at a node; None when the node is not known.
 
-        When the gate no longer has a backend server of the service, the placement has
-        a backend server with the id "-". A message can still be sent to the gate, to
-        ask about requests that it ran.
+        When the node no longer has a backend server of the service, the id of the
+        placement's backend server is "-". The node's gate can then still be queried
+        about requests that it ran.
         """
         for placement in self._directory.placements(service):
             if placement.node.node_id == node_id:
@@ -130,7 +134,7 @@
             if view.placements is placements:
                 return view
             if view.placements == placements:
-                # The directory was reindexed without a change to this service.
+                # The directory rebuilt its index, but the service did not change.
                 view = view._replace(placements=placements)
                 self._views[service] = view
                 return view
@@ -147,16 +151,16 @@
     def _floor_fraction(self, service: str) -> float:
         configuration = self._configuration.get()
         document = configuration and configuration.services.get(service)
-        # A service that the settings do not define (yet): eject no backend server.
+        # If the settings do not define the service (yet), eject nothing.
         return document.floor_fraction if document else 1.0
 
 
 def _draw_trial(view: ServiceView, execution: Execution, rng: random.Random) -> bool:
-    """Draw whether a request goes to a backend server on trial.
+    """Return at random whether a request goes to a backend server on trial.
 
-    Non-idempotent requests never go to one. A request may fail there without showing
-    whether it ran; a non-idempotent request could not be retried then, and its caller
-    would get `unknown`.
+    Non-idempotent requests never go to a backend server on trial. A request may fail
+    there without evidence of whether it ran. A non-idempotent request could then not be
+    retried, and its caller would get `unknown`.
     """
     if not view.trials or execution is not Execution.IDEMPOTENT:
         return False
@@ -186,10 +190,10 @@
     free_slots: FreeSlots,
     rng: random.Random,
 ) -> Placement | None:
-    """Return the freer of two random placements; draw again while both are busy.
+    """Return the one of two random placements that has more free slots.
 
-    After `DRAWS_MAX` draws, return a busy placement. Return None when all placements of
-    the tier are excluded.
+    If both are busy, two are drawn again, in at most `DRAWS_MAX` draws; then a busy
+    placement is returned. Returns None when all placements of the tier are excluded.
     """
     if excluded:
         tier = [
--- a/balsamspindle/services/queue_hints.py
+++ b/balsamspindle/services/queue_hints.py
@@ -4,8 +4,9 @@
 
 __all__ = ["QueueHints"]
 
-# A queue changes within the run time of one or two requests. With an older hint, an
-# ingress would avoid a gate that has free slots again.
+# No hint is used for longer than this. A queue changes within the run time of one or
+# two requests. With an older hint, an ingress would avoid a gate that has free slots
+# again.
 HINT_VALID_MAX_S = 0.5
 HINTS_MAX = 10_000
 _NO_HINT = (0.0, float("-inf"))
@@ -16,13 +17,14 @@
 
     def __init__(self) -> None:
         self._lock = threading.Lock()
-        # The wait in milliseconds and the time until which it is valid.
+        # By backend server id: the wait in ms, and the time when the hint expires.
         self._hints: dict[str, tuple[float, float]] = {}
 
     def record(self, backend_server_id: str, wait_ms: float, now_s: float) -> None:
         """Record the queue wait that a refusal reported.
 
-        The hint is valid for this wait, but at most for `HINT_VALID_MAX_S`.
+        The hint expires after `wait_ms`, or after `HINT_VALID_MAX_S` if that is
+        sooner.
         """
         until_s = now_s + min(wait_ms / 1000, HINT_VALID_MAX_S)
         with self._lock:
--- a/balsamspindle/services/shares.py
+++ b/balsamspindle/services/shares.py
@@ -1,10 +1,10 @@
 """Distributes the requests of a route among several services by weight.
 
-The method is smooth weighted round robin. Over any sequence of requests, the number
-that a service gets differs from its share of them by at most one; with random draws the
-difference would be about the square root of the number of requests. Each node begins
-its round robin at a random point. If all nodes began with the same service, this
-service would get one request too many from each of them.
+The method is smooth weighted round robin. In any sequence of requests, the number that
+a service gets differs by at most one from the number that its weight yields. With
+random draws, the difference would be about the square root of the number of requests.
+Each node begins its round robin at a random point. If all nodes began with the same
+service, it would get one request too many from each node.
 """
 
 import random
@@ -16,7 +16,8 @@
 
 __all__ = ["ServiceShares"]
 
-# Routes with a round robin in memory; the least recently used one is discarded.
+# Maximum number of round robins in memory, one for each route. Beyond that number, the
+# least recently used one is discarded.
 ROUTES_MAX = 10_000
 
 
@@ -41,16 +42,16 @@
 
 
 class ServiceShares:
-    """The round robins of all routes with shares at one ingress; thread-safe."""
+    """Chooses the services of all routes with shares at one ingress; thread-safe."""
 
     def __init__(self, rng: random.Random) -> None:
         self._random = rng
         self._lock = threading.Lock()
-        # In the order of their last use, the most recently used round robin last.
+        # Sorted by the time of their last use, the latest last.
         self._round_robins: dict[RouteDocument, _WeightedRoundRobin] = {}
 
     def choose(self, route: RouteDocument) -> RouteDocument:
-        """Return a copy of a route with the service that gets its next request.
+        """Choose the service of a route's next request; return the route with it.
 
         A route without shares is returned as it is.
         """
--- a/balsamspindle/services/subset.py
+++ b/balsamspindle/services/subset.py
@@ -29,18 +29,19 @@
 def choose_subset(
     placements: Sequence[Placement], own: NodeRecord, size_max: int = SUBSET_MAX
 ) -> list[Placement]:
-    """Return the backend servers that a node uses, among those that take work.
+    """Choose the backend servers of a service that a node uses.
 
-    Of `size_max` entries, some are reserved for other zones. The unreserved entries go
-    to the backend servers of the own VM first, then to other backend servers of the own
-    zone, which a hash selects. The reserved entries go to backend servers of the own
-    region, or of other regions if there are too few.
+    `placements` are the backend servers that take work. Of the `size_max` entries,
+    `OTHER_ZONES_MIN` are reserved for other zones. The unreserved entries go to the
+    backend servers of the own VM first, then to other backend servers of the own zone,
+    selected by a hash. The reserved entries go to other zones of the own region, and to
+    other regions if the own region has too few backend servers.
 
     Without the preference for the own zone, a subset of 16 of 90 backend servers in
     five zones would contain only three of the own zone. At a utilization of two thirds
     and with a third of the backend servers unhealthy, 6 to 7 of 100 requests would then
     go to other zones although other backend servers of the own zone have free slots.
-    With the preference, less than one does.
+    With the preference, it is less than 1 of 100.
     """
     if len(placements) <= size_max:
         return list(placements)
--- a/balsamspindle/services/view.py
+++ b/balsamspindle/services/view.py
@@ -1,4 +1,4 @@
-"""A picker's view of a service, computed once for each change of the service.
+"""Computes a picker's view of a service, once for each change of the service.
 
 The view contains tuples of backend servers, from which the backend server for each
 request is drawn. With hundreds of backend servers in a service, computing these tuples
@@ -42,8 +42,8 @@
         The usable backend servers of the node's subset, in four tiers: on the own VM,
         others in the own availability zone, others in the own region, and all of them.
     trials : tuple of Placement
-        Backend servers on trial. Those that the floor keeps in use are in `tiers`
-        instead.
+        Backend servers on trial, except those that the floor keeps in use: those are in
+        `tiers`.
     trial_chance : float
         Probability that an idempotent request goes to one of `trials`.
     """
@@ -94,10 +94,10 @@
 
 
 def _distance(node: NodeRecord, own: NodeRecord) -> int:
-    """Return how far a node is from the own node.
+    """Return the distance of a node from the own node, from 0 to 3.
 
-    0 is the own node, 1 another in the own availability zone, 2 another in the own
-    region, 3 a node of another region.
+    0 is the own node itself, 1 another node in the own availability zone, 2 a node in
+    another zone of the own region, 3 a node in another region.
     """
     if node.node_id == own.node_id:
         return 0
