--- a/balsamspindle/customers/proofs.py
+++ b/balsamspindle/customers/proofs.py
@@ -34,7 +34,7 @@
 # Interval at which readers read the store.
 READ_INTERVAL_S = 1.5
 # Once a node's proof has this age, the node queries peers for a newer one.
-ASK_AT_AGE_S = 1.5
+QUERY_AT_AGE_S = 1.5
 # Interval at which a node queries peers until it receives a newer proof.
 QUERY_INTERVAL_S = 0.4
 # A node that needs a newer proof first sends READER_QUESTIONS questions to readers of
@@ -208,7 +208,7 @@
         None if no question is due or no peer is known. If a question is due, also
         schedules the next question.
         """
-        if now_s < self._next_question_s or self._age_s(now_s) < ASK_AT_AGE_S:
+        if now_s < self._next_question_s or self._age_s(now_s) < QUERY_AT_AGE_S:
             return None
         self._next_question_s = now_s + QUERY_INTERVAL_S
         with self._lock:
--- a/tests/test_key_proofs.py
+++ b/tests/test_key_proofs.py
@@ -10,7 +10,7 @@
 
 from balsamspindle.customers.freshness import Freshness, Proof
 from balsamspindle.customers.proofs import (
-    ASK_AT_AGE_S,
+    QUERY_AT_AGE_S,
     ProofAnswer,
     ProofQuestion,
     ProofRefresher,
@@ -386,8 +386,10 @@
         fleet = Fleet(4, zones=1)
         node = list(fleet.nodes.values())[0]
         node.refresher.record_read(fleet.now_s, 1)
-        self.assertIsNone(node.refresher.choose_peer(fleet.now_s + ASK_AT_AGE_S - 0.1))
-        self.assertIsNotNone(node.refresher.choose_peer(fleet.now_s + ASK_AT_AGE_S))
+        self.assertIsNone(
+            node.refresher.choose_peer(fleet.now_s + QUERY_AT_AGE_S - 0.1)
+        )
+        self.assertIsNotNone(node.refresher.choose_peer(fleet.now_s + QUERY_AT_AGE_S))
 
 
 if __name__ == "__main__":
