--- a/balsamspindle/backend_servers/health.py
+++ b/balsamspindle/backend_servers/health.py
@@ -319,7 +319,7 @@
             self._work.score,
             self._work.detection.threshold,
             self.slow_ms(),
-            self._work.peers_bad_share(now_s),
+            self._work.peers_bad_fraction(now_s),
             dict(self._work.evidence),
             self._readmission.hold_out_remaining_s(now_s),
         )
--- a/balsamspindle/backend_servers/health_score.py
+++ b/balsamspindle/backend_servers/health_score.py
@@ -68,7 +68,7 @@
         self._window_requests = min(LEARNING_REQUESTS_MAX, self._window_requests + 1)
 
 
-def adjust_for_peers(rates: Rates, peers_bad_share: float) -> Rates:
+def adjust_for_peers(rates: Rates, peers_bad_fraction: float) -> Rates:
     """Return the rates, adjusted to the fraction of peers that are bad now.
 
     When all backend servers of a service fail or are slow at once, the cause is the
@@ -77,9 +77,9 @@
     `SHARED_CAUSE_FRACTION` of the peers are bad, both returned rates are equal, so no
     request changes the score.
     """
-    if peers_bad_share >= SHARED_CAUSE_FRACTION:
+    if peers_bad_fraction >= SHARED_CAUSE_FRACTION:
         return Rates(SHARED_CAUSE_FRACTION, SHARED_CAUSE_FRACTION)
-    healthy = min(HEALTHY_RATE_MAX, max(rates.healthy, peers_bad_share))
+    healthy = min(HEALTHY_RATE_MAX, max(rates.healthy, peers_bad_fraction))
     sick = healthy + (1 - healthy) * rates.sick
     return Rates(healthy, min(SICK_RATE_MAX, sick))
 
--- a/balsamspindle/backend_servers/health_work.py
+++ b/balsamspindle/backend_servers/health_work.py
@@ -140,7 +140,7 @@
         slow_ms = self.detection.slow_factor * p99_ms
         return max(slow_ms, self.detection.slow_ms_min)
 
-    def peers_bad_share(self, now_s: float) -> float:
+    def peers_bad_fraction(self, now_s: float) -> float:
         """Return the fraction of bad peers, between 0 and 1."""
         return self._peers.bad_fraction(now_s)
 
@@ -150,7 +150,7 @@
         True if many peers are bad now, or if all peers have become slow, so that the
         latencies counted as slow at this backend server are normal for its peers.
         """
-        if self.peers_bad_share(now_s) >= SHARED_CAUSE_FRACTION:
+        if self.peers_bad_fraction(now_s) >= SHARED_CAUSE_FRACTION:
             return True
         return self._is_normal_among_peers(now_s)
 
