--- a/balsamspindle/backend_servers/admission.py
+++ b/balsamspindle/backend_servers/admission.py
@@ -108,7 +108,7 @@
             self._servers.changed.notify_all()
 
     def in_flight(self) -> int:
-        """Return how many attempts hold a slot."""
+        """Return how many attempts occupy a slot."""
         with self._servers.changed:
             return len(self._running)
 
--- a/balsamspindle/backend_servers/client.py
+++ b/balsamspindle/backend_servers/client.py
@@ -85,7 +85,7 @@
         token : CancelToken, default=None
             Token by which another thread can cancel the call.
         request_id : str, default=""
-            Id that the answer must carry if backend servers echo request ids.
+            Id that the answer must contain if backend servers echo request ids.
         """
         deadline_s = time.monotonic() + timeout_ms / 1000
         token = token or CancelToken()
--- a/balsamspindle/backend_servers/dispatches.py
+++ b/balsamspindle/backend_servers/dispatches.py
@@ -37,7 +37,7 @@
 def is_keyed(dispatch: Dispatch) -> bool:
     """Return whether an attempt is non-idempotent and has an idempotency key.
 
-    The requests with such a key must run only once.
+    Of all attempts with the same key, at most one may run.
     """
     return (
         dispatch.idempotency_key is not None
--- a/balsamspindle/backend_servers/gate.py
+++ b/balsamspindle/backend_servers/gate.py
@@ -162,7 +162,7 @@
         return self._ledger.begin_era(version_min, after_s, now_s)
 
     def in_flight(self) -> int:
-        """Return how many attempts hold a slot."""
+        """Return how many attempts occupy a slot."""
         return self._admission.in_flight()
 
     def waiting(self) -> int:
--- a/balsamspindle/backend_servers/health.py
+++ b/balsamspindle/backend_servers/health.py
@@ -285,7 +285,7 @@
     def undo_crash_ejection(self, now_s: float) -> None:
         """End a hold-out or trial after a crash that a request caused.
 
-        The ejection does not make the next hold-out longer.
+        The next hold-out will be as long as without the ejection.
         """
         if self.phase is not HealthPhase.SERVING:
             self._work.lower_for_trial(now_s)
