--- a/balsamspindle/crashes/quarantine_store.py
+++ b/balsamspindle/crashes/quarantine_store.py
@@ -58,8 +58,8 @@
     Parameters
     ----------
     on_update : callable
-        Called after the read, with the stored quarantines that are new to this node and
-        the current time.
+        Called after the read with two arguments: the stored quarantines that are new to
+        this node, and the current time.
     """
 
     def __init__(
--- a/balsamspindle/crashes/verdicts.py
+++ b/balsamspindle/crashes/verdicts.py
@@ -1,4 +1,4 @@
-"""Distinguishes requests that cause crashes from those that merely run during them."""
+"""Distinguishes requests that cause crashes from requests that only run at crashes."""
 
 import heapq
 import itertools
@@ -59,7 +59,7 @@
 
 
 class AttributedCrash(NamedTuple):
-    """A crash that is attributed to a request, its likeliest cause.
+    """A crash that is attributed to a request, and the run time of the request.
 
     Attributes
     ----------
--- a/balsamspindle/customers/buckets.py
+++ b/balsamspindle/customers/buckets.py
@@ -102,9 +102,9 @@
     def keep_only(self, is_kept: Callable[[str], bool], now_s: float) -> None:
         """Discard the buckets of customers whose requests another node now grants.
 
-        Without this, a bucket would fill up while the other node grants the customer's
-        requests. Once this node grants them again, the customer could use the bursts of
-        both nodes.
+        If such a bucket were not discarded, it would fill up while the other node
+        grants the customer's requests. Once this node grants them again, the customer
+        could use the bursts of both nodes.
         """
         with self._lock:
             self._ungranted_since_s = now_s
--- a/balsamspindle/customers/limits.py
+++ b/balsamspindle/customers/limits.py
@@ -42,7 +42,7 @@
 
 
 class Grant(NamedTuple):
-    """Permission to run one request; returned to its node if the request does not run.
+    """Permission to run one request; refunded if the request does not run.
 
     Attributes
     ----------
--- a/balsamspindle/services/holdouts.py
+++ b/balsamspindle/services/holdouts.py
@@ -16,7 +16,7 @@
 class _HoldOut(NamedTuple):
     end_s: float
     length_s: float
-    is_tried: bool
+    is_request_pending: bool
     since_s: float = 0.0
 
 
@@ -56,7 +56,7 @@
         with self._lock:
             is_first = node_id not in self._held
             hold_out = self._held.pop(node_id, _NO_HOLD_OUT)
-            if now_s >= hold_out.end_s or hold_out.is_tried:
+            if now_s >= hold_out.end_s or hold_out.is_request_pending:
                 length_s = min(max(2 * hold_out.length_s, self._first_s), self._max_s)
                 since_s = now_s if is_first else hold_out.since_s
                 hold_out = _HoldOut(now_s + length_s, length_s, False, since_s)
@@ -96,6 +96,6 @@
             if node_id in self._held:
                 tried_until_s = now_s + self._first_s
                 self._held[node_id] = hold_out._replace(
-                    end_s=tried_until_s, is_tried=True
+                    end_s=tried_until_s, is_request_pending=True
                 )
             return False
--- a/balsamspindle/services/peer_evidence.py
+++ b/balsamspindle/services/peer_evidence.py
@@ -2,8 +2,8 @@
 
 A gate sees only the requests at its own backend servers. With each request that an
 ingress sends to a gate, it also sends a summary (`PeerEvidence`) of how the service's
-other backend servers answered it. From this the gate learns whether they also fail or
-are slow.
+other backend servers answered it. From the summary the gate learns whether the other
+backend servers also fail or are slow.
 """
 
 import statistics
