--- a/balsamspindle/requests/admissions.py
+++ b/balsamspindle/requests/admissions.py
@@ -45,8 +45,8 @@
 
         This method does not count the request against its customer's limit; `admit` is
         called again when the body has arrived. If requests were counted when their
-        heads arrive, their bodies could arrive later, all at the same time. The
-        requests would then run at once and together exceed the limit.
+        heads arrive, many bodies could arrive later at the same time. The requests
+        would then run at the same time and together exceed the limit.
         """
         match self.admit(request, now_s):
             case Refused() as refused:
--- a/balsamspindle/requests/attempt_outcomes.py
+++ b/balsamspindle/requests/attempt_outcomes.py
@@ -73,7 +73,7 @@
     def cancel_cause(
         self, forwarded: ForwardedRequest, waited: WaitResult | None = None
     ) -> CancelCause:
-        """Return why a request's open attempts are cancelled, for the gates' logs."""
+        """Return the reason why a request's open attempts are cancelled."""
         if is_answered(waited):
             return CancelCause.ANSWERED_ELSEWHERE
         if forwarded.caller.caller_left():
--- a/balsamspindle/requests/attempts.py
+++ b/balsamspindle/requests/attempts.py
@@ -88,7 +88,7 @@
         return AttemptId(self._own.node_id, self._own.incarnation, next(self._sequence))
 
     def set_end_time(self, ends_s: float) -> None:
-        """Set when this node ends; gates start no run for it that would end later."""
+        """Set when this node ends, so that gates start no run that ends afterwards."""
         self._link_attempts.set_end_time(ends_s)
 
     def abort_attempts(self) -> None:
--- a/balsamspindle/requests/claim_restorer.py
+++ b/balsamspindle/requests/claim_restorer.py
@@ -233,7 +233,7 @@
         )
 
     def _write_batch(self, claims: list[_ClaimRewrite], era: int) -> bool:
-        """Write the claims that the store lacks or must replace; False on failure."""
+        """Write claims that are missing or replaced in the store; False on failure."""
         versions = dict.fromkeys((claim.key for claim in claims), 0)
         for _ in range(BATCH_ATTEMPTS_MAX):
             if not claims:
--- a/balsamspindle/requests/claims.py
+++ b/balsamspindle/requests/claims.py
@@ -237,9 +237,9 @@
                         self._written.append(WrittenClaim(key, value, self._clock()))
                     return _claim(Row(key, written_version, msgspec.to_builtins(value)))
                 case Result(error=Conflict(rows)):
-                    # The row has another version than expected. If the answer to the
-                    # previous try was lost, that try may have written the row; its
-                    # claim is then the one to be written here.
+                    # The row does not have the expected version. If the answer to the
+                    # previous try was lost, that try may have written the row. Then
+                    # the row has the claim that this call was to write.
                     return _claim(rows[0])
                 case Result(error=Unknown()):
                     continue
@@ -283,10 +283,10 @@
         self._unavailable = False
 
     def look_up(self) -> None:
-        """Read the key's claim if no gate was found that could run the request now.
+        """Read the key's claim, unless it is known or the store did not answer before.
 
-        The request is then sent to the gate that the claim names, which can report
-        whether it ran the key.
+        If no backend server can run the request now, the gate that the claim names can
+        still report whether it ran the key.
         """
         if self._claim is not None or self._unavailable:
             return
@@ -303,7 +303,7 @@
         return self._claim.node_id
 
     def claim_for(self, gate: GateIdentity, gate_time_s: float) -> Claim | Reason:
-        """Return the claim for an attempt at a gate, or the reason not to send it.
+        """Return the claim for an attempt, or the reason why it must not be sent.
 
         Parameters
         ----------
--- a/balsamspindle/requests/closing.py
+++ b/balsamspindle/requests/closing.py
@@ -70,8 +70,9 @@
     try:
         listener.setsockopt(socket.SOL_SOCKET, SO_ATTACH_FILTER, program)
     except OSError:
-        # The listener can be closed without the filter. Then a connection is reset if
-        # it arrives in the microseconds between the last `accept` and the close.
+        # The filter can't be installed, so the listener is closed without it. Then a
+        # connection is reset if it arrives in the microseconds between the last
+        # `accept` and the close.
         pass
 
 
--- a/balsamspindle/requests/content.py
+++ b/balsamspindle/requests/content.py
@@ -19,7 +19,7 @@
     parts = (request.host, request.method, request.target, credential)
     if request.key_digest is not None:
         parts += (request.key_digest,)
-    # Without the lengths, two requests with different parts could have the same string.
+    # Without the lengths, different requests could give the same string.
     head = "".join(f"{len(part)}:{part}" for part in parts)
     seed = xxhash.xxh3_64_intdigest(head.encode())
     return xxhash.xxh3_64_intdigest(request.body, seed)
--- a/balsamspindle/requests/forwarded.py
+++ b/balsamspindle/requests/forwarded.py
@@ -80,8 +80,8 @@
     ----------
     step : Step
     near_tries, far_tries : int
-        Number of gates in the own zone, and in other zones, that were asked for a
-        free slot.
+        Number of gates in the own zone, and in other zones, at which this search has
+        looked for a free slot.
     queue_near_until_s : float or None
         Until when the request may wait in queues of its own zone, on the monotonic
         clock; None until the search looks for a queue in the own zone.
@@ -124,8 +124,8 @@
     attempts : int
         All attempts, including those that a gate refused.
     refused_as_suspect : set of str
-        Ids of the backend servers whose gates refused the request because they
-        suspect the backend server to be sick.
+        Ids of the backend servers whose gates refused the request because the backend
+        servers are suspected.
     failed : set of str
         Ids of the backend servers at which an attempt failed.
     search_until_s : float or None
--- a/balsamspindle/requests/forwarding.py
+++ b/balsamspindle/requests/forwarding.py
@@ -112,7 +112,7 @@
         return self._sender.held_out_servers
 
     def set_end_time(self, ends_s: float) -> None:
-        """Set when this node ends; gates start no run for it that would end later."""
+        """Set when this node ends, so that gates start no run that ends afterwards."""
         self._sender.set_end_time(ends_s)
 
     def abort_attempts(self) -> None:
@@ -190,14 +190,14 @@
                 break
             # If an attempt is parked, an answer may be the reply to the parked attempt,
             # which started long ago. So the latency is not recorded in this case.
-            is_alone = not forwarded.parked
+            is_only_attempt = not forwarded.parked
             started_s = self._clock()
             hedge = self._hedge_planner.plan(forwarded, selected, started_s)
             reply = self._sender.send(forwarded, *selected, hedge=hedge)
             replies.append(reply)
             now_s = self._clock()
             if is_success(reply):
-                latency_s = now_s - started_s if is_alone else None
+                latency_s = now_s - started_s if is_only_attempt else None
                 self._record_success(forwarded, reply, latency_s)
                 self._hedge_planner.refund(forwarded, hedge)
                 break
--- a/balsamspindle/requests/gate_links.py
+++ b/balsamspindle/requests/gate_links.py
@@ -48,7 +48,7 @@
         return link
 
     def record_unreachable(self, placement: Placement, now_s: float) -> None:
-        """Hold out a gate that did not answer; log only the first of a series."""
+        """Hold out a gate that did not answer; log the first of successive failures."""
         node_id = placement.node.node_id
         if self.hold_outs.record_failure(node_id, now_s):
             self._events.emit("gate_unreachable", gate=node_id)
--- a/balsamspindle/requests/heads.py
+++ b/balsamspindle/requests/heads.py
@@ -62,7 +62,7 @@
 
 
 class BadRequest(Exception):
-    """Raised for an invalid request; after the answer its connection is closed."""
+    """Raised to reject a request; its connection is closed after the answer."""
 
     def __init__(self, reason: Reason, detail: str) -> None:
         super().__init__(detail)
--- a/balsamspindle/requests/http.py
+++ b/balsamspindle/requests/http.py
@@ -110,8 +110,8 @@
     def wait_for_request(self) -> bool:
         """Wait for the first byte of a request; return False if none arrives.
 
-        The wait ends after the idle timeout, or when the connection is closed. If this
-        node closes the connection during the wait, no request is lost.
+        The wait ends after the idle timeout, or when the connection is closed. This
+        node may close the connection during the wait: no request is lost then.
         """
         if self._complete or self._parse_error or self._in_request:
             return True
