--- a/balsamspindle/requests/claim_eras.py
+++ b/balsamspindle/requests/claim_eras.py
@@ -94,9 +94,9 @@
     ) -> None:
         """Record which processes of the fleet are running now.
 
-        Removes the processes that ended before the oldest copy was made from which the
-        store can be restored, because the copy has all of their claims. The store is
-        never restored from a copy older than `COPY_AGE_MAX_S`.
+        Removes the processes that ended more than `COPY_AGE_MAX_S` before the store's
+        last answer. Each copy from which the store can be restored was made later, so
+        it has all claims of these processes.
 
         Parameters
         ----------
--- a/balsamspindle/requests/forwarding.py
+++ b/balsamspindle/requests/forwarding.py
@@ -238,7 +238,7 @@
     ) -> None:
         """Record an answer, its size and, unless `latency_s` is None, its latency."""
         route = forwarded.route
-        # The gate's node also reports the answer to the fleet, but it may stop first.
+        # Recorded here too: the gate's node may stop before it reports the answer.
         self._crash_history.record_answer(forwarded.content_hash, self._clock())
         if latency_s is not None:
             self._retries.record_answer(
