--- a/balsamspindle/node/crash_side.py
+++ b/balsamspindle/node/crash_parts.py
@@ -13,10 +13,10 @@
 from balsamspindle.timeline import EventLog
 from balsamspindle.wire import NodeRecord
 
-__all__ = ["CrashSide"]
+__all__ = ["CrashParts"]
 
 
-class CrashSide:
+class CrashParts:
     """Connects the crash history to the node's other parts.
 
     Parameters
--- a/balsamspindle/node/customer_side.py
+++ b/balsamspindle/node/customer_parts.py
@@ -18,7 +18,7 @@
 from balsamspindle.wire import NodeRecord
 from balsamspindle.wire.limit_messages import LimitAnswer, LimitQuestion, LimitReturn
 
-__all__ = ["CustomerSide"]
+__all__ = ["CustomerParts"]
 
 
 # Timeout for a node's answer to a limit question: several round trips within a zone.
@@ -59,7 +59,7 @@
         return self._links.acquire(node.link_address, deadline_s, Execution.IDEMPOTENT)
 
 
-class CustomerSide:
+class CustomerParts:
     """Admission of customers' requests at one node, with the parts that it needs.
 
     Parameters
--- a/balsamspindle/node/gate_side.py
+++ b/balsamspindle/node/gate_parts.py
@@ -25,12 +25,12 @@
 from balsamspindle.timeline import EventLog
 from balsamspindle.wire import BackendServerRecord
 
-__all__ = ["GateSide"]
+__all__ = ["GateParts"]
 
 GATE_WORKERS_MAX = 256
 
 
-class GateSide:
+class GateParts:
     """The gate of a node, with its backend servers, their health and its link server.
 
     Parameters
--- a/balsamspindle/node/process.py
+++ b/balsamspindle/node/process.py
@@ -11,10 +11,10 @@
 from balsamspindle.membership import Directory, Member
 from balsamspindle.node.admin import AdminApplication
 from balsamspindle.node.admin_server import AdminServer
-from balsamspindle.node.crash_side import CrashSide
-from balsamspindle.node.customer_side import CustomerSide
+from balsamspindle.node.crash_parts import CrashParts
+from balsamspindle.node.customer_parts import CustomerParts
 from balsamspindle.node.gate_budgets import GateBudgets
-from balsamspindle.node.gate_side import GateSide
+from balsamspindle.node.gate_parts import GateParts
 from balsamspindle.node.gauges import NodeGauges
 from balsamspindle.node.graceful_shutdown import GracefulShutdown
 from balsamspindle.node.integration import Integration
@@ -69,35 +69,35 @@
         self._directory = Directory()
         self._configuration = CurrentConfiguration()
         own = settings.own_record(incarnation)
-        self._crashes = CrashSide(
+        self._crash_parts = CrashParts(
             own,
             self._directory,
             self.events,
             lambda address, update: self._member.send(address, update),
         )
-        self._gate_side = GateSide(
+        self._gate_parts = GateParts(
             settings,
             self._service_document,
             GateBudgets(self._directory, self._service_document).retry_budget,
             self._context,
             self.events,
-            self._crashes.history,
-            self._crashes.share,
+            self._crash_parts.history,
+            self._crash_parts.share,
             self._count_in_zone,
         )
-        self.lifetimes = self._gate_side.lifetimes
+        self.lifetimes = self._gate_parts.lifetimes
         self._member = Member(
             self._context,
             settings,
             own,
             self._directory,
             self._configuration,
-            self._gate_side.records,
+            self._gate_parts.records,
             self.events,
         )
-        self._crashes.connect(self._member)
+        self._crash_parts.connect(self._member)
         self._links = LinkPool(self._context, self.events, settings.fleet_keys)
-        self._customers = CustomerSide(
+        self._customer_parts = CustomerParts(
             settings,
             own,
             self._directory,
@@ -106,11 +106,13 @@
             self.events,
             lambda: self._settings_tasks.prove(),
             self._links,
-            self._gate_side.link_server,
+            self._gate_parts.link_server,
         )
         self._eras.connect(own, self._directory, self._member)
-        parts = StoreParts(settings, own, self._directory, self.events, self._eras)
-        claims = parts.claims_table()
+        store_parts = StoreParts(
+            settings, own, self._directory, self.events, self._eras
+        )
+        claims = store_parts.claims_table()
         self._make_ingress(own, claims)
         self._settings_tasks = SettingsTasks(
             settings,
@@ -121,18 +123,18 @@
             self.events,
             integration.operator_row,
             self._eras.known,
-            self._customers.record_read,
+            self._customer_parts.record_read,
         )
-        self._registry = parts.registry(self._member)
-        self._crashes.quarantine_store = parts.quarantine_store(
-            self._crashes.history, self._crashes.share
+        self._registry = store_parts.registry(self._member)
+        self._crash_parts.quarantine_store = store_parts.quarantine_store(
+            self._crash_parts.history, self._crash_parts.share
         )
-        self._restorer = parts.claim_restorer(
+        self._restorer = store_parts.claim_restorer(
             claims,
-            self._gate_side.gate.begin_claim_era,
+            self._gate_parts.gate.begin_claim_era,
             lambda: self._member.isolated,
         )
-        self._guards = [*self._settings_tasks.guards, *parts.guards]
+        self._guards = [*self._settings_tasks.guards, *store_parts.guards]
         self._admin = self._make_admin_server()
 
     def stop(self) -> None:
@@ -171,16 +173,16 @@
         """Serve until `stop` is called, then shut down gracefully."""
         tasks = [
             self._member.run,
-            *self._gate_side.tasks(),
+            *self._gate_parts.tasks(),
             lambda: self._ingress.run(self._can_serve),
             self._admin.serve_forever,
             *self._settings_tasks.tasks(),
-            *self._customers.tasks(),
+            *self._customer_parts.tasks(),
         ]
         if self._registry is not None:
             tasks.append(self._registry.run)
-        if self._crashes.quarantine_store is not None:
-            tasks.append(self._crashes.quarantine_store.run)
+        if self._crash_parts.quarantine_store is not None:
+            tasks.append(self._crash_parts.quarantine_store.run)
         if self._restorer is not None:
             tasks.append(self._restorer.run)
         tasks += [server.serve_forever for server in self._extra_servers]
@@ -192,8 +194,8 @@
             self.events.emit("node_started", zone=self._settings.availability_zone)
             while not self._stop_requested.wait(HOUSEKEEPING_INTERVAL_S):
                 now_s = time.monotonic()
-                self._gate_side.remove_silent(now_s)
-                self._customers.refresh(now_s)
+                self._gate_parts.remove_silent(now_s)
+                self._customer_parts.refresh(now_s)
             self._shut_down()
         # Messages still queued on the closed links are sent for at most this long.
         self._context.destroy(linger=LINGER_MS)
@@ -206,7 +208,7 @@
     def _can_serve(self) -> bool:
         """Return whether requests of all services can be admitted and have a gate."""
         configuration = self._configuration.get()
-        if configuration is None or not self._customers.is_ready(time.monotonic()):
+        if configuration is None or not self._customer_parts.is_ready(time.monotonic()):
             return False
         return all(map(self._directory.placements, configuration.services))
 
@@ -223,14 +225,14 @@
         """Shut down gracefully, then end all tasks."""
         # First, because a running call to a store that does not answer may take two
         # seconds; at the end of the shutdown there is no time left for it.
-        self._crashes.stop()
+        self._crash_parts.stop()
         shutdown = GracefulShutdown(
             self._settings,
             self.events,
             self._member,
             self._ingress,
-            self._gate_side.gate,
-            self._gate_side.link_server,
+            self._gate_parts.gate,
+            self._gate_parts.link_server,
             self._forwarder,
         )
         shutdown.run()
@@ -240,7 +242,7 @@
     def _end_tasks(self) -> None:
         """End all tasks and threads; one that goes on would keep the process alive."""
         self._settings_tasks.stop()
-        self._customers.stop()
+        self._customer_parts.stop()
         if self._registry is not None:
             self._registry.stop()
         if self._restorer is not None:
@@ -255,7 +257,7 @@
         if self._authenticator is not None:
             self._authenticator.stop()
         self._connections.shutdown(wait=False)
-        self._gate_side.stop()
+        self._gate_parts.stop()
 
     def _count_in_zone(self, service: str) -> int:
         zone = self._settings.availability_zone
@@ -294,13 +296,13 @@
         self._forwarder = Forwarder(
             own,
             self._picker,
-            self._gate_side.gate,
+            self._gate_parts.gate,
             self._links,
             self.events,
             claims,
             self._retries,
             on_hold_out=self._hints.share,
-            crash_history=self._crashes.history,
+            crash_history=self._crash_parts.history,
         )
         self._member.register({SuspectHint: self._hints.receive})
         self._ingress = Ingress(
@@ -309,25 +311,25 @@
             self._forwarder,
             self._connections,
             self.events,
-            self._gate_side.failed_calls.record,
-            self._customers.admission,
+            self._gate_parts.failed_calls.record,
+            self._customer_parts.admission,
         )
 
     def _make_admin_server(self) -> AdminServer:
         self._gauges = NodeGauges(
             self._configuration,
             self._directory,
-            self._gate_side.servers,
-            self._gate_side.admission,
-            self._gate_side.health,
+            self._gate_parts.servers,
+            self._gate_parts.admission,
+            self._gate_parts.health,
             self._retries,
-            self._gate_side.grants,
+            self._gate_parts.grants,
             self._member,
             self._guards,
-            self._crashes.history,
+            self._crash_parts.history,
         )
         application = AdminApplication(
-            self._gate_side.servers,
+            self._gate_parts.servers,
             self._status,
             self._explain_service,
             self.events,
@@ -354,7 +356,7 @@
             self._settings.availability_zone,
             self._configuration.revision,
             self._directory.records(),
-            list(self._gate_side.records()),
+            list(self._gate_parts.records()),
             self._settings_tasks.status(),
             self._ingress.accepting(),
             self.events.metrics.report(),
@@ -369,7 +371,7 @@
             configuration is not None and service in configuration.services,
             self._directory.placements(service),
             self._picker.floor_decision(service),
-            self._gate_side.health.reports(time.monotonic()),
+            self._gate_parts.health.reports(time.monotonic()),
         )
 
 
--- a/tests/test_ending_ingresses.py
+++ b/tests/test_ending_ingresses.py
@@ -18,7 +18,7 @@
 from balsamspindle.backend_servers.link_server import LinkServer
 from balsamspindle.backend_servers.servers import Announcement, LocalBackendServers
 from balsamspindle.backend_servers.slots import WorkEnd
-from balsamspindle.node.gate_side import GateSide
+from balsamspindle.node.gate_parts import GateParts
 from balsamspindle.protocol.outcomes import Execution, Outcome, Reason
 from balsamspindle.requests import links
 from balsamspindle.requests.links import LinkPool
@@ -241,23 +241,23 @@
         context = zmq.Context()
         self.addCleanup(context.destroy, 0)
         events = EventLog("gate", 1, HybridClock(), io.StringIO())
-        side = GateSide(
+        gate_parts = GateParts(
             own, lambda _: ServiceDocument(), lambda *_: RetryBudget(), context, events
         )
-        side.servers.announce(
+        gate_parts.servers.announce(
             "server", Announcement(SERVICE, backend.address, 2, "1"), time.monotonic()
         )
         self.links = LinkPool(context, events)
         with ThreadPoolExecutor(3) as executor:
-            for task in side.tasks():
+            for task in gate_parts.tasks():
                 executor.submit(task)
             first = self._send(1)
             wait_until(lambda: backend.requests, "it runs")
-            side.gate.refuse_new_attempts()
-            side.stop()
+            gate_parts.gate.refuse_new_attempts()
+            gate_parts.stop()
             reply = self._wait(*self._send(2)).reply
             self.assertEqual(
                 (Outcome.NOT_RUN, Reason.DRAINING), (reply.outcome, reply.reason)
             )
-            side.gate.cancel_all()
+            gate_parts.gate.cancel_all()
             self.assertEqual(Outcome.UNKNOWN, self._wait(*first).reply.outcome)
