--- a/balsamspindle/membership/budget.py
+++ b/balsamspindle/membership/budget.py
@@ -9,18 +9,18 @@
 
 
 class Importance(IntEnum):
-    """How much of the byte budget a message may use.
-
-    Each level leaves a fraction of the token bucket to more important messages;
-    answers to probes may use all of the bucket. Without these reserves,
-    suspicions and the probes that check them use up the budget, and answers to
-    probes are not sent. The missing answers cause more suspicions, so the fleet
-    stays overloaded after the original cause is gone.
-
-    Messages with settings spend from a bucket of their own first, and from the
-    common bucket at level ``URGENT`` when their own is empty (see `Channel`). A
-    change of many routes has to be in force within seconds and needs more bytes
-    than the common bucket ever holds.
+    """Importance of a message, which decides how much of the byte budget it may use.
+
+    A message of a level must leave a fraction of the token bucket to messages of
+    higher levels; answers to probes may use all of the bucket. Without these
+    reserves, suspicions and the probes that check them would use up the budget, and
+    answers to probes would not be sent. The missing answers would cause more
+    suspicions, so the fleet would stay overloaded after the original cause is gone.
+
+    Messages with settings use a separate bucket. When this bucket is empty, they use
+    the common bucket at level ``URGENT`` (see `Channel`). The separate bucket exists
+    because a change of many routes has to be in force within seconds and needs more
+    bytes than the common bucket can hold.
     """
 
     ROUTINE = 0
@@ -77,7 +77,7 @@
             return True
 
     def available_bytes(self, importance: Importance, now_s: float) -> int:
-        """Return the size of the largest message that this level may send now."""
+        """Return how many bytes a message of this importance may have now."""
         with self._lock:
             self._refill(now_s)
             reserved_bytes = self._burst_bytes * RESERVED_FRACTIONS[importance]
--- a/balsamspindle/membership/channel.py
+++ b/balsamspindle/membership/channel.py
@@ -73,14 +73,15 @@
     budget : ByteBudget
         Byte cap of all messages.
     settings_budget : ByteBudget or None
-        Bytes that only messages with settings may use. These messages use
-        `budget` only when `settings_budget` is spent.
+        Byte cap that only messages with settings use. When it is spent, or None,
+        they use `budget`.
 
     Attributes
     ----------
     counts : Counter
-        Number of messages by ``sent``, ``received``, ``over_cap``,
-        ``not_sent`` and ``dropped_...``.
+        Number of messages by result: ``sent``, ``received``, ``over_cap`` (refused
+        by the byte cap), ``not_sent`` (refused by the transport) and
+        ``dropped_...`` (received but dropped, with the reason).
     """
 
     def __init__(
@@ -115,7 +116,7 @@
     def on_peer(self, handler: Callable[[Peer, float], None]) -> None:
         """Register a handler that is called with the sender of each message.
 
-        It runs before the handler that was registered for the kind of message.
+        `handler` runs before the handler of the message's kind.
         """
         self._peer_handlers.append(handler)
 
@@ -131,8 +132,8 @@
         Returns
         -------
         bool
-            False when the byte cap or the connection refused the message. The
-            message is not sent again.
+            False if the byte cap or the transport refused the message. A refused
+            message is not sent later.
         """
         frame = self._frame(message)
         cost_bytes = self._transport.cost_bytes(address, len(frame))
@@ -147,9 +148,9 @@
         now_s: float,
         importance: Importance = Importance.ROUTINE,
     ) -> bool:
-        """Send a message on the connection on which the peer's message came.
+        """Send a message on the connection on which the peer's message was received.
 
-        Returns False when the byte cap or the connection refused the message.
+        Returns False if the byte cap or the transport refused the message.
         """
         frame = self._frame(message)
         cost_bytes = self._transport.cost_bytes(peer.route.address, len(frame))
@@ -158,7 +159,7 @@
         )
 
     def available_bytes(self, importance: Importance, now_s: float) -> int:
-        """Return the size of the largest message that this level may send now."""
+        """Return how many bytes a message of this importance may have now."""
         return self._budget.available_bytes(importance, now_s)
 
     def call_soon(self, function: Callable[[], None]) -> None:
@@ -169,7 +170,8 @@
     def receive(self, wait_s: float, now_s: Callable[[], float]) -> int:
         """Wait up to `wait_s` for frames, handle them and return their number.
 
-        Also calls the functions that were passed to `call_soon`.
+        Before it handles frames, it calls the functions that were passed to
+        `call_soon`.
         """
         received = self._transport.receive(wait_s)
         while not self._calls.empty():
@@ -187,7 +189,7 @@
                 self.record_drop("garbage", error.message, now_s)
 
     def record_drop(self, why: str, cause: str, now_s: float) -> None:
-        """Count a dropped message; emit an event at most once a second."""
+        """Count a message dropped for reason `why`; emit at most one event a second."""
         self.counts[f"dropped_{why}"] += 1
         if now_s - self._drop_event_s < DROP_EVENT_INTERVAL_S:
             return
--- a/balsamspindle/membership/directory.py
+++ b/balsamspindle/membership/directory.py
@@ -8,7 +8,7 @@
 from balsamspindle.membership.fingerprints import BucketDigests
 from balsamspindle.membership.node_view import (
     GONE,
-    Changes,
+    ChangedParts,
     Epoch,
     NodeState,
     NodeView,
@@ -25,7 +25,7 @@
 
 __all__ = ["Directory", "NodeState", "Placement"]
 
-NO_CHANGES = Changes()
+NO_CHANGES = ChangedParts()
 _COMMON_VALUES = {value: value for value in (0.0, 0.5, 1.0)}
 
 
@@ -43,13 +43,16 @@
 
 
 class Directory:
-    """Records of all known nodes; read by every request, so reads are cheap.
+    """Records of all known nodes.
+
+    Each request reads the directory, so the results of `placements` and `alive` are
+    cached, and a cached result is returned without taking the lock.
 
     News with a higher incarnation of a node replaces the node's whole record.
     Within an incarnation, the header and the entry of each backend server have
-    versions of their own, and a higher version replaces the lower one. The
-    placements of a service are cached; a change discards the cached placements
-    of the services that it affects, and the next read rebuilds them.
+    versions of their own, and a higher version replaces the lower one. A change
+    discards the cached placements of the services that it affects, and the next
+    read rebuilds them.
     """
 
     def __init__(self) -> None:
@@ -61,12 +64,16 @@
         self._placements: dict[str, tuple[Placement, ...]] = {}
         self._alive: list[NodeRecord] | None = None
         self._dead: dict[str, NodeView] = {}
-        # Updated with each change of a node. When a zone is lost, many nodes are
-        # declared dead at once, and counting would walk all nodes for each of them.
+        # Number of live nodes by region. The number is read for each node that is
+        # declared dead. When a zone is lost, many nodes are declared dead at once, and
+        # counting all nodes for each of them would be slow.
         self._live_by_region: Counter[str] = Counter()
 
     def update(self, record: NodeRecord, now_s: float) -> bool:
-        """Apply a whole record; return whether any part of the record was new."""
+        """Apply a node's full record; return whether any part of the record was new.
+
+        Known backend servers that a newer record lacks get state `GONE`.
+        """
         header = NodeHeader(
             record.region,
             record.availability_zone,
@@ -86,7 +93,7 @@
             )
             return self.apply(news, now_s).any
 
-    def apply(self, news: NodeNews, now_s: float) -> Changes:
+    def apply(self, news: NodeNews, now_s: float) -> ChangedParts:
         """Apply news of one node; return which parts of the news were new."""
         with self._lock:
             view = self._views.get(news.node_id)
@@ -98,13 +105,13 @@
                 news.header is not None and news.version > view.record.version
             )
             if view.is_dead and not newer_header:
-                return Changes(dead=True)
+                return ChangedParts(rejected_as_dead=True)
             self._toggle_fingerprint(view)
             if newer_header:
                 self._set_header(view, news)
             changed = self._set_entries(view, news)
             self._toggle_fingerprint(view)
-            return Changes(newer_header, changed)
+            return ChangedParts(newer_header, changed)
 
     def declare_dead(self, node_id: str, epoch: Epoch, now_s: float) -> bool:
         """Mark a node as dead, which removes its backend servers from `placements`.
@@ -113,7 +120,7 @@
         -------
         bool
             False when nothing changed: the node is unknown or already dead, or
-            its known header is newer than `epoch`.
+            the directory has a header of the node that is newer than `epoch`.
         """
         with self._lock:
             view = self._views.get(node_id)
@@ -173,12 +180,12 @@
             ]
 
     def placements(self, service: str) -> tuple[Placement, ...]:
-        """Return the backend servers of a service whose nodes are not dead."""
+        """Return a service's backend servers, except those of dead nodes."""
         placements = self._placements.get(service)
         return self._build_placements(service) if placements is None else placements
 
     def services(self) -> list[str]:
-        """Return the services that have backend servers."""
+        """Return the services that have backend servers, also those of dead nodes."""
         with self._lock:
             return sorted(self._server_counts)
 
@@ -213,11 +220,11 @@
                 if not view.is_dead
             ]
 
-    def _add(self, news: NodeNews, old: NodeView | None) -> Changes:
+    def _add(self, news: NodeNews, old: NodeView | None) -> ChangedParts:
         if news.header is None:
-            # Entries of backend servers are of no use without the header of their
-            # node and incarnation, which has the node's addresses. Anti-entropy
-            # delivers the header together with the entries.
+            # The entries are ignored: the node's addresses are in the header, and
+            # the directory has no header of this incarnation. Anti-entropy delivers
+            # the header together with the entries later.
             return NO_CHANGES
         if old is not None:
             self._remove(old)
@@ -228,7 +235,7 @@
         changed = self._set_entries(view, news)
         self._toggle_fingerprint(view)
         self._alive = None
-        return Changes(True, changed)
+        return ChangedParts(True, changed)
 
     def _remove(self, view: NodeView) -> None:
         if not view.is_dead:
@@ -265,9 +272,9 @@
         return ServerChange(entry, known and known.record)
 
     def _removed_servers(self, record: NodeRecord) -> tuple[BackendServerRecord, ...]:
-        """Return, in state `GONE`, the known backend servers that `record` lacks.
+        """Return the known backend servers that `record` lacks, with state `GONE`.
 
-        Returns none if `record` is not newer than the known one.
+        Returns an empty tuple if `record` is not newer than the known record.
         """
         view = self._views.get(record.node_id)
         if view is None or view.epoch >= Epoch(record.incarnation, record.version):
@@ -280,7 +287,11 @@
         )
 
     def _adjust_server_count(self, view: NodeView, record, change: int) -> None:
-        """Add `change` to the number of backend servers of a service at a node."""
+        """Add `change` to the node's number of backend servers of a service.
+
+        Discards the cached placements of the service, too. Does nothing if the state
+        in `record` is `GONE`, since such backend servers are not counted.
+        """
         if record.state == GONE:
             return
         counts = self._server_counts.setdefault(record.service, {})
--- a/balsamspindle/membership/fanout.py
+++ b/balsamspindle/membership/fanout.py
@@ -1,4 +1,7 @@
-"""Selects the peers to which a node forwards urgent news; each node does so once."""
+"""Selects the peers to which a node forwards urgent news.
+
+Each node forwards an item of news only once.
+"""
 
 import random
 
@@ -29,7 +32,7 @@
         self._random = random.Random(f"{own.node_id}/{own.incarnation}/{topic}")
 
     def choose(self) -> list[str]:
-        """Return the member addresses of a few peers."""
+        """Return the member addresses of up to four peers, three of the own zone."""
         peers = [
             record
             for record in self._directory.alive()
--- a/balsamspindle/membership/fingerprints.py
+++ b/balsamspindle/membership/fingerprints.py
@@ -1,9 +1,10 @@
-"""Digests of buckets of nodes, which two nodes compare before they send records.
+"""Digests of the directory, by which two nodes find the records in which they differ.
 
 A bucket is the set of nodes whose ids hash to the same number. The fingerprint of
 a node is the XOR of the hashes of its header and of the entries of its backend
-servers; each hash covers the version. With XOR, a change of one entry updates the
-fingerprint in constant time.
+servers. Each hash includes the version, so a new version changes the fingerprint.
+With XOR, the fingerprint is updated in constant time when one entry changes. The
+digest of a bucket is the XOR of the fingerprints of its nodes.
 """
 
 import struct
@@ -39,7 +40,7 @@
         self._digests = [0] * BUCKET_COUNT
 
     def toggle(self, bucket: int, fingerprint: int) -> None:
-        """Add a node's fingerprint to the bucket's digest, or remove it again."""
+        """Add a fingerprint to the bucket's digest, or remove it if it was added."""
         self._digests[bucket] ^= fingerprint
 
     def encode(self) -> bytes:
--- a/balsamspindle/membership/gossip.py
+++ b/balsamspindle/membership/gossip.py
@@ -10,8 +10,8 @@
 
 __all__ = ["Gossiper"]
 
-# Numbers of neighbours to have. The neighbours of the own zone are selected first and
-# count towards the neighbours of the own region.
+# Numbers of neighbours that a node selects. The neighbours of its own zone are selected
+# first and are included in the number of neighbours of its own region.
 NEIGHBOURS_OWN_ZONE = 4
 NEIGHBOURS_OWN_REGION = 6
 NEIGHBOURS_OTHER_REGIONS = 2
@@ -45,7 +45,11 @@
         channel.register("gossip", Gossip, self._handle_gossip)
 
     def piggyback(self, now_s: float) -> list[News]:
-        """Return queued news to attach to a probe or acknowledgement."""
+        """Return queued news to attach to a probe or acknowledgement.
+
+        Returns only urgent news if the bytes for routine messages are spent, and no
+        news if the bytes for urgent messages are spent, too.
+        """
         queue = self._state.queue
         if (
             self._channel.available_bytes(Importance.ROUTINE, now_s)
@@ -116,7 +120,10 @@
         self._add_neighbours(other_region_peers, NEIGHBOURS_OTHER_REGIONS)
 
     def _add_neighbours(self, nodes: list[NodeRecord], wanted: int) -> None:
-        """Add random nodes of `nodes` until `wanted` of `nodes` are neighbours."""
+        """Add random nodes of `nodes` until `wanted` of `nodes` are neighbours.
+
+        Adds fewer if `2 * wanted` random draws do not find enough new nodes.
+        """
         node_ids = {node.node_id for node in nodes}
         present = node_ids & {node.node_id for node in self._neighbours}
         for _ in range(2 * wanted):
--- a/balsamspindle/membership/member.py
+++ b/balsamspindle/membership/member.py
@@ -27,16 +27,16 @@
 
 # Interval between two runs of `Member.tick`.
 TICK_S = 0.2
-# A longer gap between two ticks means that the process was suspended; a busy machine
-# delays a tick by less.
+# A gap between two ticks that is longer than this means that the process was suspended.
+# The load of a busy machine causes only shorter gaps.
 PAUSE_MIN_S = 2.0
 # Byte budget of settings messages. With 45,000 changes a day of 1 KB each, each sent
 # to 1.25 peers on average, a node sends 0.7 KB/s. One change of 2,000 routes, sent to
 # five peers, needs 300 to 450 KB at once.
 SETTINGS_BYTES_PER_S = 1_000.0
 SETTINGS_BURST_BYTES = 1_000_000.0
-# Window of the maximum tick delay: the usual interval between two metrics scrapes, so
-# that each scrape includes the delays since the one before.
+# Window of the maximum in `Member.lag_s`. It is the usual interval between two metrics
+# scrapes, so each scrape includes all delays since the previous scrape.
 LAG_WINDOW_S = 15.0
 
 
@@ -50,7 +50,7 @@
     backend_servers : callable
         Returns the current records of this node's backend servers.
     transport : Transport, default=None
-        None for ZeroMQ on the member address.
+        None to create a ZeroMQ transport on the member address in `settings`.
 
     Attributes
     ----------
@@ -103,7 +103,7 @@
             rng,
         )
         self.anti_entropy = AntiEntropy(self.channel, self.state, rng)
-        self.channel.on_peer(self._greet_unknown_peer)
+        self.channel.on_peer(self._compare_with_unknown_peer)
         self.state.start(now_s())
 
     def register(
@@ -115,7 +115,7 @@
 
         `on_peer_revision` is called with the address and the settings revision
         of each message's sender. All callables run in the member task and must
-        return at once.
+        not block.
         """
         for message_type, handler in handlers.items():
             kind = message_type.__struct_config__.tag
@@ -150,8 +150,8 @@
     ) -> None:
         """Send the newest store era with each message; receive peers' eras.
 
-        Most nodes call the store rarely, so they would learn late from the store
-        that it has a new era. `on_peer` is called in the member task with the
+        Most nodes call the store rarely, so the store's own answers would inform
+        them late of a new era. `on_peer` is called in the member task with the
         newest era that a peer knows.
         """
         self._store_era = own_era
@@ -165,8 +165,8 @@
     ) -> None:
         """Send a message of a registered type; callable from any thread.
 
-        The message is dropped when the byte cap refuses it, and the caller is
-        not told; a caller that needs delivery has to repeat the message.
+        The message is dropped if the byte cap refuses it, and the caller is not
+        notified. A caller that needs delivery has to repeat the message.
         """
         self.channel.call_soon(
             lambda: self.channel.send(address, message, self._now_s(), importance)
@@ -188,7 +188,7 @@
         return self._prober.isolated
 
     def lag_s(self, now_s: float) -> float:
-        """Return the longest recent tick delay; large in an overloaded process."""
+        """Return the longest recent delay of a tick; large in an overloaded process."""
         return self._lag.value(now_s)
 
     def run(self) -> None:
@@ -242,7 +242,7 @@
         self.state.announce_alive(now_s)
         self.anti_entropy.compare_soon(now_s)
 
-    def _greet_unknown_peer(self, peer: Peer, now_s: float) -> None:
+    def _compare_with_unknown_peer(self, peer: Peer, now_s: float) -> None:
         """Start a comparison of directories with a peer that the directory lacks."""
         if self.state.directory.view(peer.node_id) is None:
             self.anti_entropy.start_comparison(peer, now_s)
--- a/balsamspindle/membership/membership_state.py
+++ b/balsamspindle/membership/membership_state.py
@@ -1,11 +1,11 @@
-"""Rules for suspecting nodes, declaring them dead, and how these nodes refute it."""
+"""Rules by which a node is suspected, declared dead, or refutes a verdict on itself."""
 
 import msgspec
 
 from balsamspindle.membership.directory import Directory
 from balsamspindle.membership.news_queue import NewsQueue, Priority
 from balsamspindle.membership.node_view import (
-    Changes,
+    ChangedParts,
     Epoch,
     NodeState,
     ServerChange,
@@ -29,19 +29,19 @@
 
 __all__ = ["MembershipState"]
 
-# Most entries of backend servers in an item of news, so that it fits into a message.
+# Maximum number of backend servers in an item of news, so that a message can hold it.
 ENTRIES_PER_ITEM = 8
 # If a node's region has at least this many other live nodes, only nodes of its region
-# may suspect it (see `MembershipState._can_judge`).
-REGION_JUDGES_MIN = 2
+# may suspect it (see `MembershipState._may_suspect`).
+REGION_SUSPECTERS_MIN = 2
 RECENT_DEATHS_WINDOW_S = 3600.0
 DEAD_RETENTION_S = 2 * 3600.0
-# Suspicion from which on a backend server is ejected.
+# A backend server with at least this suspicion is ejected.
 EJECTION_SUSPICION = 1.0
 READY = "ready"
-# After news of a higher incarnation of this node came this often, the node reports
-# that another node may use its id.
-CONFLICT_OUTBIDS = 5
+# After a node has received this many items of news about a higher incarnation of
+# itself, it reports that another node may use its id.
+ID_CONFLICT_NEWS_MIN = 5
 
 
 class MembershipState:
@@ -53,8 +53,8 @@
     ----------
     nodes_to_check : set of str
         Nodes that a peer suspects and that this node may probe at its next tick.
-    disputed_epoch : Epoch or None
-        Highest epoch at which peers suspect this node or hold it dead.
+    unrefuted_epoch : Epoch or None
+        Highest epoch in peers' verdicts on this node that it has not refuted, or None.
     """
 
     def __init__(self, own: OwnRecord, directory: Directory, events: EventLog) -> None:
@@ -63,7 +63,7 @@
         self.queue = NewsQueue()
         self.suspicions = Suspicions()
         self.nodes_to_check: set[str] = set()
-        self.disputed_epoch: Epoch | None = None
+        self.unrefuted_epoch: Epoch | None = None
         self._events = events
         self._recent_deaths: dict[str, tuple[float, str]] = {}
         # The directory's list of live nodes, and the same list without this node.
@@ -72,7 +72,7 @@
             None,
             [],
         )
-        self._outbid_count = 0
+        self._higher_incarnation_count = 0
 
     def start(self, now_s: float) -> None:
         """Add this node to its own directory and queue its record."""
@@ -132,19 +132,19 @@
                     self._handle_node_news(item, now_s, spread)
 
     def record_failed_probe(self, node: NodeRecord, now_s: float) -> None:
-        """Suspect a node that neither this node nor the helping peers reached."""
+        """Suspect a node that no probe reached, or declare it dead if it is leaving."""
         view = self.directory.view(node.node_id)
         if view is None or view.is_dead:
             return
         if view.epoch > Epoch(node.incarnation, node.version):
-            # The node restarted or refuted a suspicion after the probe was sent.
+            # The node restarted or refuted a verdict after the probe was sent.
             return
         if self.is_leaving(node.node_id):
             self._declare_dead(ExpiredSuspicion(node.node_id, view.epoch, True), now_s)
             return
-        if not self._can_judge(view.record):
+        if not self._may_suspect(view.record):
             # Possibly only the link between the regions is down. The nodes of the
-            # other region detect themselves which of them died.
+            # other region detect failures in their own region.
             return
         self._suspect(node.node_id, view.epoch, self.own.node_id, now_s)
 
@@ -155,7 +155,7 @@
 
     def record_ack(self, node_id: str) -> None:
         """Remove the suspicion of a node that acknowledged a probe."""
-        self.suspicions.drop(node_id)
+        self.suspicions.remove(node_id)
 
     def verdict_on(self, node_id: str) -> VerdictNews | None:
         """Return the verdict on a node, None if it is neither suspected nor dead."""
@@ -184,14 +184,14 @@
             self._events.emit("node_forgotten", peer=node_id)
 
     def _handle_own_news(self, seen: Epoch, now_s: float) -> None:
-        """If `seen` has a higher incarnation than this node, start one above it."""
+        """Start an incarnation above that of `seen`, unless the own one is as high."""
         own = self.own.epoch
         if seen.incarnation <= own.incarnation:
             return
         self.own.refute(seen)
-        self._outbid_count += 1
+        self._higher_incarnation_count += 1
         self._events.emit("incarnation_outbid", seen=seen.incarnation)
-        if self._outbid_count == CONFLICT_OUTBIDS:
+        if self._higher_incarnation_count == ID_CONFLICT_NEWS_MIN:
             self._events.emit(
                 "node_id_conflict", cause="another node may use this node's id"
             )
@@ -203,9 +203,9 @@
         changes = self.directory.apply(news, now_s)
         if spread and news.header is None and len(changes.servers) < len(news.servers):
             self._record_duplicates(news, changes)
-        if changes.dead:
-            # The node is dead, but peers still send news of it. The verdict informs
-            # them; if the node is alive, it refutes the verdict with a later epoch.
+        if changes.rejected_as_dead:
+            # A peer sends news of a node that this node considers dead. The verdict
+            # informs peers. If the node is alive, it refutes the verdict.
             self.queue.add(self.verdict_on(news.node_id), Priority.NORMAL, 1)
             return
         if not changes.any:
@@ -219,7 +219,7 @@
         if spread or urgent:
             self._queue_changes(news, changes, urgent)
 
-    def _record_duplicates(self, news: NodeNews, changes: Changes) -> None:
+    def _record_duplicates(self, news: NodeNews, changes: ChangedParts) -> None:
         new = {change.entry for change in changes.servers}
         for entry in news.servers:
             if entry not in new:
@@ -236,7 +236,9 @@
             state=news.header.state,
         )
 
-    def _queue_changes(self, news: NodeNews, changes: Changes, urgent: bool) -> None:
+    def _queue_changes(
+        self, news: NodeNews, changes: ChangedParts, urgent: bool
+    ) -> None:
         if not changes.header:
             for change in changes.servers:
                 self._queue_server(news.node_id, news.incarnation, change)
@@ -268,7 +270,7 @@
     def _handle_verdict(self, verdict_news: VerdictNews, now_s: float) -> None:
         epoch = Epoch(verdict_news.incarnation, verdict_news.version)
         if verdict_news.node_id == self.own.node_id:
-            self._handle_dispute(epoch, now_s)
+            self._handle_own_verdict(epoch, now_s)
             return
         view = self.directory.view(verdict_news.node_id)
         if view is None or view.is_dead or epoch < view.epoch:
@@ -283,26 +285,26 @@
         else:
             self._suspect(verdict_news.node_id, epoch, verdict_news.by, now_s)
 
-    def _handle_dispute(self, epoch: Epoch, now_s: float) -> None:
+    def _handle_own_verdict(self, epoch: Epoch, now_s: float) -> None:
         if epoch < self.own.epoch:
-            # This node refuted the verdict already, but the sender does not know it:
-            # the broken link that caused the suspicion may have lost the refutation.
+            # The sender lacks this node's refutation, which the broken link that
+            # caused the suspicion may have lost. So the refutation is sent again.
             self._announce_header(now_s)
             return
-        self.disputed_epoch = max(epoch, self.disputed_epoch or epoch)
+        self.unrefuted_epoch = max(epoch, self.unrefuted_epoch or epoch)
 
     def confirm_reachable(self, now_s: float) -> None:
         """Refute the verdicts on this node after a peer has reached it.
 
-        A node that can open connections but accepts none would otherwise refute
-        each verdict that it receives. Its peers would hold it dead and alive in
-        turns although no request can reach it.
+        If nodes refuted verdicts on receipt, a node that can open but not accept
+        connections would refute each verdict. Its peers would alternately consider
+        it dead and alive, although no request can reach it.
         """
-        if self.disputed_epoch is None:
+        if self.unrefuted_epoch is None:
             return
-        self._events.emit("claim_refuted", version=self.disputed_epoch.version)
-        new_incarnation = self.own.refute(self.disputed_epoch)
-        self.disputed_epoch = None
+        self._events.emit("claim_refuted", version=self.unrefuted_epoch.version)
+        new_incarnation = self.own.refute(self.unrefuted_epoch)
+        self.unrefuted_epoch = None
         if new_incarnation:
             self._announce_record(now_s)
         else:
@@ -323,7 +325,7 @@
         view = self.directory.view(expired.node_id)
         if not self.directory.declare_dead(expired.node_id, expired.epoch, now_s):
             return
-        self.suspicions.drop(expired.node_id)
+        self.suspicions.remove(expired.node_id)
         if view.record.state != NodeState.LEAVING:
             self._recent_deaths[expired.node_id] = (now_s, view.record.region)
         by = by or self.own.node_id
@@ -337,12 +339,12 @@
         return VerdictNews(node_id, *epoch, verdict, self.own.node_id)
 
     def _too_many_deaths(self, node_id: str, now_s: float) -> bool:
-        """Return whether one more death would mean that over half of a region died.
+        """Return whether over half of a node's region died recently, the node included.
 
-        A partition is then the more likely cause. Nodes on its smaller side see
-        most of their region fail at once and confirm each other's suspicions. If
-        they declared the other side dead, their callers would find no backend
-        server even where a link still works.
+        If so, a partition is the more likely cause. Nodes on its smaller side can't
+        reach most of their region and confirm each other's suspicions. If they
+        declared the larger side dead, their callers would find no backend server
+        even where a link still works.
         """
         region = self.directory.view(node_id).record.region
         recent = 0
@@ -356,15 +358,15 @@
         self._events.emit("death_held", peer=node_id, recent_deaths=recent)
         return True
 
-    def _can_judge(self, node: NodeRecord) -> bool:
+    def _may_suspect(self, node: NodeRecord) -> bool:
         """Return whether this node may suspect a node after a failed probe.
 
         The link between two regions can fail for an hour. If the nodes of each
-        region judged the nodes of the other, all would be declared dead at once.
+        region could suspect those of the other, all would be declared dead at once.
         """
         if node.region == self.own.region:
             return True
-        return self.directory.live_count(node.region) - 1 < REGION_JUDGES_MIN
+        return self.directory.live_count(node.region) - 1 < REGION_SUSPECTERS_MIN
 
     def _fleet_size(self) -> int:
         return self.directory.live_count()
--- a/balsamspindle/membership/news_queue.py
+++ b/balsamspindle/membership/news_queue.py
@@ -36,7 +36,7 @@
 class _Item(NamedTuple):
     news: News
     size_bytes: int
-    remaining_sends: int
+    remaining_transmissions: int
 
 
 ItemKey = tuple[str, str]
@@ -80,7 +80,10 @@
         return bool(self._items[Priority.URGENT])
 
     def add(self, news: News, priority: Priority, nodes: int) -> None:
-        """Queue an item in place of the queued one about the same subject."""
+        """Queue an item; it replaces any queued item about the same subject.
+
+        `nodes` is the size of the fleet, on which the number of transmissions depends.
+        """
         key = _key(news)
         self.remove(key)
         if len(self._priorities) >= QUEUED_MAX:
@@ -104,11 +107,11 @@
         if priority in (None, Priority.URGENT):
             return
         items = self._items[priority]
-        if items[key].remaining_sends <= 1:
+        if items[key].remaining_transmissions <= 1:
             self.remove(key)
         else:
             items[key] = items[key]._replace(
-                remaining_sends=items[key].remaining_sends - 1
+                remaining_transmissions=items[key].remaining_transmissions - 1
             )
 
     def remove(self, key: ItemKey) -> None:
@@ -123,7 +126,7 @@
             self.remove(key)
 
     def next_batch(self, size_max_bytes: int, urgent_only: bool = False) -> list[News]:
-        """Return items to send now, and count one transmission of each."""
+        """Return items that fit into the size, and count one transmission of each."""
         batch: list[News] = []
         remaining_bytes = size_max_bytes
         for priority in Priority:
@@ -146,10 +149,12 @@
                 break
             remaining_bytes -= item.size_bytes
             batch.append(item.news)
-            if item.remaining_sends <= 1:
+            if item.remaining_transmissions <= 1:
                 self.remove(key)
             else:
-                items[key] = item._replace(remaining_sends=item.remaining_sends - 1)
+                items[key] = item._replace(
+                    remaining_transmissions=item.remaining_transmissions - 1
+                )
                 items.move_to_end(key)
         return remaining_bytes
 
@@ -172,7 +177,7 @@
 
 
 def _merge_entries(batch: list[News]) -> list[News]:
-    """Merge the entries of a node into one item, which contains the id only once."""
+    """Merge the entries of each node into one item, so that its id is sent once."""
     merged: dict[tuple, News] = {}
     for number, news in enumerate(batch):
         match news:
--- a/balsamspindle/membership/node_view.py
+++ b/balsamspindle/membership/node_view.py
@@ -1,4 +1,4 @@
-"""What this process knows of one node: header, backend servers and death."""
+"""One node as this process knows it: header, backend servers, and whether it died."""
 
 from enum import StrEnum
 from typing import NamedTuple
@@ -14,7 +14,7 @@
     ServerEntry,
 )
 
-__all__ = ["GONE", "Changes", "Epoch", "NodeState", "NodeView", "ServerChange"]
+__all__ = ["GONE", "ChangedParts", "Epoch", "NodeState", "NodeView", "ServerChange"]
 
 # State of a backend server that its node no longer has. The backend server's entry is
 # kept so that delayed news of it, with an older version, is rejected.
@@ -36,29 +36,29 @@
 
 
 class ServerChange(NamedTuple):
-    """A backend server's new entry; `before` is the former record or None."""
+    """A backend server's new entry; `before` is the record it replaced, or None."""
 
     entry: ServerEntry
     before: BackendServerRecord | None
 
 
-class Changes(NamedTuple):
+class ChangedParts(NamedTuple):
     """Which parts of a piece of news were new.
 
     Attributes
     ----------
     header : bool
-        Whether the header was new; any header of an unknown node is.
+        Whether the header was new. The first header of a node or incarnation is new.
     servers : list of ServerChange
         The entries of backend servers that were new.
-    dead : bool
-        Whether the news was rejected because the node is dead and the news has
-        no newer header, which would refute the death.
+    rejected_as_dead : bool
+        Whether the news was rejected because the node is dead. News with a newer
+        header is not rejected, since it refutes the death.
     """
 
     header: bool = False
     servers: list[ServerChange] = []
-    dead: bool = False
+    rejected_as_dead: bool = False
 
     @property
     def any(self) -> bool:
--- a/balsamspindle/membership/own_record.py
+++ b/balsamspindle/membership/own_record.py
@@ -35,7 +35,7 @@
 
     @property
     def node_id(self) -> str:
-        """Id that peers know this node by."""
+        """Id under which peers store this node's record."""
         return self._view.record.node_id
 
     @property
@@ -55,7 +55,10 @@
     def update_servers(
         self, servers: Iterable[BackendServerRecord]
     ) -> list[ServerEntry]:
-        """Store the current backend servers and return the entries that changed."""
+        """Store the current backend servers and return the entries that changed.
+
+        Known backend servers that `servers` lacks get state `GONE`.
+        """
         present = {server.backend_server_id: server for server in servers}
         changed = [
             server
@@ -90,10 +93,10 @@
     def refute(self, epoch: Epoch) -> bool:
         """Raise this node's epoch above `epoch`, which peers have for this node.
 
-        If the wall clock stepped back before a VM was replaced, the new VM's node
-        starts with a lower incarnation than its old records have. Peers would
-        ignore its news as outdated for as long as they keep the old records, so
-        the node starts an incarnation above theirs.
+        If a VM is replaced and the new VM's wall clock is behind, the new node starts
+        with a lower incarnation than the old node had. Peers that still have the old
+        node's record would ignore news of the new node as outdated. So the new node
+        starts an incarnation above the one in the record.
 
         Returns
         -------
--- a/balsamspindle/membership/peer_selection.py
+++ b/balsamspindle/membership/peer_selection.py
@@ -2,8 +2,8 @@
 
 Traffic between zones is billed, traffic within a zone is not. With five zones,
 four of five messages to random peers would cross zones: 10 MB of the 13 MB that 233
-nodes send when all start together. Some messages have to cross zones: only these
-bring news of other zones and show that a zone is cut off.
+nodes send when all start together. Some messages still have to cross zones: without
+them, no news would reach other zones, and a zone that is cut off would not be detected.
 """
 
 import heapq
@@ -64,7 +64,10 @@
 def other_zone_targets(
     peers: Sequence[NodeRecord], own: NodeHeader, own_id: str
 ) -> list[str]:
-    """Return the ids of a few peers of other zones; the same peers on each call."""
+    """Return the ids of a few peers of other zones.
+
+    For the same peers, each call returns the same ids.
+    """
     own_zone = {peer.node_id for peer in peers_in_zone(peers, own)}
     others = (peer.node_id for peer in peers if peer.node_id not in own_zone)
     return heapq.nsmallest(
--- a/balsamspindle/membership/probing.py
+++ b/balsamspindle/membership/probing.py
@@ -123,9 +123,10 @@
         self._next_reconnect_s = now_s
 
     def reset(self, now_s: float) -> None:
-        """Discard all unanswered probes, after the process was suspended.
+        """Discard all unanswered probes after the process was suspended.
 
-        Their time-outs show only that this node did not run.
+        Their time-outs passed while this node did not run, so the missing answers are
+        no evidence against peers.
         """
         self._probes.clear()
         self._relayed_pings.clear()
@@ -134,13 +135,12 @@
         self._next_reconnect_s = now_s
 
     def _probe_suspects(self, now_s: float) -> None:
-        """Probe a random part of the nodes that peers suspect.
+        """Probe some of the nodes that peers suspect, selected at random.
 
         A suspected node is declared dead only if several nodes suspect it
-        independently, so other nodes have to probe it. If all nodes did, the
-        suspected node would receive thousands of probes at once. Each node
-        therefore probes with a probability at which `EXPECTED_CHECKERS` nodes of
-        the fleet send a probe on average.
+        independently, so other nodes have to probe it. If all other nodes probed it,
+        it would receive thousands of probes at once. So each of them probes it with
+        the probability at which `EXPECTED_CHECKERS` nodes probe it on average.
         """
         probed = {probe.node.node_id for probe in self._probes.values()}
         for node_id in sorted(self._state.nodes_to_check - probed):
@@ -174,10 +174,10 @@
         """Return the node ids to probe in the next round, in random order.
 
         A round has each peer of this node's zone once, and some peers of other
-        zones. The peers of other zones are always from the same few, since a new
-        connection for each probe would cost more than the probe itself. Probes
-        within a zone detect a node that cannot be reached; probes from other
-        zones detect that a whole zone is cut off.
+        zones. The peers of other zones are drawn from the same few in each round, so
+        that connections to them are reused: a new connection for each probe would
+        cost more bytes than the probe itself. Probes within a zone detect a node that
+        cannot be reached; probes from other zones detect that a whole zone is cut off.
         """
         own = self._state.own.header
         peers = self._state.peers()
@@ -203,7 +203,7 @@
             self._probes[sequence] = _Probe(node, now_s)
 
     def _news_for(self, node_id: str, now_s: float) -> list[News]:
-        """Return news to send to a node, first any verdict on the node itself."""
+        """Return news to send to a node, first the verdict on the receiver, if any."""
         verdict = self._state.verdict_on(node_id)
         news = self._gossiper.piggyback(now_s)
         return news if verdict is None else [verdict, *news]
@@ -232,6 +232,7 @@
         -------
         bool
             False if the byte cap of this node refused the requests to all helpers.
+            True if there are no helpers.
         """
         # Perhaps the node is healthy and only this connection to it is broken. The
         # next ping opens a new connection.
@@ -253,8 +254,8 @@
         node = probe.node
         leaving = self._state.is_leaving(node.node_id)
         if not leaving and not self._others_answered(node.node_id, probe.sent_s):
-            # No other peer answered this node since the probe was sent, so this
-            # node is probably cut off and the probed node has not failed.
+            # No other peer answered this node since the probe was sent. So this node
+            # is probably cut off, and the failed probe is no evidence against the peer.
             self._events.emit("probe_failure_ignored", peer=node.node_id)
             return
         self._state.record_failed_probe(node, now_s)
@@ -274,8 +275,11 @@
                 self._channel.answer(relayed.requester, ack, now_s, Importance.ANSWER)
 
     def _request_self_check(self, now_s: float) -> None:
-        """Ask peers to ping this node while peers suspect it or hold it dead."""
-        if self._state.disputed_epoch is None or now_s < self._next_self_check_s:
+        """Ask peers to ping this node while it has not refuted a verdict on itself.
+
+        The verdict is refuted when a peer reports that its ping reached this node.
+        """
+        if self._state.unrefuted_epoch is None or now_s < self._next_self_check_s:
             return
         self._next_self_check_s = now_s + SELF_CHECK_INTERVAL_S
         self._self_check_sequence = next(self._sequences)
@@ -297,10 +301,10 @@
             self._events.emit("node_isolated" if isolated else "node_connected")
 
     def _reconnect(self, now_s: float) -> None:
-        """Ping contact addresses of unknown nodes, and one dead node.
+        """Ping some contact addresses without a known live node, and one dead node.
 
-        Two sides of a partition may declare each other's nodes dead. Without
-        these pings they would not find each other after the partition ends.
+        The nodes on the two sides of a partition may declare each other dead. Without
+        these pings, the two sides would stay separate after the partition ends.
         """
         known = {node.member_address for node in self._state.directory.alive()}
         unknown = [
--- a/balsamspindle/membership/recent_max.py
+++ b/balsamspindle/membership/recent_max.py
@@ -4,9 +4,9 @@
 
 
 class RecentMax:
-    """Maximum of the values recorded within the last one to two windows.
+    """Maximum of the values recorded in the current and the previous window.
 
-    Only the maximum of the current window and that of the previous one are kept.
+    Only the maxima of these two windows are stored, not the values.
     """
 
     def __init__(self, window_s: float) -> None:
--- a/balsamspindle/membership/registry.py
+++ b/balsamspindle/membership/registry.py
@@ -6,8 +6,8 @@
 when the row names another node. So the number of rows, reads and writes grows with
 the number of zones and not with the number of nodes.
 
-No node depends on the table's content for more than its first peers. A row that is
-outdated, wrong or missing costs a joining node one failed attempt to contact a peer.
+A node uses the table only to find its first peers. A row that is outdated, wrong or
+missing costs a joining node one failed attempt to contact a peer.
 """
 
 import random
@@ -103,12 +103,12 @@
             self.update_rows()
             return UPDATE_INTERVAL_S
         # A node that knows no other node ranks first for each slot of its zone, so it
-        # would write all rows of the zone. It therefore first gives the nodes in the
-        # table time to answer. Otherwise all nodes of a starting fleet would write the
-        # same rows.
+        # would write all rows of the zone. In a starting fleet, all nodes would write
+        # the same rows. So the node first waits for answers from the nodes in the
+        # table.
         if not self.find_peers() or self._isolated_rounds >= PEER_REPLY_ROUNDS:
-            # The first node of a fleet has no peers. It writes rows all the same, so
-            # that the nodes that start later find it.
+            # The first node of a fleet has no peers. It writes its rows without having
+            # found any, so that the nodes that start later find it.
             self.update_rows()
         wait_s = READ_INTERVAL_MIN_S * 2 ** min(
             self._isolated_rounds, BACKOFF_DOUBLINGS_MAX
@@ -142,7 +142,7 @@
         return False
 
     def update_rows(self) -> None:
-        """Write this node's address to the rows of its slots, unless it is there."""
+        """Write this node's address to those rows of its slots that lack it."""
         zone = self._own.availability_zone
         node_ids = {self._own.node_id}
         for node in self._directory.alive():
--- a/balsamspindle/membership/suspicion.py
+++ b/balsamspindle/membership/suspicion.py
@@ -18,7 +18,7 @@
 
 
 def timeout_s(suspecters: int, confirmations: int) -> float:
-    """Return how long a suspected node has to refute the suspicion.
+    """Return the time in seconds that a suspected node has to refute the suspicion.
 
     Parameters
     ----------
@@ -78,7 +78,11 @@
         return None if suspicion is None else suspicion.epoch
 
     def add(self, node_id: str, epoch: Epoch, suspecter_id: str, now_s: float) -> bool:
-        """Record that a node suspects another; return whether to tell peers."""
+        """Record that a node suspects another; return whether to notify peers.
+
+        Returns False if the epoch is outdated, the suspecter is already recorded, or
+        enough suspecters are recorded.
+        """
         known = self._suspicions.get(node_id)
         if known is None or epoch > known.epoch:
             self._suspicions[node_id] = _Suspicion(
@@ -107,7 +111,7 @@
         del self._suspicions[node_id]
         return True
 
-    def drop(self, node_id: str) -> None:
+    def remove(self, node_id: str) -> None:
         """Remove the suspicion of a node, if there is one."""
         self._suspicions.pop(node_id, None)
 
--- a/balsamspindle/membership/sync.py
+++ b/balsamspindle/membership/sync.py
@@ -33,11 +33,11 @@
 
 # Mean interval between two comparisons that find no difference.
 SYNC_INTERVAL_S = 10.0
-# While a node lacks more records than one exchange holds, as after a join or a long
-# pause, it compares its directory at this interval with this many peers.
+# While a node lacks more records than one exchange can transfer, as after a join or a
+# long pause, it compares its directory with `CATCH_UP_PEERS` peers at this interval.
 CATCH_UP_INTERVAL_S = 0.4
 CATCH_UP_PEERS = 4
-# Interval after a comparison whose differences fit into one exchange.
+# Time until the next comparison after one whose differences fit into one exchange.
 REPAIR_INTERVAL_S = 2.0
 SUMMARY_NODES_MAX = 64
 NODE_PULLS_MAX = 64
@@ -247,8 +247,8 @@
     def _limit_to_page(self, news: list[News], now_s: float) -> list[News]:
         """Return the first items that fit into a page and the byte budget.
 
-        The byte cap would refuse a larger page. As the page for the next request
-        would be as large, the peer would never receive any of the items.
+        The byte cap would refuse a larger page. The peer would request the items
+        again, the next page would be as large, and the peer would never receive any.
         """
         available_bytes = self._channel.available_bytes(Importance.ROUTINE, now_s)
         return _first_fitting(
--- a/balsamspindle/membership/transport.py
+++ b/balsamspindle/membership/transport.py
@@ -55,7 +55,10 @@
     """Sends frames to members and receives theirs; any frame may be lost."""
 
     def cost_bytes(self, address: str, size_bytes: int) -> int:
-        """Return the bytes on the network that a frame costs, headers included."""
+        """Return how many bytes on the network it takes to send a frame.
+
+        Includes headers, and the handshakes if there is no open connection.
+        """
         raise NotImplementedError
 
     def send(self, address: str, frame: bytes) -> bool:
@@ -89,10 +92,10 @@
 class ZmqTransport(Transport):
     """Listens on one ROUTER socket and connects with a DEALER socket per peer.
 
-    A node may send to any of thousands of peers. Before it would open more than
-    `OPEN_CONNECTIONS_MAX` connections, it closes the least recently used one.
-    Without this bound, the number of sockets and the memory of the I/O threads
-    would grow with the fleet.
+    A node may send to any of thousands of peers. When `OPEN_CONNECTIONS_MAX`
+    connections are open, the least recently used one is closed before a new one is
+    opened. Without this bound, the number of sockets and the memory of the I/O
+    threads would grow with the fleet.
 
     All methods but `wake` must be called from the same thread.
     """
--- a/balsamspindle/tables/eras.py
+++ b/balsamspindle/tables/eras.py
@@ -1,9 +1,9 @@
 """Row versions that keep rising when the store is restored from an older copy.
 
-The store numbers its writes. After a restore it assigns again the numbers that it had
-assigned since the copy was made, and reports a higher era with each answer. A row
+The store numbers its writes. After a restore, the store reuses the numbers that it
+assigned after the copy was made, and reports a higher era with each answer. A row
 version combines the era of the answer with the number of the write. So versions of a
-later era are larger, and no version stands for two writes.
+later era are larger, and two writes never have the same version.
 """
 
 import threading
@@ -37,20 +37,21 @@
     Parameters
     ----------
     on_new : callable
-        Called with each new era except the first.
+        Called with each era that is higher than `newest`, except the first known era.
     on_invalid : callable
         Called with a message when the era of an answer is missing, malformed or older
         than `newest`.
     clock : callable, default=time.monotonic
-        Returns the present time in seconds.
+        Returns the present time in seconds, on a monotonic clock.
 
     Attributes
     ----------
     newest : int
         Newest known era; 0 if none is known or the store reports none.
     answered_s : float
-        When the store last answered in the newest era known at that time, on the
-        monotonic clock. An era reported by a peer does not change this time.
+        Time on `clock` at which the store last sent an answer whose era was not older
+        than `newest`; minus infinity before the first. An era that a peer reports does
+        not change this time.
     """
 
     def __init__(
@@ -69,7 +70,8 @@
     def record_answer(self, reported: str | None) -> int | None:
         """Record the era of a store answer and return it.
 
-        Returns None when the caller must discard the answer.
+        Returns `newest` if the answer has no era. Returns None if the caller must
+        discard the answer, because its era is malformed or older than `newest`.
 
         Parameters
         ----------
@@ -94,7 +96,7 @@
         return era
 
     def record_era(self, era: int) -> int:
-        """Record an era from a peer or the store; return `newest` as it was before."""
+        """Record an era from a peer or the store; return the previous `newest`."""
         with self._lock:
             before, self.newest = self.newest, max(self.newest, era)
         if before and era > before:
--- a/balsamspindle/tables/guard.py
+++ b/balsamspindle/tables/guard.py
@@ -1,9 +1,9 @@
 """Rate limits and a circuit breaker for a node's calls to the platform.
 
-After a few consecutive failures the circuit opens for a time, in which calls fail at
-once without reaching the platform. The time doubles with each further failure, and it
-has jitter so that the nodes of a fleet don't retry a failed or overloaded platform all
-at once.
+After a few consecutive failures, the circuit opens for a time. While it is open, calls
+fail at once without reaching the platform. The time doubles with each further failure,
+up to `OPEN_MAX_S`. It has jitter, so that the nodes of a fleet don't all retry a failed
+or overloaded platform at the same time.
 """
 
 import random
@@ -36,7 +36,8 @@
 OPEN_FIRST_S = 0.5
 # Longest time for which the circuit stays open. A change accepted right after an outage
 # has to be in force within three seconds, so nodes have to call again soon. Only the
-# few nodes that poll do so, which adds little load to a platform that is down.
+# few nodes that poll the platform call again, so their calls add little load to a
+# platform that is down.
 OPEN_MAX_S = 2.0
 READS_PER_S = 10.0
 READS_BURST = 30.0
@@ -62,7 +63,10 @@
         self.state = CircuitState.CLOSED
 
     def try_enter(self, now_s: float) -> bool:
-        """Return whether a call may be made; pass its outcome to `record`."""
+        """Return whether a call may be made.
+
+        If it may, the caller must pass the outcome of the call to `record`.
+        """
         match self.state:
             case CircuitState.CLOSED:
                 return True
@@ -131,11 +135,17 @@
         return self._circuit.state
 
     def read(self, call: Callable[[], Result], verb: str = "read") -> Result:
-        """Make a read call, unless a rate limit or the open circuit rejects it."""
+        """Make a read call, unless a rate limit or the open circuit rejects it.
+
+        Returns `Unreachable` as the error of a rejected call.
+        """
         return self._call(self._reads, call, verb)
 
     def write(self, call: Callable[[], Result], verb: str = "write") -> Result:
-        """Make a write call, unless a rate limit or the open circuit rejects it."""
+        """Make a write call, unless a rate limit or the open circuit rejects it.
+
+        Returns `Unreachable` as the error of a rejected call.
+        """
         return self._call(self._writes, call, verb)
 
     def _call(
--- a/balsamspindle/tables/protocol.py
+++ b/balsamspindle/tables/protocol.py
@@ -1,7 +1,7 @@
 """The interfaces of a transactional table service and of an object store.
 
-A row's version rises with each write, and also when the store is restored from an
-older copy. A row that does not exist has version 0. A transaction checks versions of
+A row's version rises with each write, also after the store was restored from an older
+copy. A row that does not exist has version 0. A transaction checks versions of
 rows and then writes rows; either all of its writes take effect or none.
 """
 
--- a/balsamspindle/wire/codec.py
+++ b/balsamspindle/wire/codec.py
@@ -23,7 +23,7 @@
 ]
 
 WIRE_VERSION = b"\x01"
-# The same version; the bytes after it are deflated.
+# The same version as `WIRE_VERSION`, for frames with a deflated payload.
 WIRE_VERSION_DEFLATED = b"\x81"
 DEFLATE_ABOVE_BYTES = 512
 DEFLATE_LEVEL = 1
@@ -42,7 +42,10 @@
 
 
 def checksum(body: bytes) -> int:
-    """Return the xxh3_64 hash of a body, which both ends of a link compute."""
+    """Return the xxh3_64 hash of a body.
+
+    Both ends of a link compute the hash, to detect a damaged body.
+    """
     return xxhash.xxh3_64_intdigest(body)
 
 
@@ -54,8 +57,8 @@
 def decode_link(frame: bytes) -> LinkMessage | WireError:
     """Decode a message that arrived on a link.
 
-    The message or error is returned without a Result around it: wrapping each
-    message takes a twentieth of a gate's time.
+    The message or error is not wrapped in a `Result`: wrapping each message would
+    take a twentieth of a gate's processing time.
     """
     return _decode_frame(frame, _link_decoder, LINK_MESSAGE_MAX_BYTES)
 
--- a/balsamspindle/wire/limit_messages.py
+++ b/balsamspindle/wire/limit_messages.py
@@ -6,12 +6,13 @@
 
 __all__ = ["LimitQuestion", "LimitReturn", "LimitAnswer"]
 
-# A message with a scope that this release does not know is rejected.
+# Value of `balsamspindle.customers.granters.Scope`. A message with any other number is
+# rejected.
 ScopeNumber = Annotated[int, msgspec.Meta(ge=0, le=1)]
 
 
 class LimitQuestion(msgspec.Struct, array_like=True, tag="limit", frozen=True):
-    """Ingress to the node that grants a customer's requests: may one more run?
+    """Ingress to granter: may one more request of the customer run?
 
     Attributes
     ----------
@@ -22,8 +23,8 @@
     revision : int
         Revision of these settings.
     scope : int
-        A value of `balsamspindle.customers.granters.Scope`: the share of the limit
-        that the request counts against.
+        A value of `balsamspindle.customers.granters.Scope`: whether the request uses
+        the zone's or the fleet's fraction of the limit.
     """
 
     number: int
@@ -35,7 +36,7 @@
 
 
 class LimitAnswer(msgspec.Struct, array_like=True, tag="limited", frozen=True):
-    """Granting node to ingress: the answer to a `LimitQuestion`.
+    """Granter to ingress: the answer to a `LimitQuestion`.
 
     Attributes
     ----------
@@ -56,7 +57,7 @@
 
 
 class LimitReturn(msgspec.Struct, array_like=True, tag="unused", frozen=True):
-    """Ingress to the node that granted a request: the request did not run.
+    """Ingress to granter: a granted request did not run, so its grant is returned.
 
     Attributes
     ----------
--- a/balsamspindle/wire/link_messages.py
+++ b/balsamspindle/wire/link_messages.py
@@ -34,16 +34,16 @@
 
 
 class HoldOut(NamedTuple):
-    """Whether a gate holds out a backend server from ordinary work, and why.
+    """Whether a gate holds out a backend server, and the evidence for the hold-out.
 
     Attributes
     ----------
     held_out_ms : float
         Remaining time of the hold-out; 0 if there is none.
     bad_in_a_row : int
-        Number of requests since the last good one that failed or were slow. A
-        backend server with a single error after hundreds of good requests is
-        probably healthy.
+        Number of consecutive requests, up to the latest one, that failed or were
+        slow. If the number is 1 after hundreds of good requests, the backend server
+        is probably healthy.
     """
 
     held_out_ms: float = 0.0
@@ -72,7 +72,7 @@
 
 
 class Claim(NamedTuple):
-    """The only gate that may run the request with an Idempotency-Key.
+    """The only gate that may run the requests with a given idempotency key.
 
     Attributes
     ----------
@@ -115,12 +115,14 @@
     Attributes
     ----------
     judged_count : int
-        Number of backend servers with a recent judgement or a hanging attempt.
+        Number of backend servers that a gate judged recently (see `Reply.bad`) or that
+        have a hanging attempt.
     bad_count : int
-        Number of these whose latest request failed, was slow or hangs.
+        Number of those whose latest judged request failed or was slow, or that have a
+        hanging attempt.
     median_p99_ms : float
-        Median of the 99th percentiles of latency that their gates reported; 0 if
-        unknown.
+        Median of the 99th percentiles of latency that gates reported for the backend
+        servers; 0 if unknown.
     """
 
     judged_count: int = 0
@@ -134,12 +136,12 @@
     Attributes
     ----------
     remaining_ms : float
-        Time until the request's deadline when the message is sent.
+        Time from the sending of this message until the request's deadline.
     gate_deadline_s : float or None
-        The same deadline on the gate's monotonic clock, if the sender knows that
-        clock. The gate counts `remaining_ms` from when it reads the message, so a
-        message that waited while the gate was paused would seem to have more time
-        than it has.
+        The same deadline on the gate's monotonic clock; None if the sender does not
+        know the reading of that clock. The gate counts `remaining_ms` from the time
+        at which it reads the message. If the message waited while the gate was
+        paused, `remaining_ms` alone would give a deadline that is too late.
     weight : float
         The route's weight; requests with the lowest weight are shed first.
     target : str
@@ -149,42 +151,47 @@
     claim : Claim or None
         For a request with an idempotency key: the claim that permits this attempt.
     peers : PeerEvidence
-        Summary of the backend servers that this one is compared with.
+        Summary of the service's other backend servers, with which the gate compares
+        this one.
     hlc : int
         The sender's hybrid logical clock.
     caller_service : str
-        The service beside the ingress that accepted the request; may be empty.
+        Service that runs beside the ingress and sent the request; may be empty.
     is_last_resort : bool
         Whether all other backend servers were tried or refused the request, so that
         it may run at a suspected one.
     wait_max_ms : float or None
-        Longest time it may wait for a slot; None to wait until its deadline.
+        Longest time that the request may wait for a slot; None if it may wait until
+        its deadline.
     target_remaining_ms : float or None
-        Time left, when the message is sent, to meet the route's latency target;
-        None if the route has none.
+        Time from the sending of this message until the route's latency target is
+        missed; None if the route has no target.
     route_id : int
-        Identifies the route; its requests take about the same time.
+        Identifies the route. Requests of one route take about the same time.
     is_repeat : bool
-        Whether an earlier attempt reached a backend server, or may have.
+        Whether an earlier attempt of the request reached, or may have reached, a
+        backend server.
     repeat_fraction : float
         Fraction of the present runs at the sender's own backend servers that are
-        repeats. Used as the probability that such a repeat made this request.
+        repeats. The gate uses it as the probability that one of these repeats sent
+        this request.
     ingress_remaining_ms : float or None
-        Time until the sender's node ends; None if it is not leaving.
+        Time until the sender's node stops; None if the node is not leaving.
     run_was_lost : bool
         Whether an earlier run of the request was lost, or is about to be lost: its
         gate cancelled it, announced that its node stops, or did not reply; or the
         backend server crashed.
     rank_ms : float
-        Delay added to its position in queues; the same for all calls made by one
-        parent request.
+        Time that the gate adds to the request's target time when it sorts its queues;
+        the same for all requests that one parent request sends (see
+        `balsamspindle.requests.siblings`).
     content_hash : int
         Hash that is the same for all repeats of a request, whatever their ids; 0 if
         unknown.
     customer : str
         The customer who made the request; empty if there is none.
     is_last_try : bool
-        Whether its route allows no further attempt.
+        Whether the request's route allows no further attempt after this one.
     """
 
     attempt_id: AttemptId
@@ -259,8 +266,8 @@
     reason : Reason or None
         Why the attempt would be refused; None if it would be admitted.
     wait_ms : float
-        Expected wait for a slot, or for ``crashes_servers`` how long the request
-        stays blocked; 0 with other reasons.
+        Expected wait for a slot. With reason ``crashes_servers``: time for which the
+        request stays blocked. With other reasons: 0.
     held_out : HoldOut
     gate_time_s : float
         Reading of the gate's monotonic clock.
@@ -306,7 +313,7 @@
 class GateEnding(msgspec.Struct, array_like=True, tag="ending", frozen=True):
     """Gate to ingress: the gate is leaving and may end before it can send the reply.
 
-    The attempt continues; its reply is sent if the attempt ends in time.
+    The attempt continues. Its reply is sent if the attempt ends before the gate.
     """
 
     attempt_id: AttemptId
@@ -331,7 +338,7 @@
         Reading of the gate's monotonic clock when the reply was sent.
     bad : bool or None
         The gate's judgement whether the backend server failed or was slow; None if
-        the attempt is no evidence about it.
+        the attempt is no evidence about the backend server.
     p99_ms : float
         The backend server's 99th percentile of latency; 0 if unknown.
     held_out : HoldOut
--- a/balsamspindle/wire/member_messages.py
+++ b/balsamspindle/wire/member_messages.py
@@ -4,8 +4,8 @@
 still encoded. A receiver decodes the kinds that it has handlers for and counts the
 others as dropped, so a kind can be added without a new wire version.
 
-Frequent structs are encoded as MessagePack arrays: a receiver ignores unknown
-trailing fields and uses the defaults of missing ones.
+Frequent structs are encoded as MessagePack arrays, without field names. A receiver
+ignores unknown trailing fields and uses the defaults of missing trailing fields.
 """
 
 from enum import StrEnum
@@ -40,11 +40,13 @@
     "NodePull",
 ]
 
-# A node must be able to send a number higher than any it receives, for example to
-# refute a verdict. Numbers above this limit are rejected as malformed or hostile.
+# Numbers above this limit are rejected as malformed or hostile. Without the limit, a
+# node could receive the largest number that can be encoded. It could not send a higher
+# one, which it needs for example to refute a verdict.
 Count = Annotated[int, msgspec.Meta(ge=0, le=2**53)]
 NodeId = Annotated[str, msgspec.Meta(min_length=1, max_length=64)]
-# The task that connects to an invalid address would raise an exception.
+# Invalid addresses are rejected, because the task that connects to one would raise an
+# exception.
 _OCTET = r"(25[0-5]|2[0-4]\d|1?\d?\d)"
 _PORT = r"(6553[0-5]|655[0-2]\d|65[0-4]\d\d|6[0-4]\d{3}|[1-5]?\d{1,4})"
 PeerAddress = Annotated[
@@ -85,7 +87,8 @@
     Attributes
     ----------
     claims_requested : bool
-        Whether callers wait for claims that the store has lost.
+        Whether callers wait for claims that the store has lost, so that receivers
+        have to write their claims to the store again.
     """
 
     claims_requested: bool = False
@@ -210,7 +213,7 @@
 
 
 class VerdictNews(msgspec.Struct, array_like=True, tag="c", frozen=True):
-    """One node's verdict on another: the other does not answer, or is dead.
+    """One node's verdict on another node: it does not answer, or it is dead.
 
     The verdict applies to one incarnation and header version. The judged node
     refutes it by announcing a higher version.
@@ -218,8 +221,8 @@
     Attributes
     ----------
     by : str
-        Id of the node that reached the verdict. A node counts as dead only after
-        several nodes reached that verdict independently.
+        Id of the node that reached the verdict. A node that is not leaving is
+        declared dead only after several nodes suspected it independently.
     """
 
     node_id: NodeId
@@ -274,7 +277,7 @@
 
 
 class PingRequest(msgspec.Struct, array_like=True, frozen=True):
-    """Node to node: ping a third node that the sender can't reach."""
+    """Node to node: ping a node that the sender can't reach, or the sender itself."""
 
     sequence: int
     target: NodeId
@@ -354,7 +357,8 @@
     Attributes
     ----------
     buckets : list of int
-        Buckets whose nodes are all requested; a joining node knows none of them.
+        Buckets whose nodes are all requested. Used when the sender lacks too many nodes
+        to list them in `nodes`.
     """
 
     nodes: list[NodePull]
@@ -362,7 +366,7 @@
 
 
 class Page(msgspec.Struct, array_like=True, frozen=True):
-    """Records that the receiver pulled or that its summary showed to be missing.
+    """Records that the receiver pulled, or lacks according to its `SyncSummary`.
 
     Attributes
     ----------
--- a/balsamspindle/wire/security.py
+++ b/balsamspindle/wire/security.py
@@ -1,6 +1,6 @@
 """Authentication between nodes: CURVE keys on the member and link sockets.
 
-All nodes of a fleet share one key pair, which each reads from its own settings. A
+All nodes of a fleet share one key pair; each node reads it from its own settings. A
 listener accepts only peers whose public key is allowed. Any other connection fails
 in the handshake, so none of its messages is read.
 """
@@ -28,8 +28,9 @@
         The pair that all nodes share, in Z85 encoding.
     allowed_public_keys : tuple of str
         Public keys of other clients that may connect, each with a key pair of its
-        own. It does not let nodes with different fleet pairs connect to each other,
-        because a node requires each listener to have the node's own public key.
+        own. Nodes with different fleet key pairs can't connect to each other even if
+        they list each other's public keys: a node connects only to listeners that
+        have the node's own public key.
     """
 
     public_key: CurveKey
@@ -42,7 +43,7 @@
 
 
 class _AllowedKeys:
-    """Tells the authenticator whether a client's key may connect."""
+    """Checks clients' keys for a `ThreadAuthenticator`, which calls `callback`."""
 
     def __init__(self, keys: FleetKeys) -> None:
         allowed = (keys.public_key, *keys.allowed_public_keys)
@@ -76,9 +77,9 @@
     _set_key_pair(socket, keys)
     socket.setsockopt(zmq.CURVE_SERVER, 1)
     socket.setsockopt(zmq.ZAP_DOMAIN, ZAP_DOMAIN)
-    # Without this option, a socket accepts every client that knows the public key
-    # when no authenticator runs. If the authenticator fails, the socket must reject
-    # all clients instead.
+    # With this option, the socket rejects all clients while no authenticator runs, for
+    # example after the authenticator has failed. Without the option, it would then
+    # accept every client that knows the public key.
     socket.setsockopt(zmq.ZAP_ENFORCE_DOMAIN, 1)
 
 
--- a/balsamspindle/wire/settings_messages.py
+++ b/balsamspindle/wire/settings_messages.py
@@ -23,16 +23,17 @@
     Attributes
     ----------
     previous_chain, chain : str
-        Digest of the history of changes before and after this one.
+        Digests of the history of changes, without and with this change.
     documents : dict of str to bytes or None
-        Complete documents as JSON by path; None for a removed document.
+        The changed documents by path, each complete and as JSON; None for a removed
+        document.
     accepted_ms : int
         Wall-clock time at which the writer's change was accepted.
     restart : bool
-        Whether the change does not build on earlier ones, so that all settings must be
-        loaded again.
+        Whether the change can't be applied to an earlier revision. All settings must
+        then be loaded again.
     previous_revision : int
-        Revision in force before the change; -1 if it is `revision` minus one.
+        Revision in force before the change; -1 stands for `revision` minus one.
     """
 
     revision: int
@@ -59,13 +60,16 @@
 
 
 class SettingsPull(msgspec.Struct, tag="settings_pull", frozen=True):
-    """Node to node: send the changes above a revision; -1 for all settings.
+    """Node to node: send the changes after a revision.
 
     Attributes
     ----------
+    above_revision : int
+        Revision in force at the sender of the pull; -1 if it has no settings.
     older_revisions : tuple of int
-        Revisions in force before `above_revision`, newest first. The sender still
-        holds their documents, so changes that apply to one of them can be used, too.
+        Revisions in force before `above_revision`, newest first. The sender of the
+        pull still has the documents of these revisions, so the receiver may also send
+        the changes after one of them.
     """
 
     address: str
@@ -79,8 +83,8 @@
     Attributes
     ----------
     revision : int
-        Revision in force at the sender; higher than that of the last change if more
-        changes follow.
+        Revision in force at the sender. If it is higher than that of the last change,
+        the receiver pulls again.
     """
 
     address: str
