--- a/balsamspindle/cli/__init__.py
+++ b/balsamspindle/cli/__init__.py
@@ -1,6 +1,6 @@
-"""Command-line programs: they parse arguments, call the other packages and report.
+"""Command-line programs: parse arguments, call the other packages, print the results.
 
-Start with `ctl.py`, whose commands are in `ctl_*.py`. `program.py` has the options,
-errors and signal handling that all programs share, `exit_status.py` their exit
-statuses.
+Start with `ctl.py`; its commands are in the modules `ctl_*.py`. All programs share the
+options, error reporting and signal handling of `program.py` and the exit statuses of
+`exit_status.py`.
 """
--- a/balsamspindle/cli/admin_client.py
+++ b/balsamspindle/cli/admin_client.py
@@ -71,7 +71,7 @@
         return self._call("POST", path, body).map(lambda _: None)
 
     def events(self) -> Iterator[Result[EventPage, NodeUnreachable | NodeRefusal]]:
-        """Yield the node's recent events page by page; ends after an error."""
+        """Yield the pages of the node's recent events; an error is yielded last."""
         after = 0
         more = True
         while more:
--- a/balsamspindle/cli/ctl_customers.py
+++ b/balsamspindle/cli/ctl_customers.py
@@ -24,23 +24,27 @@
 __all__ = ["app"]
 
 LIST_HEADER = ("CUSTOMER", "TOLD AS", "RATE/S", "BURST", "WEIGHT", "KEYS")
-# Enough of a digest to tell the few keys of one customer apart.
+# Length of the start of a digest in lists; distinguishes the few keys of one customer.
 DIGEST_PREFIX_CHARACTERS = 8
 
 CUSTOMER_ARGUMENT = typer.Argument(..., help="TEAM/NAME of the customer.")
 RATE_OPTION = typer.Option(
-    None, "--rate", help="Requests per second over all nodes; 0 for no limit."
+    None, "--rate", help="Maximum requests per second over all nodes; 0 for no limit."
 )
 BURST_OPTION = typer.Option(
-    None, "--burst", help="Requests admitted at once, beyond the rate."
+    None,
+    "--burst",
+    help="Number of requests by which the rate may be exceeded at once.",
 )
 WEIGHT_OPTION = typer.Option(
-    None, "--weight", help="Weight of the requests, in place of the routes' weights."
+    None,
+    "--weight",
+    help="Weight of the customer's requests; replaces the route's weight.",
 )
 
 _match_customer = re.compile(r"([^/]+)/([^/]+)").fullmatch
 
-app = make_app("Customers, their limits and their keys.")
+app = make_app("Show and change customers, their limits and their keys.")
 
 
 @app.command("list")
@@ -71,7 +75,9 @@
 def add(
     customer: str = CUSTOMER_ARGUMENT,
     told_as: str = typer.Option(
-        None, "--told-as", help="Name sent to backend servers; NAME by default."
+        None,
+        "--told-as",
+        help="Customer name sent to backend servers; NAME by default.",
     ),
     rate_per_s: float = RATE_OPTION,
     burst: float = BURST_OPTION,
@@ -82,7 +88,7 @@
     fleet_key: str = FLEET_KEY_OPTION,
     as_json: bool = JSON_OPTION,
 ) -> None:
-    """Add a customer, without a key.
+    """Add a customer. The customer has no key until `give-key` creates one.
 
     Example: balsamspindle-ctl customers add crew/anna --rate 20 --burst 20
     """
@@ -108,7 +114,7 @@
     fleet_key: str = FLEET_KEY_OPTION,
     as_json: bool = JSON_OPTION,
 ) -> None:
-    """Change a customer's limit or weight; options left out change nothing.
+    """Change a customer's rate, burst or weight; omitted options change nothing.
 
     Example: balsamspindle-ctl customers limit crew/anna --rate 5 --burst 5
     """
@@ -134,9 +140,12 @@
     fleet_key: str = FLEET_KEY_OPTION,
     as_json: bool = JSON_OPTION,
 ) -> None:
-    """Create a key and print it; it is shown only once, as a digest is stored.
+    """Create a key for a customer and print it.
 
-    The customer's other keys stay valid, so that it can switch to the new one.
+    Only a digest of the key is stored, so the key cannot be shown again.
+
+    The customer's other keys stay valid, so the customer can replace an old key
+    without an interruption.
 
     Example: balsamspindle-ctl customers give-key crew/anna
     """
@@ -159,21 +168,23 @@
 @app.command("take-key")
 def take_key(
     customer: str = CUSTOMER_ARGUMENT,
-    digest: str = typer.Argument(..., help="Start of the key's digest (see list)."),
+    digest: str = typer.Argument(
+        ..., help="Start of the key's digest, as shown by `list`."
+    ),
     platform: str = PLATFORM_OPTION,
     author: str = AUTHOR_OPTION,
     team_key: str = TEAM_KEY_OPTION,
     fleet_key: str = FLEET_KEY_OPTION,
     as_json: bool = JSON_OPTION,
 ) -> None:
-    """Remove a key from a customer.
+    """Remove a key from a customer. Exactly one of its keys must match the argument.
 
     Example: balsamspindle-ctl customers take-key crew/anna 3f9a01bc
     """
 
     def remove_key(document: dict[str, Any]) -> dict[str, Any]:
         digests = _digests(document)
-        matching = [known for known in digests if known.startswith(digest)]
+        matching = [stored for stored in digests if stored.startswith(digest)]
         if len(matching) != 1:
             message = (
                 f"{len(matching)} keys of {customer} have a digest that begins with "
@@ -182,7 +193,9 @@
             fail(message, ExitStatus.NOT_FOUND)
         return {
             **document,
-            "key_digests": [kept for kept in digests if kept != matching[0]],
+            "key_digests": [
+                remaining for remaining in digests if remaining != matching[0]
+            ],
         }
 
     credentials = Credentials(author, team_key, fleet_key)
@@ -214,7 +227,11 @@
     platform: str,
     as_json: bool,
 ) -> None:
-    """Change one customer's document; fail if the team is edited meanwhile."""
+    """Apply `change` to a customer's document and store the result.
+
+    Ends the program if there is no such customer, or if the team's documents were
+    changed by somebody else after they were read.
+    """
     team, name = _split_customer(customer)
     path = f"{team}/customers/{name}"
     documents, version = _read_team(team, platform)
--- a/balsamspindle/cli/ctl_edits.py
+++ b/balsamspindle/cli/ctl_edits.py
@@ -27,14 +27,14 @@
 
 __all__ = ["apply", "remove", "set_document"]
 
-# Nodes pass changes on to each other: a few notified nodes speed up the spread.
+# Nodes send changes to each other, so it is enough to notify a few nodes.
 NOTIFIED_NODES_MAX = 3
 
 
 def set_document(
     path: str = PATH_ARGUMENT,
     document: str = typer.Argument(
-        STANDARD_INPUT, help="JSON file; - reads standard input."
+        STANDARD_INPUT, help="JSON file with the document; - reads standard input."
     ),
     platform: str = PLATFORM_OPTION,
     author: str = AUTHOR_OPTION,
@@ -44,7 +44,7 @@
     nodes: list[str] = NODES_OPTION,
     as_json: bool = JSON_OPTION,
 ) -> None:
-    """Write one document.
+    """Create or replace one document.
 
     Example: balsamspindle-ctl settings set crew/services/contracts contracts.json
     """
@@ -67,7 +67,8 @@
 ) -> None:
     """Write all documents of a file in one change; null removes a document.
 
-    Documents that the file does not name stay unchanged.
+    The file may only contain documents of one team. Documents of the team that the
+    file does not name stay unchanged.
 
     Example: balsamspindle-ctl settings apply examples/association/settings.json
     """
@@ -103,11 +104,14 @@
     nodes: list[str] | None,
     as_json: bool,
 ) -> None:
-    """Change documents of one team and report the result."""
+    """Change documents of one team, print the result and notify nodes.
+
+    Ends the program if the documents belong to several teams or to none.
+    """
     teams = sorted({path.partition("/")[0] for path in documents})
     if len(teams) != 1:
         named = f", not {len(teams)} ({', '.join(teams)})" if teams else ""
-        message = f"a change must hold documents of exactly one team{named}"
+        message = f"a change must contain documents of exactly one team{named}"
         fail(message, ExitStatus.USAGE)
     edit = Edit(teams[0], documents, new_operation_id(), expect_version)
     accepted = report_edit(open_store(platform).apply(edit, credentials), as_json)
@@ -120,17 +124,18 @@
         case Result(tag="ok", ok=(subtree, _)):
             if path in subtree.documents:
                 return
-            close = difflib.get_close_matches(path, subtree.documents, 1)
-            hint = f"; did you mean {close[0]!r}?" if close else ""
+            similar = difflib.get_close_matches(path, subtree.documents, 1)
+            hint = f"; did you mean {similar[0]!r}?" if similar else ""
             fail(f"no document at {path!r}{hint}", ExitStatus.NOT_FOUND)
         case Result(error=error):
             fail(f"not accepted: {error.message}", ExitStatus.UNAVAILABLE)
 
 
 def _notify_nodes(accepted: Accepted, nodes: list[str]) -> None:
-    """Have a few nodes read the change at once; the others receive it later.
+    """Notify up to `NOTIFIED_NODES_MAX` nodes, which then read the change at once.
 
-    A failed notification is ignored: it delays the change at most.
+    The other nodes receive the change later. A failed notification is ignored because
+    it only delays the change.
     """
     body = msgspec.json.encode(accepted)
     for address in nodes[:NOTIFIED_NODES_MAX]:
@@ -138,6 +143,6 @@
 
 
 def _print_warnings(documents: dict[str, Any]) -> None:
-    kept = {path: value for path, value in documents.items() if value is not None}
-    for warning in document_warnings(encode_documents(kept)):
+    written = {path: value for path, value in documents.items() if value is not None}
+    for warning in document_warnings(encode_documents(written)):
         warn(f"{warning.path}: {warning.message}")
--- a/balsamspindle/cli/ctl_fleet.py
+++ b/balsamspindle/cli/ctl_fleet.py
@@ -35,7 +35,7 @@
     backend_server: str = typer.Argument(..., help="Id of the backend server."),
     nodes: list[str] = NODES_OPTION,
 ) -> None:
-    """Send no new requests to a backend server; those in flight finish.
+    """Stop sending new requests to a backend server; requests in flight finish.
 
     Example: balsamspindle-ctl drain contract-1 --node 127.0.0.1:8083
     """
@@ -56,12 +56,20 @@
 
 
 def explain(
-    subject: str = typer.Argument(..., help="A service, TEAM/NAME, or a request id."),
+    subject: str = typer.Argument(..., help="A service (TEAM/NAME) or a request id."),
     nodes: list[str] = NODES_OPTION,
-    logs: list[Path] = typer.Option(None, help="Log file of a node; may be repeated."),
+    logs: list[Path] = typer.Option(
+        None, help="Log file of a node, used for requests; may be repeated."
+    ),
     as_json: bool = JSON_OPTION,
 ) -> None:
-    """Explain why backend servers of a service are left out, or a request's outcome.
+    """Show which backend servers of a service are used, or how a request ended.
+
+    For a service, shows for each queried node which backend servers receive requests
+    and why the others do not.
+
+    For a request, shows its attempts and its outcome, from the events of the queried
+    nodes and the given log files.
 
     Example: balsamspindle-ctl explain crew/contracts --node 127.0.0.1:8083
 
@@ -89,7 +97,7 @@
 
 
 def _read_explanations(service: str, nodes: list[str]) -> Iterator[ServiceExplanation]:
-    """Yield each node's explanation; warn of nodes without an answer."""
+    """Yield the explanation of each node that answers; warn of all other nodes."""
     path = f"/services/{service}/explain"
     for address in nodes:
         match AdminClient(address).read(path, ServiceExplanation):
@@ -116,8 +124,8 @@
     events = filter_events(collected.events, EventFilter(request=request_id))
     if not events:
         message = (
-            f"no event of request {request_id!r}: name the log of the node that "
-            "received it"
+            f"no event of request {request_id!r}: name the node that received the "
+            "request with --node, or its log file with --logs"
         )
         fail(message, ExitStatus.NOT_FOUND)
     summary = summarize_request(request_id, events)
@@ -127,7 +135,10 @@
 
 
 def _post(backend_server: str, nodes: list[str] | None, action: str) -> None:
-    """Ask the node beside a backend server to change its state."""
+    """Send `action`, drain or undrain, to the node beside a backend server.
+
+    Ends the program if no node is found or the node does not accept the request.
+    """
     client = _node_beside(backend_server, query_nodes(nodes))
     match client.post(f"/backend-servers/{quote(backend_server)}/{action}"):
         case Result(tag="error", error=error):
@@ -137,7 +148,9 @@
 def _node_beside(backend_server: str, queried: list[QueriedNode]) -> AdminClient:
     """Return a client for the node beside a backend server.
 
-    Looks first among the queried nodes, then in the records that they hold.
+    Searches the backend servers of the queried nodes first, then those in the records
+    that the queried nodes have of other nodes. Ends the program if the backend server
+    is in none of them, or if the record has no admin address.
     """
     for node in queried:
         own = [server.backend_server_id for server in node.status.backend_servers]
@@ -150,8 +163,8 @@
     }
     record = records.get(backend_server)
     if record is None:
-        close = difflib.get_close_matches(backend_server, records, 1)
-        hint = f"; did you mean {close[0]!r}?" if close else ""
+        similar = difflib.get_close_matches(backend_server, records, 1)
+        hint = f"; did you mean {similar[0]!r}?" if similar else ""
         message = f"unknown backend server {backend_server!r}{hint}"
         fail(message, ExitStatus.NOT_FOUND)
     if not record.admin_address:
--- a/balsamspindle/cli/ctl_keys.py
+++ b/balsamspindle/cli/ctl_keys.py
@@ -1,4 +1,4 @@
-"""``balsamspindle-ctl settings`` commands that set keys of teams and the fleet."""
+"""``balsamspindle-ctl settings`` commands that set the keys of teams and the fleet."""
 
 import typer
 from expression import Result
@@ -27,9 +27,10 @@
     fleet_key: str = FLEET_KEY_OPTION,
     as_json: bool = JSON_OPTION,
 ) -> None:
-    """Set or replace the key of a team.
+    """Set or replace the key of a team. A team that does not exist is created.
 
-    Requires the fleet key; in a fleet without one, the team's current key.
+    Requires the fleet key, or the team's current key if the team has one. Neither is
+    required if the fleet and the team have no key.
 
     Example: BALSAMSPINDLE_NEW_KEY=... balsamspindle-ctl settings team-key crew
     """
@@ -43,7 +44,9 @@
     ),
     platform: str = PLATFORM_OPTION,
 ) -> None:
-    """Set the fleet key, once; from then on, only this key can create teams.
+    """Set the fleet key. This is possible only once.
+
+    Afterwards, the fleet key is required to create teams.
 
     Example: BALSAMSPINDLE_NEW_KEY=... balsamspindle-ctl settings fleet-key
     """
--- a/balsamspindle/cli/ctl_recovery.py
+++ b/balsamspindle/cli/ctl_recovery.py
@@ -19,11 +19,16 @@
 
 
 def settle(
-    operation: str = typer.Argument(..., help="Operation id of the change."),
+    operation: str = typer.Argument(
+        ..., help="Operation id of the change, from its error message."
+    ),
     platform: str = PLATFORM_OPTION,
     as_json: bool = JSON_OPTION,
 ) -> None:
-    """Settle a change whose reply was lost: report it as accepted, or withdraw it.
+    """Settle a change whose result is not known.
+
+    If the change was accepted, this is reported. Otherwise, the change is withdrawn
+    and can no longer be accepted.
 
     Example: balsamspindle-ctl settings settle 5f0c7a
     """
@@ -32,7 +37,9 @@
 
 def restart(
     above: int = typer.Option(
-        ..., min=0, help="Highest revision that any node has in force (see status)."
+        ...,
+        min=0,
+        help="Highest settings revision in force at any node (see `status`).",
     ),
     platform: str = PLATFORM_OPTION,
     author: str = AUTHOR_OPTION,
@@ -41,8 +48,8 @@
 ) -> None:
     """Make all nodes reload the settings of a platform that lost accepted changes.
 
-    Only for a platform that was restored from a backup: changes missing from
-    the backup are undone.
+    Use this command only after the platform was restored from a backup. Accepted
+    changes that are missing from the backup are undone at all nodes.
 
     Example: balsamspindle-ctl settings restart --above 4711
     """
--- a/balsamspindle/cli/ctl_settings.py
+++ b/balsamspindle/cli/ctl_settings.py
@@ -43,7 +43,9 @@
         "", help="Path of a document, or a prefix such as TEAM or TEAM/KIND."
     ),
     show_version: bool = typer.Option(
-        False, help="Print the version of the team's documents on standard error."
+        False,
+        help="Print the version of the team's documents on standard error, for use "
+        "with --expect-version.",
     ),
     platform: str = PLATFORM_OPTION,
 ) -> None:
@@ -54,8 +56,9 @@
     Example: balsamspindle-ctl settings get crew > crew.json
     """
     if show_version:
-        # Reads the version before the documents: after a change in between, an edit
-        # that expects this version is refused.
+        # The version must be read before the documents. If the documents change between
+        # the two reads, the printed version is outdated, so an edit that expects this
+        # version is refused and does not overwrite the change.
         _print_version(path.partition("/")[0], platform)
     stored = _load(platform)
     if path in stored.documents:
@@ -76,18 +79,18 @@
 def validate(
     documents: str = DOCUMENTS_ARGUMENT,
     with_stored: bool = typer.Option(
-        False, help="Check them together with the stored settings."
+        False, help="Check the documents together with the stored settings."
     ),
     platform: str = PLATFORM_OPTION,
     as_json: bool = JSON_OPTION,
 ) -> None:
-    """Check a file of documents and list all faults; changes nothing.
+    """Check a file of documents and list all faults, without storing the documents.
 
     Example: balsamspindle-ctl settings validate examples/association/settings.json
     """
     encoded = encode_documents(read_documents(documents))
-    together = {**_load(platform).documents, **encoded} if with_stored else encoded
-    faults = check_documents(together)
+    checked = {**_load(platform).documents, **encoded} if with_stored else encoded
+    faults = check_documents(checked)
     if faults:
         fail_invalid(faults, as_json)
     typer.echo("[]" if as_json else f"{len(encoded)} documents, no faults")
@@ -101,9 +104,11 @@
     platform: str = PLATFORM_OPTION,
     as_json: bool = JSON_OPTION,
 ) -> None:
-    """Show how the stored documents differ from those in a file.
+    """Show how the documents in a file differ from the stored ones.
 
-    Teams that the file does not name are ignored.
+    Lines that begin with - are stored, lines that begin with + are in the file.
+    Documents of teams that the file does not name are ignored. A stored document that
+    is missing from the file is shown as removed, although `apply` would keep it.
 
     Example: balsamspindle-ctl settings diff crew.json
     """
@@ -119,8 +124,10 @@
 
 @app.command("history")
 def history(
-    team: str = typer.Argument("", help="Only this team's changes."),
-    limit: int = typer.Option(HISTORY_LIMIT, min=1, help="Number of changes to show."),
+    team: str = typer.Argument(
+        "", help="Team whose changes are shown; all teams by default."
+    ),
+    limit: int = typer.Option(HISTORY_LIMIT, min=1, help="Maximum number of changes."),
     show_diffs: bool = typer.Option(False, "--diff", help="Show the changed lines."),
     platform: str = PLATFORM_OPTION,
     as_json: bool = JSON_OPTION,
@@ -225,6 +232,6 @@
 
 
 def _fail_not_found(path: str, stored: StoredSettings) -> NoReturn:
-    close = difflib.get_close_matches(path, stored.documents, 1)
-    hint = f"; did you mean {close[0]!r}?" if close else ""
+    similar = difflib.get_close_matches(path, stored.documents, 1)
+    hint = f"; did you mean {similar[0]!r}?" if similar else ""
     fail(f"no document at {path!r}{hint}", ExitStatus.NOT_FOUND)
--- a/balsamspindle/cli/ctl_status.py
+++ b/balsamspindle/cli/ctl_status.py
@@ -27,7 +27,7 @@
 
 
 def status(nodes: list[str] = NODES_OPTION, as_json: bool = JSON_OPTION) -> None:
-    """Show all nodes, services and settings, as the queried nodes see them.
+    """Show all nodes, services and settings, as reported by the queried nodes.
 
     Example: balsamspindle-ctl status --node 127.0.0.1:8083
     """
@@ -94,7 +94,7 @@
 
 
 def _warn_of_unusable(node: QueriedNode) -> None:
-    """Warn of documents that the node can't read: newer than its release."""
+    """Warn of each document that the node can't decode."""
     settings = node.status.settings
     for path, cause in (settings.unusable if settings else {}).items():
         warn(f"{node.status.node_id} can't use {path}: {cause}")
--- a/balsamspindle/cli/edit_results.py
+++ b/balsamspindle/cli/edit_results.py
@@ -37,7 +37,7 @@
 
 
 def report_edit(result: Result, as_json: bool) -> Accepted:
-    """Print the result of a change; exit unless it was accepted."""
+    """Print the result of a change and return it; exit if it was not accepted."""
     match result:
         case Result(tag="ok", ok=accepted):
             message = f"accepted at revision {accepted.revision}"
@@ -48,7 +48,7 @@
 
 
 def fail_edit(error: EditError, as_json: bool) -> NoReturn:
-    """Print why a change was not accepted, or is not known to be, and exit."""
+    """Print why a change was not accepted, or that its result is unknown; exit."""
     match error:
         case InvalidSettings(faults):
             fail_invalid(faults, as_json)
--- a/balsamspindle/cli/event_sources.py
+++ b/balsamspindle/cli/event_sources.py
@@ -1,4 +1,4 @@
-"""Reads events from log files and from live nodes."""
+"""Reads events from log files and from running nodes."""
 
 from collections.abc import Iterable
 from pathlib import Path
@@ -14,15 +14,15 @@
 
 
 class CollectedEvents(NamedTuple):
-    """The events of all sources, merged into one time line.
+    """The events of all sources, merged into one timeline.
 
     Attributes
     ----------
     warnings : list of str
-        Lines that are not events, events no longer kept, and sources that could
-        not be read.
+        Messages about lines that are not events, events that a node no longer has,
+        and sources that could not be read.
     sources_read : int
-        Sources that could be read; they may be empty.
+        Number of sources that could be read, including those without events.
     """
 
     events: list[TimelineEvent]
@@ -44,7 +44,7 @@
     logs : iterable of Path
         Log files.
     nodes : iterable of str
-        Admin addresses of live nodes.
+        Admin addresses of running nodes.
     """
     sources = [_read_log(path) for path in logs]
     sources += [_read_node(AdminClient(address)) for address in nodes]
@@ -75,8 +75,8 @@
                 warnings += _garbage_warnings(client.address, parsed.garbage_lines)
                 if found.lost:
                     warnings.append(
-                        f"{client.address}: {found.lost} older events are no longer "
-                        "kept; read the node's log for them"
+                        f"{client.address}: the node no longer has {found.lost} older "
+                        "events; read its log file for them"
                     )
             case Result(error=error):
                 return _Source(events, [*warnings, error.message], False)
--- a/balsamspindle/cli/exit_status.py
+++ b/balsamspindle/cli/exit_status.py
@@ -11,20 +11,20 @@
     Attributes
     ----------
     DONE
-        Everything that was requested is done.
+        The command succeeded.
     FAILED
-        The request could not be carried out; nothing was changed.
+        The command could not be carried out; nothing was changed. For
+        ``balsamspindle-load``: the fleet violated a guarantee.
     USAGE
-        The command line, a file or its JSON is wrong; nothing was sent to
-        the fleet.
+        The command line, a file or its JSON is wrong; nothing was changed.
     UNAVAILABLE
-        The platform or the node did not answer; nothing was changed.
+        The platform or the node did not answer. No settings were changed; a drain or
+        undrain request may have taken effect.
     CONFLICT
-        Somebody else changed the team's documents meanwhile; this change was not
-        made.
+        Somebody else changed the team's documents first; this change was not made.
     NOT_KNOWN
-        A change may or may not have taken effect; the message names the
-        command that settles it.
+        A change may or may not have been accepted; the message names the command that
+        settles it.
     INVALID
         The settings have faults, which are listed; nothing was changed.
     NOT_FOUND
--- a/balsamspindle/cli/explanations.py
+++ b/balsamspindle/cli/explanations.py
@@ -19,7 +19,7 @@
 
 
 def format_service(explanation: ServiceExplanation) -> str:
-    """Return the view that one node has of a service, as text."""
+    """Return a node's explanation of its selection of backend servers, as text."""
     rows = [
         (
             row.backend_server_id,
@@ -53,7 +53,7 @@
 
 
 def format_request(summary: RequestSummary) -> str:
-    """Return text with a request's arrival, its attempts and its outcome."""
+    """Return a request's receipt, attempts and outcome as text, one per line."""
     arrival = f"request {summary.request_id}"
     if summary.method:
         arrival += f": {summary.method} {summary.path}"
@@ -77,7 +77,8 @@
 def _format_end(summary: RequestSummary) -> str:
     if summary.outcome is None:
         return (
-            "no end among the events: it is still running, or more sources are needed"
+            "no end among the events: the request is still running, or more logs or "
+            "nodes are needed"
         )
     status = f" with status {summary.status}" if summary.status else ""
     cause = f" ({summary.cause})" if summary.cause else ""
--- a/balsamspindle/cli/load.py
+++ b/balsamspindle/cli/load.py
@@ -40,30 +40,37 @@
 
 
 @app.command(
-    epilog="Exit status: 0 all promises kept, 1 a promise was broken, 2 usage."
+    epilog="Exit status: 0 no guarantee was violated, 1 a guarantee was violated, "
+    "2 invalid command line or plan."
 )
 def run(
     plan: Path = typer.Argument(..., help="JSON file with the plan."),
-    as_json: bool = typer.Option(False, "--json", help="Report as JSON."),
-    seed: int | None = typer.Option(None, help="Seed, in place of the plan's."),
+    as_json: bool = typer.Option(False, "--json", help="Print the report as JSON."),
+    seed: int | None = typer.Option(None, help="Seed; replaces the seed of the plan."),
     duration_s: float | None = typer.Option(
-        None, min=0.1, max=DURATION_MAX_S, help="Duration, in place of the plan's."
+        None,
+        min=0.1,
+        max=DURATION_MAX_S,
+        help="Duration in seconds; replaces the duration of the plan.",
     ),
     version: bool = VERSION_OPTION,
 ) -> None:
     """Send the requests of a plan, inject its faults and report the outcomes.
 
-    Reports outcomes and latency by kind, the answered fraction weighted by
-    kind, how long a faulty backend server kept getting requests (by its own
-    count), false ejections, and broken promises: requests reported as not_run
-    that ran, non-idempotent requests that ran twice, answers that were
-    incomplete or another caller's.
+    For each kind of request, the report contains the outcomes and latencies.
+    It also contains the fraction of correctly answered requests, weighted by
+    kind; for how long each faulty backend server received requests, by its own
+    count; and false ejections.
+
+    The report lists each violated guarantee: requests that ran although their
+    outcome was not_run, non-idempotent requests that ran more than once, and
+    answers that were incomplete or belonged to another request.
     """
     match load_plan(plan):
         case Result(tag="ok", ok=loaded):
             report = run_experiment(_override(loaded, seed, duration_s), _run_id())
             _print(report, as_json)
-            if not report.truthfulness.holds:
+            if not report.truthfulness.all_guarantees_hold:
                 raise typer.Exit(ExitStatus.FAILED)
         case Result(error=error):
             fail(error.message, ExitStatus.USAGE)
--- a/balsamspindle/cli/node.py
+++ b/balsamspindle/cli/node.py
@@ -1,4 +1,4 @@
-"""``balsamspindle-node``: the process beside a backend server VM."""
+"""``balsamspindle-node``: runs one node of the fleet."""
 
 from pathlib import Path
 
@@ -24,7 +24,10 @@
     settings: Path = typer.Option(..., help="JSON file with the node's settings."),
     version: bool = VERSION_OPTION,
 ) -> None:
-    """Run one node until SIGTERM, then leave without cutting off requests.
+    """Run one node until SIGTERM, then shut it down gracefully.
+
+    The node waits for its running requests, up to the shutdown timeout of its settings,
+    and leaves the fleet.
 
     Example: balsamspindle-node --settings
     examples/association/nodes/mvd-puerto-1.json
--- a/balsamspindle/cli/program.py
+++ b/balsamspindle/cli/program.py
@@ -35,7 +35,7 @@
     is_eager=True,
     help="Show the version and exit.",
 )
-JSON_OPTION = typer.Option(False, "--json", help="Print JSON, for use by programs.")
+JSON_OPTION = typer.Option(False, "--json", help="Print JSON instead of text.")
 NODES_OPTION = typer.Option(
     None,
     "--node",
--- a/balsamspindle/cli/queried_nodes.py
+++ b/balsamspindle/cli/queried_nodes.py
@@ -25,7 +25,7 @@
 
 
 def query_nodes(nodes: list[str] | None) -> list[QueriedNode]:
-    """Return the status of each node that answers; exit if none does."""
+    """Return the status of each node that answers; exit if no node answers."""
     if not nodes:
         fail(NO_NODE_MESSAGE, ExitStatus.USAGE)
     queried = []
@@ -42,7 +42,7 @@
 
 
 def newest_records(queried: list[QueriedNode]) -> list[NodeRecord]:
-    """Return the newest record of each node that any queried node holds."""
+    """Return each known node's newest record among those of the queried nodes."""
     newest: dict[str, NodeRecord] = {}
     for node in queried:
         for record in node.status.nodes:
--- a/balsamspindle/cli/settings_options.py
+++ b/balsamspindle/cli/settings_options.py
@@ -24,7 +24,7 @@
     "unnamed",
     "--author",
     envvar="BALSAMSPINDLE_AUTHOR",
-    help="Your name, shown in the history.",
+    help="Author of the change, shown in the history.",
 )
 TEAM_KEY_OPTION = typer.Option(
     None,
@@ -42,9 +42,12 @@
 EXPECT_OPTION = typer.Option(
     None,
     "--expect-version",
-    help="Refuse unless the team's documents still have this version (see get).",
+    help="Refuse the change unless the team's documents have this version (see "
+    "`get --show-version`).",
+)
+PATH_ARGUMENT = typer.Argument(
+    ..., help="Path of the document, TEAM/KIND/NAME, such as crew/routes/read."
 )
-PATH_ARGUMENT = typer.Argument(..., help="TEAM/KIND/NAME, such as crew/routes/read.")
 DOCUMENTS_ARGUMENT = typer.Argument(
     STANDARD_INPUT,
     help="JSON file that maps paths to documents; - reads standard input.",
--- a/balsamspindle/cli/standin_backend.py
+++ b/balsamspindle/cli/standin_backend.py
@@ -1,4 +1,4 @@
-"""``balsamspindle-standin-backend``: a test backend server with faults to switch on."""
+"""``balsamspindle-standin-backend``: a backend server for tests, with faults."""
 
 import threading
 import time
@@ -27,11 +27,15 @@
     address: str = typer.Option(..., help="IP:port to listen on."),
     service: str = typer.Option(..., help="Service, as TEAM/NAME."),
     node_admin: str = typer.Option(..., help="Admin address of the node beside it."),
-    slots: int = typer.Option(6, help="Requests that run at the same time."),
-    work_ms: float = typer.Option(0.0, help="Run time of a request, in milliseconds."),
+    slots: int = typer.Option(
+        6, help="Slots: number of requests that may run at the same time."
+    ),
+    work_ms: float = typer.Option(
+        0.0, help="Duration of the work for a request, in milliseconds."
+    ),
     version: bool = VERSION_OPTION,
 ) -> None:
-    """Run the stand-in until SIGTERM, then drain and leave.
+    """Run the stand-in until SIGTERM, then drain it and exit.
 
     Example: balsamspindle-standin-backend --name contract-1
     --address 127.0.0.1:9001 --service crew/contracts
@@ -49,18 +53,18 @@
 
     def leave() -> None:
         announcer.leave()
-        _finish_work(server)
+        _wait_until_idle(server)
         server.shutdown()
 
     stop_on_signals(lambda: threading.Thread(target=leave).start())
     server.serve_forever(poll_interval=0.05)
 
 
-def _finish_work(server: StandinBackendServer) -> None:
-    """Wait until no request has run for `IDLE_S`, up to `FINISH_TIMEOUT_S`.
+def _wait_until_idle(server: StandinBackendServer) -> None:
+    """Wait until no request has run for `IDLE_S`, for at most `FINISH_TIMEOUT_S`.
 
-    A request that the gate admitted just before the drain may not have
-    arrived yet.
+    A request that the gate dispatched just before the drain may not have arrived yet,
+    so the absence of running requests is not enough.
     """
     deadline_s = time.monotonic() + FINISH_TIMEOUT_S
     idle_since_s = time.monotonic()
--- a/balsamspindle/cli/standin_platform.py
+++ b/balsamspindle/cli/standin_platform.py
@@ -16,7 +16,7 @@
 app = make_app("Run a stand-in for the platform (tests and the demo only).")
 
 
-class _QuietHandler(WSGIRequestHandler):
+class _UnloggedHandler(WSGIRequestHandler):
     def log(self, *_args):
         """Discard the log lines of requests."""
 
@@ -32,7 +32,7 @@
     """
     host, port = split_address(address)
     server = make_server(
-        host, port, StandinPlatform(), threaded=True, request_handler=_QuietHandler
+        host, port, StandinPlatform(), threaded=True, request_handler=_UnloggedHandler
     )
     stop_on_signals(lambda: threading.Thread(target=server.shutdown).start())
     server.serve_forever()
--- a/balsamspindle/cli/timeline.py
+++ b/balsamspindle/cli/timeline.py
@@ -1,4 +1,4 @@
-"""``balsamspindle-timeline``: merges the events of all processes into one time line."""
+"""``balsamspindle-timeline``: merges the events of all processes into one timeline."""
 
 from pathlib import Path
 
@@ -24,7 +24,7 @@
 )
 from balsamspindle.timeline.run_ends import RunEnd, count_run_ends
 
-app = make_app("Merge the events of many processes into one time line.")
+app = make_app("Merge the events of many processes into one timeline.")
 
 
 @app.command()
@@ -42,13 +42,16 @@
     ),
     runs: bool = typer.Option(
         False,
-        help="Count how runs ended, by the health that their gates assumed of the "
-        "backend server.",
+        help="Count how runs at backend servers ended, by the health that the gate "
+        "assumed of the backend server at the start of the run.",
     ),
     as_json: bool = JSON_OPTION,
     version: bool = VERSION_OPTION,
 ) -> None:
-    """Show events in order: an effect never comes before its cause.
+    """Show the events of all sources in one order, each effect after its cause.
+
+    With --losses or --runs, counts are shown instead of events; of the filters, only
+    --service applies to them.
 
     Example: balsamspindle-timeline --request 7f3a node-1.log node-2.log
 
@@ -114,7 +117,8 @@
         )
     if ends.left_out:
         warn(
-            f"{ends.left_out} runs not counted: these logs lack their start or service"
+            f"{ends.left_out} runs not counted: their start or service is not in the "
+            "events that were read"
         )
 
 
--- a/balsamspindle/load/audit.py
+++ b/balsamspindle/load/audit.py
@@ -11,7 +11,13 @@
 from balsamspindle.load.schedule import ScheduledCall
 from balsamspindle.protocol.outcomes import Execution, Outcome
 
-__all__ = ["CallResult", "Detection", "Truthfulness", "audit", "measure_detections"]
+__all__ = [
+    "CallResult",
+    "Detection",
+    "GuaranteeViolations",
+    "audit",
+    "measure_detections",
+]
 
 _NOT_RUN_OUTCOMES = frozenset({Outcome.NOT_RUN.value, NOT_CONNECTED})
 
@@ -27,18 +33,19 @@
     end: CallEnd
 
 
-class Truthfulness(msgspec.Struct, frozen=True):
-    """Violated guarantees of the fleet, by run key; all empty if none was violated.
+class GuaranteeViolations(msgspec.Struct, frozen=True):
+    """Run keys of the requests for which the fleet violated a guarantee.
 
     Attributes
     ----------
     not_run_but_ran : list of str
-        Requests that ran although their callers got `not_run` or no connection.
+        Requests that ran although their callers received the outcome `not_run` or could
+        not connect.
     non_idempotent_ran_twice : list of str
         Non-idempotent requests that ran more than once over all backend servers.
     wrong_answers : list of str
-        Answers with status 200 that were incomplete or belonged to another request,
-        each as ``run_key: fault``.
+        Requests whose answer with status 200 was incomplete or belonged to another
+        request, each as ``run_key: fault``.
     """
 
     not_run_but_ran: list[str]
@@ -46,8 +53,8 @@
     wrong_answers: list[str]
 
     @property
-    def holds(self) -> bool:
-        """Return whether no guarantee was violated."""
+    def all_guarantees_hold(self) -> bool:
+        """Whether all lists are empty, so no guarantee was violated."""
         return not (
             self.not_run_but_ran or self.non_idempotent_ran_twice or self.wrong_answers
         )
@@ -65,13 +72,14 @@
         Start of the fault.
     detection_s : float or None
         Time from the start of the fault to the last request before the first quiet
-        period; None if there was no quiet period or no request.
+        period. None if the server received no request during the fault, or if there was
+        no quiet period.
     met : int
-        Requests that the server received from the start of the fault to the first
-        quiet period; if there was none, to the end of the fault.
+        Number of requests that the server received from the start of the fault to the
+        first quiet period, or to the end of the fault if there was no quiet period.
     met_later : int
-        Requests that it received later during the fault: trials, or requests after a
-        premature readmission.
+        Number of requests that the server received after the first quiet period, during
+        the fault: trials, or requests after a premature readmission.
     held_out_s : float or None
         Time from the start of the fault to the first node status that showed the
         server as ejected; None if no status did.
@@ -85,12 +93,12 @@
     held_out_s: float | None = None
 
 
-def audit(results: Sequence[CallResult], runs: RunCounts) -> Truthfulness:
-    """Return the guarantees that the fleet violated."""
+def audit(results: Sequence[CallResult], runs: RunCounts) -> GuaranteeViolations:
+    """Return the requests for which the fleet violated a guarantee."""
     total: Counter[str] = Counter()
     for counts in runs.values():
         total.update(counts)
-    return Truthfulness(
+    return GuaranteeViolations(
         not_run_but_ran=[
             result.call.run_key
             for result in results
@@ -119,8 +127,8 @@
 ) -> list[Detection]:
     """Return the detection of each fault of a backend server.
 
-    Detection is measured by the requests that the faulty backend server itself
-    counted, at the times at which the caller sent them.
+    The faulty backend server's own counts show which requests it received. The time of
+    each request is the time at which the caller sent it.
 
     Parameters
     ----------
--- a/balsamspindle/load/caller.py
+++ b/balsamspindle/load/caller.py
@@ -22,8 +22,9 @@
     "call_body",
 ]
 
-# Outcomes of requests that got no answer, or an answer without an outcome header.
-# `NOT_CONNECTED` means that the connection failed, so nothing was sent.
+# Outcomes of requests whose answer is missing or has no outcome header. `NOT_CONNECTED`
+# means that no connection could be opened, so nothing was sent. In all other cases, the
+# outcome is `NO_ANSWER`.
 NO_ANSWER = "no_answer"
 NOT_CONNECTED = "not_connected"
 CONNECT_TIMEOUT_MS = 1000
@@ -81,11 +82,11 @@
         try:
             handle.perform()
         except pycurl.error as error:
-            # Only a refused connection proves that nothing was sent. A timeout does
-            # not, even if libcurl reports no connect time: it reports none for a
-            # reused connection either, on which the request may have been sent.
-            refused = error.args[0] == pycurl.E_COULDNT_CONNECT
-            outcome = NOT_CONNECTED if refused else NO_ANSWER
+            # Only a failed connect proves that nothing was sent. A timeout without a
+            # connect time does not: libcurl also reports no connect time for a reused
+            # connection, and the request may have been sent on that connection.
+            connect_failed = error.args[0] == pycurl.E_COULDNT_CONNECT
+            outcome = NOT_CONNECTED if connect_failed else NO_ANSWER
             return CallEnd(outcome, 0, time.monotonic() - started_s)
         latency_s = time.monotonic() - started_s
         status = handle.getinfo(pycurl.RESPONSE_CODE)
@@ -104,9 +105,10 @@
             handle.setopt(pycurl.PROXY, "")
             handle.setopt(pycurl.CONNECTTIMEOUT_MS, CONNECT_TIMEOUT_MS)
             if execution is Execution.NON_IDEMPOTENT:
-                # libcurl automatically resends a request if a reused connection
-                # turns out to be closed. The fleet would receive it twice, and the
-                # audit would report the second run as a fault of the fleet.
+                # Open a new connection for each non-idempotent request. If a reused
+                # connection turns out to be closed, libcurl resends the request. The
+                # fleet could then run the request twice, and the audit would report
+                # the second run as a fault of the fleet.
                 handle.setopt(pycurl.FRESH_CONNECT, 1)
                 handle.setopt(pycurl.FORBID_REUSE, 1)
             setattr(self._handles, execution.value, handle)
@@ -140,7 +142,7 @@
 
 
 def answer_fault(call: ScheduledCall, target: str, body: bytes) -> str | None:
-    """Return what is wrong with the answer of a stand-in, or None.
+    """Return what is wrong with a stand-in's answer; None if it is correct.
 
     Parameters
     ----------
--- a/balsamspindle/load/ejections.py
+++ b/balsamspindle/load/ejections.py
@@ -23,7 +23,8 @@
     Attributes
     ----------
     from_s, to_s : float
-        First and last sample that showed it as ejected without a fault.
+        Times of the first and the last sample that showed the backend server as ejected
+        while it had no fault.
     """
 
     backend_server: str
@@ -39,8 +40,10 @@
     ejected_with_fault : list of str
         Backend servers that were ejected while they had a fault.
     false : list of FalseEjection
+        At most one for each backend server.
     samples : int
-        Status answers of nodes. If 0, empty lists don't mean that nothing was ejected.
+        Number of status answers of nodes. If it is 0, the lists are empty because no
+        ejection could be observed.
     """
 
     ejected_with_fault: list[str]
@@ -120,16 +123,17 @@
     faults: Sequence[FaultPeriod],
     grace_s: float,
 ) -> Ejections:
-    """Separate ejections of faulty backend servers from false ones.
+    """Separate ejections of faulty backend servers from those of healthy ones.
 
     Parameters
     ----------
     ejected : sequence of (float, str)
         Time and backend server of each sample that showed an ejected server.
     samples : int
-        Number of status answers, passed on to the result.
+        Number of status answers; copied into the result.
     grace_s : float
-        An ejection up to this long after the end of a fault isn't false.
+        An ejection that was sampled at most this long after the end of the server's
+        fault counts as an ejection with a fault.
     """
     with_fault: set[str] = set()
     false_s: dict[str, list[float]] = {}
--- a/balsamspindle/load/experiment.py
+++ b/balsamspindle/load/experiment.py
@@ -20,8 +20,8 @@
 
 __all__ = ["run_experiment"]
 
-# Time after the end of a fault in which a backend server may still be held out; a later
-# ejection counts as false.
+# A backend server may be held out for this long after the end of its fault. An ejection
+# that is sampled later counts as false.
 READMISSION_GRACE_S = 30.0
 
 
@@ -32,7 +32,8 @@
     ----------
     run_id : str
         Prefix of each run key. It must differ between experiments with the same
-        backend servers, because these keep their counts.
+        backend servers, because a backend server also returns the run counts of earlier
+        experiments.
     """
     experiment = _Experiment(plan, run_id)
     results = experiment.run()
@@ -89,8 +90,8 @@
             finally:
                 self._stopped.set()
                 self.sampler.stop()
-            # Raise the exception of a failed task. Otherwise, an experiment without
-            # samples or faults would look like one without findings.
+            # Raise the exception of a failed task. Otherwise, an experiment in which
+            # sampling or setting faults failed would report that it found no problems.
             sampling.result()
             setting_faults.result()
         return results
@@ -111,7 +112,10 @@
         return CallResult(call, sent_s, self._caller.call(call))
 
     def _set_faults(self, changes: Sequence[FaultChange]) -> None:
-        """Set each fault at its time; when stopped, only end the faults."""
+        """Set and end each fault at its time.
+
+        When the experiment stops, all faults are ended at once and no more are set.
+        """
         for change in changes:
             self._stopped.wait(max(0.0, change.at_s - self._now_s()))
             if self._stopped.is_set() and change.switch["mode"] != "none":
--- a/balsamspindle/load/plan.py
+++ b/balsamspindle/load/plan.py
@@ -27,7 +27,7 @@
 
 
 class PlanError(msgspec.Struct, frozen=True):
-    """Reason why a plan can't be read or is invalid; `message` names the place."""
+    """Why a plan can't be read or is invalid; `message` names the file and entry."""
 
     message: str
 
@@ -70,7 +70,8 @@
     switch : dict
         Body of the request, such as ``{"mode": "hang", "delay_s": 30}``.
     flap_period_s : float, optional
-        The fault is alternately on and off for half of this period each.
+        The fault is on for the first half of each such period and off for the second
+        half. If None, the fault is on from `start_s` to `end_s`.
     """
 
     target: str
@@ -90,9 +91,9 @@
     node_admins : dict of str to str
         Node to its admin address, which is polled for ejections.
     backend_servers : dict of str to str
-        Stand-in to its address, from which its run counts are read.
+        Stand-in to its address. Run counts are read from this address.
     requests_max : int
-        The experiment ends after this many requests, if before `duration_s`.
+        The experiment ends after this many requests, even if `duration_s` is not over.
     workers : int
         Number of requests that can be in progress at the same time.
     quiet_s : float
@@ -113,7 +114,7 @@
     quiet_s: Positive = 2.0
 
     def fault_address(self, target: str) -> str | None:
-        """Return the address to set a target's faults at; None if it is unknown."""
+        """Return the address at which a target's faults are set, None if unknown."""
         if target == "platform":
             return self.platform
         return self.backend_servers.get(target)
--- a/balsamspindle/load/report.py
+++ b/balsamspindle/load/report.py
@@ -6,7 +6,7 @@
 import msgspec
 from hdrh.histogram import HdrHistogram
 
-from balsamspindle.load.audit import CallResult, Detection, Truthfulness
+from balsamspindle.load.audit import CallResult, Detection, GuaranteeViolations
 from balsamspindle.load.ejections import Ejections
 from balsamspindle.load.plan import Arrival
 from balsamspindle.protocol.outcomes import Outcome
@@ -54,7 +54,7 @@
         Backend servers whose run counts could not be read; their runs are not part of
         the audit.
     faults_not_set : list of str
-        Changes of faults that a stand-in did not acknowledge, each as
+        Starts and ends of faults that a stand-in did not acknowledge, each as
         ``target@seconds``.
     """
 
@@ -64,7 +64,7 @@
     answered_weighted: float
     detections: list[Detection]
     ejections: Ejections
-    truthfulness: Truthfulness
+    truthfulness: GuaranteeViolations
     late_max_ms: float
     counts_missing: list[str]
     faults_not_set: list[str]
--- a/balsamspindle/load/schedule.py
+++ b/balsamspindle/load/schedule.py
@@ -14,14 +14,14 @@
 
 
 class ScheduledCall(NamedTuple):
-    """A request with its time and node.
+    """A request, its arrival time and the node that receives it.
 
     Attributes
     ----------
     at_s : float
         Arrival time, relative to the start of the experiment.
     run_key : str
-        Unique key; also the nonce that the answer has to contain.
+        Unique key of the request; a correct answer contains it.
     """
 
     at_s: float
@@ -39,7 +39,7 @@
 
 
 def schedule_calls(plan: LoadPlan, run_id: str) -> list[ScheduledCall]:
-    """Return all requests of an experiment by arrival time."""
+    """Return all requests of an experiment in the order of their arrival times."""
     rng = random.Random(plan.seed)
     nodes = sorted(plan.nodes)
     streams = [
@@ -61,7 +61,7 @@
 
 
 def schedule_faults(faults: list[FaultPeriod]) -> list[FaultChange]:
-    """Return all changes of faults by time; each period's last one ends its fault."""
+    """Return the starts and ends of all faults in the order of their times."""
     changes = [change for fault in faults for change in _fault_changes(fault)]
     return sorted(changes, key=lambda change: change.at_s)
 
--- a/balsamspindle/metrics/exposition.py
+++ b/balsamspindle/metrics/exposition.py
@@ -19,7 +19,7 @@
 
 
 class SupportsGauge(Protocol):
-    """A current value, of which only the newest is reported."""
+    """A current value with its labels; `text` is the help text of the metric."""
 
     name: str
     text: str
--- a/balsamspindle/metrics/recorder.py
+++ b/balsamspindle/metrics/recorder.py
@@ -1,6 +1,7 @@
 """Recorder for the durations of hops and the outcomes of requests in one process.
 
-A record takes 1 to 2 microseconds, so every request is recorded instead of a sample.
+Recording a duration takes 1 to 2 microseconds. This is cheap enough to record every
+request instead of a sample.
 """
 
 import threading
@@ -20,18 +21,19 @@
 
 
 class Hop(StrEnum):
-    """A stage of a request, whose duration is recorded.
+    """A stage of a request. The duration of each stage is recorded.
 
     Attributes
     ----------
     INGRESS
-        From when the request was read whole until its answer is sent.
+        From when the ingress has read the request until its answer is ready to send.
+        If a request is refused by its headers, the time starts after the headers.
     LINK
-        From when an attempt was sent to another node until its reply arrived.
+        From when an attempt is sent to another node until its reply arrives.
     QUEUE
-        From when an attempt arrived at the gate until it got a slot or was refused.
+        From when an attempt arrives at the gate until it acquires a slot or is refused.
     BACKEND_SERVER
-        The call to the backend server.
+        From the start to the end of the call to the backend server.
     """
 
     INGRESS = "ingress"
@@ -90,7 +92,7 @@
         self._cuts: Counter[str] = Counter()
 
     def record(self, hop: Hop, duration_s: float) -> None:
-        """Record the duration of a hop, at most `LATENCY_MAX_US`."""
+        """Record the duration of a hop; `LATENCY_MAX_US` is the largest value."""
         duration_us = max(1, min(int(duration_s * 1_000_000), LATENCY_MAX_US))
         with self._lock:
             self._histograms[hop].record_value(duration_us)
--- a/balsamspindle/standins/backend_server.py
+++ b/balsamspindle/standins/backend_server.py
@@ -2,9 +2,9 @@
 
 It announces itself to the node beside it and counts how often it ran each request.
 Its answer contains the request and the server's name, so that a test can tell which
-request was answered and by which server. ``POST /faults`` sets its fault, ``GET
-/runs`` returns its counts. For each run with a run key it also writes a line to
-standard error.
+request was answered and by which server. ``POST /faults`` sets the fault of the
+stand-in, ``GET /runs`` returns its counts. For each run of a request with a run key,
+the stand-in also writes a line to standard error.
 """
 
 import json
@@ -27,12 +27,26 @@
 ]
 
 RUN_KEY_HEADER = "X-Run-Key"
-# Overrides the working time of one request.
+# Working time of one request in milliseconds; overrides `work_s` of the server.
 WORK_MS_HEADER = "X-Work-Ms"
 
 
 class BackendFaultMode(StrEnum):
-    """How requests fail; health checks keep succeeding."""
+    """How requests fail; health checks keep succeeding.
+
+    Attributes
+    ----------
+    HANG, SLOW
+        The answer is delayed. `HANG` is meant for delays longer than timeouts.
+    ERROR
+        The answer has status 500.
+    SHED
+        The request is refused with status 503 and not run.
+    TRUNCATE
+        The connection is closed after the first half of the answer's body.
+    CLOSE
+        The request is run and the connection closed without an answer.
+    """
 
     NONE = "none"
     HANG = "hang"
@@ -49,9 +63,9 @@
     Attributes
     ----------
     share : float
-        Fraction of the requests that meet the fault, spread evenly.
+        Fraction of the requests that the fault affects, at regular intervals.
     delay_s : float
-        Time added to a slow or hanging request.
+        Delay of the answer with `SLOW` and `HANG`.
     """
 
     mode: BackendFaultMode = BackendFaultMode.NONE
@@ -67,7 +81,7 @@
     runs : Counter of str
         Number of runs by run key.
     running, running_max : int
-        Requests that run now, and the most that ran at a time.
+        Number of requests that run now, and the maximum of this number so far.
     """
 
     daemon_threads = True
@@ -82,19 +96,19 @@
         self.runs: Counter[str] = Counter()
         self.running = 0
         self.running_max = 0
-        self._share_sum = 0.0
+        self._fraction_sum = 0.0
 
     def next_fault(self) -> BackendFaultMode:
-        """Return the fault that the next request meets, `NONE` for no fault."""
+        """Return the fault of the next request, `NONE` if it is not affected."""
         with self.lock:
-            self._share_sum += self.fault.share
-            if self._share_sum < 1:
+            self._fraction_sum += self.fault.share
+            if self._fraction_sum < 1:
                 return BackendFaultMode.NONE
-            self._share_sum -= 1
+            self._fraction_sum -= 1
             return self.fault.mode
 
     def handle_error(self, request, client_address):
-        """Print nothing when a caller has closed its connection."""
+        """Discard errors, such as that of a caller that closed its connection."""
 
 
 class _Handler(BaseHTTPRequestHandler):
@@ -136,10 +150,10 @@
             return
         key = self.headers.get(RUN_KEY_HEADER)
         if key:
-            # The run is also recorded outside this process, because the counts in
-            # memory are lost when the process is killed. It is a single write: `print`
+            # The counts in memory are lost when the process is killed, so each run is
+            # also recorded on standard error. The line is written in one call: `print`
             # writes the line end separately, so two concurrent runs could end up in
-            # one line and the second one could be overlooked.
+            # one line and a reader of the log could miss the second run.
             sys.stderr.write(f"event=run run_key={key}\n")
             sys.stderr.flush()
         with self.server.lock:
@@ -239,7 +253,8 @@
     try:
         handle.perform()
     except pycurl.error:
-        # The node may be restarting. The next announcement will reach it.
+        # The node may be restarting. `Announcer.run` repeats a lost announcement; a
+        # lost drain request is not repeated.
         pass
     finally:
         handle.close()
--- a/balsamspindle/standins/platform.py
+++ b/balsamspindle/standins/platform.py
@@ -15,11 +15,11 @@
     GET  /counts          number of calls by endpoint
     GET, PUT /v1/backup   all rows, as a backup that can be restored with PUT
     PUT  /op/NAME         write the operator's row of that name
-    POST /compact         drop the history of changes
+    POST /compact         discard the history of changes
     POST /copy            copy the present rows and history
     POST /restore         replace rows and history by that copy, in a new era
 
-Each fault is a `FaultSwitch`; a call meets the first one that applies to it.
+Each fault is a `FaultSwitch`. The first fault that applies to a call takes effect.
 """
 
 import base64
@@ -76,8 +76,8 @@
     {"faults", "counts", "backup", "operate", "compact", "copy", "restore"}
 )
 ERA_HEADER = "Store-Era"
-# Tables that the operator and the platform write. They write their rows again after the
-# store was restored.
+# Tables that only the operator and the platform write. After a restore of the store,
+# the operator and the platform write their rows again.
 _EXTERNAL_TABLES = frozenset({"op", "servers"})
 
 
@@ -96,7 +96,7 @@
     Parameters
     ----------
     seed : int, default=0
-        Seed of the random numbers that decide which calls meet a fault.
+        Seed of the random numbers that decide which calls a fault affects.
     """
 
     def __init__(self, seed: int = 0) -> None:
@@ -143,14 +143,14 @@
             return self._version
 
     def drop_history(self) -> None:
-        """Drop the history; feeds that ask for changes in it get 410."""
+        """Discard the history; a feed request for discarded changes gets status 410."""
         with self._changed:
             self._history.clear()
             self._history_from = self._version
             self._changed.notify_all()
 
     def save_copy(self) -> None:
-        """Copy the present rows and history for `restore_copy`."""
+        """Save a copy of the rows and their history for `restore_copy`."""
         with self._changed:
             self._saved_copy = _StoreCopy(
                 dict(self._rows),
@@ -163,8 +163,9 @@
         """Replace rows and history by the copy and start a new era.
 
         Everything written since the copy is lost, and versions continue from the
-        copy's. Changed rows in the tables of the operator and the platform are written
-        again, as their writers would do.
+        version of the copy. In the tables of the operator and the platform, rows that
+        changed since the copy are written again, as the operator and the platform
+        would do after a real restore.
         """
         with self._changed:
             rewritten = [
--- a/balsamspindle/standins/store_faults.py
+++ b/balsamspindle/standins/store_faults.py
@@ -29,22 +29,22 @@
     ----------
     mode : FaultMode
         ``down`` answers 503 and ``busy`` 429. ``refuse`` closes the connection
-        without executing the call. ``slow`` executes the call after a delay, and so
-        does ``stall``, which is for delays longer than the caller's timeout.
+        without executing the call. ``slow`` and ``stall`` execute the call after a
+        delay; ``stall`` is meant for delays longer than the caller's timeout.
         ``lost_reply`` executes the call and closes the connection without an answer.
         ``late`` closes the connection and executes the call after a delay.
     count : int or None
-        Number of further calls that meet the fault; None for no limit.
+        Number of remaining calls that the fault affects; None for no limit.
     delay_s : float
         Delay of ``slow``, ``stall`` and ``late``.
     endpoint : str or None
         ``read``, ``scan`` (a read without a range), ``transact``, ``feed``,
         ``parts`` or ``object``; None for all.
     probability : float
-        Probability that a call meets the fault.
+        Probability that the fault affects a call.
     caller_ip : str or None
-        Only calls from this address meet the fault, as if the store refused one
-        machine; None for all.
+        The fault affects only calls from this address, as if the store failed for one
+        machine only; None for all.
     """
 
     mode: FaultMode = FaultMode.NONE
@@ -56,11 +56,12 @@
 
 
 def decode_faults(body: bytes) -> list[FaultSwitch]:
-    """Decode a JSON body that holds one fault or a list of faults.
+    """Decode a JSON body that contains one fault or a list of faults.
 
     Raises
     ------
     msgspec.MsgspecError
+        If the body is neither.
     """
     faults = msgspec.json.decode(body, type=FaultSwitch | list[FaultSwitch])
     return faults if isinstance(faults, list) else [faults]
@@ -72,9 +73,9 @@
     caller_ip: str | None,
     rng: random.Random,
 ) -> FaultSwitch:
-    """Return the first fault that applies to a call, and count it down.
+    """Return the first fault that applies to a call, and decrement its `count`.
 
-    If none applies, return a fault of mode `NONE`.
+    If no fault applies, return a fault of mode `NONE`.
     """
     for fault in switches:
         if fault.endpoint not in (None, endpoint) or fault.count == 0:
--- a/balsamspindle/standins/store_rows.py
+++ b/balsamspindle/standins/store_rows.py
@@ -10,7 +10,7 @@
 ENTRIES_MAX = 100
 ROW_BYTES_MAX = 65_536
 NAME_BYTES_MAX = 200
-# Tables that the operator and the platform write.
+# Tables that only the operator and the platform write.
 _EXTERNAL_TABLES = frozenset({"op", "servers"})
 
 
@@ -60,7 +60,7 @@
         return Address(self.table, self.key, self.part)
 
     def to_wire(self) -> dict:
-        """Return the row as reads and feeds return it."""
+        """Return the row in the JSON form of replies to reads and feeds."""
         row = {
             "table": self.table,
             "part": self.part,
@@ -78,7 +78,8 @@
     Raises
     ------
     ValueError
-        If the transaction is too large or spans partitions.
+        If the transaction, a key or a row is too large, or if the entries are in
+        several partitions and `across` is false.
     HTTPException
         With status 403, if the transaction writes a table that only the operator and
         the platform may write.
--- a/balsamspindle/timeline/events.py
+++ b/balsamspindle/timeline/events.py
@@ -26,8 +26,8 @@
 def format_event(fields: dict[str, object]) -> str:
     """Return the fields as key=value pairs.
 
-    Values with other characters than letters, digits and ``._:/+-`` are written as
-    JSON strings.
+    A value that is empty, or contains any character other than letters, digits and
+    ``._:/+-``, is written as a JSON string.
     """
     return " ".join(f"{key}={_value(value)}" for key, value in fields.items())
 
@@ -67,8 +67,8 @@
 
     A background thread writes the lines in batches, so a request never waits for the
     log, even if the log is a pipe that nobody reads. A process that is killed loses
-    the lines of the last `BATCH_INTERVAL_S`. One that exits in any other way writes
-    all its lines.
+    the lines of the last `BATCH_INTERVAL_S`. A process that exits normally writes all
+    its lines.
 
     Parameters
     ----------
@@ -117,7 +117,7 @@
         wall_s = time.time()
         hlc = self.clock.tick(wall_s)
         self.metrics.count_event(event)
-        if not self._budget.allows(event, wall_s):
+        if not self._budget.try_spend(event, wall_s):
             return hlc
         for name, count in self._budget.pop_left_out().items():
             self._write("events_left_out", wall_s, hlc, {"of": name, "count": count})
@@ -141,7 +141,7 @@
         self._append(line + "\n")
 
     def recent(self, after: int, limit: int) -> EventPage:
-        """Return up to `limit` recent events with a sequence above `after`."""
+        """Return up to `limit` recent events with sequence numbers above `after`."""
         return self._recent.page(self.node_id, self.incarnation, after, limit)
 
     def flush(self) -> None:
@@ -154,7 +154,7 @@
                 self._logger.info("".join(lines))
 
     def _append(self, line: str) -> None:
-        # Without a limit, pending lines would fill the memory while the log blocks.
+        # While the log stream blocks, lines accumulate. The limit bounds their memory.
         if len(self._pending) >= PENDING_LINES_MAX:
             self._dropped += 1
             return
--- a/balsamspindle/timeline/line_budget.py
+++ b/balsamspindle/timeline/line_budget.py
@@ -2,8 +2,8 @@
 
 Each request writes several lines. Under overload, writing them would take processor
 time from the requests. Each event name has its own budget, so a flood of one event
-does not suppress others. Lines over the budget are counted; the counts are written
-with the next event of a later second.
+does not suppress others. Lines over the budget are counted. The counts are written to
+the log together with the first event of a later second that is within its budget.
 """
 
 import threading
@@ -26,11 +26,11 @@
         self._second = 0
         self._written: Counter[str] = Counter()
         self._left_out: Counter[str] = Counter()
-        # Counts of lines left out in earlier seconds; not yet written to the log.
+        # Lines left out in earlier seconds, not yet returned by `pop_left_out`.
         self._unreported: Counter[str] = Counter()
 
-    def allows(self, event: str, now_s: float) -> bool:
-        """Count a line of an event and return whether it may be written."""
+    def try_spend(self, event: str, now_s: float) -> bool:
+        """Count a line of an event; return False if it exceeds the event's budget."""
         with self._lock:
             if int(now_s) != self._second:
                 self._second = int(now_s)
--- a/balsamspindle/timeline/losses.py
+++ b/balsamspindle/timeline/losses.py
@@ -16,23 +16,54 @@
 __all__ = ["Loss", "LostRequest", "count_losses", "lost_requests"]
 
 ERROR_STATUS_MIN = 500
-# A refusal that takes longer counts as a refusal after a wait.
+# A request that is refused within this time after its receipt counts as refused at
+# once. A request that is refused later counts as refused after a wait.
 IMMEDIATE_REFUSAL_MAX_MS = 100.0
 
 
 class Loss(StrEnum):
-    """Why a request was not served."""
+    """Why a request was not served.
+
+    Attributes
+    ----------
+    REFUSED_AT_ONCE
+        No slot was free; refused within `IMMEDIATE_REFUSAL_MAX_MS`.
+    WAITED_AND_REFUSED
+        No slot was free; refused after a longer wait.
+    NO_HEALTHY_SERVER
+        Refused because backend servers were suspected or draining, or there was none.
+    NOT_REACHED
+        Refused because a gate could not be reached.
+    ERROR_AT_SUSPECTED
+        A backend server answered with an error. Suspected backend servers were allowed
+        for the last attempt, because all others had been tried or had refused the
+        request.
+    ERROR_RETRY_DENIED
+        A backend server answered with an error and a retry was denied.
+    ERROR_AFTER_RETRY
+        A backend server answered with an error after more than one run.
+    ERROR_WITHOUT_RETRY
+        A backend server answered with an error in the only run.
+    CUT_BY_LEAVING
+        A leaving node ended the run or stopped waiting for the reply.
+    NO_COMPLETE_ANSWER
+        The outcome is unknown for any other reason.
+    CALLER_LEFT
+        The caller closed its connection before the answer.
+    OTHER
+        None of these.
+    """
 
     REFUSED_AT_ONCE = "refused_at_once"
     WAITED_AND_REFUSED = "waited_and_refused"
-    NOBODY_HEALTHY = "nobody_healthy"
+    NO_HEALTHY_SERVER = "nobody_healthy"
     NOT_REACHED = "not_reached"
-    ERROR_AT_SUSPECT = "error_at_suspected_one"
-    ERROR_REPEAT_DENIED = "error_repeat_denied"
-    ERROR_REPEATED = "error_after_repeat"
-    ERROR_FIRST = "error_at_first_attempt"
+    ERROR_AT_SUSPECTED = "error_at_suspected_one"
+    ERROR_RETRY_DENIED = "error_repeat_denied"
+    ERROR_AFTER_RETRY = "error_after_repeat"
+    ERROR_WITHOUT_RETRY = "error_at_first_attempt"
     CUT_BY_LEAVING = "cut_by_leaving_node"
-    NO_ANSWER = "no_whole_answer"
+    NO_COMPLETE_ANSWER = "no_whole_answer"
     CALLER_LEFT = "caller_left"
     OTHER = "other"
 
@@ -43,8 +74,8 @@
     Attributes
     ----------
     held_ms : float
-        Time from receiving the request to its end, 0 if no event shows when it was
-        received.
+        Time from the receipt to the end of the request; 0 if the event of its receipt
+        is missing.
     """
 
     request_id: str
@@ -54,9 +85,9 @@
 
 
 _NO_FREE_SLOT_CAUSES = frozenset({"would_wait", "no_free_slot", "deadline"})
-# Values of `cut_by` with which a gate ends a run because a node is leaving.
+# Values of the field `cut_by` for runs that a gate ended because a node was leaving.
 _LEAVING_CUT_BY = frozenset({"node_leaving", "ingress_leaving"})
-# Cause with which a leaving ingress stops waiting for a reply.
+# Value of the field `cause` when a leaving ingress stopped waiting for a reply.
 _LEAVING_CAUSE = "this node is leaving"
 _NO_HEALTHY_SERVER_CAUSES = frozenset({"suspected", "no_backend_server", "draining"})
 
@@ -126,7 +157,7 @@
         or event.details.get("cause") == _LEAVING_CAUSE
         for event in events
     )
-    return Loss.CUT_BY_LEAVING if is_cut else Loss.NO_ANSWER
+    return Loss.CUT_BY_LEAVING if is_cut else Loss.NO_COMPLETE_ANSWER
 
 
 def _refusal_cause(cause: str | None, held_ms: float) -> Loss:
@@ -134,16 +165,16 @@
         is_immediate = held_ms <= IMMEDIATE_REFUSAL_MAX_MS
         return Loss.REFUSED_AT_ONCE if is_immediate else Loss.WAITED_AND_REFUSED
     if cause in _NO_HEALTHY_SERVER_CAUSES:
-        return Loss.NOBODY_HEALTHY
+        return Loss.NO_HEALTHY_SERVER
     return Loss.NOT_REACHED if cause == "unreachable" else Loss.OTHER
 
 
 def _error_cause(events: list[TimelineEvent]) -> Loss:
-    """Return why a backend server's error was passed on to the caller."""
+    """Return the cause for a request that was answered with a server error."""
     sent = [found for found in events if found.event == "attempt_sent"]
     if sent and sent[-1].details.get("is_last_resort") == "True":
-        return Loss.ERROR_AT_SUSPECT
+        return Loss.ERROR_AT_SUSPECTED
     if any(found.event == "retry_denied" for found in events):
-        return Loss.ERROR_REPEAT_DENIED
+        return Loss.ERROR_RETRY_DENIED
     runs = sum(found.event == "attempt_dispatched" for found in events)
-    return Loss.ERROR_REPEATED if runs > 1 else Loss.ERROR_FIRST
+    return Loss.ERROR_AFTER_RETRY if runs > 1 else Loss.ERROR_WITHOUT_RETRY
--- a/balsamspindle/timeline/merge.py
+++ b/balsamspindle/timeline/merge.py
@@ -56,8 +56,9 @@
     Attributes
     ----------
     with_requests : bool
-        Whether a service's events include those of its requests. These are so many
-        that they hide the few lines that say why a backend server was ejected.
+        Whether the events of a service include those of its requests. They are left
+        out by default because their number would hide the few events that show why a
+        backend server was ejected.
     """
 
     request: str | None = None
@@ -101,10 +102,10 @@
 
 
 def merge(events: Iterable[TimelineEvent]) -> list[TimelineEvent]:
-    """Return the events in order, without duplicates.
+    """Return the events in the order of their hybrid time, without duplicates.
 
-    An event that was read both from a log file and from the running process is
-    recognized by its hybrid time, as no process uses the same time twice.
+    The same event may be read from a log file and from the running process. Events of
+    the same process with the same hybrid time count as duplicates.
     """
     unique = {(event.hlc, event.node, event.incarnation): event for event in events}
     return [unique[key] for key in sorted(unique)]
@@ -113,7 +114,7 @@
 def filter_events(
     events: list[TimelineEvent], event_filter: EventFilter
 ) -> list[TimelineEvent]:
-    """Return the events that match, in the given order."""
+    """Return the events that match all criteria, in the given order."""
     servers = _backend_servers(events, event_filter.service)
     return [
         event
@@ -129,7 +130,7 @@
 
 
 def _backend_servers(events: list[TimelineEvent], service: str | None) -> set[str]:
-    """Return the backend servers that the events name together with a service."""
+    """Return the backend servers of a service that are named in its events."""
     return {
         event.details["backend_server"]
         for event in events
--- a/balsamspindle/timeline/recent.py
+++ b/balsamspindle/timeline/recent.py
@@ -9,7 +9,8 @@
 
 __all__ = ["EventPage", "RecentEvents"]
 
-# Numbers of events kept. With about 250 bytes per event, both buffers take 5 MB.
+# Capacities of the two buffers, in events. With about 250 bytes per event, both buffers
+# together take 5 MB.
 CONTROL_EVENTS_MAX = 4_096
 REQUEST_EVENTS_MAX = 16_384
 
@@ -24,7 +25,7 @@
     last_sequence : int
         The value of `after` for the request of the next page.
     lost : int
-        Events in the range of this page that the process no longer keeps.
+        Number of events in the range of this page that were evicted from the buffers.
     more : bool
         Whether there are already events for the next page.
     """
@@ -45,9 +46,9 @@
 class RecentEvents:
     """Two ring buffers of event lines; thread-safe.
 
-    Events of requests have a buffer of their own. In a common one, a few hundred
-    requests per second would within seconds evict the line that says why a backend
-    server was ejected.
+    Events of requests are stored in one buffer, all other events in the second buffer.
+    In a single buffer, a few hundred requests per second would within seconds evict the
+    line that says why a backend server was ejected.
     """
 
     def __init__(
@@ -61,14 +62,14 @@
         self._requests: deque[_BufferedEvent] = deque(maxlen=request_max)
 
     def add(self, line: str, is_request_event: bool) -> None:
-        """Append a line; evicts the oldest line of its kind if the buffer is full."""
+        """Append a line to its buffer; if that is full, evict its oldest line."""
         buffer = self._requests if is_request_event else self._control
         with self._lock:
             self._sequence += 1
             buffer.append(_BufferedEvent(self._sequence, line))
 
     def page(self, node_id: str, incarnation: int, after: int, limit: int) -> EventPage:
-        """Return up to `limit` events with a sequence above `after`."""
+        """Return up to `limit` events with sequence numbers above `after`."""
         with self._lock:
             last = self._sequence
             newer = [
--- a/balsamspindle/timeline/run_ends.py
+++ b/balsamspindle/timeline/run_ends.py
@@ -1,8 +1,11 @@
 """Counts of how runs ended, by the health that the gate assumed at their start.
 
-Failed requests may come from sick backend servers that no gate had detected, or from
-suspected ones that were used for a trial or because no healthy one was left. The first
-calls for faster detection, the second for a different selection of backend servers.
+A run is one execution of a request by a backend server. Runs fail for two main reasons,
+and the counts show which reason is more frequent:
+
+- The backend server is sick and its gate has not detected that. Faster detection helps.
+- The gate suspects the backend server, but uses it for a trial or because no healthy
+  backend server is available. A different selection of backend servers helps.
 """
 
 from collections import Counter, defaultdict
@@ -15,15 +18,16 @@
 __all__ = ["AssumedHealth", "RunEnd", "RunEnds", "count_run_ends"]
 
 ERROR_STATUS_MIN = 500
-# An error within this time is attributed to the backend server itself. A later one
-# occurred during the work, most often because a call to another service failed.
+# An error within this time after the start of the run is attributed to the backend
+# server itself. A later error occurred during the work, most often because a call to
+# another service failed.
 FAST_ERROR_MS = 20.0
 
 
 class AssumedHealth(StrEnum):
     """Health of a backend server as assumed by its gate when a run started there."""
 
-    WELL = "well"
+    HEALTHY = "well"
     SUSPECTED = "suspected"
     ON_TRIAL = "on_trial"
     # The start of the run is not among the events, because the log is incomplete or
@@ -32,7 +36,19 @@
 
 
 class RunEnd(StrEnum):
-    """How a run ended."""
+    """How a run ended.
+
+    Attributes
+    ----------
+    SERVED
+        With a status below `ERROR_STATUS_MIN`.
+    FAST_ERROR
+        With a status of `ERROR_STATUS_MIN` or above, in less than `FAST_ERROR_MS`.
+    SLOW_ERROR
+        With a status of `ERROR_STATUS_MIN` or above, after a longer time.
+    NO_ANSWER
+        Without a status.
+    """
 
     SERVED = "served"
     FAST_ERROR = "fast_error"
@@ -58,7 +74,7 @@
 _HEALTH_BY_EVENT = {
     "backend_server_suspected": AssumedHealth.SUSPECTED,
     "backend_server_on_trial": AssumedHealth.ON_TRIAL,
-    "backend_server_readmitted": AssumedHealth.WELL,
+    "backend_server_readmitted": AssumedHealth.HEALTHY,
 }
 
 
@@ -82,7 +98,7 @@
                 services[request] = details["service"]
             case "attempt_dispatched":
                 health_at_start[request, server] = health.get(
-                    server, AssumedHealth.WELL
+                    server, AssumedHealth.HEALTHY
                 )
             case "attempt_ended":
                 assumed_health = health_at_start.pop(
--- a/balsamspindle/timeline/tasks.py
+++ b/balsamspindle/timeline/tasks.py
@@ -15,9 +15,9 @@
 ) -> Future:
     """Submit a task and emit the event `task_failed` if it raises.
 
-    An executor only stores the exception in the future. If no code reads the future,
-    the failure would go unnoticed: a caller's connection would close without an entry
-    in the log that says why.
+    An executor only stores the exception in the future. Without the event, a failure
+    would go unnoticed if no code reads the future: a caller's connection would close
+    and the log would not say why.
     """
     future = executor.submit(task, *args)
     future.add_done_callback(lambda done: _emit_failure(done, events))
--- a/tests/test_event_log.py
+++ b/tests/test_event_log.py
@@ -55,11 +55,11 @@
         # processor time from the requests. Left-out lines are counted, so that their
         # absence isn't mistaken for an idle node.
         budget = LineBudget(3)
-        written = [budget.allows("sent", 10.0 + n / 100) for n in range(8)]
+        written = [budget.try_spend("sent", 10.0 + n / 100) for n in range(8)]
         self.assertEqual([True] * 3 + [False] * 5, written)
-        self.assertTrue(budget.allows("suspected", 10.5))
+        self.assertTrue(budget.try_spend("suspected", 10.5))
         self.assertEqual({}, budget.pop_left_out())
-        self.assertTrue(budget.allows("sent", 11.0))
+        self.assertTrue(budget.try_spend("sent", 11.0))
         self.assertEqual({"sent": 5}, budget.pop_left_out())
         self.assertEqual({}, budget.pop_left_out())
 
--- a/tests/test_load.py
+++ b/tests/test_load.py
@@ -49,7 +49,7 @@
         # a backend server had run it.
         found = audit([result("a", "not_run"), result("b", "unknown")], {"s": {"a": 1}})
         self.assertEqual(["a"], found.not_run_but_ran)
-        self.assertFalse(found.holds)
+        self.assertFalse(found.all_guarantees_hold)
 
     def test_a_non_idempotent_request_that_ran_at_two_servers_is_found(self):
         # A contract is signed twice, because the first server hung after it had run
--- a/tests/test_losses.py
+++ b/tests/test_losses.py
@@ -37,18 +37,18 @@
             self.cause(ended(3000, "not_run", cause="no_free_slot")),
         )
         self.assertIs(
-            Loss.NOBODY_HEALTHY, self.cause(ended(3, "not_run", cause="suspected"))
+            Loss.NO_HEALTHY_SERVER, self.cause(ended(3, "not_run", cause="suspected"))
         )
 
     def test_an_error_is_classified_by_the_retries_before_it(self):
         error = ended(9, "answered", status="500")
         run = event(1, "attempt_dispatched")
         last_resort = event(1, "attempt_sent", is_last_resort="True")
-        self.assertIs(Loss.ERROR_FIRST, self.cause(run, error))
-        self.assertIs(Loss.ERROR_REPEATED, self.cause(run, run, error))
+        self.assertIs(Loss.ERROR_WITHOUT_RETRY, self.cause(run, error))
+        self.assertIs(Loss.ERROR_AFTER_RETRY, self.cause(run, run, error))
         denied = event(8, "retry_denied", after="500")
-        self.assertIs(Loss.ERROR_REPEAT_DENIED, self.cause(run, denied, error))
-        self.assertIs(Loss.ERROR_AT_SUSPECT, self.cause(last_resort, run, error))
+        self.assertIs(Loss.ERROR_RETRY_DENIED, self.cause(run, denied, error))
+        self.assertIs(Loss.ERROR_AT_SUSPECTED, self.cause(last_resort, run, error))
 
     def test_losses_are_counted_by_service_and_cause(self):
         events = [ended(3, "unknown", cause="silence")]
@@ -57,7 +57,7 @@
             for original in events
         ]
         counts = count_losses(lost_requests(events))
-        self.assertEqual({(SERVICE, Loss.NO_ANSWER): 2}, dict(counts))
+        self.assertEqual({(SERVICE, Loss.NO_COMPLETE_ANSWER): 2}, dict(counts))
 
     def test_a_run_cut_by_a_leaving_node_differs_from_other_missing_answers(self):
         # The caller gets 'unknown' in all cases. Either the gate of a leaving node cut
@@ -71,7 +71,7 @@
         self.assertIs(Loss.CUT_BY_LEAVING, self.cause(stopped_waiting, unknown))
         for cut_by in ("server_restarted", "deadline"):
             cut = event(5, "attempt_ended", outcome="unknown", cut_by=cut_by)
-            self.assertIs(Loss.NO_ANSWER, self.cause(cut, unknown))
+            self.assertIs(Loss.NO_COMPLETE_ANSWER, self.cause(cut, unknown))
 
     def test_a_request_whose_caller_left_is_counted_separately(self):
         left = event(1, "attempt_unanswered", cause="the caller left")
--- a/tests/test_run_ends.py
+++ b/tests/test_run_ends.py
@@ -37,7 +37,10 @@
         )
         self.assertEqual(
             {
-                (SERVICE, AssumedHealth.WELL): {RunEnd.SERVED: 1, RunEnd.NO_ANSWER: 1},
+                (SERVICE, AssumedHealth.HEALTHY): {
+                    RunEnd.SERVED: 1,
+                    RunEnd.NO_ANSWER: 1,
+                },
                 (SERVICE, AssumedHealth.SUSPECTED): {RunEnd.FAST_ERROR: 1},
                 (SERVICE, AssumedHealth.ON_TRIAL): {RunEnd.SLOW_ERROR: 1},
             },
