--- a/balsamspindle/membership/fanout.py
+++ b/balsamspindle/membership/fanout.py
@@ -39,8 +39,8 @@
             if record.node_id != self._own.node_id
         ]
         zone = self._own.availability_zone
-        own_zone = [one for one in peers if one.availability_zone == zone]
-        other_zones = [one for one in peers if one.availability_zone != zone]
+        own_zone = [peer for peer in peers if peer.availability_zone == zone]
+        other_zones = [peer for peer in peers if peer.availability_zone != zone]
         chosen = self._random.sample(own_zone, min(PEERS_OWN_ZONE, len(own_zone)))
         chosen += self._random.sample(
             other_zones, min(PEERS_OTHER_ZONES, len(other_zones))
--- a/balsamspindle/membership/member.py
+++ b/balsamspindle/membership/member.py
@@ -30,9 +30,9 @@
 # A gap between two ticks that is longer than this means that the process was suspended.
 # The load of a busy machine causes only shorter gaps.
 PAUSE_MIN_S = 2.0
-# Byte budget of settings messages. With 45,000 changes a day of 1 KB each, each sent
-# to 1.25 peers on average, a node sends 0.7 KB/s. One change of 2,000 routes, sent to
-# five peers, needs 300 to 450 KB at once.
+# Byte budget of settings messages. At 45,000 changes of 1 KB a day, each sent to 1.25
+# peers on average, a node sends 0.7 KB/s. A single change of 2,000 routes, sent to five
+# peers, needs 300 to 450 KB at once.
 SETTINGS_BYTES_PER_S = 1_000.0
 SETTINGS_BURST_BYTES = 1_000_000.0
 # Window of the maximum in `Member.lag_s`. It is the usual interval between two metrics
--- a/balsamspindle/membership/node_view.py
+++ b/balsamspindle/membership/node_view.py
@@ -43,7 +43,7 @@
 
 
 class ChangedParts(NamedTuple):
-    """Which parts of a piece of news were new.
+    """Which parts of an item of news were new.
 
     Attributes
     ----------
--- a/balsamspindle/membership/peer_selection.py
+++ b/balsamspindle/membership/peer_selection.py
@@ -26,9 +26,9 @@
 # zone. If fifty nodes of a zone send one probe a second each, about ten probes a second
 # go to other zones and carry news there.
 OTHER_ZONE_EVERY = 5
-# Number of nodes of other zones that each node probes. On average, a node is probed by
-# as many nodes of other zones. Two of a hundred nodes are probed from no other zone;
-# nodes of their own zone detect their failure.
+# Number of nodes of other zones that each node probes. On average, each node is also
+# probed by this number of nodes of other zones. Two of a hundred nodes are probed by
+# none; only nodes of their own zone detect their failure.
 OTHER_ZONE_TARGET_COUNT = 4
 
 
--- a/balsamspindle/membership/probing.py
+++ b/balsamspindle/membership/probing.py
@@ -37,10 +37,10 @@
 # which it knows no live node.
 CONTACT_INTERVAL_S = 3.0
 CONTACTS_PER_ROUND = 3
-# While a peer suspects a node or considers it dead, the node asks peers at this
-# interval to ping it.
+# While a node has not refuted a verdict on itself, it asks peers at this interval to
+# ping it.
 SELF_CHECK_INTERVAL_S = 0.6
-# Mean number of nodes that probe a suspected node because a peer suspects it.
+# Mean number of nodes that probe a node because of a peer's suspicion.
 EXPECTED_CHECKERS = 6
 
 
@@ -234,8 +234,8 @@
             False if the byte cap of this node refused the requests to all helpers.
             True if there are no helpers.
         """
-        # Perhaps the node is healthy and only this connection to it is broken. The
-        # next ping opens a new connection.
+        # Possibly the node is healthy, and only the connection to it is broken. The
+        # connection is closed, so that the next ping opens a new one.
         self._transport.disconnect(node.member_address)
         others = [
             peer
--- a/balsamspindle/membership/registry.py
+++ b/balsamspindle/membership/registry.py
@@ -121,7 +121,10 @@
         self._stopped.set()
 
     def find_peers(self) -> bool:
-        """Contact the other nodes in the table; return whether there are any."""
+        """Contact the other nodes in the table; return whether there are any.
+
+        Returns False if the table can't be read, too.
+        """
         match self._tables.scan(MEMBERS_TABLE):
             case Result(tag="ok", ok=rows):
                 self._record_availability(True, "")
--- a/balsamspindle/wire/link_messages.py
+++ b/balsamspindle/wire/link_messages.py
@@ -266,11 +266,11 @@
     reason : Reason or None
         Why the attempt would be refused; None if it would be admitted.
     wait_ms : float
-        Expected wait for a slot. With reason ``crashes_servers``: time for which the
-        request stays blocked. With other reasons: 0.
+        With reason ``would_wait`` or ``no_free_slot``: expected wait for a slot. With
+        ``crashes_servers``: time for which the request stays blocked. Otherwise 0.
     held_out : HoldOut
     gate_time_s : float
-        Reading of the gate's monotonic clock.
+        Reading of the gate's monotonic clock when it received the query.
     """
 
     number: int
--- a/balsamspindle/wire/security.py
+++ b/balsamspindle/wire/security.py
@@ -71,7 +71,10 @@
 
 
 def protect_listener(socket: zmq.Socket, keys: FleetKeys | None) -> None:
-    """Accept only allowed peers on a socket; call it before `bind`."""
+    """Accept only allowed peers on a socket; call it before `bind`.
+
+    Without keys, the socket accepts all peers.
+    """
     if keys is None:
         return
     _set_key_pair(socket, keys)
@@ -84,7 +87,10 @@
 
 
 def protect_connection(socket: zmq.Socket, keys: FleetKeys | None) -> None:
-    """Authenticate this node and its peer to each other; call it before `connect`."""
+    """Authenticate this node and its peer to each other; call it before `connect`.
+
+    Without keys, neither is authenticated.
+    """
     if keys is None:
         return
     _set_key_pair(socket, keys)
