--- a/balsamspindle/customers/limits.py
+++ b/balsamspindle/customers/limits.py
@@ -135,7 +135,7 @@
             answer = self._links.request_grant(node, question)
             if answer is not None:
                 grant = Grant(question.customer, node, scope)
-                return grant if answer.is_given else Denial(answer.wait_ms / 1000)
+                return grant if answer.is_granted else Denial(answer.wait_ms / 1000)
         return None
 
     def refund(self, grant: Grant) -> None:
--- a/balsamspindle/membership/news_queue.py
+++ b/balsamspindle/membership/news_queue.py
@@ -61,7 +61,7 @@
 
     Attributes
     ----------
-    overflowed : int
+    evicted_count : int
         Number of items evicted because the queue was full.
     """
 
@@ -70,7 +70,7 @@
             priority: OrderedDict() for priority in Priority
         }
         self._priorities: dict[ItemKey, Priority] = {}
-        self.overflowed = 0
+        self.evicted_count = 0
 
     def __len__(self) -> int:
         return len(self._priorities)
@@ -162,7 +162,7 @@
         for priority in reversed(Priority):
             if self._items[priority]:
                 self.remove(next(reversed(self._items[priority])))
-                self.overflowed += 1
+                self.evicted_count += 1
                 return
 
 
--- a/balsamspindle/wire/limit_messages.py
+++ b/balsamspindle/wire/limit_messages.py
@@ -42,7 +42,7 @@
     ----------
     number : int
         The number of the question.
-    is_given : bool
+    is_granted : bool
         Whether the request may run.
     wait_ms : float
         If the request may not run: time after which a retry can be granted.
@@ -51,7 +51,7 @@
     """
 
     number: int
-    is_given: bool
+    is_granted: bool
     wait_ms: float = 0.0
     gate_time_s: float = 0.0
 
--- a/bench/capacity/bad_days.py
+++ b/bench/capacity/bad_days.py
@@ -131,7 +131,7 @@
         "burst_sent_bytes_per_s": (mirror.member.budget.spent_bytes - spent_bytes)
         / BURST_MEASURED_S,
         "burst_waiting_items": _count_waiting_items(mirror),
-        "burst_overflowed_items": mirror.member.state.queue.overflowed,
+        "burst_overflowed_items": mirror.member.state.queue.evicted_count,
     }
     mirror.changes_per_s = RECORD_CHANGES_PER_S
     after = _measure_event("after_burst", mirror, [])
