--- a/balsamspindle/membership/channel.py
+++ b/balsamspindle/membership/channel.py
@@ -228,10 +228,10 @@
 
     def _observe_clock(self, sender: Sender, now_s: float) -> None:
         clock, wall_s = self._events.clock, time.time()
-        refused = clock.refused
+        ignored_count = clock.ignored_count
         clock.observe(sender.hlc, wall_s)
         if (
-            clock.refused == refused
+            clock.ignored_count == ignored_count
             or now_s - self._clock_event_s < CLOCK_EVENT_INTERVAL_S
         ):
             return
--- a/balsamspindle/timeline/clock.py
+++ b/balsamspindle/timeline/clock.py
@@ -9,7 +9,7 @@
 Otherwise a single VM whose clock is years ahead would move the clocks of all others
 to its time, and their events would carry a wrong time until the wall clocks reach it.
 Events of such a VM are not ordered relative to those of the others;
-`HybridClock.refused` counts the ignored values.
+`HybridClock.ignored_count` counts the ignored values.
 """
 
 import threading
@@ -30,7 +30,7 @@
 
     Attributes
     ----------
-    refused : int
+    ignored_count : int
         Number of received times that were ignored as too far ahead.
     """
 
@@ -38,7 +38,7 @@
         self.wall_offset_s = wall_offset_s
         self._lock = threading.Lock()
         self._last = 0
-        self.refused = 0
+        self.ignored_count = 0
 
     def tick(self, wall_s: float) -> int:
         """Advance the clock for an event of this process and return its time.
@@ -65,7 +65,7 @@
         with self._lock:
             wall = self._encode_wall_time(wall_s)
             if self.ahead_s(remote, wall_s) > AHEAD_MAX_S:
-                self.refused += 1
+                self.ignored_count += 1
                 remote = 0
             # More than 65,535 events in a millisecond overflow the counter into the
             # milliseconds. Values still increase, and the wall clock catches up.
--- a/tests/test_clock.py
+++ b/tests/test_clock.py
@@ -33,16 +33,16 @@
         clock.tick(WALL_S)
         after = clock.observe(wrong.tick(WALL_S), WALL_S)
         self.assertLess((after >> COUNTER_BITS) / 1000, WALL_S + 1)
-        self.assertEqual(1, clock.refused)
+        self.assertEqual(1, clock.ignored_count)
         clock.observe(2**64 - 1, WALL_S)
         clock.observe(-5, WALL_S)
-        self.assertEqual(2, clock.refused)
+        self.assertEqual(2, clock.ignored_count)
 
     def test_a_clock_within_the_limit_is_followed(self):
         clock, ahead = HybridClock(), HybridClock(AHEAD_MAX_S - 1)
         sent = ahead.tick(WALL_S)
         self.assertLess(sent, clock.observe(sent, WALL_S))
-        self.assertEqual(0, clock.refused)
+        self.assertEqual(0, clock.ignored_count)
 
     def test_times_increase_if_the_counter_overflows_or_the_clock_steps_back(self):
         clock = HybridClock()
