--- a/balsamspindle/cli/inputs.py
+++ b/balsamspindle/cli/inputs.py
@@ -15,7 +15,10 @@
 
 
 def read_json(source: str) -> Any:
-    """Return the decoded JSON of a file, or of standard input for ``-``."""
+    """Return the decoded JSON of a file, or of standard input for ``-``.
+
+    Ends the program if the source can't be read or is not JSON.
+    """
     try:
         text = (
             sys.stdin.buffer.read()
@@ -32,7 +35,10 @@
 
 
 def read_documents(source: str) -> dict[str, Any]:
-    """Return the documents of a JSON file by their paths."""
+    """Return the documents of a JSON file, or of standard input, by their paths.
+
+    Ends the program if the source can't be read or is not a JSON object.
+    """
     documents = read_json(source)
     if not isinstance(documents, dict):
         message = f"{source}: expected a JSON object that maps paths to documents"
--- a/balsamspindle/cli/load.py
+++ b/balsamspindle/cli/load.py
@@ -19,8 +19,9 @@
 from balsamspindle.load.plan import DURATION_MAX_S
 
 EXAMPLES = """
-Example of a plan:
+    Example of a plan:
 
+    \b
     {"nodes": {"node-0": "127.0.0.1:8080"},
      "node_admins": {"node-0": "127.0.0.1:8083"},
      "backend_servers": {"board-0": "127.0.0.1:9001"},
@@ -29,11 +30,9 @@
      "faults": [{"target": "board-0", "start_s": 5, "end_s": 15,
                  "switch": {"mode": "hang", "delay_s": 30}}]}
 
-Examples:
+    Example: balsamspindle-load plan.json
 
-    balsamspindle-load plan.json
-
-    balsamspindle-load plan.json --json --seed 8 --duration-s 60
+    Example: balsamspindle-load plan.json --json --seed 8 --duration-s 60
 """
 
 app = make_app("Send load to the fleet, inject faults and audit the outcomes.")
--- a/balsamspindle/load/report.py
+++ b/balsamspindle/load/report.py
@@ -26,7 +26,7 @@
     outcomes : dict of str to int
         Number of requests by outcome, including `no_answer` and `not_connected`.
     answered_200 : int
-        Correct answers with status 200.
+        Number of correct answers with status 200.
     latency_ms : dict of str to float
         Percentiles of the latency of answered requests, such as ``p99``.
     """
--- a/balsamspindle/metrics/recorder.py
+++ b/balsamspindle/metrics/recorder.py
@@ -69,7 +69,8 @@
     events : dict of str to int
         Number of events in the event log, by name.
     cuts : dict of str to int
-        Number of attempts that were cut while a backend server ran them, by cause.
+        Number of attempts that were interrupted while a backend server ran them, by
+        cause.
     """
 
     hops: dict[str, HopLatency]
@@ -118,7 +119,7 @@
             self._events[event] += 1
 
     def count_cut(self, cause: str) -> None:
-        """Count an attempt that was cut while a backend server ran it."""
+        """Count an attempt that was interrupted while a backend server ran it."""
         with self._lock:
             self._cuts[cause] += 1
 
--- a/balsamspindle/timeline/clock.py
+++ b/balsamspindle/timeline/clock.py
@@ -7,8 +7,8 @@
 
 A received value more than `AHEAD_MAX_S` ahead of the own wall clock is ignored.
 Otherwise a single VM whose clock is years ahead would move the clocks of all others
-to its time, and their events would carry a wrong time until the wall clocks reach it.
-Events of such a VM are not ordered relative to those of the others;
+to its time, and their events would carry a wrong time until the wall clocks reach that
+time. Events of such a VM are not ordered relative to the events of other VMs;
 `HybridClock.ignored_count` counts the ignored values.
 """
 
@@ -73,7 +73,7 @@
             return self._last
 
     def ahead_s(self, remote: int, wall_s: float) -> float:
-        """Return by how many seconds another process's time is ahead of this clock."""
+        """Return by how many seconds a remote time is ahead of the own wall clock."""
         return (
             (remote >> COUNTER_BITS) - (self._encode_wall_time(wall_s) >> COUNTER_BITS)
         ) / 1000
--- a/balsamspindle/timeline/request_summary.py
+++ b/balsamspindle/timeline/request_summary.py
@@ -15,8 +15,9 @@
 
     Attributes
     ----------
-    gate : str
-        Node whose gate forwards requests to the backend server.
+    gate : str or None
+        Node of the gate that forwards requests to the backend server; None if no event
+        names it.
     dispatched : bool
         Whether an event shows that the gate sent the attempt to the backend server.
     outcome : str or None
