--- a/tests/member_network.py
+++ b/tests/member_network.py
@@ -33,7 +33,7 @@
     counts these sizes: with the real clock, runs would differ from each other.
     """
 
-    refused = 0
+    ignored_count = 0
 
     def tick(self, wall_s: float) -> int:
         return 1 << 57
