--- a/balsamspindle/node/customer_parts.py
+++ b/balsamspindle/node/customer_parts.py
@@ -64,7 +64,7 @@
 
     Parameters
     ----------
-    prove : callable
+    renew_proof : callable
         Triggers a read of the store's newest revision.
 
     Attributes
@@ -80,7 +80,7 @@
         member: Member,
         configuration: CurrentConfiguration,
         events: EventLog,
-        prove: Callable[[], None],
+        renew_proof: Callable[[], None],
         links: LinkPool,
         link_server: LinkServer,
     ) -> None:
@@ -109,7 +109,7 @@
             self._freshness,
             configuration,
             events,
-            prove,
+            renew_proof,
             member.send,
         )
         member.register(
--- a/balsamspindle/node/process.py
+++ b/balsamspindle/node/process.py
@@ -104,7 +104,7 @@
             self._member,
             self._configuration,
             self.events,
-            lambda: self._settings_tasks.prove(),
+            lambda: self._settings_tasks.renew_proof(),
             self._links,
             self._gate_parts.link_server,
         )
--- a/balsamspindle/node/settings_tasks.py
+++ b/balsamspindle/node/settings_tasks.py
@@ -106,10 +106,10 @@
         if self._reader is not None:
             self._reader.stop()
 
-    def prove(self) -> None:
+    def renew_proof(self) -> None:
         """Read the store now, to check whether its revision is in force here."""
         if self._reader is not None:
-            self._reader.prove()
+            self._reader.renew_proof()
 
     def read_accepted(self, revision: int) -> None:
         """Read the store now if an accepted revision is not in force here yet."""
--- a/balsamspindle/settings/reader.py
+++ b/balsamspindle/settings/reader.py
@@ -207,7 +207,7 @@
         if revision > self._configuration.revision:
             self._wake.set()
 
-    def prove(self) -> None:
+    def renew_proof(self) -> None:
         """Poll now, so that `on_read` receives the platform's current revision."""
         self._wake.set()
 
--- a/balsamspindle/settings/watcher.py
+++ b/balsamspindle/settings/watcher.py
@@ -138,7 +138,7 @@
         read = self._start_read()
         return self._handle_result(self._tables.snapshot(self._row.table), read)
 
-    def prove(self) -> None:
+    def renew_proof(self) -> None:
         """Read the row and report its revision to `on_read`; callable from any thread.
 
         A long poll that has not been answered does not prove that the settings in
--- a/tests/test_key_proofs.py
+++ b/tests/test_key_proofs.py
@@ -350,7 +350,7 @@
     def test_the_age_of_a_proof_counts_from_the_start_of_the_read(self):
         # Guards against a revision that was accepted during the read.
         began_s = time.monotonic()
-        self.watcher.prove()
+        self.watcher.renew_proof()
         (proof,) = self.proofs
         self.assertLess(proof.began_s - began_s, self.tables.read_s / 2)
         self.assertEqual(1, proof.revision)
@@ -359,19 +359,19 @@
     def test_an_older_revision_than_the_nodes_proves_nothing(self):
         # Guards against a store that has lost the revision which revoked a key.
         self.configuration.offer(5, {})
-        self.watcher.prove()
+        self.watcher.renew_proof()
         self.assertEqual([], self.proofs)
 
     def test_a_revision_from_a_peer_during_the_read_keeps_the_proof(self):
         self.tables.meanwhile = lambda: self.configuration.offer(5, {})
-        self.watcher.prove()
+        self.watcher.renew_proof()
         self.assertEqual([1], [proof.revision for proof in self.proofs])
 
     def test_a_row_that_cant_be_decoded_proves_nothing(self):
         # Guards against keys that the unreadable revision revokes.
-        self.watcher.prove()
+        self.watcher.renew_proof()
         self.tables.row = Row("config", 2, "garbage")
-        self.watcher.prove()
+        self.watcher.renew_proof()
         self.assertEqual(1, len(self.proofs))
 
     def test_a_wait_without_changes_proves_nothing(self):
