--- a/balsamspindle/node/admin_server.py
+++ b/balsamspindle/node/admin_server.py
@@ -20,10 +20,10 @@
     server: "AdminServer"
 
     def log_request(self, *_args):
-        """Log nothing: requests to the admin address are no events."""
+        """Do nothing: requests to the admin address are not logged."""
 
     def log(self, type, message, *args):
-        """Pass an error to the server, which logs it as an event."""
+        """Report an error to the server, which emits an event for it."""
         self.server.log(type, message, *args)
 
 
@@ -63,14 +63,14 @@
             self.shutdown_request(request)
 
     def log(self, type, message, *args):
-        """Log an error as a single event instead of a traceback."""
+        """Emit one event for an error, without its traceback."""
         text = (message % args if args else message).strip()
         # The last line of a traceback names the error.
         cause = text.splitlines()[-1] if text else type
         self.events.emit("admin_request_failed", cause=cause)
 
     def handle_error(self, request, client_address):
-        """Ignore connections that the client closed early."""
+        """Ignore errors of a connection, for example if the client closed it early."""
 
     def serve_forever(self, poll_interval=0.25):
         """Serve until `shutdown`, then wait for the threads of the pool."""
--- a/balsamspindle/node/crash_parts.py
+++ b/balsamspindle/node/crash_parts.py
@@ -1,4 +1,4 @@
-"""Assembles the parts of a node that handle requests which crash backend servers."""
+"""Creates the parts of a node that handle requests which crash backend servers."""
 
 import time
 from collections.abc import Callable
@@ -17,7 +17,7 @@
 
 
 class CrashParts:
-    """Connects the crash history to the node's other parts.
+    """Connects a node's crash history with its event log, its peers and the store.
 
     Parameters
     ----------
@@ -65,7 +65,7 @@
     def _report_quarantine(
         self, quarantine: Quarantine, ended: list[str], evidence: CauseEvidence
     ) -> None:
-        """Emit the event that a request is quarantined or no longer, and store it."""
+        """Emit an event when a quarantine begins or is lifted, and store the change."""
         event = "quarantine_lifted" if quarantine.is_lifted else "request_quarantined"
         self._events.emit(
             event,
--- a/balsamspindle/node/customer_parts.py
+++ b/balsamspindle/node/customer_parts.py
@@ -1,4 +1,4 @@
-"""Assembles the parts of a node that admit or refuse customers' requests."""
+"""Creates the parts of a node that admit or refuse customers' requests."""
 
 import time
 from collections.abc import Callable
@@ -21,12 +21,13 @@
 __all__ = ["CustomerParts"]
 
 
-# Timeout for a node's answer to a limit question: several round trips within a zone.
+# Timeout for a node's answer to a limit question; covers several round trips within a
+# zone.
 QUESTION_TIMEOUT_S = 0.25
 
 
 class PooledLimitLinks:
-    """Sends questions about limits over the links that attempts use, too."""
+    """Sends limit questions and returns over the links that also transfer attempts."""
 
     def __init__(self, links: LinkPool) -> None:
         self._links = links
@@ -53,8 +54,8 @@
             self._links.release(link)
 
     def _acquire_link(self, node: NodeRecord) -> Link | None:
-        # Sending a question twice does no harm. It counts as idempotent, so that a
-        # link that was idle is used without checking it first.
+        # A limit message may be sent twice without harm. The link is therefore acquired
+        # as for an idempotent request: fewer idle links are checked before their use.
         deadline_s = time.monotonic() + QUESTION_TIMEOUT_S
         return self._links.acquire(node.link_address, deadline_s, Execution.IDEMPOTENT)
 
@@ -65,7 +66,8 @@
     Parameters
     ----------
     renew_proof : callable
-        Triggers a read of the store's newest revision.
+        Starts a read of the store's newest revision. Its result, which `record_read`
+        receives, proves whether the settings in force are the newest.
 
     Attributes
     ----------
@@ -120,7 +122,7 @@
         )
 
     def record_read(self, began_s: float, revision: int) -> None:
-        """Record the revision that a read of the store returned."""
+        """Record the start time of a read of the store and the revision it returned."""
         self._proofs.record_read(began_s, revision)
 
     def is_ready(self, now_s: float) -> bool:
--- a/balsamspindle/node/gate_budgets.py
+++ b/balsamspindle/node/gate_budgets.py
@@ -1,4 +1,4 @@
-"""Computes a gate's share of the retries that the whole fleet may make."""
+"""Computes a gate's portion of the retries that the whole fleet may make."""
 
 from collections.abc import Callable
 
@@ -28,17 +28,17 @@
     ) -> None:
         self._directory = directory
         self._service_document = service_document
-        # A gate that is gone or unreachable may have granted its share within the
-        # current window, so it is counted until the window has passed.
+        # A gate that has ended or become unreachable may have granted its portion
+        # within the current window, so it is counted until the window has passed.
         self._gate_counts: dict[str, RecentMax] = {}
 
     def retry_budget(self, service: str, now_s: float) -> RetryBudget:
-        """Return a service's retry budget with this gate's share of the fleet's."""
+        """Return a service's retry budget with this gate's portion of the retries."""
         budget = self._service_document(service).retry_budget
         if not budget.fleet_per_s_min:
             return budget
-        share = budget.fleet_per_s_min / max(1.0, self._count_gates(service, now_s))
-        return msgspec.structs.replace(budget, fleet_per_s_min=share)
+        portion = budget.fleet_per_s_min / max(1.0, self._count_gates(service, now_s))
+        return msgspec.structs.replace(budget, fleet_per_s_min=portion)
 
     def _count_gates(self, service: str, now_s: float) -> float:
         gates = self._directory.placements(service)
--- a/balsamspindle/node/gate_parts.py
+++ b/balsamspindle/node/gate_parts.py
@@ -1,4 +1,4 @@
-"""Assembles the part of a node that serves its backend servers."""
+"""Creates the parts of a node that run attempts at its backend servers."""
 
 import time
 from collections.abc import Callable
@@ -38,21 +38,21 @@
     service_document : callable
         Returns the settings of a service that are in force.
     retry_budget : callable
-        Returns a service's retry budget at a time, with this gate's share of the
-        fleet's retries.
+        Returns a service's retry budget at a given time, with this gate's portion of
+        the fleet's retries.
     crash_history : CrashHistory, default=an empty one
         Records of requests that crash backend servers.
     on_crash_update : callable
         Called with each update that the gate makes to `crash_history`, and the
         current time.
-    in_zone : callable
+    count_in_zone : callable
         Returns the number of a service's backend servers in this node's zone.
 
     Attributes
     ----------
     failed_calls : FailedCalls
-        When requests that callers sent to this node last failed; recorded by the
-        ingress.
+        Time at which the ingress last answered a caller with a failure; the ingress
+        records it.
     link_server : LinkServer
         Receives attempts from other nodes.
     """
@@ -68,7 +68,7 @@
         on_crash_update: Callable[[CrashUpdate, float], None] = lambda update, now_s: (
             None
         ),
-        in_zone: Callable[[str], int] = lambda service: 1,
+        count_in_zone: Callable[[str], int] = lambda service: 1,
     ) -> None:
         self._events = events
         crash_history = crash_history or CrashHistory(lambda service: 1)
@@ -83,7 +83,9 @@
         )
         self.health = HealthMonitor(
             self.servers,
-            ZoneDetection(lambda service: service_document(service).detection, in_zone),
+            ZoneDetection(
+                lambda service: service_document(service).detection, count_in_zone
+            ),
             events,
             crash_history.ran_quarantined_request,
         )
@@ -126,8 +128,9 @@
     def _serve_links(self) -> None:
         """Run the link server, then end the threads that run attempts.
 
-        The threads must not end earlier. An attempt that arrives while the node stops
-        would otherwise be lost, and its caller told that it may have run.
+        If the threads ended earlier, an attempt that arrives while the node stops would
+        be lost. Its caller would get the outcome unknown, although no backend server
+        ran the request.
         """
         self.link_server.run()
         self._executor.shutdown(wait=False)
@@ -139,7 +142,7 @@
         self._prober.stop()
 
     def records(self) -> tuple[BackendServerRecord, ...]:
-        """Return the current record of each backend server, for the fleet."""
+        """Return the current record of each backend server, as sent to other nodes."""
         now_s = time.monotonic()
         return self.servers.records(
             lambda server: self.admission.capacity(server, now_s)
--- a/balsamspindle/node/graceful_shutdown.py
+++ b/balsamspindle/node/graceful_shutdown.py
@@ -13,9 +13,12 @@
 
 __all__ = ["GracefulShutdown"]
 
-# Once the ingress was told to stop, the gate stays open for at most this long.
+# After the ingress is stopped, the gate accepts new attempts until all connections of
+# callers are closed, but for at most this long.
 GATE_OPEN_MAX_S = 2.0
-# How long the gate goes on refusing attempts when nothing is in flight any more.
+# How long the node still refuses late attempts after all work has ended. If less of the
+# shutdown timeout remains, the node does so for the remaining time, but at least for
+# the minimum.
 LATE_REFUSALS_S, LATE_REFUSALS_MIN_S = 0.5, 0.1
 LAST_ANSWERS_TIMEOUT_S = 0.4
 POLL_INTERVAL_S = 0.02
@@ -43,7 +46,7 @@
         self._forwarder = forwarder
 
     def run(self) -> None:
-        """Return when nothing is in flight any more, or after the shutdown timeout.
+        """Shut down; return when no work is in flight, or after the shutdown timeout.
 
         Peers and callers are notified first, so that they use other nodes while this
         one still serves. The gate closes only after this node's own callers have
@@ -62,13 +65,14 @@
         self._gate.refuse_new_attempts()
         if not _wait_until(self._is_idle, timeout_end_s):
             self._cancel_remaining()
-        # A peer that does not know yet that this node leaves gets a refusal, which
-        # proves that its attempt was not run. Without an answer it could not know.
+        # Attempts of peers that don't know yet that this node leaves are still refused
+        # during this wait. A refusal proves that the attempt was not run; without an
+        # answer, the attempt's outcome would be unknown.
         remaining_s = timeout_end_s - time.monotonic()
         time.sleep(min(LATE_REFUSALS_S, max(LATE_REFUSALS_MIN_S, remaining_s)))
 
     def _report_leaving(self) -> None:
-        """Emit the event that the node leaves, with its work in flight."""
+        """Emit an event that the node leaves, with the amount of work in flight."""
         self._events.emit(
             "node_leaving",
             ends_in_ms=round(self._settings.shutdown_timeout_s * 1000),
@@ -88,14 +92,15 @@
         """Cancel what is still in flight; the outcome of running attempts is unknown.
 
         Otherwise a backend server that hangs could delay the shutdown until the
-        deadlines of its callers.
+        deadlines of the requests that it runs.
         """
         self._events.emit(
             "shutdown_timeout",
             attempts=self._gate.in_flight(),
             replies=self._link_server.pending(),
         )
-        # The forwarder first: it must not retry elsewhere what the gate cancels.
+        # The forwarder is aborted first. Otherwise, when the gate cancels an attempt,
+        # the forwarder would retry the request at another node.
         self._forwarder.abort_attempts()
         self._gate.cancel_all()
         _wait_until(self._is_idle, time.monotonic() + LAST_ANSWERS_TIMEOUT_S)
--- a/balsamspindle/node/process.py
+++ b/balsamspindle/node/process.py
@@ -197,7 +197,7 @@
                 self._gate_parts.remove_silent(now_s)
                 self._customer_parts.refresh(now_s)
             self._shut_down()
-        # Messages still queued on the closed links are sent for at most this long.
+        # Wait at most `LINGER_MS` until the messages still queued on links are sent.
         self._context.destroy(linger=LINGER_MS)
 
     def may_be_defined(self, service: str) -> bool:
@@ -206,7 +206,7 @@
         return configuration is None or service in configuration.services
 
     def _can_serve(self) -> bool:
-        """Return whether requests of all services can be admitted and have a gate."""
+        """Return whether requests can be admitted and each service has a gate."""
         configuration = self._configuration.get()
         if configuration is None or not self._customer_parts.is_ready(time.monotonic()):
             return False
@@ -223,8 +223,8 @@
 
     def _shut_down(self) -> None:
         """Shut down gracefully, then end all tasks."""
-        # First, because a running call to a store that does not answer may take two
-        # seconds; at the end of the shutdown there is no time left for it.
+        # Stop writing quarantines first. A running call to a store that does not answer
+        # may take two seconds; at the end of the shutdown, less time remains.
         self._crash_parts.stop()
         shutdown = GracefulShutdown(
             self._settings,
@@ -240,7 +240,7 @@
         self.events.emit("node_stopped")
 
     def _end_tasks(self) -> None:
-        """End all tasks and threads; one that goes on would keep the process alive."""
+        """End all tasks and threads, because a running one would block the exit."""
         self._settings_tasks.stop()
         self._customer_parts.stop()
         if self._registry is not None:
@@ -251,7 +251,7 @@
         if self._settings_watch is not None:
             self._settings_watch.stop()
         servers = (self._admin, *self._extra_servers)
-        # In parallel: `shutdown` blocks until the server's loop has ended.
+        # In parallel, because `shutdown` blocks until the loop of its server has ended.
         with ThreadPoolExecutor(len(servers), "shutdown") as executor:
             list(executor.map(AdminServer.shutdown, servers))
         if self._authenticator is not None:
@@ -267,7 +267,7 @@
         )
 
     def _report_floor(self, service: str, decision: FloorDecision) -> None:
-        """Emit which suspects of a service are left out and which the floor keeps."""
+        """Emit which suspects get no usual requests, and which ones the floor keeps."""
         self.events.emit(
             "floor_decided",
             service=service,
--- a/balsamspindle/node/settings_tasks.py
+++ b/balsamspindle/node/settings_tasks.py
@@ -1,4 +1,4 @@
-"""Assembles the tasks of a node that load the fleet's settings and share them."""
+"""Creates the tasks of a node that read the fleet's settings and share them."""
 
 from collections.abc import Callable
 
@@ -22,9 +22,9 @@
 
 __all__ = ["SettingsTasks"]
 
-# Number of nodes in each zone that wait at the store for changes of the settings: 184
-# in 23 zones. If all 5,600 nodes did, each of 45,000 changes a day would cause 5,600
-# reads at once; the store can serve 2,000 a second.
+# Number of nodes in each zone that long-poll the store for changes of the settings; 184
+# nodes in 23 zones. If all 5,600 nodes polled, each of 45,000 changes a day would cause
+# 5,600 reads at once; the store can serve 2,000 reads a second.
 WATCHERS_PER_ZONE = 8
 
 
@@ -107,7 +107,7 @@
             self._reader.stop()
 
     def renew_proof(self) -> None:
-        """Read the store now, to check whether its revision is in force here."""
+        """Read the store now, so that `on_read` receives the newest revision."""
         if self._reader is not None:
             self._reader.renew_proof()
 
--- a/balsamspindle/node/settings_watch.py
+++ b/balsamspindle/node/settings_watch.py
@@ -13,20 +13,21 @@
 
 LoadSettings = Callable[[Path], Result[NodeSettings, SettingsError]]
 
-# A check costs one system call. For a change that can't wait, there is a signal.
+# A check costs one system call. An operator who can't wait for the next check sends a
+# signal, which reloads the file at once.
 CHECK_INTERVAL_S = 1.0
 
 
 class SettingsWatch:
-    """Loads the file again whenever it was modified or replaced.
+    """Loads a settings file again whenever it was modified or replaced.
 
     Parameters
     ----------
     load : callable
         Reads and validates the file.
     apply : callable
-        Called with loaded settings that differ from the last ones. A file that can't
-        be loaded is logged and changes nothing.
+        Called with the loaded settings if they differ from those loaded before. If the
+        file can't be loaded, the error is logged and `apply` is not called.
     """
 
     def __init__(
@@ -61,7 +62,7 @@
         self._wake_event.set()
 
     def check(self, forced: bool = False) -> None:
-        """Load the file if it changed, or if `forced`."""
+        """Load the file if it changed since the last check, or if `forced`."""
         stamp = self._stamp()
         if self._stopped or (stamp == self._last_stamp and not forced):
             return
--- a/balsamspindle/node/status.py
+++ b/balsamspindle/node/status.py
@@ -17,7 +17,7 @@
     chain : str
         Digest of all changes in force, in their order.
     unusable : dict of str to str
-        Reasons why this node can't read documents, by path.
+        Documents of the settings that this node can't read: the reason, by path.
     platform : PlatformState or None
         None if the node does not use the platform.
     platform_revision : int
@@ -37,7 +37,7 @@
     Attributes
     ----------
     settings_revision : int
-        Revision in force at this node; -1 without settings.
+        Revision of the settings in force at this node; -1 if none are in force.
     nodes : list of NodeRecord
         All known nodes, including this one.
     backend_servers : list of BackendServerRecord
--- a/balsamspindle/node/store_eras.py
+++ b/balsamspindle/node/store_eras.py
@@ -1,4 +1,4 @@
-"""Shares eras of the store: one begins when it is restored from an older copy."""
+"""Shares eras of the store; a new era begins when an older copy is restored."""
 
 import threading
 import time
@@ -13,14 +13,14 @@
 __all__ = ["NodeEras"]
 
 
-# Shortest time between two messages in which a node asks its peers to write claims
-# again that the store lost. The node repeats the message while callers wait for these
-# claims, because messages may be lost on the way.
-REPEAT_REQUEST_S = 1.0
+# Shortest time between two messages in which a node requests that its peers write lost
+# claims again. The node repeats the request while callers wait for these claims,
+# because a message may be lost on the way.
+CLAIMS_REQUEST_INTERVAL_S = 1.0
 
 
 class NodeEras:
-    """Shares eras of the store with other nodes and notifies parts of this node.
+    """Shares eras of the store with peers; notifies parts of this node of new eras.
 
     Attributes
     ----------
@@ -40,23 +40,24 @@
         self._requested_s = float("-inf")
         self._notify_peers: Callable[[NewStoreEra], None] = lambda message: None
         self.known = StoreEras(
-            self._begin, lambda cause: events.emit("store_era_odd", cause=cause)
+            self._report_new_era,
+            lambda cause: events.emit("store_era_odd", cause=cause),
         )
 
     def on_new_era(self, handler: Callable[[], None]) -> None:
-        """Register a callable for the start of each new era; it must not block."""
+        """Register a handler for the start of each new era; it must not block."""
         self._new_era_handlers.append(handler)
 
     def on_claims_request(self, handler: Callable[[int], None]) -> None:
         """Register a callable for requests to write lost claims again.
 
-        It is called once for an era, with the era, when this node makes the first such
-        request or receives it from a peer.
+        The callable takes the era. It is called once for each era, when this node makes
+        its first such request or receives one from a peer.
         """
         self._claims_request_handlers.append(handler)
 
     def connect(self, own: NodeRecord, directory: Directory, member: Member) -> None:
-        """Notify peers of new eras, and be notified by them, through a member."""
+        """Exchange new eras and requests for lost claims with peers via a member."""
         fanout = Fanout(own, directory, "eras")
 
         def notify_peers(message: NewStoreEra) -> None:
@@ -70,21 +71,25 @@
         member.share_store_era(lambda: self.known.newest, self.known.record_era)
 
     def request_claims(self, era: int) -> None:
-        """Ask all nodes to write lost claims again, because callers wait for them."""
+        """Request that all nodes write lost claims again, as callers wait for them."""
         now_s = self._clock()
-        if now_s - self._requested_s < REPEAT_REQUEST_S and era <= self._requested_era:
+        if (
+            now_s - self._requested_s < CLAIMS_REQUEST_INTERVAL_S
+            and era <= self._requested_era
+        ):
             return
         self._requested_s = now_s
         self._record_request(era)
         self._notify_peers(NewStoreEra(claims_requested=True))
 
     def _receive(self, message: NewStoreEra) -> None:
-        # The message's `Sender` contains the peer's era, which is already recorded.
+        # The message's `Sender` contains the peer's era, which was recorded before this
+        # call.
         if message.claims_requested and self._record_request(self.known.newest):
             self._notify_peers(message)
 
     def _record_request(self, era: int) -> bool:
-        """Record that nodes are to write their claims again in an era.
+        """Record a request that nodes write their claims again in an era.
 
         Returns
         -------
@@ -99,7 +104,7 @@
                 handler(era)
         return is_new
 
-    def _begin(self, era: int) -> None:
+    def _report_new_era(self, era: int) -> None:
         self._events.emit("store_came_back", era=era)
         self._notify_peers(NewStoreEra())
         for handler in self._new_era_handlers:
--- a/balsamspindle/node/store_parts.py
+++ b/balsamspindle/node/store_parts.py
@@ -22,7 +22,7 @@
 
 
 class StoreParts:
-    """Creates these parts for a node; most are None if it uses no platform.
+    """Creates the parts of a node that use the store; most are None without a platform.
 
     Attributes
     ----------
--- a/balsamspindle/platform/__main__.py
+++ b/balsamspindle/platform/__main__.py
@@ -71,8 +71,9 @@
 def _shut_down(process: NodeProcess, grace_s: float) -> None:
     """Start a graceful shutdown, and a timer that ends it before SIGKILL.
 
-    A connection that neither end closes would block the graceful shutdown. SIGKILL
-    would lose the last lines of the log, which say what blocked it.
+    A connection that neither end closes would block the graceful shutdown. The timer
+    writes the last lines of the log, which say what blocked the shutdown, and ends the
+    process. SIGKILL would lose these lines.
     """
     process.stop()
     timer = threading.Timer(grace_s - EXIT_RESERVE_S, _force_exit, [process])
--- a/balsamspindle/platform/announcements.py
+++ b/balsamspindle/platform/announcements.py
@@ -1,7 +1,7 @@
 """WSGI applications for announcements of backend servers and for readiness checks.
 
 The backend server beside the node announces here that it is ready, drains or
-leaves. The gate acts on an announcement from the moment it was acknowledged.
+leaves. The gate applies an announcement before the announcement is acknowledged.
 """
 
 import time
@@ -36,7 +36,7 @@
 
 
 class _Status(msgspec.Struct):
-    """The part of an announcement that changes from one to the next.
+    """The fields of an announcement that can differ in the next announcement.
 
     Attributes
     ----------
--- a/balsamspindle/platform/configuration.py
+++ b/balsamspindle/platform/configuration.py
@@ -35,8 +35,9 @@
 TABLE, KEY = "op", "config"
 
 # The platform's bounds limit the retries. Gates grant only these fractions of the
-# limits. The rest covers what gates can't count exactly: the platform counts requests
-# in another time window, and the calls that repeated runs make are only estimated.
+# limits, because they can't count exactly as the platform does. The platform counts
+# requests in another time window. It also counts the requests that a backend server
+# sends while it runs a retry; gates can only estimate their number.
 RETRY_RATIO_USED_FRACTION = 0.8
 RETRY_RATE_USED_FRACTION = 0.8
 
@@ -48,10 +49,10 @@
 HOLD_OUT_S, HOLD_OUT_MAX_S = 0.05, 1.0
 HOLD_OUT_GROWTH = 4.0
 TRIAL_SUCCESSES = 1
-# A backend server that keeps failing fails one trial after the other. After a second in
-# service without an ejection, the next error may well be a single failure. So each such
-# second undoes one multiplication of the next hold-out by `HOLD_OUT_GROWTH`.
-CALM_S = 1.0
+# Each second in service without an ejection undoes one multiplication of the next
+# hold-out by `HOLD_OUT_GROWTH`. A backend server that keeps failing fails one trial
+# after the other, so an error after such a second may well be a single failure.
+HOLD_OUT_DECAY_S = 1.0
 # Attempts that may wait at one gate. They are refused earlier if they can't end before
 # their deadline, so this only bounds memory.
 QUEUE_MAX = 64
@@ -60,7 +61,7 @@
 _is_valid_name = re.compile(r"[a-z0-9][a-z0-9.-]{0,63}").fullmatch
 
 
-class _Share(msgspec.Struct):
+class _WeightedCluster(msgspec.Struct):
     service: str
     weight: float
 
@@ -71,13 +72,14 @@
     Attributes
     ----------
     kind : str
-        ``safe`` if a request may run more than once.
+        ``safe`` if a request may run more than once; see `_EXECUTIONS`.
     timeout : str
         Time after which the caller gets an answer at the latest.
     target_latency : str
-        Latency up to which an answer counts in full.
+        Latency up to which an answer has its full value.
     retry_attempts : int
-        Backend servers that one request may be sent to, including the first.
+        Maximum number of backend servers to which one request is sent, including the
+        first.
     priority : int
         0 is the most urgent.
     allow_anonymous : bool
@@ -93,7 +95,7 @@
     target_latency: str = "1s"
     priority: int = 0
     service: str | None = None
-    weighted_clusters: list[_Share] = []
+    weighted_clusters: list[_WeightedCluster] = []
     allow_anonymous: bool = False
 
 
@@ -129,7 +131,7 @@
     tenants: list[_Tenant] | None = None
 
 
-# Requests of any other kind may run at most once.
+# By kind of route. Requests of kinds that are not listed may run at most once.
 _EXECUTIONS = {
     "safe": Execution.IDEMPOTENT,
     "unsafe": Execution.NON_IDEMPOTENT,
@@ -139,7 +141,7 @@
 
 
 def operator_row(retries: RetryBounds) -> OperatorRow:
-    """Return the store's row of the operator's configuration, and its decoder."""
+    """Return where the store has the operator's configuration, and how to decode it."""
     return OperatorRow(
         TABLE, KEY, lambda value: translate_configuration(value, retries)
     )
@@ -151,12 +153,13 @@
 
 
 def translate_configuration(value: Any, retries: RetryBounds) -> WholeSettings:
-    """Translate a configuration.
+    """Translate the operator's configuration into documents and their revision.
 
     Raises
     ------
     PlatformFormatError
-        If any part is invalid; then no part of it may come into force.
+        If any part of the configuration is invalid. No part of the configuration may
+        then come into force.
     """
     try:
         configuration = msgspec.convert(value, _Configuration)
@@ -177,8 +180,10 @@
             service, slowest_target_ms, retries
         )
     for route in configuration.routes:
-        is_open = configuration.tenants is None or route.allow_anonymous
-        documents[_path("routes", route.name)] = _route_document(route, is_open)
+        allows_anonymous = configuration.tenants is None or route.allow_anonymous
+        documents[_path("routes", route.name)] = _route_document(
+            route, allows_anonymous
+        )
     documents |= _customer_documents(configuration.tenants or [])
     if configuration.limits is not None:
         documents[_path("limits", "callers")] = _caller_limits(configuration.limits)
@@ -187,8 +192,8 @@
 
 
 def _route_services(route: _Route) -> list[str]:
-    shares = [share.service for share in route.weighted_clusters]
-    return shares or [route.service]
+    services = [cluster.service for cluster in route.weighted_clusters]
+    return services or [route.service]
 
 
 def _service_document(
@@ -202,7 +207,7 @@
             hold_out_max_s=HOLD_OUT_MAX_S,
             hold_out_growth=HOLD_OUT_GROWTH,
             trial_successes=TRIAL_SUCCESSES,
-            calm_s=CALM_S,
+            calm_s=HOLD_OUT_DECAY_S,
         ),
         retry_budget=RetryBudget(
             fraction=retries.fraction * RETRY_RATIO_USED_FRACTION,
@@ -216,8 +221,8 @@
 
 def _route_document(route: _Route, allows_anonymous: bool) -> RouteDocument:
     shares = tuple(
-        ServiceShare(service_name(share.service), share.weight)
-        for share in route.weighted_clusters
+        ServiceShare(service_name(cluster.service), cluster.weight)
+        for cluster in route.weighted_clusters
     )
     service_names = [route.service] if route.service else _route_services(route)
     if not service_names or service_names[0] is None:
--- a/balsamspindle/platform/settings.py
+++ b/balsamspindle/platform/settings.py
@@ -20,18 +20,18 @@
 # Offsets from the first port of the file's `port_range`.
 MEMBER_PORT_OFFSET, ADMIN_PORT_OFFSET = 0, 1
 
-# The platform checks readiness once per second and moves a node's callers away after
-# two failed checks. Until then callers still send to the node.
+# The platform checks readiness once per second, and directs a node's callers to other
+# nodes after two failed checks. Until then, callers still send requests to the node.
 READY_NOTICE_S = 2.6
 # Callers on the machine have no other node, so requests wait while the node starts. It
 # finds its peers within 0.5 s, and the first backend servers announce themselves within
 # 1.5 s.
 START_HOLD_S = 2.0
-# Part of the time between SIGTERM and SIGKILL that is reserved for a graceful end after
-# the last requests were cancelled.
+# Part of the time between SIGTERM and SIGKILL that is reserved for ending the process
+# after the shutdown timeout, when the requests still in flight have been cancelled.
 SHUTDOWN_RESERVE_S = 1.0
-# Callers' connections open at a time. Each takes a thread, and all must fit into the
-# file descriptors and the memory of a small machine.
+# Maximum number of callers' connections open at a time. Each uses a thread, and all
+# must fit into the file descriptors and the memory of a small machine.
 CONNECTIONS_MAX = 1200
 # A backend server can be unable to announce itself for 10 s while requests still reach
 # it. A crashed backend server is detected earlier, by its failing requests.
--- a/balsamspindle/platform/store.py
+++ b/balsamspindle/platform/store.py
@@ -48,7 +48,8 @@
 
 # Rows in one answer; the store's own limit.
 PAGE_ROWS_MAX = 500
-# Rows with keys between the requested ones that one answer may contain besides.
+# `read` requests a range of keys. One answer may contain up to this many rows more than
+# there are requested keys, because other keys may lie between them.
 OTHER_ROWS_MAX = 16
 # All of the product's rows are in one partition (`part` on the wire), because a
 # transaction may write several tables but only one partition.
@@ -132,28 +133,29 @@
     def read(self, table, keys):
         """See `TableService.read`.
 
-        The rows are of one moment only if one page holds the whole range of keys.
+        The rows are a consistent snapshot only if one page contains the whole range of
+        keys; different pages are read at different times.
         """
         if not keys:
             return Ok([])
-        wanted = sorted(set(keys))
+        remaining_keys = sorted(set(keys))
         rows: dict[str, Row] = {}
-        while wanted:
+        while remaining_keys:
             page = self._read_page(
                 table,
-                wanted[0],
-                wanted[-1] + _NEXT_KEY_SUFFIX,
-                len(wanted) + OTHER_ROWS_MAX,
+                remaining_keys[0],
+                remaining_keys[-1] + _NEXT_KEY_SUFFIX,
+                len(remaining_keys) + OTHER_ROWS_MAX,
             )
             if page.is_error():
                 return page
             rows |= {row.key: row for row in _to_rows(page.ok)}
             if not page.ok.has_more:
                 break
-            # Rows with other keys filled the page: go on with the first requested
-            # key after them.
+            # Rows with other keys filled the page, so the next page begins with the
+            # first requested key after them.
             last = page.ok.rows[-1].key
-            wanted = [key for key in wanted if key > last]
+            remaining_keys = [key for key in remaining_keys if key > last]
         return Ok([rows.get(key, Row(key, 0)) for key in keys])
 
     def scan(self, table):
@@ -186,8 +188,8 @@
     def _reread_checked_rows(self, checks: list[Check]) -> Result[int, PlatformError]:
         """Return a conflict for a transaction whose rows were read in an earlier era.
 
-        The transaction is not sent: the store has given out the same version numbers
-        again, so a check could pass on a row with other contents.
+        The transaction is not sent. Since its restore, the store may have assigned the
+        same version numbers again, so a check could pass on a row with other contents.
         """
         rows: list[Row] = []
         for check in checks:
@@ -224,8 +226,8 @@
     def _read_all(self, table: str) -> Result[Changes, Unreachable | Unknown]:
         """Read a table page by page.
 
-        The returned version is that of the first page, so the next wait returns what
-        changed while the other pages were read.
+        The returned version is that of the first page. A wait for changes after this
+        version also returns the rows that changed while the other pages were read.
         """
         rows: list[Row] = []
         first, version = "", None
@@ -261,7 +263,7 @@
                 return _classify_failure(result)
 
     def _decode_page(self, answer: StoreAnswer) -> Result[_Page, Unknown]:
-        """Decode an answer; an answer of an earlier era is an error."""
+        """Decode an answer; it is an error if `StoreEras` rejects the answer's era."""
         era = self._eras.record_answer(answer.era)
         if era is None:
             return Error(Unknown("the store's answer belongs to another era"))
@@ -312,9 +314,9 @@
 def _transaction_result(page: _Page, checked_eras: list[int]) -> Result[int, Unknown]:
     """Return the version that a transaction wrote.
 
-    If the store was restored after the checked rows were read, the same versions may
-    belong to other contents by now. The write took effect, but its checks prove
-    nothing.
+    Returns `Unknown` if the store was restored after the checked rows were read. The
+    same versions may then belong to other contents, so the checks prove nothing,
+    although the transaction was written.
     """
     if any(era != page.era for era in checked_eras):
         return Error(Unknown("the store was restored before the write"))
--- a/balsamspindle/platform/store_calls.py
+++ b/balsamspindle/platform/store_calls.py
@@ -55,7 +55,7 @@
 
 
 class LongPollConnections:
-    """Sockets of the calls that wait for changes, so that they can be ended early."""
+    """Sockets of the calls that wait for changes; shuts them down to end the calls."""
 
     def __init__(self) -> None:
         self._lock = threading.Lock()
@@ -68,8 +68,8 @@
             if self._ended:
                 return pycurl.SOCKET_BAD
             opened = _open_socket(_purpose, address)
-            # Keep a duplicate, because libcurl closes its own descriptor and the
-            # number may then belong to another file.
+            # Keep a duplicate, because libcurl closes its own descriptor, whose number
+            # may then be reused for another file.
             self._open.add(opened.dup())
             return opened
 
@@ -87,7 +87,7 @@
                 try:
                     opened.shutdown(socket.SHUT_RDWR)
                 except OSError:
-                    # The socket is not connected, so the call ends by itself.
+                    # The socket is not connected, so the call ends without a shutdown.
                     pass
 
 
@@ -137,7 +137,7 @@
 
 
 def _record_era(line: bytes, eras: list[str]) -> None:
-    """Append the era if a header line contains it."""
+    """Append the header's value to `eras` if `line` is the era header."""
     name, _, value = line.partition(b":")
     if name.lower() == ERA_HEADER:
         eras.append(field_value(value.rstrip(b"\r\n")))
--- a/balsamspindle/platform/values.py
+++ b/balsamspindle/platform/values.py
@@ -1,8 +1,8 @@
 """Decoders of the platform's durations, versions, bytes and bounds.
 
 Every decoder raises `PlatformFormatError` for invalid text, with the text in the
-message. None returns a default: a zero, for example, would put a limit or a timeout
-into force that nobody set.
+message, and never returns a default value instead. A default of zero, for example,
+would put a limit or a timeout in force that the operator did not set.
 """
 
 import base64
@@ -58,7 +58,7 @@
 
 
 def encode_value(value: object) -> str:
-    """Encode a row's value as the store keeps it: JSON in base64."""
+    """Encode a row's value in the format of the store: JSON in base64."""
     return base64.b64encode(msgspec.json.encode(value)).decode()
 
 
--- a/balsamspindle/protocol/api_keys.py
+++ b/balsamspindle/protocol/api_keys.py
@@ -1,4 +1,4 @@
-"""Customers' keys, of which only digests are stored."""
+"""Customers' keys and their digests; only digests are stored."""
 
 import hashlib
 import secrets
@@ -14,15 +14,16 @@
 KEY_MAX_CHARACTERS = 256
 # Random bytes of a generated key.
 KEY_BYTES = 24
-# Makes these digests differ from those of other uses of the same hash.
+# Hash personalization: makes the digest of a key differ from digests of the same text
+# that are computed for other purposes.
 _HASH_PERSON = b"balsamspindle"
 
 
 def key_digest(key: str) -> str:
     """Return the hexadecimal digest under which a key is stored.
 
-    It needs no salt: keys are long and random, so a key can't be found from its digest
-    by guessing.
+    The digest needs no salt: keys are long and random, so a key can't be found from its
+    digest by guessing.
 
     Raises
     ------
--- a/balsamspindle/protocol/header_names.py
+++ b/balsamspindle/protocol/header_names.py
@@ -17,13 +17,14 @@
     outcome : str
         Outcome of a request; only on answers to callers.
     expected_backend_server : str
-        To backend servers: id of the one that an attempt is meant for. Another one
-        at the same address refuses the attempt.
+        To backend servers: id of the backend server that an attempt is meant for. A
+        backend server with another id at the same address refuses the attempt.
     caller_service : str
         To backend servers: the service beside the node that received the request
         from its caller.
     not_run : str
-        On a backend server's answer: proof that it did not run the request.
+        On a backend server's answer: proves that the backend server did not run the
+        request.
     signature : str
         On each answer that a backend server itself produced by running a request.
     credential : str
--- a/balsamspindle/protocol/outcomes.py
+++ b/balsamspindle/protocol/outcomes.py
@@ -1,4 +1,4 @@
-"""Outcomes of requests, and the reasons for them that callers are given."""
+"""Outcomes of requests, and the reasons that answers to callers contain."""
 
 from enum import StrEnum
 from typing import NamedTuple
@@ -7,19 +7,19 @@
 
 
 class Outcome(StrEnum):
-    """How a request ended, as its caller is told.
+    """How a request ended, as reported to its caller.
 
     Attributes
     ----------
     ANSWERED
         A backend server answered.
     NOT_RUN
-        No backend server ran the request. This is a guarantee: it is given only for
-        an attempt that was never written to a socket, or that the gate refused or
-        cancelled before it was dispatched, or that the backend server refused with
-        the header that proves that it did not run the request.
+        No backend server ran the request. This is guaranteed. An attempt gets this
+        outcome only if it was never written to a socket, or the gate refused or
+        cancelled it before its dispatch, or the backend server refused it with the
+        header that proves that the request was not run.
     UNKNOWN
-        A backend server may have run the request; also if nothing answered.
+        A backend server may have run the request, for example if no answer arrived.
     """
 
     ANSWERED = "answered"
@@ -44,21 +44,22 @@
     Attributes
     ----------
     NODE_LEAVING, GAVE_WAY
-        An idle connection was closed, because the node is leaving or because its
-        place was needed for another connection.
+        An idle connection was closed because the node is leaving, or to make room for
+        another connection.
     NODE_STOPPING
         The node is leaving and starts no new requests.
     GATE_ENDING
         The gate's node is leaving and may end before it can report the answer.
     DRAINING
-        The backend server is to start nothing new.
+        The backend server is draining, or its node is leaving and may end before the
+        attempt would.
     WOULD_WAIT
         The wait for a slot would be too long.
     SHED, UNPROVEN_REFUSAL
-        The backend server refused the request, with or without a proof that it ran
-        nothing.
+        The backend server refused the request: with a proof that it did not run the
+        request (SHED), or without one (UNPROVEN_REFUSAL).
     SILENCE
-        Nothing answered in time.
+        No answer arrived in time.
     BROKEN_ANSWER
         The answer was incomplete, damaged or not meant for this request.
     CLAIM_MOVED
@@ -116,10 +117,10 @@
     Attributes
     ----------
     NODE_LEAVING
-        The gate's node was leaving, and its shutdown timeout ended.
+        The gate's node was leaving, and its shutdown timeout expired.
     INGRESS_LEAVING
         The node that received the caller's request was leaving, and its shutdown
-        timeout ended.
+        timeout expired.
     CALLER_LEFT
         The caller closed its connection to another node.
     OWN_CALLER_LEFT
@@ -129,7 +130,8 @@
     ANSWERED_ELSEWHERE
         Another attempt of the same request was answered first.
     INGRESS_GAVE_UP
-        The link from the ingress ended, or the ingress gave no known cause.
+        The link from the ingress closed, or the ingress sent no cause or one that the
+        gate does not know.
     SERVER_RESTARTED
         The backend server was restarted.
     """
@@ -161,7 +163,7 @@
     title : str
         Title of the problem document (RFC 9457): one sentence for people.
     retry_after_s : int or None
-        When the caller may retry; None if a retry can't help.
+        Time after which the caller may retry; None if a retry can't help.
     """
 
     status: int
@@ -186,8 +188,8 @@
     Reason.HEAD_TOO_LARGE: Problem(431, "The request head is too large.", None),
     Reason.BODY_TOO_LARGE: Problem(413, "The request body is too large.", None),
     Reason.TOO_MANY_CONNECTIONS: Problem(503, "Too many connections are open.", 1),
-    # RFC 9110, 15.5.9: after a 408 on an idle connection the caller may repeat a
-    # request that it sent meanwhile.
+    # RFC 9110, 15.5.9: after a 408 on an idle connection, the caller may repeat a
+    # request that it sent while the node closed the connection.
     Reason.GAVE_WAY: Problem(
         408, "The idle connection made room; no request was read from it.", None
     ),
