--- a/balsamspindle/settings/configuration.py
+++ b/balsamspindle/settings/configuration.py
@@ -240,7 +240,7 @@
     def offer(
         self, revision: int, documents: Mapping[str, bytes], chain: str = ""
     ) -> ApplyResult:
-        """Put all documents of a revision in force if it is newer than the present one.
+        """Put all documents of a revision in force, unless it is in force or outdated.
 
         Only the documents that differ from those in force are decoded. Decoding
         4,000 routes takes 40 ms on a fast processor; on a small processor it takes
@@ -265,7 +265,7 @@
         return ApplyResult.OLD
 
     def install(self, configuration: Configuration) -> ApplyResult:
-        """Put a configuration in force if it is newer than the present one."""
+        """Put a configuration in force if its revision is newer than this node's."""
         with self._lock:
             # A peer and the platform may deliver settings at the same time. If the
             # revisions were not compared under the lock, the later call could replace
--- a/balsamspindle/settings/customers.py
+++ b/balsamspindle/settings/customers.py
@@ -43,8 +43,8 @@
         table._shared = self._shared
         table._changes = dict(self._changes)
         for key, customer in _by_key(removed):
-            # If several customers' documents list a key, the table holds the customer
-            # that was added last. Removing another customer must not remove this key.
+            # If several customers' documents list a key, the table contains only the
+            # customer that was added last. Removing another one must leave the key.
             if self.find(key.hex()) is customer:
                 table._changes[key] = None
         table._changes.update(_by_key(added))
--- a/balsamspindle/settings/gossip.py
+++ b/balsamspindle/settings/gossip.py
@@ -99,7 +99,7 @@
         self._other_zone_notice: SettingsNotice | None = None
         self._other_zone_pull_s = 0.0
         self._next_offer_request_s = 0.0
-        self._next_no_source_s: float | None = None
+        self._next_no_source_report_s: float | None = None
         self._pages_by_revision: dict[int, tuple[str, list[bytes]]] = {}
 
     def receive(self, message: Any) -> None:
@@ -115,7 +115,7 @@
         return self._download.offered_revision
 
     def receive_revision(self, address: str, revision: int) -> None:
-        """Enqueue a notice if a member message's revision is not yet in force here."""
+        """Enqueue a notice if a peer's member message has a newer revision."""
         if revision > self._configuration.revision:
             self.receive(SettingsNotice(address, revision))
 
@@ -270,7 +270,7 @@
                 )
 
     def _report_in_force(self, address: str, accepted_ms: int | None = None) -> None:
-        self._next_no_source_s = None
+        self._next_no_source_report_s = None
         self._events.emit(
             "settings_in_force",
             revision=self._configuration.revision,
@@ -343,10 +343,10 @@
             self._send(address, pull)
 
     def _report_no_source(self, now_s: float) -> None:
-        if self._next_no_source_s is None:
-            self._next_no_source_s = now_s + NO_SOURCE_AFTER_S
-        if now_s >= self._next_no_source_s:
-            self._next_no_source_s = now_s + NO_SOURCE_REPEAT_S
+        if self._next_no_source_report_s is None:
+            self._next_no_source_report_s = now_s + NO_SOURCE_AFTER_S
+        if now_s >= self._next_no_source_report_s:
+            self._next_no_source_report_s = now_s + NO_SOURCE_REPEAT_S
             self._events.emit(
                 "settings_no_source",
                 peers=len(self._addresses()),
--- a/balsamspindle/settings/process.py
+++ b/balsamspindle/settings/process.py
@@ -99,8 +99,8 @@
         Maximum time for which a starting node refuses connections because it does
         not know yet where to send requests. Suits callers that can use other nodes.
     start_hold_s : float
-        Until this long after the node's start, requests wait for settings and
-        backend servers to be known. Suits callers that have no other node.
+        Until this long after the node's start, requests wait until the node knows
+        settings and backend servers. Suits callers that have no other node.
     retry_after_decimals : int
         Decimals of the seconds in Retry-After. The HTTP standard allows whole
         seconds only.
@@ -121,8 +121,8 @@
         as its rate allows in that time, plus its burst. With 0, the burst may be
         used once and is then refilled at the customer's rate.
     limit_over_part : float
-        Fraction of the requests allowed within `limit_window_s` by which a
-        customer may exceed them at one moment.
+        How far a customer may exceed the number of requests that are allowed
+        within `limit_window_s` at one moment, as a fraction of this number.
     limit_slack : float
         Number of additional requests by which a customer may exceed its limit,
         over all nodes together. Without them, each node's part of a small burst
@@ -132,9 +132,10 @@
         are valid; None accepts them without proofs.
     key_resend_max_s : float
         How long a caller may send a request again with the same Idempotency-Key,
-        counted from the first time that it sent the request. Also how long no
-        request with a new key is run in the following case: the store was restored
-        from an older copy, and a node ended before it had written its claims again.
+        counted from the first time that it sent the request. If the store was
+        restored from an older copy and a node ended before it had written its
+        claims again, requests whose keys have no claim are not run until this long
+        after the restore, because their claims may be lost.
     """
 
     node_id: Name
--- a/balsamspindle/settings/reader.py
+++ b/balsamspindle/settings/reader.py
@@ -111,7 +111,7 @@
         self._own = own
         self._records = records
         self._random = random.Random(f"{own.node_id}/{own.incarnation}/poll")
-        self._known_max = 1
+        self._known_nodes_max = 1
 
     def first_wait_s(self) -> float:
         """Return the delay of the first poll; 0 without seed addresses.
@@ -135,11 +135,11 @@
     def next_wait_s(self, has_settings: bool) -> float:
         """Return the time until the next poll."""
         records = self._records()
-        known = max(1, len(records))
-        self._known_max = max(self._known_max, known)
+        known_nodes = max(1, len(records))
+        self._known_nodes_max = max(self._known_nodes_max, known_nodes)
         wait_s = NON_READER_POLL_INTERVAL_S if has_settings else POLL_INTERVAL_MAX_S
         if is_reader(self._own, records):
-            slowed_interval_s = POLL_INTERVAL_S * self._known_max / known
+            slowed_interval_s = POLL_INTERVAL_S * self._known_nodes_max / known_nodes
             wait_s = min(POLL_INTERVAL_MAX_S, slowed_interval_s)
         return wait_s * self._random.uniform(1 - JITTER, 1 + JITTER)
 
@@ -159,7 +159,8 @@
         Returns the highest revision that peers offered this node.
     on_read : callable
         Called after a poll with the monotonic time at which the poll began and
-        the platform's revision. Not called if the platform lost changes.
+        the platform's revision. Not called if the poll failed or the platform
+        lost changes.
     """
 
     def __init__(
@@ -271,8 +272,8 @@
 
     def _load_initial(self, fleet: FleetRow) -> None:
         # If a node started at an older revision than its peers have in force, it would
-        # route requests by outdated settings. So it waits until the peers have sent
-        # their settings. The wait is limited, since the peers may have stopped.
+        # route requests by outdated settings. So the node waits until the peers have
+        # sent their settings. The wait is limited, since the peers may have stopped.
         waited_s = time.monotonic() - self._started_s
         if fleet.revision < self._offered_revision() and waited_s < PEERS_WAIT_MAX_S:
             self._set_state(PlatformState.OLDER, "peers offer a newer revision")
--- a/balsamspindle/settings/recovery.py
+++ b/balsamspindle/settings/recovery.py
@@ -101,7 +101,7 @@
         case Result(error=Conflict()):
             return Error(
                 SettingsConflict(
-                    "another edit was accepted meanwhile: check the settings again"
+                    "an edit was accepted meanwhile: check the settings again"
                 )
             )
         case Result(error=Unknown(message)):
--- a/balsamspindle/settings/results.py
+++ b/balsamspindle/settings/results.py
@@ -72,7 +72,7 @@
 
 
 class NotKnown(msgspec.Struct, frozen=True):
-    """A write got no reply; `SettingsStore.settle` determines whether it succeeded."""
+    """A write got no reply; `SettingsStore.settle` determines the outcome."""
 
     message: str
     operation_id: str = ""
--- a/balsamspindle/settings/subtree.py
+++ b/balsamspindle/settings/subtree.py
@@ -4,7 +4,7 @@
 these documents name, so its cost does not grow with the number of teams.
 
 A team may remove a service even if routes of other teams name it. Otherwise a team
-could block edits of another team's documents with a route. After the removal, requests
+could block another team's edits by naming its service in a route. Afterwards, requests
 for such a route are answered with ``not_run`` (no backend server). The team that owns
 the route can still edit its documents, because an edit is refused only for faults that
 the edit introduces.
--- a/balsamspindle/settings/watcher.py
+++ b/balsamspindle/settings/watcher.py
@@ -73,8 +73,8 @@
         Called each time that newer settings came in force.
     on_read : callable
         Called after a read of the row with the monotonic time at which the
-        read began and the revision in the row. Not called if the store lost
-        changes.
+        read began and the revision in the row. Not called if the read failed or
+        the store lost changes.
 
     Attributes
     ----------
--- a/examples/demo.py
+++ b/examples/demo.py
@@ -107,12 +107,12 @@
     for number in range(GRAY_REQUESTS_MAX):
         answer = deployment.call(near_node, "GET", f"{route['path_prefix']}/{number}")
         failed += answer.status != 200
-        if number % 10 == 9 and _is_excluded(near_node, faulty):
+        if number % 10 == 9 and _is_left_out(near_node, faulty):
             break
     else:
         raise DemoFailed(f"{faulty['name']} still receives requests")
     print_line(
-        f"  excluded after {number + 1} requests; {failed} callers received its error"
+        f"  left out after {number + 1} requests; {failed} callers received its error"
     )
     show("ctl", "explain", faulty["service"], "--node", near_node["admin_address"])
     show(
@@ -121,7 +121,7 @@
     set_fault(faulty["address"], "none")
 
 
-def _is_excluded(node: dict, server: dict) -> bool:
+def _is_left_out(node: dict, server: dict) -> bool:
     view = get(node["admin_address"], f"/services/{server['service']}/explain")
     rows = {row["backend_server_id"]: row for row in view["backend_servers"]}
     return not rows[server["name"]]["takes_work"]
