--- a/balsamspindle/backend_servers/customer_turns.py
+++ b/balsamspindle/backend_servers/customer_turns.py
@@ -2,10 +2,12 @@
 
 One customer may send many times as many requests as all others together, so that the
 queue never becomes empty. To keep this customer from delaying the others, the queue
-uses start-time fair queueing: each waiting request gets a turn number, and lower turns
-are served first. The turn of a request is one higher than that of its customer's
-previous request, and not lower than the turn that is being served. A customer therefore
-waits behind its own requests only, not behind the backlog of another customer.
+uses start-time fair queueing: each waiting request gets a turn number, its turn, and
+lower turns are served first. The highest turn of the requests that have started is the
+turn that is being served. The turn of a request is one higher than that of its
+customer's previous request, and not lower than the turn that is being served. A
+customer therefore waits behind its own requests only, not behind the backlog of another
+customer.
 """
 
 from collections import Counter
@@ -41,7 +43,7 @@
             self._discard_served()
 
     def advance_to(self, turn: int) -> None:
-        """Set the turn that is being served, when a request with this turn starts."""
+        """Set the turn number that is being served; called when a request starts."""
         self._current_turn = max(self._current_turn, turn)
 
     def reset(self) -> None:
--- a/balsamspindle/backend_servers/dispatches.py
+++ b/balsamspindle/backend_servers/dispatches.py
@@ -1,4 +1,7 @@
-"""Functions that derive values from the message of an attempt at its gate."""
+"""Functions with which a gate evaluates the message that starts an attempt.
+
+They return, for example, the attempt's deadline and the headers for the backend server.
+"""
 
 import math
 
--- a/balsamspindle/backend_servers/health.py
+++ b/balsamspindle/backend_servers/health.py
@@ -169,8 +169,9 @@
         `TRIAL_WAIT_S` of the trial it gets only idempotent attempts whose requests can
         be retried. If such an attempt fails, its request is retried at another backend
         server; any other request would be lost. In the first `LIGHTEST_WAIT_S` it gets
-        only the lightest of these attempts, because a heavier one may be a call that a
-        non-idempotent request waits for.
+        only the lightest of these attempts. A heavier one may be a call that a
+        non-idempotent request waits for. If the call and its retries failed, the
+        non-idempotent request would fail too, and could not be retried.
 
         Parameters
         ----------
@@ -210,11 +211,12 @@
         """Return how long the gate will refuse attempts; 0 if it refuses none.
 
         The time is always 0 without `independent_errors`: the gate then admits all
-        attempts and publishes its suspicion to all nodes instead. If an ingress also
-        received the length of a hold-out, it would send no requests until the planned
-        end, even if a restart or good requests ended the hold-out early. It would also
-        avoid backend servers that have to stay in use: those on trial, and those
-        without which the service's remaining capacity would be below its floor.
+        attempts, also in the phases other than serving, and publishes its suspicion to
+        all nodes. If an ingress were also sent the planned length of the phase, it
+        would send no requests until the planned end, even if a restart or good requests
+        ended the phase early. It would also avoid backend servers that have to stay in
+        use: those on trial, and those without which the service's remaining capacity
+        would be below its floor.
         """
         refuses = self._work.detection.independent_errors
         if self.phase is HealthPhase.SERVING or not refuses:
--- a/balsamspindle/backend_servers/health_readmission.py
+++ b/balsamspindle/backend_servers/health_readmission.py
@@ -121,7 +121,10 @@
         self._enter(HealthPhase.SERVING, now_s)
 
     def undo_ejection(self, now_s: float) -> None:
-        """Enter the serving phase, and undo the last increase of the next hold-out."""
+        """Enter the serving phase after a wrong ejection.
+
+        The ejection made the next hold-out longer; this increase is undone.
+        """
         self.growth_exponent = max(0, self.growth_exponent - 1)
         self.readmit(now_s)
 
--- a/balsamspindle/backend_servers/health_score.py
+++ b/balsamspindle/backend_servers/health_score.py
@@ -22,9 +22,9 @@
 
 SHARED_CAUSE_FRACTION = 0.5
 HEALTHY_RATE_MIN = 0.002
-# Length of the moving average of a learned rate, in requests. It starts at the minimum,
-# so the initial rate counts as much as that many requests, and grows by one with each
-# request up to the maximum.
+# Length of the moving average of a learned rate, in requests. The length starts at the
+# minimum and grows by one with each request, up to the maximum. The initial rate thus
+# counts as much as LEARNING_REQUESTS_MIN requests.
 LEARNING_REQUESTS_MIN = 100
 LEARNING_REQUESTS_MAX = 2000
 HEALTHY_RATE_MAX = 0.99
--- a/balsamspindle/backend_servers/queue.py
+++ b/balsamspindle/backend_servers/queue.py
@@ -99,7 +99,9 @@
     route_time_s : float
         Mean service time of its route; 0 when unknown.
     run_was_lost : bool
-        Whether an earlier run of the request was lost with a node that left.
+        Whether an earlier run of the request was lost, or is about to be lost: its
+        gate cancelled it, announced that its node stops, or did not reply; or the
+        backend server crashed.
     rank_s : float
         Time that is added to `target_s` when tickets are sorted. The calls that a
         backend server makes at the same time to handle one request share one rank, so
@@ -304,11 +306,13 @@
     def _shed_for(self, ticket: Ticket) -> bool:
         """Shed one of the lightest waiting attempts to make room for the ticket.
 
-        The candidate is the newest of the lightest attempts of one customer: the
-        customer that has the most of the lightest attempts. The candidate is shed if it
-        is lighter than the ticket. It is also shed if it is as heavy as the ticket, and
-        its customer has more waiting attempts of that weight than the ticket's customer
-        would have with the ticket.
+        Only the waiting attempts with the lowest weight are considered. The customer
+        with the most of them is selected, and the newest of its attempts is the
+        candidate. A candidate that is lighter than the ticket is shed, and a heavier
+        one is not. If both have the same weight, each customer's attempts of this
+        weight are counted, the ticket included. The candidate is shed if its customer
+        has more of them than the ticket's customer. It is not shed if its request or
+        the ticket's has no customer.
 
         Returns
         -------
@@ -351,9 +355,9 @@
 
 
 def _is_late(ticket: Ticket, now_s: float) -> bool:
-    # An attempt whose earlier run was lost with a node is late because of this loss,
-    # and has already waited for a slot once. If it started after all new attempts, it
-    # would never start.
+    # If an earlier run of the request was lost, the attempt is late because of the
+    # loss, and the request has already waited for a slot once. If the attempt started
+    # after all new attempts, it would never start.
     if ticket.target_s is None or ticket.run_was_lost:
         return False
     # Attempts with the same rank are calls that a backend server makes for one request,
--- a/balsamspindle/backend_servers/retry_grants.py
+++ b/balsamspindle/backend_servers/retry_grants.py
@@ -68,10 +68,11 @@
         Parameters
         ----------
         may_repeat : bool
-            Whether the request may be repeated. If not, its weight does not cause
-            repeats to be reserved. If repeats were reserved for requests that are never
-            repeated, half of all grants could stay unused while repeats of lighter
-            requests are refused, for example 67 repeats within 15 s.
+            Whether the request may be repeated. If so, and if its weight is the
+            greatest of recent requests, half of the service's repeats are reserved for
+            requests of this weight. If repeats were also reserved for requests that are
+            never repeated, half of all grants could stay unused while repeats of
+            lighter requests are refused, for example 67 repeats within 15 s.
         repeat_fraction : float
             Probability that the request was sent by a run that is a repeat.
         """
@@ -119,10 +120,12 @@
             runs there fail, while the same repeats could succeed at healthy backend
             servers. Half of all repeats are therefore reserved for other attempts.
         run_was_lost : bool
-            Whether an earlier run of the request was lost with a node that left. Such a
-            request may use the repeats reserved for heavier requests: heavier requests
-            are repeated because they failed at their backend servers, while this
-            request would have been answered if the node had not left.
+            Whether an earlier run of the request was lost, or is about to be lost: its
+            gate cancelled it, announced that its node stops, or did not reply; or the
+            backend server crashed. Such a request may use the repeats reserved for
+            heavier requests: heavier requests are repeated because they failed at their
+            backend servers, while this request would have been answered if its run had
+            not been lost.
         """
         budget = self._budget(service, now_s)
         if not budget.fleet_per_s_min:
--- a/balsamspindle/backend_servers/slots.py
+++ b/balsamspindle/backend_servers/slots.py
@@ -19,8 +19,9 @@
 # load of 1.2 only one. Reserving one of three slots for a load of 0.2 would leave that
 # slot idle for 80% of the time while lighter requests are refused.
 LOAD_ROUNDING = 0.7
-# Heavier requests are assumed to leave at least this many slots to lighter requests,
-# because the average load is accurate only to a few tenths of a slot.
+# Heavier requests are assumed to leave at least this many slots to lighter requests.
+# Their average load is accurate only to a few tenths of a slot. Even if it is as high
+# as the number of slots, lighter requests may get a fraction of a slot.
 EFFECTIVE_SLOTS_MIN = 0.25
 # Bounds of the time for which a slot stays occupied after `WorkEnd.IN_DOUBT`.
 RELEASE_DELAY_MIN_S = 0.1
--- a/balsamspindle/crashes/history.py
+++ b/balsamspindle/crashes/history.py
@@ -64,8 +64,8 @@
     quarantines so far) or by a lifted one with the same term.
 
     Most requests that are lost in a crash are answered at their next attempt and never
-    lost again. Sharing these answers would cost six updates for a crash at which six
-    requests ran. So an answer after one loss is shared only after a second loss.
+    lost again. To share each answer would cost six updates for a crash with six runs.
+    So an answer after one loss is shared only when its request is lost a second time.
 
     Parameters
     ----------
@@ -335,7 +335,7 @@
     def _related_crashes(self, crashes: list[Crash], now_s: float) -> list[Crash]:
         """Return other crashes from which runs of requests in `crashes` were removed.
 
-        Peers may not know of the removals: an answer after one loss is not shared.
+        Peers may not know of the removals: answers after one loss were not shared.
         """
         content_hashes = {run.content_hash for crash in crashes for run in crash.runs}
         keys = set().union(*(self._removed.get(one, ()) for one in content_hashes))
--- a/balsamspindle/crashes/records.py
+++ b/balsamspindle/crashes/records.py
@@ -38,8 +38,8 @@
     Attributes
     ----------
     start : int
-        Identifies the process that ended among all processes of the backend server,
-        see `start_id`.
+        Identifies the process that ended; different for each process of the backend
+        server, see `start_id`.
     age_ms : int
         Time from the crash to the sending of this record.
     runs : tuple of CrashedRun
--- a/balsamspindle/crashes/verdicts.py
+++ b/balsamspindle/crashes/verdicts.py
@@ -1,4 +1,7 @@
-"""Distinguishes requests that cause crashes from requests that only run at crashes."""
+"""Distinguishes requests that cause crashes from those that run by coincidence.
+
+A request that runs at a backend server when it crashes need not be the cause.
+"""
 
 import heapq
 import itertools
@@ -201,8 +204,9 @@
     """
     if expected >= count:
         return 1.0
-    # The probabilities of larger counts are not added. While `expected` is less than
-    # half of `count`, their sum is less than the probability of `count` itself.
+    # The probabilities of larger counts are not added. If `expected` is less than half
+    # of `count`, their sum is less than the probability of `count` itself. The result
+    # is then more than half of the probability of `count` or more crashes.
     return expected**count * math.exp(-expected) / math.factorial(count)
 
 
--- a/balsamspindle/customers/granters.py
+++ b/balsamspindle/customers/granters.py
@@ -157,10 +157,10 @@
     def own_rate(self, customer: str, limit: Limit, now_s: float) -> Rate:
         """Return the rate and burst that this node may grant of a customer's limit.
 
-        The rate and burst that the scope may grant are divided equally among its nodes.
-        The granter grants the fractions of all nodes that it knows to be alive. A node
-        that is queried because the granter is unreachable grants the fraction of a
-        single node.
+        Each node of the scope counts for an equal fraction of the rate and burst that
+        the scope may grant. The granter may grant the fractions of all nodes that it
+        knows to be alive, on their behalf. A node that is queried because the granter
+        is unreachable may grant only the fraction of a single node.
         """
         counted = len(self._nodes) if self.is_own(customer) else 1
         fraction = _SCOPE_FRACTIONS[self._scope] * counted / self._node_count(now_s)
--- a/balsamspindle/customers/limits.py
+++ b/balsamspindle/customers/limits.py
@@ -139,7 +139,7 @@
         return None
 
     def refund(self, grant: Grant) -> None:
-        """Return the grant of a request that did not run to its granting node."""
+        """Return an unused grant to its granting node; its request did not run."""
         if not grant.is_limited:
             return
         if grant.node is None:
@@ -178,9 +178,11 @@
                 self._buckets[scope].keep_only(granters.is_own, now_s)
 
     def _newest_limit(self, question: LimitQuestion) -> Limit:
-        """Return the customer's limit in the newest settings of any question so far.
+        """Return the customer's limit from the question with the newest settings.
 
-        A node with older settings may send a limit that is no longer in force.
+        Each question contains the limit in its sender's settings, and their revision.
+        A node with older settings may send a limit that is no longer in force, so the
+        limit of the highest revision received so far is used.
         """
         known = self._known_limits.get(question.customer)
         if known is None or question.revision >= known.revision:
--- a/balsamspindle/requests/answers.py
+++ b/balsamspindle/requests/answers.py
@@ -29,8 +29,9 @@
 
 @lru_cache(maxsize=8)
 def _replaced_headers(names: HeaderNames) -> frozenset[str]:
-    # These headers of a backend server's response are dropped. Only the fleet knows the
-    # outcome, and a second Content-Length header would allow response splitting.
+    # These headers of a backend server's response are dropped, because the fleet adds
+    # its own. A backend server does not know the outcome that the outcome header
+    # states. A second Content-Length header would allow response splitting.
     return HOP_BY_HOP_HEADERS | {
         "content-length",
         names.outcome.lower(),
--- a/balsamspindle/requests/attempts.py
+++ b/balsamspindle/requests/attempts.py
@@ -88,7 +88,7 @@
         return AttemptId(self._own.node_id, self._own.incarnation, next(self._sequence))
 
     def set_end_time(self, ends_s: float) -> None:
-        """Set when this node ends, so that gates start no run that ends afterwards."""
+        """Set this node's stop time; gates then start no run that would end later."""
         self._link_attempts.set_end_time(ends_s)
 
     def abort_attempts(self) -> None:
@@ -111,12 +111,12 @@
         return None
 
     def cancel_parked(self, forwarded: ForwardedRequest, has_answer: bool) -> None:
-        """Cancel the request's parked attempts that are still open.
+        """Cancel the request's parked attempt, if it is still open.
 
         Parameters
         ----------
         has_answer : bool
-            Whether another attempt was answered. If so, the gates are sent this as the
+            Whether another attempt was answered. If so, the gate is sent this as the
             cause of the cancellation.
         """
         self._link_attempts.cancel_parked(forwarded, has_answer)
@@ -233,8 +233,8 @@
     ) -> tuple[Reply, Reply | None]:
         """Run an attempt at the own gate; return two replies.
 
-        The first is the reply to this attempt. The second is the reply to a parked
-        attempt of the request that succeeded during this run; None if there is none.
+        The first is the reply to this attempt. The second is the successful reply to
+        the request's parked attempt; None if no such reply arrived during this run.
         """
         if not forwarded.parked:
             return self._gate.handle(dispatch, self._clock()), None
--- a/balsamspindle/requests/claim_eras.py
+++ b/balsamspindle/requests/claim_eras.py
@@ -41,7 +41,10 @@
 
 
 class ClaimHolder(NamedTuple):
-    """A process that may know claims: its gate ran their keys, or it wrote them."""
+    """A process that may know claims.
+
+    Its gate ran requests with the claimed keys, or its ingress wrote the claims.
+    """
 
     node_id: str
     incarnation: int
@@ -95,8 +98,8 @@
         """Record which processes of the fleet are running now.
 
         Removes the processes that ended more than `COPY_AGE_MAX_S` before the store's
-        last answer. Each copy from which the store can be restored was made later, so
-        it has all claims of these processes.
+        last answer. The store can only be restored from a copy that was made after
+        these processes ended. Such a copy contains all their claims.
 
         Parameters
         ----------
@@ -211,10 +214,12 @@
 def _confirms(confirmation: Confirmation | None, holder: ClaimHolder, era: int) -> bool:
     """Return whether a node's confirmation of an era is from the given process.
 
-    The confirmation may be from a process that started later on the same node. The
-    incarnation of a later process is higher than any incarnation of `holder`. The
-    incarnation in the confirmation of `holder` itself may be lower than the one in
-    `holder`: a process raises its incarnation to refute outdated reports about itself.
+    The confirmation may also be from a process that started later on the same node.
+    Such a process has a higher incarnation than `holder` ever had. A confirmation by
+    `holder` itself contains the incarnation that the process had when it started. The
+    incarnation in `holder` is the same or higher, because a process raises its
+    incarnation to refute outdated reports about itself. So the confirmation is from
+    `holder` exactly if its incarnation is not higher than the one in `holder`.
     """
     if confirmation is None or confirmation.era < era:
         return False
--- a/balsamspindle/requests/claim_restorer.py
+++ b/balsamspindle/requests/claim_restorer.py
@@ -233,7 +233,11 @@
         )
 
     def _write_batch(self, claims: list[_ClaimRewrite], era: int) -> bool:
-        """Write claims that are missing or replaced in the store; False on failure."""
+        """Write a batch of claims; return False if the store fails or changes its era.
+
+        A claim is not written if the store has a claim of the same key, unless
+        `overrides` is set and the store's claim names another process.
+        """
         versions = dict.fromkeys((claim.key for claim in claims), 0)
         for _ in range(BATCH_ATTEMPTS_MAX):
             if not claims:
--- a/balsamspindle/requests/claims.py
+++ b/balsamspindle/requests/claims.py
@@ -211,10 +211,10 @@
     def _call_store(self, deadline_s: float, call: Callable):
         """Return the result of a call to the store, made in a thread of the pool.
 
-        Returns None if the node has no platform, or if the deadline passes before the
-        call ends: the platform may not answer for longer than the request can wait. A
-        write that takes effect after the deadline is harmless. It leaves a valid claim
-        of the key, which a resent request then uses.
+        The platform may need longer for its answer than the request can wait. So this
+        method returns None if the deadline passes before the call ends. It also returns
+        None if the node has no platform. A write that takes effect after the deadline
+        is harmless: it leaves a valid claim of the key, which a resent request uses.
         """
         if self._tables is None:
             return None
@@ -283,7 +283,7 @@
         self._unavailable = False
 
     def look_up(self) -> None:
-        """Read the key's claim, unless it is known or the store did not answer before.
+        """Read the key's claim, unless it is known or an earlier read got no answer.
 
         If no backend server can run the request now, the gate that the claim names can
         still report whether it ran the key.
@@ -303,7 +303,7 @@
         return self._claim.node_id
 
     def claim_for(self, gate: GateIdentity, gate_time_s: float) -> Claim | Reason:
-        """Return the claim for an attempt, or the reason why it must not be sent.
+        """Return the claim for an attempt, or why the attempt must not be sent.
 
         Parameters
         ----------
--- a/balsamspindle/requests/content.py
+++ b/balsamspindle/requests/content.py
@@ -19,7 +19,8 @@
     parts = (request.host, request.method, request.target, credential)
     if request.key_digest is not None:
         parts += (request.key_digest,)
-    # Without the lengths, different requests could give the same string.
+    # Each part is preceded by its length. Without the lengths, the parts of different
+    # requests could be joined to the same string and get the same hash.
     head = "".join(f"{len(part)}:{part}" for part in parts)
     seed = xxhash.xxh3_64_intdigest(head.encode())
     return xxhash.xxh3_64_intdigest(request.body, seed)
--- a/balsamspindle/requests/forwarded.py
+++ b/balsamspindle/requests/forwarded.py
@@ -243,9 +243,10 @@
     is_paid : bool
         Whether a retry token was already spent on the second attempt. It is spent in
         advance if the first attempt runs at the own gate, because such an attempt is
-        ended after `hedge_delay_s`, before the second attempt starts. If no token
-        remained at that time, the slow first attempt, which might still have been
-        answered, would be ended, and no second attempt could be made.
+        ended after `hedge_delay_s`, before the second attempt starts. Suppose that the
+        token were spent only after the first attempt was ended, and that no token
+        remained by then. Then no second attempt could be made, although the first
+        attempt, if it had not been ended, might still have been answered.
     """
 
     hedge_delay_s: float
--- a/balsamspindle/requests/forwarding.py
+++ b/balsamspindle/requests/forwarding.py
@@ -40,15 +40,14 @@
 
 __all__ = ["ForwardedRequest", "Forwarder"]
 
-# Every SEARCH_AGAIN_S (half of gate_links.HOLD_OUT_S), a request that all gates refused
-# is sent to them again. After a fraction of its remaining time, it may be sent to a
-# suspected backend server. An idempotent request may be sent to one at once: if the
-# request waited, the gates' queues would be full after the wait.
+# A request that all gates refused is sent to them again every SEARCH_AGAIN_S (half of
+# gate_links.HOLD_OUT_S), for this fraction of its remaining time. Then it may be sent
+# to a suspected backend server. The fraction is 0 for an idempotent request: after a
+# wait, it would find the queues of all unsuspected backend servers full.
 SEARCH_AGAIN_S = 0.25
 SEARCH_AGAIN_FRACTIONS = {Execution.IDEMPOTENT: 0.0, Execution.NON_IDEMPOTENT: 0.1}
-# If the reply to an attempt has one of these reasons, the run was lost because of the
-# gate's node, not because of the backend server. The request may then be sent again to
-# gates that refused it before the run.
+# Reasons of replies to attempts whose run was lost because of the gate's node. The
+# request may then be sent again to gates that refused it before the run.
 _LOST_WITH_GATE = frozenset({Reason.GATE_ENDING, Reason.CANCELLED, Reason.SILENCE})
 
 
@@ -112,7 +111,7 @@
         return self._sender.held_out_servers
 
     def set_end_time(self, ends_s: float) -> None:
-        """Set when this node ends, so that gates start no run that ends afterwards."""
+        """Set this node's stop time; gates then start no run that would end later."""
         self._sender.set_end_time(ends_s)
 
     def abort_attempts(self) -> None:
@@ -238,7 +237,8 @@
     ) -> None:
         """Record an answer, its size and, unless `latency_s` is None, its latency."""
         route = forwarded.route
-        # Recorded here too: the gate's node may stop before it reports the answer.
+        # The gate's node also records the answer and reports it to the other nodes. It
+        # may stop before it reports the answer, so this node records it too.
         self._crash_history.record_answer(forwarded.content_hash, self._clock())
         if latency_s is not None:
             self._retries.record_answer(
@@ -256,8 +256,8 @@
         if not is_refusal(reply):
             forwarded.failed.add(server_id)
         if reply.reason is Reason.SERVER_CRASHED:
-            # The failure is not attributed to the request, just as if a node had ended.
-            # So the request may use retries that are reserved for heavier requests.
+            # The crash is not attributed to the request: without it, an answer was
+            # likely. So the request may use retries reserved for heavier requests.
             forwarded.run_was_lost = True
 
     def _may_retry(
@@ -306,11 +306,11 @@
     def _widen_search(self, forwarded: ForwardedRequest) -> bool:
         """Prepare a new search after all gates refused; return False to end the search.
 
-        A suspected backend server gets a trial within a second. So a non-idempotent
-        request is sent to all gates again for a fraction of its remaining time; after
-        that it may be sent to a suspected backend server as a last resort. An
-        idempotent request may be sent to one at once. So a service whose backend
-        servers are all suspected or busy still answers some requests.
+        A non-idempotent request is sent to all gates again for a fraction of its
+        remaining time: a suspected backend server gets a trial within a second and, if
+        it passes, may serve the request. After that time, or at once if idempotent, the
+        request may be sent to a suspected backend server as a last resort. So a service
+        whose backend servers are all suspected or busy still answers some requests.
         """
         now_s = self._clock()
         if forwarded.is_last_resort or not forwarded.may_send():
@@ -362,7 +362,7 @@
         return None if placement is None else Selection(placement)
 
     def _must_stop(self, forwarded: ForwardedRequest, reply: Reply) -> bool:
-        """Return whether to make no more attempts; after a run, restart the search."""
+        """Return whether to end attempts; after a failed run, restart the search."""
         if not is_refusal(reply):
             if not forwarded.may_send():
                 return True
--- a/balsamspindle/requests/heads.py
+++ b/balsamspindle/requests/heads.py
@@ -154,7 +154,7 @@
     """
     if version not in _VERSIONS:
         raise BadRequest(
-            Reason.HTTP_VERSION, "Only HTTP/1.0 and HTTP/1.1 are supported."
+            Reason.HTTP_VERSION, "Only HTTP/1.0 and HTTP/1.1 are taken here."
         )
     headers, control_headers = _sort_headers(raw_headers, _header_rules(names))
     _check_framing(version, control_headers)
@@ -223,12 +223,12 @@
         # end of the body at another byte than this node does.
         raise BadRequest(
             Reason.BAD_REQUEST,
-            "The only supported transfer coding is chunked, with HTTP/1.1.",
+            "The only transfer coding taken is chunked, with HTTP/1.1.",
         )
     expected = control_headers.get("expect")
     if expected is not None and expected.lower() != "100-continue":
         raise BadRequest(
-            Reason.EXPECTATION, "The only supported expectation is 100-continue."
+            Reason.EXPECTATION, "The only expectation taken is 100-continue."
         )
 
 
--- a/balsamspindle/requests/http.py
+++ b/balsamspindle/requests/http.py
@@ -94,8 +94,9 @@
         # Error in the received bytes; complete requests before it are still answered.
         self._parse_error: BadRequest | None = None
         # Head of a request that has a body and offers a protocol upgrade. The parser
-        # stops after such a head, so a new parser has to read the body. None again once
-        # the new parser has parsed the head that `_body_framing` puts before the body.
+        # stops after this head, so a new parser has to read the body. The new parser
+        # first gets a minimal head from `_body_framing`. This attribute is None again
+        # when the new parser has read that minimal head.
         self._upgrade_head: RequestHead | None = None
         self._in_request = False
         self._head_complete = False
@@ -171,9 +172,9 @@
 
     def caller_left(self) -> bool:
         """Return whether the caller has closed the connection; does not block."""
-        # Poll first: on a socket with a timeout, recv waits for data even with
-        # MSG_DONTWAIT. It would block for the idle timeout, and a caller that waits for
-        # its answer would then count as disconnected.
+        # Poll first: if the socket has a Python timeout, recv waits for data even with
+        # MSG_DONTWAIT and then raises TimeoutError. TimeoutError is an OSError, so a
+        # caller that waits for its answer would count as disconnected.
         poller = select.poll()
         poller.register(self._socket, select.POLLIN)
         if not poller.poll(0):
@@ -233,7 +234,7 @@
             pass
         raise BadRequest(
             Reason.REQUEST_TIMEOUT,
-            "The request's head or body was still incomplete after "
+            "The request's head or body was still not whole after "
             f"{self._limits.head_timeout_s:g} or {self._limits.body_timeout_s:g} s.",
         )
 
@@ -293,7 +294,7 @@
             return None
         return BadRequest(
             Reason.HEAD_TOO_LARGE,
-            f"The request's head exceeds {self._limits.head_max_bytes} bytes.",
+            f"The request's head is over {self._limits.head_max_bytes} bytes.",
         )
 
     # Callbacks of httptools.
@@ -335,7 +336,7 @@
         parser = self._parser
         method = parser.get_method().decode("latin-1")
         if method == "CONNECT":
-            raise BadRequest(Reason.BAD_REQUEST, "The method CONNECT is not supported.")
+            raise BadRequest(Reason.BAD_REQUEST, "CONNECT is not taken here.")
         self._head: RequestHead = read_head(
             method,
             self._target.decode("latin-1"),
@@ -389,7 +390,7 @@
         if count > self._limits.body_max_bytes:
             raise BadRequest(
                 Reason.BODY_TOO_LARGE,
-                f"The request's body exceeds {self._limits.body_max_bytes} bytes.",
+                f"The request's body is over {self._limits.body_max_bytes} bytes.",
             )
 
 
--- a/balsamspindle/requests/ingress.py
+++ b/balsamspindle/requests/ingress.py
@@ -108,8 +108,10 @@
         ----------
         ready : callable, default=always
             Returns whether this node knows backend servers. Connections are refused
-            until it returns True, but for at most `start_wait_s`. Without this wait, a
-            node that has just started would reject requests that other nodes can serve.
+            until it returns True, but for at most `start_wait_s`. A caller whose
+            connection is refused can use another node. Without this wait, a node that
+            has just started would accept connections and then reject their requests,
+            although other nodes can serve them.
         """
         listen_by_s = time.monotonic() + self._settings.start_wait_s
         self._ready_wait_end_s = time.monotonic() + self._settings.start_hold_s
@@ -324,10 +326,11 @@
         )
         reply = self._forwarder.forward(forwarded)
         if reply.outcome is not Outcome.ANSWERED or reply.status >= ERROR_STATUS_MIN:
-            # The failure is reported before the answer is sent. The caller may be the
+            # The failure is recorded before the answer is sent. The caller may be the
             # backend server beside this node, which made this call while it served
-            # another request. If the other request fails because of this failure, this
-            # node's gate must already have recorded the failed call.
+            # another request. If the other request fails because of this call, this
+            # node's gate looks up the record of the failed call, and does not count the
+            # other request's failure against the backend server.
             self._on_failure(time.monotonic())
         if reply.outcome is Outcome.NOT_RUN:
             self._admissions.refund(admitted)
--- a/balsamspindle/requests/link_attempts.py
+++ b/balsamspindle/requests/link_attempts.py
@@ -83,7 +83,7 @@
         self._announced_end_s = ends_s - REPLY_RESERVE_S
 
     def time_to_stop_ms(self) -> float | None:
-        """Return the time until this node's announced stop; None before `end_by`."""
+        """Return the time to the announced stop; None before `set_end_time`."""
         if math.isinf(self._announced_end_s):
             return None
         return (self._announced_end_s - self._clock()) * 1000
@@ -163,6 +163,7 @@
         A leaving node cancels its runs when it stops. Without parking, a long-running
         request would be sent to another gate only after that stop. The time until the
         stop would be lost, and the ingress's own node might be leaving by then, too.
+        At most one attempt of a request is parked at a time.
         """
         return (
             forwarded.route.execution is Execution.IDEMPOTENT
@@ -192,7 +193,7 @@
         return unanswered[0]
 
     def cancel_parked(self, forwarded: ForwardedRequest, has_answer: bool) -> None:
-        """Cancel the parked attempt, if still open; `has_answer` decides the cause."""
+        """Cancel the open parked attempt, if any; `has_answer` decides the cause."""
         if has_answer:
             cause = CancelCause.ANSWERED_ELSEWHERE
         else:
@@ -227,7 +228,7 @@
 
         def listen() -> None:
             attempts = forwarded.parked.all()
-            # The wait ends when `own_end` is closed after the other attempt.
+            # After the other attempt, `own_end` is closed below, which ends this wait.
             wait = self._build_wait(
                 forwarded, forwarded.deadline_s, listener_end.fileno(), lambda: True
             )
@@ -376,9 +377,9 @@
 
         If another attempt was answered, an attempt without a reply is not cancelled;
         only its link is closed. The gate can then measure how long the run takes, and
-        detect a backend server that hangs. Exception: while an attempt is parked, the
-        answer may be the parked attempt's, and the attempt without a reply may have
-        just started. The attempt without a reply is then cancelled.
+        detect a backend server that hangs. Exception: while an attempt is parked, an
+        attempt without a reply is cancelled. The answer may be the parked attempt's. An
+        attempt without a reply may then have just started, and is not known to be slow.
         """
         replies = {} if waited is None else waited.replies
         may_continue = is_answered(waited) and not forwarded.parked
--- a/balsamspindle/requests/placement_selection.py
+++ b/balsamspindle/requests/placement_selection.py
@@ -1,12 +1,12 @@
 """Selects the backend server for a request's next attempt and its maximum queue wait.
 
-The selection is made for services that have a few backend servers in each zone, run at
-a utilization of two thirds or more, and have a third of their backend servers unhealthy
-at any time. Only a gate has the current number of its free slots; an ingress's
-estimate is seconds old. A query to a gate costs a round trip and, if the gate is in
-another zone, also paid traffic. Each attempt therefore carries the longest time that it
-may wait for a slot, and the gate refuses the attempt at once if it expects a longer
-wait:
+The selection is designed for services that have a few backend servers in each zone, run
+at a utilization of two thirds or more, and have a third of their backend servers
+unhealthy at any time. Only a gate has the current number of its free slots; an
+ingress's estimate is seconds old. A query to a gate costs a round trip and, if the gate
+is in another zone, also paid traffic. Each attempt therefore carries the longest time
+that it may wait for a slot, and the gate refuses the attempt at once if it expects a
+longer wait:
 
 ========== ===================================== ==============================
 step       gates that get an attempt             maximum wait for a slot
@@ -54,9 +54,9 @@
 NEAR_WAIT_FRACTION_MIN, NEAR_WAIT_FRACTION_MAX = 0.1, 0.6
 LARGE_ANSWER_BYTES = 5000
 # Maximum number of gates in the own zone to which a request is sent in step NEAR. If
-# five gates have no free slot, the zone is full. If requests were sent to all gates in
-# a zone of sixteen gates with two slots each, each run would take seven attempts, and
-# gates would refuse six of the seven.
+# five gates have no free slot, the zone is assumed to be full. Without this maximum, a
+# request would be sent to every gate of a full zone. In a zone of sixteen gates with
+# two slots each, each run would take seven attempts on average, six of them refused.
 NEAR_TRIES_MAX = 5
 # Maximum number of gates in other zones to which a request is sent in step FAR, before
 # it joins one of the long queues in step QUEUE.
--- a/balsamspindle/requests/retries.py
+++ b/balsamspindle/requests/retries.py
@@ -233,7 +233,7 @@
             if is_late or not _is_below_limits(replies, attempts_max, denials_max):
                 cost = RetryCost.FINAL
             if cost is not RetryCost.FINAL and budget.fleet_per_s_min:
-                # The gates limit the service's retries instead of this ingress.
+                # The gates limit the service's retries, so this ingress does not.
                 cost = RetryCost.FREE
             if cost is RetryCost.FIRST_FREE:
                 reasons = [reply.reason for reply in replies]
@@ -313,7 +313,9 @@
             latency = state.latency(route_id)
             if self.gates_limit_retries(service):
                 if is_own:
-                    # If the attempt were ended early, all gates might deny its retry.
+                    # An attempt at the own gate is ended before its retry is sent. If
+                    # all gates then denied the retry, the request would fail, although
+                    # the first attempt might still have been answered.
                     return remaining_s
             elif not state.tokens.available(self._budget(service), now_s):
                 return remaining_s
--- a/balsamspindle/requests/siblings.py
+++ b/balsamspindle/requests/siblings.py
@@ -9,8 +9,8 @@
 the service's work is wasted.
 
 The calls of one request therefore share a random rank, and every gate serves lower
-ranks first. If one call of a request is served, its other calls are served as well. If
-a request can't be served, its first call fails.
+ranks first. The calls of a request with a low rank are then all served. The calls of a
+request with a high rank are all refused, so that no gate serves some of them in vain.
 """
 
 import random
@@ -65,8 +65,10 @@
     def rank_ms(self, route: RouteDocument, deadline_s: float, now_s: float) -> float:
         """Return the delay that an arriving request's rank adds to its due time.
 
-        Gates serve the requests in their queues by due time. The delay is 0 if the
-        route's requests are not ranked.
+        The rank is a random number from 0 to 1, and equal for requests that were sent
+        as calls of one request. Gates serve the requests in their queues by due time.
+        The delay is 0 if fewer than `GROUPED_FRACTION_MIN` of the route's requests
+        arrive together with the previous one.
 
         Parameters
         ----------
--- a/balsamspindle/services/explanation.py
+++ b/balsamspindle/services/explanation.py
@@ -65,8 +65,7 @@
     is_defined : bool
         Whether the settings in force define the service.
     cause : str
-        Why suspected backend servers are left out, that is, get no usual requests, or
-        are kept in use.
+        Why suspected backend servers are left out or kept in use; see `FloorDecision`.
     known_slots, floor_slots, in_use_slots : float
         Number of slots of all known backend servers; number of slots that ejection must
         leave in use (the floor); and number of slots that this node uses.
--- a/balsamspindle/services/floor.py
+++ b/balsamspindle/services/floor.py
@@ -89,8 +89,9 @@
     in_use_slots : float
         `ready_slots` minus the usable slots of the backend servers in `left_out`.
     left_out, kept : tuple of Suspect
-        `left_out` are the suspects that get no usual requests, `kept` those that still
-        get them. Both begin with the highest suspicion.
+        `left_out` are the suspects that the picker leaves out: they get a request only
+        as a trial, or if a claim names their gate. `kept` are the suspects that get
+        requests as if they were not suspected. Both begin with the highest suspicion.
     """
 
     cause: FloorCause
--- a/balsamspindle/services/held_out_servers.py
+++ b/balsamspindle/services/held_out_servers.py
@@ -1,6 +1,7 @@
 """Records which backend servers are held out, as the replies of their gates report.
 
-While a gate holds out a backend server, it sends the backend server no usual requests.
+While a backend server is held out, its gate sends it only the attempts of its trial and
+last-resort attempts, and refuses all others.
 """
 
 import threading
--- a/balsamspindle/services/holdouts.py
+++ b/balsamspindle/services/holdouts.py
@@ -50,8 +50,9 @@
         """Record a failure; return whether it is the first since the last success.
 
         Several requests that fail at the same time count as one failure, so a failure
-        during a hold-out does not change it. The failure of the request for which
-        `is_held_out` returned False starts the next hold-out.
+        during a hold-out does not change it. After the end of a hold-out,
+        `is_held_out` lets one request through. If that request fails, the next
+        hold-out starts.
         """
         with self._lock:
             is_first = node_id not in self._held
