--- a/bench/caller_heads.py
+++ b/bench/caller_heads.py
@@ -1,16 +1,16 @@
-"""Processor time of a caller's request in three HTTP implementations.
+"""Processor time to serve a caller's request with three HTTP implementations.
 
-Each implementation reads keep-alive requests from a socket pair and writes the
-answers, in one thread and without a backend server:
+Each implementation reads requests from one end of a socket pair and writes the answers
+to it, in one thread and without a backend server. All requests use one connection.
 
 - ``connection``: `balsamspindle.requests.http.HttpConnection`;
-- ``ingress``: the same with the ingress's route look-up, events and headers, and a
-  forwarder that answers immediately;
+- ``ingress``: `HttpConnection` with the route look-up, events and headers of an
+  ingress, and a forwarder that answers immediately;
 - ``werkzeug``: werkzeug's request handler with a small WSGI application.
 
-Each figure includes the caller's own send and receive. The bench
-also sends a request that the ingress refuses because of its head, and counts how many
-bytes of its 1 MB body are read before the answer.
+Each figure includes the time in which the caller sends the request and receives the
+answer. The bench also sends a request with a body of 1 MB that the ingress refuses
+because of its head. It counts the bytes of the body that are sent before the refusal.
 
 ::
 
@@ -46,18 +46,18 @@
 LARGE_BODY_BYTES = 1_000_000
 
 
-class QuietHandler(WSGIRequestHandler):
-    """Handler of werkzeug that speaks HTTP/1.1 and logs no requests."""
+class NonLoggingHandler(WSGIRequestHandler):
+    """Request handler of werkzeug that uses HTTP/1.1 and logs no requests."""
 
     protocol_version = "HTTP/1.1"
 
     def log_request(self, *_):
-        """Do nothing, so that the figure contains no time for writing log lines."""
+        """Do nothing: writing log lines would add to the measured time."""
 
 
 @Request.application
 def application(request: Request) -> Response:
-    """Read the parts of a request that an ingress reads, and answer."""
+    """Read the same parts of a request as an ingress, and return an answer."""
     request.get_data()
     _ = request.host, request.path, request.method, list(request.headers)
     return Response(BODY, headers=HEADERS)
@@ -88,7 +88,7 @@
         passthrough_errors=True,
         shutdown_signal=False,
     )
-    handler = QuietHandler.__new__(QuietHandler)
+    handler = NonLoggingHandler.__new__(NonLoggingHandler)
     handler.request, handler.server = connection, server
     handler.client_address = ("127.0.0.1", 1)
     handler.setup()
@@ -97,7 +97,11 @@
 
 
 def cpu_us(serve: Callable[[], None], caller: socket.socket, count: int) -> float:
-    """Return the processor time per request in the fastest round, in microseconds."""
+    """Return the processor time per request in microseconds.
+
+    Sends `count` requests in each of `ROUNDS` rounds. The result is the mean of the
+    fastest round.
+    """
     request_us = []
     for _ in range(ROUNDS):
         before_s = time.thread_time()
@@ -112,10 +116,10 @@
 
 
 def measure_ingress(count: int) -> float:
-    """Return the processor time of a request through an ingress, in microseconds.
+    """Return the processor time per request with an ingress, in microseconds.
 
-    Calls a private method of the ingress, so that the request is served in the
-    measuring thread: `cpu_us` counts the processor time of this thread only.
+    Calls a private method of the ingress, because it serves the request in the calling
+    thread: `cpu_us` measures the processor time of this thread only.
     """
     fixture = IngressFixture()
     caller, served = socket.socketpair()
@@ -137,7 +141,10 @@
 
 
 def refused_body_bytes() -> int:
-    """Return the bytes of a body sent before its request is refused on its head."""
+    """Return the bytes of a body that are sent before the ingress refuses the request.
+
+    The ingress can refuse the request because of its head: no route matches.
+    """
     fixture = IngressFixture()
     caller, served = socket.socketpair()
     with caller, served:
@@ -169,7 +176,7 @@
 
 
 def measure(count: int) -> dict[str, float]:
-    """Return the processor time of a request for each implementation, in us."""
+    """Return the processor time per request in microseconds, by implementation."""
     figures = {}
     for name, make_serve in (
         ("connection", serve_connection),
@@ -186,14 +193,17 @@
     count: int = typer.Option(200, help="Requests in each of three rounds."),
     as_json: bool = typer.Option(False, "--json", help="Print JSON."),
 ) -> None:
-    """Measure the processor time of a caller's request, with werkzeug as baseline."""
+    """Measure the processor time to serve a request, and compare it with werkzeug."""
     figures = measure(count)
     if as_json:
         print(json.dumps(figures))
         return
     for name, request_us in figures.items():
-        print(f"{name:12} {request_us:7.1f} us of CPU for a request")
-    print(f"refused on its head: {refused_body_bytes()} of {LARGE_BODY_BYTES} B read")
+        print(f"{name:12} {request_us:7.1f} us of processor time per request")
+    print(
+        f"refused because of its head: {refused_body_bytes()} of"
+        f" {LARGE_BODY_BYTES} bytes of the body sent"
+    )
 
 
 if __name__ == "__main__":
--- a/bench/capacity/__init__.py
+++ b/bench/capacity/__init__.py
@@ -1,9 +1,10 @@
-"""Costs of each role at the long-run fleet size, extrapolated from measurements.
+"""Extrapolates measured costs of nodes and the platform to the long-run fleet size.
 
 ::
 
-    python -m bench.capacity            # all parts, writes the baseline
-    python -m bench.capacity memory     # one part, prints its figures
+    python -m bench.capacity                   # measures all parts, prints the figures
+    python -m bench.capacity memory            # measures one part
+    python -m bench.capacity --write memory    # also writes the baseline and the page
     python -m bench.capacity --json look_ups
 """
 
--- a/bench/capacity/__main__.py
+++ b/bench/capacity/__main__.py
@@ -1,4 +1,4 @@
-"""``python -m bench.capacity``: measure the parts and write their figures."""
+"""``python -m bench.capacity``: measure costs, print and optionally write them."""
 
 import json
 import platform
@@ -42,17 +42,19 @@
         list[str] | None, typer.Argument(help=f"Any of: {', '.join(PARTS)}.")
     ] = None,
     write: Annotated[
-        bool, typer.Option(help="Put the figures into the baseline and the page.")
+        bool, typer.Option(help="Write the figures to the baseline and the page.")
+    ] = False,
+    as_json: Annotated[
+        bool, typer.Option("--json", help="Omit progress messages.")
     ] = False,
-    as_json: Annotated[bool, typer.Option("--json", help="Print JSON only.")] = False,
 ) -> None:
-    """Measure what each role costs.
+    """Measure the costs of the given parts, or of all parts, and print them as JSON.
 
     Example: python -m bench.capacity memory look_ups --write
     """
     unknown = set(parts or ()) - set(PARTS)
     if unknown:
-        raise typer.BadParameter(f"no such part: {', '.join(sorted(unknown))}")
+        raise typer.BadParameter(f"unknown parts: {', '.join(sorted(unknown))}")
     figures = {}
     for name in parts or PARTS:
         if not as_json:
--- a/bench/capacity/bad_day_rows.py
+++ b/bench/capacity/bad_day_rows.py
@@ -1,7 +1,8 @@
-"""The table of bad days: what events such as the loss of a zone cost one node.
+"""The table of what events such as the loss of a zone cost one node.
 
-Some rows are simulated with `Mirror`; the others are calculated from the figures of
-other parts of the capacity bench.
+The costs of some events are measured in simulations (see `bench.capacity.bad_days` and
+`bench.capacity.joining`). The costs of the other events are calculated from the
+figures of other parts of the capacity bench.
 """
 
 from typing import NamedTuple
@@ -12,14 +13,15 @@
 from bench.capacity.rows import RECORD_CHANGES_PER_S, SETTINGS_CHANGES_PER_S
 from bench.capacity.sizes import LIMITS, LONG_RUN
 
-__all__ = ["BadDay", "bad_day_rows"]
+__all__ = ["EventCost", "bad_day_rows"]
 
 HOUR_S = 3600.0
-# Fraction of `control_bytes_per_s` that messages of `Importance.ROUTINE` may use.
+# Fraction of a node's `control_bytes_per_s` that messages of level
+# `Importance.ROUTINE` may use.
 ROUTINE_FRACTION = 0.5
 
 
-class BadDay(NamedTuple):
+class EventCost(NamedTuple):
     """Cost of one fleet event at one node.
 
     Attributes
@@ -27,11 +29,14 @@
     incoming : str
         What the node receives because of the event.
     sent_bytes_per_s : float
-        Rate at this node while the event lasts; at most `control_bytes_per_s`.
+        Bytes that the node sends per second during the event; at most
+        `control_bytes_per_s`.
     settled_s : float
-        Time until the node has sent on all news of the event.
+        Time until the node has received the data that it lacks because of the event,
+        and has forwarded the news of the event to its peers.
     source : str
-        ``run`` if simulated or measured, ``worked out`` if calculated.
+        ``run`` if the costs come from a simulation, ``worked out`` if they are
+        calculated from other figures.
     """
 
     event: str
@@ -43,10 +48,10 @@
     remark: str
 
 
-def bad_day_rows(measured: dict[str, dict[str, float]]) -> list[BadDay]:
-    """Return the rows in the order of the capacity page.
+def bad_day_rows(measured: dict[str, dict[str, float]]) -> list[EventCost]:
+    """Return the costs of all events, in the order of the capacity page.
 
-    `measured` holds the figures of the baseline by part and name.
+    `measured` contains the figures of the baseline, by part and then by name.
     """
     return [
         *_simulated_rows(measured["bad_days"]),
@@ -55,9 +60,9 @@
     ]
 
 
-def _simulated_rows(figures) -> list[BadDay]:
-    def run(name: str, event: str, incoming: str, remark: str) -> BadDay:
-        return BadDay(
+def _simulated_rows(figures) -> list[EventCost]:
+    def simulated_row(name: str, event: str, incoming: str, remark: str) -> EventCost:
+        return EventCost(
             event,
             incoming,
             figures[f"{name}_cpu_percent"],
@@ -71,16 +76,22 @@
     per_node = LONG_RUN.backend_servers_per_node
     waiting_items = figures["burst_waiting_items"]
     return [
-        run("rack_lost", "a rack lost", f"{rack} nodes' deaths", "urgent news"),
-        run("rack_back", "a rack back", f"{rack * per_node} backend servers", ""),
-        run("zone_lost", "a zone lost", f"{zone} nodes' deaths", "urgent news"),
-        run(
+        simulated_row(
+            "rack_lost", "a rack lost", f"{rack} nodes' deaths", "urgent news"
+        ),
+        simulated_row(
+            "rack_back", "a rack back", f"{rack * per_node} backend servers", ""
+        ),
+        simulated_row(
+            "zone_lost", "a zone lost", f"{zone} nodes' deaths", "urgent news"
+        ),
+        simulated_row(
             "zone_back",
             "a zone back at once",
             f"{zone} nodes, {zone * per_node:,} backend servers",
             "at the cap; the nodes' own joins come beside it, see below",
         ),
-        run(
+        simulated_row(
             "burst",
             "45,000 replacements within an hour",
             f"{figures['burst_changes_per_s']:.0f} changes/s",
@@ -90,53 +101,53 @@
     ]
 
 
-def _regions_apart_row(members) -> BadDay:
+def _regions_apart_row(members) -> EventCost:
     other_regions_fraction = 1 - 1 / LONG_RUN.regions
     changes = RECORD_CHANGES_PER_S * HOUR_S * other_regions_fraction
     missed_bytes = changes * members["page_bytes_per_entry"]
-    free_bytes_per_s = ROUTINE_FRACTION * LIMITS.control_bytes_per_s
-    return BadDay(
+    routine_bytes_per_s = ROUTINE_FRACTION * LIMITS.control_bytes_per_s
+    return EventCost(
         "regions apart for an hour",
         f"{changes:,.0f} changes of the others, {missed_bytes / 1000:,.0f} kB",
         members["cpu_percent"],
         members["sent_bytes_per_s"],
-        missed_bytes / free_bytes_per_s,
+        missed_bytes / routine_bytes_per_s,
         "worked out",
         "no region judges another's nodes while apart; then digests, each node"
         " half of its bytes",
     )
 
 
-def _join_rows(joining, settings, members) -> list[BadDay]:
+def _join_rows(joining, settings, members) -> list[EventCost]:
     pages_bytes = settings["all_pages_bytes"]
     missed_changes = SETTINGS_CHANGES_PER_S * HOUR_S
     join_bytes = joining["received_bytes"] * ZONE_NODES
     other_nodes = LONG_RUN.nodes - ZONE_NODES
-    spread_s = (
+    peers_send_s = (
         join_bytes / other_nodes / (ROUTINE_FRACTION * LIMITS.control_bytes_per_s)
     )
-    sent = joining["sent_bytes"] / joining["known_s"]
+    sent_bytes_per_s = joining["sent_bytes"] / joining["known_s"]
     return [
-        BadDay(
+        EventCost(
             "one node replaced",
             f"{joining['received_bytes'] / 1e6:.1f} MB of records",
             members["cpu_percent"],
-            sent,
+            sent_bytes_per_s,
             joining["known_s"],
             "run",
             "it serves from its first page on, with the backend servers that it knows;"
             " its peers have no byte cap in this run",
         ),
-        BadDay(
+        EventCost(
             "a zone's nodes join at once",
             f"{join_bytes / 1e6:,.0f} MB from all others",
             members["cpu_percent"],
             LIMITS.control_bytes_per_s,
-            max(joining["known_s"], spread_s),
+            max(joining["known_s"], peers_send_s),
             "worked out",
             "each other node gives half of its bytes",
         ),
-        BadDay(
+        EventCost(
             "platform away, a node replaced",
             f"{pages_bytes / 1000:,.0f} kB of settings from {OFFERS_WANTED} peers",
             members["cpu_percent"],
@@ -145,7 +156,7 @@
             "worked out",
             "refuses with not_run until then",
         ),
-        BadDay(
+        EventCost(
             "platform away for hours",
             "no settings, no claims",
             members["cpu_percent"],
@@ -155,7 +166,7 @@
             "nodes serve on; keyed requests are refused; when it is back nothing"
             " is to be caught up, since nothing was accepted",
         ),
-        BadDay(
+        EventCost(
             "a region without the platform for an hour",
             f"{missed_changes:,.0f} changes; {CHANGES_MAX} are kept for peers",
             members["cpu_percent"],
--- a/bench/capacity/bad_days.py
+++ b/bench/capacity/bad_days.py
@@ -1,6 +1,7 @@
-"""Costs at one node when a rack or zone is lost or returns, or many VMs are replaced.
+"""Costs of a node's membership when a rack or zone fails, or many VMs are replaced.
 
-The node's membership is simulated with `Mirror`.
+The costs of the return of the rack or zone are measured too. The fleet around the node
+is simulated with `MemberSimulation`.
 """
 
 from collections.abc import Iterable
@@ -14,7 +15,7 @@
     Verdict,
     VerdictNews,
 )
-from bench.capacity.mirror import Mirror
+from bench.capacity.member_simulation import MemberSimulation
 from bench.capacity.rows import RECORD_CHANGES_PER_REPLACEMENT, RECORD_CHANGES_PER_S
 from bench.capacity.sizes import LONG_RUN
 
@@ -23,12 +24,13 @@
 ZONE_NODES = 250
 RACK_NODES = 10
 WARM_UP_S = 40.0
-# Time over which the news of one event (a rack or zone lost or back) is delivered.
+# Time over which the news of one event is delivered to the member. An event is the loss
+# or the return of a rack or zone.
 ARRIVAL_S = 5.0
 STEP_S = 1.0
 SETTLE_TIMEOUT_S = 1800.0
-# Length of the news queue on an ordinary day. An event counts as settled when the
-# queue is down to this length.
+# Length of the member's news queue on an ordinary day. An event counts as settled when
+# the queue is no longer than this.
 ORDINARY_QUEUE_ITEMS = 20
 BURST_S = 3600.0
 BURST_MEASURED_S = 300.0
@@ -36,42 +38,50 @@
 
 
 def measure() -> dict[str, float]:
-    """Return percent of a core, bytes sent per second and settling time by event."""
+    """Return each event's costs: percent of a core, bytes sent per second, duration.
+
+    Each name of a figure starts with the name of its event. The duration ends when the
+    event has settled.
+    """
     figures = {}
     for name, nodes in (("rack", RACK_NODES), ("zone", ZONE_NODES)):
-        mirror = Mirror(LONG_RUN, RECORD_CHANGES_PER_S)
-        mirror.run(WARM_UP_S)
-        lost = _select_zone_nodes(mirror, nodes)
+        simulation = MemberSimulation(LONG_RUN, RECORD_CHANGES_PER_S)
+        simulation.run(WARM_UP_S)
+        lost = _select_zone_nodes(simulation, nodes)
         figures |= _measure_event(
-            f"{name}_lost", mirror, list(_death_news(mirror, lost))
+            f"{name}_lost", simulation, list(_death_news(simulation, lost))
         )
         figures |= _measure_event(
-            f"{name}_back", mirror, list(_return_news(mirror, lost))
+            f"{name}_back", simulation, list(_return_news(simulation, lost))
         )
     return figures | _measure_burst()
 
 
-def _select_zone_nodes(mirror: Mirror, count: int) -> list[str]:
-    zone = mirror.records[1].availability_zone
-    in_zone = [r.node_id for r in mirror.records if r.availability_zone == zone]
-    # A zone of the long-run fleet has about 243 nodes, fewer than `ZONE_NODES`; the
-    # missing nodes are taken from other zones.
-    others = [r.node_id for r in mirror.records if r.availability_zone != zone]
+def _select_zone_nodes(simulation: MemberSimulation, count: int) -> list[str]:
+    zone = simulation.records[1].availability_zone
+    in_zone = [r.node_id for r in simulation.records if r.availability_zone == zone]
+    # A zone of the long-run fleet has about 243 nodes. This is fewer than `ZONE_NODES`,
+    # so nodes of other zones are added.
+    others = [r.node_id for r in simulation.records if r.availability_zone != zone]
     return (in_zone + others)[:count]
 
 
-def _death_news(mirror: Mirror, node_ids: list[str]) -> Iterable[VerdictNews]:
+def _death_news(
+    simulation: MemberSimulation, node_ids: list[str]
+) -> Iterable[VerdictNews]:
     for number, node_id in enumerate(node_ids):
-        record = mirror.directory.view(node_id).record
-        reporter_id = mirror.peers[number].node_id
+        record = simulation.directory.view(node_id).record
+        reporter_id = simulation.peers[number].node_id
         epoch = record.incarnation, record.version
         yield VerdictNews(node_id, *epoch, Verdict.SUSPECT, reporter_id)
         yield VerdictNews(node_id, *epoch, Verdict.DEAD, reporter_id)
 
 
-def _return_news(mirror: Mirror, node_ids: list[str]) -> Iterable[NodeNews]:
+def _return_news(
+    simulation: MemberSimulation, node_ids: list[str]
+) -> Iterable[NodeNews]:
     for node_id in node_ids:
-        view = mirror.directory.view(node_id)
+        view = simulation.directory.view(node_id)
         incarnation = view.record.incarnation + 1_000_000
         servers = [
             ServerEntry(1, entry.record._replace(boot_id=f"{incarnation:032x}"))
@@ -87,52 +97,62 @@
             yield NodeNews(node_id, incarnation, servers=batch)
 
 
-def _measure_event(name: str, mirror: Mirror, news: list) -> dict[str, float]:
-    """Deliver news over `ARRIVAL_S`, then run until the member's queue is short again.
+def _measure_event(
+    name: str, simulation: MemberSimulation, news: list
+) -> dict[str, float]:
+    """Deliver news over `ARRIVAL_S`, run until the event has settled, return its costs.
 
-    The queue is short at `ORDINARY_QUEUE_ITEMS`; the wait ends at `SETTLE_TIMEOUT_S`.
+    The event has settled when the member's news queue has at most
+    `ORDINARY_QUEUE_ITEMS` items. The run stops after `SETTLE_TIMEOUT_S` even if the
+    queue is longer. `name` is the start of the names of the figures.
     """
-    start_s, cpu_s = mirror.now_s, mirror.cpu_s
-    spent_bytes = mirror.member.budget.spent_bytes
+    start_s, cpu_s = simulation.now_s, simulation.cpu_s
+    spent_bytes = simulation.member.budget.spent_bytes
     steps = int(ARRIVAL_S / STEP_S)
     for step in range(steps):
         for item in news[step::steps]:
-            mirror.deliver("gossip", Gossip([item]))
-        mirror.run(STEP_S)
+            simulation.deliver("gossip", Gossip([item]))
+        simulation.run(STEP_S)
     while (
-        _count_waiting_items(mirror) > ORDINARY_QUEUE_ITEMS
-        and mirror.now_s - start_s < SETTLE_TIMEOUT_S
+        _count_waiting_items(simulation) > ORDINARY_QUEUE_ITEMS
+        and simulation.now_s - start_s < SETTLE_TIMEOUT_S
     ):
-        mirror.run(STEP_S)
-    elapsed_s = mirror.now_s - start_s
+        simulation.run(STEP_S)
+    elapsed_s = simulation.now_s - start_s
     return {
         f"{name}_news": len(news),
         f"{name}_settled_s": elapsed_s,
-        f"{name}_cpu_percent": (mirror.cpu_s - cpu_s) / elapsed_s * 100,
-        f"{name}_sent_bytes_per_s": (mirror.member.budget.spent_bytes - spent_bytes)
+        f"{name}_cpu_percent": (simulation.cpu_s - cpu_s) / elapsed_s * 100,
+        f"{name}_sent_bytes_per_s": (simulation.member.budget.spent_bytes - spent_bytes)
         / elapsed_s,
     }
 
 
-def _count_waiting_items(mirror: Mirror) -> int:
-    return sum(mirror.member.state.queue.count_by_priority().values())
+def _count_waiting_items(simulation: MemberSimulation) -> int:
+    return sum(simulation.member.state.queue.count_by_priority().values())
 
 
 def _measure_burst() -> dict[str, float]:
-    """Return a node's costs while a day's VM replacements happen within an hour."""
+    """Return a node's costs while the VM replacements of a day occur within an hour.
+
+    Only `BURST_MEASURED_S` of the hour are simulated. The settling time starts at the
+    end of this period.
+    """
     replacements_per_s = LONG_RUN.replacements_per_day / BURST_S
-    mirror = Mirror(LONG_RUN, replacements_per_s * RECORD_CHANGES_PER_REPLACEMENT)
-    mirror.run(WARM_UP_S)
-    cpu_s, spent_bytes = mirror.cpu_s, mirror.member.budget.spent_bytes
-    mirror.run(BURST_MEASURED_S)
+    simulation = MemberSimulation(
+        LONG_RUN, replacements_per_s * RECORD_CHANGES_PER_REPLACEMENT
+    )
+    simulation.run(WARM_UP_S)
+    cpu_s, spent_bytes = simulation.cpu_s, simulation.member.budget.spent_bytes
+    simulation.run(BURST_MEASURED_S)
     figures = {
-        "burst_changes_per_s": mirror.changes_per_s,
-        "burst_cpu_percent": (mirror.cpu_s - cpu_s) / BURST_MEASURED_S * 100,
-        "burst_sent_bytes_per_s": (mirror.member.budget.spent_bytes - spent_bytes)
+        "burst_changes_per_s": simulation.changes_per_s,
+        "burst_cpu_percent": (simulation.cpu_s - cpu_s) / BURST_MEASURED_S * 100,
+        "burst_sent_bytes_per_s": (simulation.member.budget.spent_bytes - spent_bytes)
         / BURST_MEASURED_S,
-        "burst_waiting_items": _count_waiting_items(mirror),
-        "burst_overflowed_items": mirror.member.state.queue.evicted_count,
+        "burst_waiting_items": _count_waiting_items(simulation),
+        "burst_overflowed_items": simulation.member.state.queue.evicted_count,
     }
-    mirror.changes_per_s = RECORD_CHANGES_PER_S
-    after = _measure_event("after_burst", mirror, [])
+    simulation.changes_per_s = RECORD_CHANGES_PER_S
+    after = _measure_event("after_burst", simulation, [])
     return figures | {"burst_settled_s": after["after_burst_settled_s"]}
--- a/bench/capacity/customers.py
+++ b/bench/capacity/customers.py
@@ -1,7 +1,8 @@
 """Memory and processor time that customers cost a node, by number of customers.
 
-Each customer has two keys. Each number of customers is loaded in a fresh
-interpreter, for the reason given in `bench.capacity.memory`.
+Each customer has two keys. Each number of customers is loaded in a new interpreter
+process. In a single process, a later number would reuse memory that an earlier one has
+freed, and its memory would seem too small.
 """
 
 import gc
@@ -30,7 +31,12 @@
 
 
 def measure() -> dict[str, float]:
-    """Return memory, and processor times to load, change and find keys."""
+    """Return the costs of `LONG_RUN.customers`, extrapolated from fewer customers.
+
+    The costs are the memory of all customers, and the processor times to load all
+    customers, to apply a change of one customer and to find a key. Only the time to
+    find a key is not extrapolated.
+    """
     samples = [
         _measure_in_fresh_process(round(LONG_RUN.customers * fraction))
         for fraction in SIZE_FRACTIONS
@@ -110,5 +116,5 @@
 
 
 if __name__ == "__main__":
-    assert NodeProcess, "the whole node must be imported, as in a node process"
+    assert NodeProcess, "all modules of a node must be imported, as in a node process"
     print(json.dumps(_measure_sample(int(sys.argv[1]))))
--- a/bench/capacity/in_force.py
+++ b/bench/capacity/in_force.py
@@ -1,10 +1,13 @@
 """Time until an accepted settings change is in force on all nodes, by fleet size.
 
-The bench has two parts. The first starts real nodes, as many as the machine runs
-without overload, and measures the delay from a change to its use on the last node.
-The second connects the gossip tasks of a whole fleet by queues in one process. It
-counts the rounds of 0.1 s from when the settings readers of every zone have a
-change until all nodes have it.
+The bench has two parts:
+
+- The first part starts node processes, as many as the machine can run without overload.
+  It measures the time from the acceptance of a change until the change is in force on
+  the last node.
+- The second part connects the settings gossip of all nodes of a fleet by queues in one
+  process. At the start, only the settings readers of every zone have a change. The
+  bench counts the rounds of 0.1 s until all nodes have the change.
 """
 
 import random
@@ -20,17 +23,17 @@
 NODE_COUNTS = (350, 1400, 5600)
 ROUND_S = 0.1
 ROUNDS_MAX = 100
-# Membership messages that a node receives per second: at least a probe and an ack
-# while no node changes, about fifteen messages with the changes of an ordinary day (see
-# `bench.capacity.members`).
-QUIET_MESSAGES_PER_S = 2.0
+# Membership messages that a node receives per second. While no node changes, these are
+# at least a probe and an ack. With the changes of an ordinary day, there are about
+# fifteen (see `bench.capacity.members`).
+NO_CHANGE_MESSAGES_PER_S = 2.0
 ORDINARY_MESSAGES_PER_S = 15.0
 
 
 def measure() -> dict[str, float]:
-    """Return the times until a change is in force, and the reads of an idle fleet.
+    """Return the times until a change is in force, and platform reads per second.
 
-    The reads are those that the nodes send to the platform while no setting changes.
+    The reads are those of all nodes together while no setting changes.
     """
     figures: dict[str, float] = {"processes": PROCESS_COUNTS[-1]}
     for count in PROCESS_COUNTS:
@@ -42,7 +45,7 @@
         reads = report["idle"]["platform_reads_per_s"]
         figures[f"idle_reads_per_s_of_{count}"] = reads
     for nodes in NODE_COUNTS:
-        most_rounds, all_rounds = _count_rounds(nodes, QUIET_MESSAGES_PER_S)
+        most_rounds, all_rounds = _count_rounds(nodes, NO_CHANGE_MESSAGES_PER_S)
         figures[f"spread_to_99_percent_of_{nodes}_s"] = most_rounds * ROUND_S
         figures[f"spread_to_all_{nodes}_quiet_s"] = all_rounds * ROUND_S
         _, all_rounds = _count_rounds(nodes, ORDINARY_MESSAGES_PER_S)
@@ -52,14 +55,21 @@
 
 
 def _count_rounds(nodes: int, messages_per_s: float) -> tuple[int, int]:
-    """Return the rounds until 99 % of the nodes have a change, and until all have."""
+    """Return the rounds until 99 % of the nodes have a change, and until all have it.
+
+    Raises
+    ------
+    TimeoutError
+        When some nodes don't have the change after `ROUNDS_MAX` rounds.
+    """
     network = Network(nodes, LONG_RUN.availability_zones)
     for configuration in network.configurations:
         configuration.offer(0, {})
     network.run()
     network.sent.clear()
     change = History().change({"team/services/one": b"{}"})
-    # Node numbers are assigned to zones in turn, so these nodes cover all zones.
+    # Nodes are assigned to zones in turn. Therefore, these first nodes include
+    # `READERS_PER_ZONE` nodes of each zone.
     for number in range(READERS_PER_ZONE * LONG_RUN.availability_zones):
         network.configurations[number].apply([change])
     rng = random.Random(nodes)
@@ -72,16 +82,22 @@
             most_rounds = rounds
         if not outdated:
             return most_rounds, rounds
-    raise TimeoutError(f"{outdated} nodes did not receive the change within the rounds")
+    raise TimeoutError(
+        f"{outdated} nodes did not receive the change before the time limit"
+    )
 
 
 def _deliver_member_messages(
     network: Network, rng: random.Random, per_s: float
 ) -> None:
-    """Let nodes receive a random peer's settings revision, as in member messages."""
+    """Deliver the settings revisions of random peers to nodes.
+
+    Each membership message reports the settings revision of its sender. `per_s` is the
+    number of messages that a node receives per second.
+    """
     for node in network.nodes:
-        # At most one message per node and round, also above 10 messages/s: one is
-        # enough to report a revision.
+        # A node receives at most one message per round, even if `per_s` requires more.
+        # More messages would only report further peers' revisions in the same round.
         if rng.random() < per_s * ROUND_S:
             peer = rng.randrange(len(network.nodes))
             node.receive_revision(f"n{peer}", network.configurations[peer].revision)
--- a/bench/capacity/joining.py
+++ b/bench/capacity/joining.py
@@ -1,9 +1,9 @@
-"""Time and bytes that a replaced node needs to learn the records of the fleet.
+"""Time and bytes until a joining node has the records of nearly all nodes.
 
-Two members are real: the joining node and one source of records. In a fleet, the
-joining node sends each request to another peer; here the source replies in place
-of all peers. Therefore the source has no effective byte cap, and only the joining
-node's own cap and its request intervals limit the time.
+The bench runs two members: the joiner, and a source that has all records. In a fleet,
+the joiner sends each request to a different peer. In this bench, the source answers the
+requests to all peers. Its byte cap is set too high to have an effect, so that only the
+byte cap of the joiner and the intervals between its requests limit the time.
 """
 
 import msgspec
@@ -29,9 +29,9 @@
 
 
 def measure() -> dict[str, float]:
-    """Return time and bytes of a join into the largest fleet, and the time's growth.
+    """Return time and bytes of a join, and the additional time per 1,000 nodes.
 
-    The growth is given per 1,000 nodes of the fleet.
+    Time and bytes are those of the largest fleet in `NODE_COUNTS`.
     """
     joins = [(nodes, JoinSimulation(LONG_RUN.scaled(nodes))) for nodes in NODE_COUNTS]
     times = [(nodes, join.run()) for nodes, join in joins]
@@ -46,7 +46,7 @@
 
 
 class JoinSimulation:
-    """The join of one node from one source, on a simulated clock."""
+    """A node that joins a fleet and receives all records, on a simulated clock."""
 
     def __init__(self, size: FleetSize) -> None:
         self.now_s = 1000.0
@@ -73,12 +73,12 @@
         self.joiner = self._make_member(own, self.directory, LIMITS.control_bytes_per_s)
 
     def run(self) -> float:
-        """Return the simulated seconds until the joiner knows 99.9 % of the nodes.
+        """Return the simulated seconds until the joiner has 99.9 % of the records.
 
         Raises
         ------
         TimeoutError
-            When the join takes longer than an hour.
+            When this takes more than a simulated hour.
         """
         start_s = self.now_s
         while len(self.directory.alive()) < KNOWN_NODES_FRACTION * self._nodes:
@@ -88,7 +88,8 @@
                 )
             self.now_s += TICK_S
             self.joiner.tick(self.now_s)
-            # A request and its reply arrive within one tick.
+            # Deliver several times, so that the reply to a request arrives within the
+            # same tick.
             for _ in range(3):
                 self._deliver_frames()
         return self.now_s - start_s
@@ -115,7 +116,7 @@
         )
 
     def post(self, source: str, target: str, frame: bytes, opened: bool = False):
-        """Queue a frame of the source or the joiner, in place of the network."""
+        """Queue a frame that the source or the joiner sends."""
         if source == self._source_address:
             self._source_frames.append(frame)
         else:
@@ -132,8 +133,8 @@
     def _deliver_to_peer(self, address: str, frame: bytes) -> None:
         envelope = decode_member(frame).ok
         if envelope.kind == "ping":
-            # Acknowledge in place of the pinged peer. The ack carries no news, because
-            # the joiner receives the records in pages.
+            # Most peers are not simulated, so the acks of all peers are created here.
+            # They contain no news, because the joiner receives the records in pages.
             ack = Ack(_decode_ping(envelope.body).sequence)
             peer = self._peers[address]
             self._deliver_to_joiner(address, encode_member("ack", peer, ack))
--- a/bench/capacity/ledgers.py
+++ b/bench/capacity/ledgers.py
@@ -1,4 +1,7 @@
-"""A node's bounded tables of past requests and events, filled to their bounds."""
+"""Fills a node's tables of keys, attempts and events to their largest expected size.
+
+`bench.capacity.memory` measures the memory of these tables.
+"""
 
 from typing import NamedTuple
 
@@ -17,7 +20,7 @@
 __all__ = ["Ledgers", "fill_ledgers"]
 
 ANSWER = b'{"signed": "' + b"x" * 290 + b'"}'
-# A gate keeps an attempt for the default time-out of a route (2 s) and then for
+# Time for which a gate stores an attempt: the default time-out of a route (2 s), then
 # `ATTEMPT_RETENTION_S` (5 s).
 ATTEMPT_LIFE_S = 2.0 + 5.0
 EVENT_PADDING = "x" * 200
@@ -32,9 +35,10 @@
 
 
 def fill_ledgers() -> Ledgers:
-    """Return full tables of keys and events, and the attempts of a node at full load.
+    """Return tables of keys and events filled to their bounds, and a table of attempts.
 
-    Full load is `requests_per_s_per_node` of `LIMITS`.
+    The table contains the attempts of `ATTEMPT_LIFE_S`, at the request rate
+    `LIMITS.requests_per_s_per_node`.
     """
     return Ledgers(_fill_keys(), _fill_attempts(), _fill_events())
 
--- a/bench/capacity/look_ups.py
+++ b/bench/capacity/look_ups.py
@@ -1,4 +1,7 @@
-"""Processor time of finding a route and picking a placement, by fleet size."""
+"""Processor time to find a route and to pick a placement.
+
+The first is measured by number of routes, the second by size of the service.
+"""
 
 import random
 import time
@@ -19,14 +22,18 @@
 CALLS_PER_ROUND = 3000
 ROUNDS = 5
 SMALL_NODES = 56
-# Backend servers of an average service in the long-run fleet, and of a large one.
+# Numbers of backend servers of an average and of a large service in the long-run fleet.
 SERVICE_SIZES = (22, 500)
 
 
 def cpu_us_per_call(
     function: Callable[[int], object], calls: int = CALLS_PER_ROUND
 ) -> float:
-    """Return the processor time of one call: the smallest mean of several rounds."""
+    """Return the processor time of a call in microseconds.
+
+    Calls the function in `ROUNDS` rounds of `calls` calls. The result is the mean of
+    the fastest round.
+    """
     rounds = []
     for _ in range(ROUNDS):
         started_s = time.process_time()
@@ -37,7 +44,7 @@
 
 
 def measure() -> dict[str, float]:
-    """Return microseconds of processor time by look-up."""
+    """Return the processor time of each kind of look-up in microseconds."""
     figures = {}
     for name, size in (
         ("few_routes", LONG_RUN.scaled(SMALL_NODES)),
@@ -62,7 +69,10 @@
 
 
 def _pick_costs(servers: int) -> dict[str, float]:
-    """Return the cost of a pick, and of the new view that each change requires."""
+    """Return the processor times of a pick and of a new view, in microseconds.
+
+    Each change of a backend server of the service requires a new view.
+    """
     size = LONG_RUN._replace(nodes=servers, backend_servers=servers, services=1)
     directory = Directory()
     for record in synthetic.node_records(size):
--- a/bench/capacity/mirror.py
+++ b/bench/capacity/member_simulation.py
@@ -1,10 +1,11 @@
-"""Simulates a fleet around one real member, whose messages are sent back to it.
-
-All nodes behave alike, so on average each node receives as much as it sends.
-Therefore one real `Member` with the records of the whole fleet shows the cost
-of the fleet to one node: the messages that it sends return to it as if from
-random peers, its probes are answered, and news of changes arrives at the rate
-of the fleet. Nothing else of the fleet is simulated.
+"""Simulates the messages that one member receives in a large fleet.
+
+The simulation runs a single `Member`, which has the records of all nodes. All nodes of
+a fleet behave in the same way, so on average each node receives as many messages as it
+sends. Therefore, the messages that the member sends are delivered to the member itself,
+as if random peers had sent them. Its probes are answered, and news of changes arrives
+at the rate of the fleet. Nothing else of the fleet is simulated. The processor time and
+the sent bytes of this member are those of an average node of the fleet.
 """
 
 import random
@@ -33,9 +34,10 @@
 from bench.capacity.sizes import FleetSize
 from tests.member_network import MemoryTransport, RecordedEvents
 
-__all__ = ["Mirror"]
+__all__ = ["MemberSimulation"]
 
-# Digest buckets in which two nodes differ because news has not reached both yet.
+# Number of digest buckets that differ between two nodes, because some news has reached
+# only one of them.
 DIFFERING_BUCKETS = 10
 _STATES = ("draining", "gone", "ready", "ready")
 _decoders = {
@@ -44,13 +46,13 @@
 }
 
 
-class Mirror:
-    """One member with the records of a whole fleet, on a simulated clock.
+class MemberSimulation:
+    """One member with the records of all nodes of a fleet, on a simulated clock.
 
     Attributes
     ----------
     cpu_s : float
-        Processor time of the member, without that of the simulation.
+        Processor time that the member used. It excludes the time of the simulation.
     """
 
     def __init__(self, size: FleetSize, changes_per_s: float, seed: int = 1) -> None:
@@ -76,25 +78,31 @@
         self.member = self._make_member(records[0])
 
     def run(self, duration_s: float) -> None:
-        """Advance the simulated clock by `duration_s`, in ticks of the member."""
+        """Advance the simulated clock by `duration_s`.
+
+        Before each tick of the member, delivers changes and the answers to its frames.
+        """
         end_s = self.now_s + duration_s
         while self.now_s < end_s:
             self.now_s += TICK_S
-            self._feed_changes()
+            self._deliver_changes()
             self._return_frames()
             started_s = time.process_time()
             self.member.tick(self.now_s)
             self.cpu_s += time.process_time() - started_s
 
     def post(self, source: str, target: str, frame: bytes, opened: bool = False):
-        """Queue a frame that the member sends, in place of the network.
+        """Queue a frame that the member sends to a peer.
 
-        `run` sends the queued frames back.
+        At the next tick, `run` delivers it back to the member or answers it.
         """
         self._sent.append((target, frame))
 
     def deliver(self, kind: str, message, peer: Sender | None = None) -> None:
-        """Deliver a message to the member, from a random peer unless one is given."""
+        """Deliver a message to the member, with `peer` as its sender.
+
+        The default sender is a random peer.
+        """
         peer = peer or self._random.choice(self.peers)
         frame = encode_member(kind, peer, message)
         route = Route(routing_id=peer.address.encode())
@@ -103,7 +111,7 @@
         self.cpu_s += time.process_time() - started_s
 
     def make_change(self) -> NodeNews:
-        """Return news of a changed state of a random node's backend server."""
+        """Return the news that a random backend server has changed its state."""
         view = self.directory.view(self._random.choice(self.peers).node_id)
         server_id = self._random.choice(sorted(view.entries))
         change_count = self._change_counts.get(server_id, 0)
@@ -132,14 +140,18 @@
             lambda: self.now_s,
         )
 
-    def _feed_changes(self) -> None:
+    def _deliver_changes(self) -> None:
         self._changes_due += self.changes_per_s * TICK_S
         while self._changes_due >= 1:
             self._changes_due -= 1
             self.deliver("gossip", Gossip([self.make_change()]))
 
     def _return_frames(self) -> None:
-        """Answer or return each queued frame, as the peers of a fleet would."""
+        """Deliver to the member what its peers would send for each queued frame.
+
+        Pings and sync requests are answered. Gossip is returned as if from a peer. The
+        news of an ack is returned in the next ack.
+        """
         sent, self._sent = self._sent, []
         for address, frame in sent:
             envelope = decode_member(frame).ok
@@ -147,7 +159,8 @@
             message = decoder.decode(envelope.body) if decoder else None
             match message:
                 case Ping():
-                    # The ack of the pinged peer, and a ping from a random peer.
+                    # The pinged peer sends an ack, and a random peer sends a ping. The
+                    # news in the ping returns as gossip.
                     peer = self._peer_by_address.get(address)
                     self.deliver(
                         "ack", Ack(message.sequence, news=self._ack_news), peer
@@ -162,7 +175,7 @@
                     self.deliver("sync_request", self._peer_digests())
 
     def _peer_digests(self) -> SyncRequest:
-        """Return a peer's digests: the member's own, with some buckets changed."""
+        """Return the member's digests with changes in `DIFFERING_BUCKETS` buckets."""
         digests = bytearray(self.directory.digests())
         for bucket in self._random.sample(range(len(digests) // 4), DIFFERING_BUCKETS):
             digests[4 * bucket] ^= 1
--- a/bench/capacity/members.py
+++ b/bench/capacity/members.py
@@ -5,7 +5,7 @@
 from balsamspindle.membership.directory import Directory
 from balsamspindle.wire import Page, Sender, encode_member
 from bench.capacity import synthetic
-from bench.capacity.mirror import Mirror
+from bench.capacity.member_simulation import MemberSimulation
 from bench.capacity.rows import RECORD_CHANGES_PER_S
 from bench.capacity.sizes import LONG_RUN
 from bench.capacity.slopes import fit_line
@@ -20,14 +20,18 @@
 
 
 def measure() -> dict[str, float]:
-    """Return a member's costs on an ordinary day, and their growth with the nodes."""
+    """Return a member's costs on an ordinary day, and the costs per 1,000 more nodes.
+
+    Also returns the costs without changes, the costs per change, and the size of a
+    backend server in a page.
+    """
     cpu_points, sent_points = [], []
     for nodes in NODE_COUNTS:
         cpu_percent, bytes_per_s = ordinary_costs(nodes, RECORD_CHANGES_PER_S)
         cpu_points.append((nodes, cpu_percent))
         sent_points.append((nodes, bytes_per_s))
-    quiet_cpu_percent, quiet_bytes_per_s = ordinary_costs(NODE_COUNTS[-1], 0.0)
-    busy_cpu_percent, busy_bytes_per_s = ordinary_costs(
+    no_change_cpu_percent, no_change_bytes_per_s = ordinary_costs(NODE_COUNTS[-1], 0.0)
+    double_rate_cpu_percent, double_rate_bytes_per_s = ordinary_costs(
         NODE_COUNTS[-1], 2 * RECORD_CHANGES_PER_S
     )
     return {
@@ -35,36 +39,39 @@
         "apply_us": _apply_us(),
         "cpu_percent": cpu_points[-1][1],
         "cpu_percent_per_1000_nodes": fit_line(cpu_points).slope * 1000,
-        "cpu_percent_quiet": quiet_cpu_percent,
-        "cpu_us_per_change": (busy_cpu_percent - quiet_cpu_percent)
+        "cpu_percent_quiet": no_change_cpu_percent,
+        "cpu_us_per_change": (double_rate_cpu_percent - no_change_cpu_percent)
         / (2 * RECORD_CHANGES_PER_S)
         * 1e4,
         "sent_bytes_per_s": sent_points[-1][1],
         "sent_bytes_per_s_smallest": sent_points[0][1],
         "sent_bytes_per_s_per_1000_nodes": fit_line(sent_points).slope * 1000,
-        "sent_bytes_per_s_quiet": quiet_bytes_per_s,
-        "sent_bytes_per_change": (busy_bytes_per_s - quiet_bytes_per_s)
+        "sent_bytes_per_s_quiet": no_change_bytes_per_s,
+        "sent_bytes_per_change": (double_rate_bytes_per_s - no_change_bytes_per_s)
         / (2 * RECORD_CHANGES_PER_S),
         "page_bytes_per_entry": _page_bytes_per_entry(),
     }
 
 
 def ordinary_costs(nodes: int, changes_per_s: float) -> tuple[float, float]:
-    """Return the percentage of a core and the bytes sent per second.
+    """Return a member's processor time in percent of a core, and bytes sent per second.
 
-    `changes_per_s` is the same for all numbers of nodes, so that the growth of the
-    costs with `nodes` shows the effect of the fleet's size alone.
+    `changes_per_s` is the rate of changes in the fleet. It does not depend on `nodes`:
+    calls with the same rate show how the costs depend on the number of nodes alone.
     """
-    mirror = Mirror(LONG_RUN.scaled(nodes), changes_per_s)
-    mirror.run(WARM_UP_S)
-    cpu_s, spent_bytes = mirror.cpu_s, mirror.member.budget.spent_bytes
-    mirror.run(MEASURED_S)
-    spent_bytes = mirror.member.budget.spent_bytes - spent_bytes
-    return (mirror.cpu_s - cpu_s) / MEASURED_S * 100, spent_bytes / MEASURED_S
+    simulation = MemberSimulation(LONG_RUN.scaled(nodes), changes_per_s)
+    simulation.run(WARM_UP_S)
+    cpu_s, spent_bytes = simulation.cpu_s, simulation.member.budget.spent_bytes
+    simulation.run(MEASURED_S)
+    spent_bytes = simulation.member.budget.spent_bytes - spent_bytes
+    return (simulation.cpu_s - cpu_s) / MEASURED_S * 100, spent_bytes / MEASURED_S
 
 
 def _apply_us() -> float:
-    """Return the cost of applying one changed backend server at the long-run size."""
+    """Return the processor time to apply a change of one backend server.
+
+    The directory has the records of the long-run fleet. The time is in microseconds.
+    """
     directory = Directory()
     for record in synthetic.node_records(LONG_RUN):
         directory.update(record, now_s=0.0)
@@ -84,7 +91,10 @@
 
 
 def _page_bytes_per_entry() -> float:
-    """Return the bytes that a backend server takes in a page of anti-entropy."""
+    """Return the size of a backend server in an encoded page, in bytes.
+
+    Pages are the messages in which nodes send each other the records that differ.
+    """
     size = LONG_RUN.scaled(ENTRIES_PER_PAGE // LONG_RUN.backend_servers_per_node)
     directory = Directory()
     for record in synthetic.node_records(size):
--- a/bench/capacity/memory.py
+++ b/bench/capacity/memory.py
@@ -1,8 +1,9 @@
 """Resident memory of one node's state, by fleet size.
 
-Each state is filled in a fresh interpreter that has imported the whole node,
-because a process does not return freed memory to the kernel: a second state in
-the same process would reuse the freed memory and seem too small.
+Each kind of state is filled in a new interpreter process, because a process does not
+return all freed memory to the kernel: a second state in the same process would reuse
+freed memory, and its size would seem too small. The process first imports all modules
+of a node, so that their memory is not counted as state.
 """
 
 import gc
@@ -32,12 +33,16 @@
 
 
 def resident_bytes(pid: int | str = "self") -> int:
-    """Return the resident set size of a process."""
+    """Return the resident set size of a process (by default, of this one)."""
     return int(Path(f"/proc/{pid}/statm").read_text().split()[1]) * PAGE_BYTES
 
 
 def measure() -> dict[str, float]:
-    """Return bytes per record, and the memory of all state at the long-run size."""
+    """Return bytes per record and route, and memory of all state at the long-run size.
+
+    Also returns the processor time to fill the directory and to load the settings, and
+    the duration of a full garbage collection.
+    """
     samples = {
         state: [
             _measure_in_fresh_process(state, round(LONG_RUN.nodes * fraction))
@@ -49,14 +54,14 @@
     bare_directory = _fit_state_bytes(samples["bare_directory"], "nodes")
     views = _fit_state_bytes(samples["views"], "nodes")
     routes = _fit_state_bytes(samples["settings"], "routes")
-    whole = samples["whole"][-1]
+    all_state = samples["whole"][-1]
     peak = fit_line([(s["nodes"], s["peak_bytes"]) for s in samples["whole"]])
     per_server = (
         directory.slope - bare_directory.slope
     ) / LONG_RUN.backend_servers_per_node
     return {
-        "measured_nodes": whole["nodes"],
-        "imported_mb": whole["imported_bytes"] / 1e6,
+        "measured_nodes": all_state["nodes"],
+        "imported_mb": all_state["imported_bytes"] / 1e6,
         "node_record_bytes": bare_directory.slope,
         "backend_server_record_bytes": per_server,
         "directory_mb": directory.at(LONG_RUN.nodes) / 1e6,
@@ -68,8 +73,8 @@
         "settings_mb": routes.at(LONG_RUN.routes) / 1e6,
         "settings_bytes_per_route": routes.slope,
         "settings_load_cpu_s": samples["settings"][-1]["cpu_s"],
-        "full_collection_ms": whole["collection_s"] * 1000,
-        "whole_rss_mb": whole["rss_bytes"] / 1e6,
+        "full_collection_ms": all_state["collection_s"] * 1000,
+        "whole_rss_mb": all_state["rss_bytes"] / 1e6,
         "whole_rss_peak_mb": peak.at(LONG_RUN.nodes) / 1e6,
     }
 
@@ -103,7 +108,10 @@
 
 
 def _fill_views(size: FleetSize) -> Picker:
-    """Fill a directory and build the view of every service, as requests would."""
+    """Fill a directory, and compute the view of every service.
+
+    A node computes these views once it has had a request for every service.
+    """
     directory = _fill_directory(size)
     own = synthetic.node_record(0, size)
     picker = Picker(own, directory, CurrentConfiguration())
@@ -113,7 +121,11 @@
 
 
 def _fill_all(size: FleetSize) -> tuple:
-    """Fill all state, then apply one more revision while the previous one is held."""
+    """Fill all state, then apply a settings change.
+
+    The old revision stays in memory until the change is in force, so that the peak of
+    memory contains two revisions.
+    """
     picker = _fill_views(size)
     ledgers = fill_ledgers()
     configuration = _fill_settings(size)
@@ -161,5 +173,5 @@
 
 
 if __name__ == "__main__":
-    assert NodeProcess, "the whole node must be imported, as in a node process"
+    assert NodeProcess, "all modules of a node must be imported, as in a node process"
     print(json.dumps(_measure_sample(sys.argv[1], int(sys.argv[2]))))
--- a/bench/capacity/page.py
+++ b/bench/capacity/page.py
@@ -2,7 +2,7 @@
 
 from pathlib import Path
 
-from bench.capacity.bad_day_rows import BadDay, bad_day_rows
+from bench.capacity.bad_day_rows import EventCost, bad_day_rows
 from bench.capacity.rows import Row, capacity_rows
 
 __all__ = ["PAGE", "render_tables", "update"]
@@ -22,7 +22,7 @@
     "breaks first, or next step",
 )
 
-_DAY_TITLES = (
+_EVENT_TITLES = (
     "event",
     "what comes to a node",
     "processor, % of a core",
@@ -35,12 +35,14 @@
 
 
 def render_tables(measured: dict) -> str:
-    """Return the generated part of the page as Markdown."""
+    """Return the tables of the page as Markdown, each below its heading."""
     tables = (
         _format_table(
             _ROW_TITLES, [_row_cells(row) for row in capacity_rows(measured)]
         ),
-        _format_table(_DAY_TITLES, [_day_cells(day) for day in bad_day_rows(measured)]),
+        _format_table(
+            _EVENT_TITLES, [_event_cells(cost) for cost in bad_day_rows(measured)]
+        ),
         _format_table(("figure", "value"), _figure_cells(measured)),
     )
     return "\n".join(
@@ -49,7 +51,7 @@
 
 
 def update(measured: dict) -> None:
-    """Replace the tables between the two marks of the page file."""
+    """Replace the tables between `BEGIN_MARK` and `END_MARK` in the page file."""
     head, _, rest = PAGE.read_text().partition(BEGIN_MARK)
     _, _, tail = rest.partition(END_MARK)
     PAGE.write_text(
@@ -71,15 +73,15 @@
     )
 
 
-def _day_cells(day: BadDay) -> tuple[str, ...]:
+def _event_cells(cost: EventCost) -> tuple[str, ...]:
     return (
-        day.event,
-        day.incoming,
-        _format_number(day.cpu_percent),
-        _format_number(day.sent_bytes_per_s),
-        _format_number(day.settled_s),
-        day.source,
-        day.remark,
+        cost.event,
+        cost.incoming,
+        _format_number(cost.cpu_percent),
+        _format_number(cost.sent_bytes_per_s),
+        _format_number(cost.settled_s),
+        cost.source,
+        cost.remark,
     )
 
 
--- a/bench/capacity/processes.py
+++ b/bench/capacity/processes.py
@@ -25,7 +25,10 @@
 
 
 def measure() -> dict[str, float]:
-    """Return figures of an ingress and a gate that run in separate processes."""
+    """Return costs of two node processes, of which one is ingress and one is gate.
+
+    Memory, threads and open files are those of the ingress.
+    """
     with Fleet() as fleet:
         fleet.start_platform()
         fleet.put_settings(SETTINGS)
@@ -61,18 +64,22 @@
 def _measure_requests(
     ingress: NodeProgram, gate: NodeProgram, server_address: str
 ) -> dict:
-    """Send paced requests, through both nodes and directly to the backend server."""
+    """Return processor times per request, and the latency that the nodes add.
+
+    Sends requests at the same mean rate first through both nodes, then directly to the
+    backend server. The added latency is the difference of the latency percentiles.
+    """
     before_s = cpu_s(ingress.process.pid), cpu_s(gate.process.pid)
-    through, done = _measure_latency(ingress.caller_address)
+    proxied, count = _measure_latency(ingress.caller_address)
     after_s = cpu_s(ingress.process.pid), cpu_s(gate.process.pid)
     direct, _ = _measure_latency(server_address)
     return {
-        "ingress_cpu_us_per_request": (after_s[0] - before_s[0]) / done * 1e6,
-        "gate_cpu_us_per_request": (after_s[1] - before_s[1]) / done * 1e6,
-        "load_requests_per_s": done / LOAD_S,
+        "ingress_cpu_us_per_request": (after_s[0] - before_s[0]) / count * 1e6,
+        "gate_cpu_us_per_request": (after_s[1] - before_s[1]) / count * 1e6,
+        "load_requests_per_s": count / LOAD_S,
     } | {
         f"added_p{percentile}_ms": (
-            through.get_value_at_percentile(percentile)
+            proxied.get_value_at_percentile(percentile)
             - direct.get_value_at_percentile(percentile)
         )
         / 1000
@@ -87,14 +94,17 @@
         LIMITS.requests_per_s_per_node,
         seed=1,
     )
-    done = calls.run(LOAD_S)
+    count = calls.run(LOAD_S)
     calls.close()
     assert not calls.failures
-    return calls.histogram, done
+    return calls.histogram, count
 
 
 def _measure_connections(node: NodeProgram) -> dict[str, float]:
-    """Open connections with one request each, and measure their resources when idle."""
+    """Return the resources that a node uses for `CONNECTIONS` idle connections.
+
+    Each connection is idle after one request.
+    """
     before_bytes = resident_bytes(node.process.pid)
     target = Target(node.caller_address, "/board/7")
     calls = PacedCalls(target, CONNECTIONS, CONNECTIONS, seed=1)
--- a/bench/capacity/rows.py
+++ b/bench/capacity/rows.py
@@ -1,7 +1,7 @@
-"""The capacity table: each target beside the cost extrapolated from a run.
+"""The capacity table, which compares extrapolated costs with their targets.
 
-Every row is calculated from the figures of a recorded run (the baseline), so that
-no row claims more than this run has shown.
+The costs are calculated from the figures of a recorded run (the baseline), so that the
+table states nothing that this run does not support.
 """
 
 from typing import NamedTuple
@@ -23,14 +23,14 @@
 ]
 
 DAY_S = 86_400
-# A replaced VM changes records four times: the old backend server drains and leaves,
-# the new one is announced and has warmed up.
+# Replacing a VM changes records four times: the old backend server drains and leaves,
+# the new one is announced and finishes its warm-up.
 RECORD_CHANGES_PER_REPLACEMENT = 4
 RECORD_CHANGES_PER_S = (
     LONG_RUN.replacements_per_day * RECORD_CHANGES_PER_REPLACEMENT / DAY_S
 )
 SETTINGS_CHANGES_PER_S = LONG_RUN.changes_per_day / DAY_S
-# A process uses one core at most; a fifth of the core is left free for bursts.
+# A process can use one core at most. A fifth of it is reserved for bursts.
 REQUEST_CPU_MAX_PERCENT = 80.0
 # A settings edit reads three rows of the platform's tables: its subtree, its
 # operation and the fleet's revision.
@@ -40,29 +40,29 @@
 WRITES_PER_EDIT = 4
 # Assumed fraction of requests with an Idempotency-Key; the real one is unknown.
 KEYED_REQUESTS_FRACTION = 0.001
-# A look-up of this length is negligible against the duration of a request.
+# A look-up that takes no longer than this is negligible in the duration of a request.
 LOOK_UP_MAX_US = 100.0
 # Default limit of open files per process in most distributions.
 OPEN_FILES_MAX = 1024
-# Processor time per changed key at which the settings changes of an ordinary day use
-# the whole `control_cpu_percent`.
+# If each settings change of an ordinary day took this processor time, the changes would
+# use all of `control_cpu_percent`.
 CHANGED_KEY_MAX_MS = LIMITS.control_cpu_percent / 100 * 1000 / SETTINGS_CHANGES_PER_S
 
 
 class Row(NamedTuple):
-    """One target and the cost extrapolated to the long-run size of the fleet.
+    """A cost at the long-run size of the fleet, with its target.
 
     Attributes
     ----------
     target : float
         Largest acceptable value.
     extrapolated : float
-        Value at the long-run size, in the unit of the target.
+        Cost at the long-run size, in the same unit as the target.
     measured_up_to : str
         Largest size, or the conditions, under which the cost was measured.
     breaks_first : str
-        What exceeds its bound first as the fleet grows; after "next:", the change
-        to make next.
+        The first bottleneck as the fleet grows. The text after "next:" is the change
+        that would remove it.
     """
 
     role: str
@@ -76,19 +76,19 @@
 
     @property
     def met(self) -> bool:
-        """Whether the extrapolated value is within the target."""
+        """Whether the extrapolated cost is at most the target."""
         return self.extrapolated <= self.target
 
     @property
     def margin(self) -> str:
-        """Factor by which the target is met or missed, as Markdown."""
+        """Ratio of the larger to the smaller of target and cost, as Markdown."""
         if self.met:
             return f"{self.target / max(self.extrapolated, 1e-9):.2g}x"
         return f"**missed** {self.extrapolated / self.target:.2g}x"
 
 
 def capacity_rows(measured: dict[str, dict[str, float]]) -> list[Row]:
-    """Return the rows in the order of the capacity page."""
+    """Return all rows, in the order of the capacity page."""
     return [
         *_request_rows(measured["processes"], measured["look_ups"]),
         *_node_rows(measured["processes"], measured["memory"]),
@@ -350,7 +350,7 @@
     reader_reads_per_s = readers * (1 / POLL_INTERVAL_S + SETTINGS_CHANGES_PER_S)
     other_reads_per_s = LONG_RUN.nodes / NON_READER_POLL_INTERVAL_S
     edit_reads_per_s = SETTINGS_CHANGES_PER_S * READS_PER_EDIT
-    alone_reads_per_s = LONG_RUN.nodes / POLL_INTERVAL_MAX_S
+    isolated_reads_per_s = LONG_RUN.nodes / POLL_INTERVAL_MAX_S
     row_bytes = settings["subtree_row_bytes"]
     return [
         Row(
@@ -368,7 +368,7 @@
             "reads when each node believes itself alone",
             "reads/s",
             LIMITS.platform_reads_per_s,
-            alone_reads_per_s,
+            isolated_reads_per_s,
             "a reader that sees fewer nodes polls as much more slowly, to 3 s",
             "by count from the intervals",
             "6,000 nodes: the bound of 3 s would have to grow",
--- a/bench/capacity/settings.py
+++ b/bench/capacity/settings.py
@@ -1,7 +1,7 @@
-"""Costs of one accepted change of the settings, by number of routes.
+"""Costs at one node of an accepted settings change, by number of routes.
 
-On average, a node receives as many notices of a change as it sends. A node pulls
-each change once, and on average one other node pulls the change from it.
+A node applies the change, sends notices of it to several peers, and pulls it once. On
+average, one other node pulls the change from this node.
 """
 
 import time
@@ -43,7 +43,10 @@
 
 
 def measure() -> dict[str, float]:
-    """Return processor time and bytes of a change of one route, and sizes of rows."""
+    """Return the costs of a change of one route, and sizes of pages and rows.
+
+    The costs are processor times in milliseconds, and bytes sent.
+    """
     cpu_points = [
         (size.routes, _change_cpu_ms(synthetic.documents(size)))
         for size in (
@@ -69,7 +72,7 @@
 
 
 def _change_cpu_ms(documents: dict[str, bytes]) -> float:
-    """Return the cost of applying one changed document."""
+    """Return the processor time to apply one changed document, in milliseconds."""
     configuration = CurrentConfiguration()
     assert configuration.offer(1, documents, CHAIN) is ApplyResult.IN_FORCE
     paths = [path for path in documents if "/routes/" in path][:CHANGES]
@@ -84,7 +87,11 @@
 
 
 def _gossip_cpu_ms(size: FleetSize) -> tuple[float, float]:
-    """Return the cost of sending notices to selected peers, and of planning a poll."""
+    """Return the processor times of notices of one change and of planning a poll.
+
+    The first includes the choice of the peers that receive the notices. Both times are
+    in milliseconds.
+    """
     headers = list(synthetic.node_records(size._replace(backend_servers=0)))
     sent: list[Any] = []
     configuration = CurrentConfiguration()
@@ -112,7 +119,10 @@
 
 
 def _change_sent_bytes(documents: dict[str, bytes]) -> float:
-    """Return the bytes that a node sends per change if all connections are new."""
+    """Return the bytes that a node sends per change.
+
+    Each message is assumed to need a new connection, whose bytes are counted.
+    """
     path = next(path for path in documents if "/routes/" in path)
     delta = SettingsDelta(50_000, CHAIN, CHAIN, {path: documents[path]}, 1)
     notices = FANOUT_ZONE + FANOUT_OTHER_ZONES
@@ -129,7 +139,10 @@
 
 
 def _largest_row_bytes(documents: dict[str, bytes]) -> int:
-    """Return the size of the largest team's row, which each edit reads and rewrites."""
+    """Return the size of the largest row of a team in the platform's table.
+
+    Each edit reads the row of its team and replaces it.
+    """
     teams: dict[str, dict[str, Any]] = {}
     for path, document in documents.items():
         team = path.partition("/")[0]
--- a/bench/capacity/sizes.py
+++ b/bench/capacity/sizes.py
@@ -1,7 +1,7 @@
 """The long-run size of the fleet, and the limits of a node and of the platform.
 
-The capacity table is calculated for the long-run size. The limits `control_*` apply
-to the work of a node besides requests: membership and settings.
+The capacity table is calculated for the long-run size. The limits `control_*` apply to
+the control work of a node: membership and settings, without requests.
 """
 
 from typing import NamedTuple
@@ -10,14 +10,14 @@
 
 
 class FleetSize(NamedTuple):
-    """Numbers of a fleet; the defaults are the long-run size.
+    """Size of a fleet. The defaults are the long-run size.
 
     Attributes
     ----------
     changes_per_day : int
-        Accepted changes of the settings.
+        Number of accepted settings changes per day.
     replacements_per_day : int
-        Replaced VMs of backend servers.
+        Number of VMs with backend servers that are replaced per day.
     """
 
     nodes: int = 5_600
@@ -37,10 +37,11 @@
         return self.backend_servers // self.nodes
 
     def scaled(self, nodes: int) -> "FleetSize":
-        """Return the size with `nodes` nodes and proportional servers and settings.
+        """Return the size of a fleet with `nodes` nodes.
 
-        Services and routes are rounded, to at least one; customers, regions, zones
-        and rates stay.
+        The numbers of backend servers, services and routes are proportional to the
+        number of nodes; at least one service and one route remain. All other numbers
+        are unchanged.
         """
         fraction = nodes / self.nodes
         return self._replace(
@@ -52,7 +53,10 @@
 
 
 class Limits(NamedTuple):
-    """Limits of one node, and of the platform for the whole fleet (`platform_*`)."""
+    """Limits of the costs of one node.
+
+    Limits named `platform_*` apply to the platform, which serves all nodes.
+    """
 
     control_cpu_percent: float = 2.0
     memory_mb: float = 256.0
--- a/bench/capacity/slopes.py
+++ b/bench/capacity/slopes.py
@@ -12,7 +12,7 @@
     Attributes
     ----------
     largest_x : float
-        Largest measured size.
+        Largest `x` of the measured points.
     residual : float
         Largest vertical distance of a point from the line, as a fraction of the
         point's value.
@@ -24,7 +24,7 @@
     residual: float
 
     def at(self, x: float) -> float:
-        """Return the line's value at a size."""
+        """Return the value of the line at `x`."""
         return self.intercept + self.slope * x
 
 
@@ -34,11 +34,13 @@
     Raises
     ------
     ValueError
-        When all points have the same size.
+        When all points have the same `x`.
     """
     sizes = {x for x, _ in points}
     if len(sizes) < 2:
-        raise ValueError("fitting a line needs points of at least two different sizes")
+        raise ValueError(
+            "fitting a line needs points with at least two different x values"
+        )
     mean_x = sum(x for x, _ in points) / len(points)
     mean_y = sum(y for _, y in points) / len(points)
     square_sum = sum((x - mean_x) ** 2 for x, _ in points)
--- a/bench/capacity/synthetic.py
+++ b/bench/capacity/synthetic.py
@@ -1,7 +1,7 @@
 """Synthetic records and settings documents of a fleet of a given size.
 
-Records are encoded and decoded, so that they hold as many separate string
-objects as records that a real node receives.
+Records are encoded and then decoded, so that they contain as many separate string
+objects as the records that a node receives. Therefore they take the same memory.
 """
 
 import uuid
@@ -28,12 +28,18 @@
 
 
 def service_name(number: int) -> str:
-    """Return the name of a service; at the long-run size a team owns fifty."""
+    """Return the name of a service, with one of `TEAMS` teams as its owner.
+
+    At the long-run size, each team owns fifty services.
+    """
     return f"team-{number % TEAMS:03d}/service-{number:04d}"
 
 
 def node_record(number: int, size: FleetSize, version: int = 1) -> NodeRecord:
-    """Return one node's record with its backend servers, decoded from the wire form."""
+    """Return the record of one node, with its backend servers.
+
+    The same number and size result in the same record.
+    """
     rng = Random(number)
     zone = number % size.availability_zones
     address = f"10.{zone}.{number // 250 % 250}.{number % 250}"
@@ -69,12 +75,12 @@
 
 
 def entry_news(node_id: str, incarnation: int, entry: ServerEntry) -> NodeNews:
-    """Return the message that reports one changed backend server of a node."""
+    """Return the news that one backend server of a node has changed."""
     return NodeNews(node_id, incarnation, servers=[entry])
 
 
 def documents(size: FleetSize) -> dict[str, bytes]:
-    """Return the settings documents of all services and routes, as JSON by path."""
+    """Return the settings documents of all services and routes: JSON, by path."""
     encoded: dict[str, bytes] = {}
     for number in range(size.services):
         team, _, name = service_name(number).partition("/")
--- a/bench/claims.py
+++ b/bench/claims.py
@@ -1,8 +1,8 @@
 """Latency and platform writes that an Idempotency-Key adds to a request.
 
 Run: ``python -m bench.claims``. Non-idempotent requests go through one ingress to
-a gate at another node. Each round sends one request without a key, one with a new
-key, and the latter once more.
+the gate of another node. Each round sends three requests: one without a key, one with a
+new key, and one that repeats the second.
 """
 
 import http.client
@@ -24,7 +24,7 @@
 
 
 def main() -> None:
-    """Print the latency of each kind of request, and the writes for each key."""
+    """Print the latency of each kind of request, and the transactions per key."""
     with Fleet() as fleet:
         fleet.start_platform()
         fleet.put_settings(SETTINGS)
@@ -50,7 +50,7 @@
             f"{kind}: p50 {values[len(values) // 2]:.2f} ms, "
             f"p99 {values[len(values) * 99 // 100]:.2f} ms"
         )
-    print(f"transactions for each key sent twice: {transactions / REQUESTS:.2f}")
+    print(f"transactions per key (each sent twice): {transactions / REQUESTS:.2f}")
 
 
 def _send_ms(connection, headers) -> float:
--- a/bench/deployments.py
+++ b/bench/deployments.py
@@ -6,11 +6,13 @@
     python -m bench.deployments association --scenario gray
 
 Nodes, backend servers and settings come from ``examples/``; the addresses are
-free ports of this machine. All processes share the machine's loopback, so the
-figures contain no latency between availability zones. Each scenario injects its
-fault into another backend server of each service than the scenarios before it. A
-backend server that an earlier scenario ejected may still be held out, because
-hold-outs double with each ejection; it isn't counted as a false ejection.
+free ports of this machine. All processes run on this machine, so the figures contain no
+latency between availability zones.
+
+Each scenario injects its fault into a backend server of each service that had no fault
+in the earlier scenarios. A backend server that was ejected in an earlier scenario may
+still be held out, because hold-outs double with each ejection. Its ejection is not
+counted as a false ejection.
 """
 
 import json
@@ -41,12 +43,12 @@
 EXAMPLES = Path(__file__).parent.parent / "examples"
 DEPLOYMENTS = ("association", "kelvale")
 WORKERS = 200
-# A backend server that receives no request for QUIET_S counts as held out: at
-# 3 requests/s such a gap is unlikely otherwise. QUIET_S is less than the shortest
-# hold-out (2.5 s, when probes shorten it), so that no hold-out is overlooked.
+# A backend server counts as held out when it receives no request for HELD_OUT_GAP_S. At
+# 3 requests/s, a backend server in use is unlikely to receive none for so long. The
+# shortest hold-out (2.5 s, when probes shorten it) is longer, so none is overlooked.
 REQUESTS_PER_S_PER_BACKEND_SERVER = 3.0
-QUIET_S = 2.0
-# Fraction of a service's requests that its second and each later route receives.
+HELD_OUT_GAP_S = 2.0
+# Fraction of a service's requests that each route but the first receives.
 LATER_ROUTE_FRACTION = 0.3
 RUN_S = 20.0
 FAULT_START_S, FAULT_END_S = 4.0, 16.0
@@ -70,22 +72,27 @@
 
 
 class Scenario(NamedTuple):
-    """Faults that are injected from `FAULT_START_S` to `FAULT_END_S` of a run.
+    """Faults of one run.
+
+    The faults last from `FAULT_START_S` to `FAULT_END_S` of the run, except that a
+    stopped zone continues after `FREEZE_S`.
 
     Attributes
     ----------
     backend_fault : dict or None
-        Fault of one backend server of each service, in the form that the
-        stand-in backend server accepts.
+        Fault of one backend server of each service: the body of ``POST /faults`` to
+        the stand-in backend server. None for no fault.
     server_index : int
         Index of the faulty backend server within its service. It differs between
-        scenarios, so that no backend server is ejected in two scenarios.
+        scenarios, so that no backend server has a fault in two scenarios.
     flap_period_s : float or None
-        Period in which the fault goes on and off; None for a constant fault.
+        The fault is on for the first half of each such period and off for the second
+        half. None for a constant fault.
     platform : dict or None
-        Fault of the platform, in the form that the stand-in platform accepts.
+        Fault of the platform: the body of ``POST /faults`` to the stand-in platform.
+        None for no fault.
     freezes_zone : bool
-        Whether all processes of the last availability zone are stopped.
+        Whether all processes of the last availability zone are stopped for `FREEZE_S`.
     """
 
     name: str
@@ -108,36 +115,37 @@
 
 
 class RunningDeployment:
-    """Running fleet of one example deployment, with a stand-in platform."""
+    """The processes of one example deployment, with a stand-in platform."""
 
     def __init__(self, fleet: Fleet, name: str) -> None:
         folder = EXAMPLES / name
-        self.settings = _read(folder / "settings.json")
+        self.settings = _read_json(folder / "settings.json")
         self._fleet = fleet
         fleet.start_platform()
         fleet.put_settings(self.settings)
         self.nodes = {
-            path.stem: self._start_node(_read(path))
+            path.stem: self._start_node(_read_json(path))
             for path in sorted((folder / "nodes").glob("*.json"))
         }
         self.backend_servers = {}
         self._servers_by_service: dict[str, list[str]] = {}
         self._node_by_server: dict[str, NodeProgram] = {}
-        for server in _read(folder / "backend-servers.json"):
+        for server in _read_json(folder / "backend-servers.json"):
             self._start_backend(server)
         fleet.wait_ready(self.nodes.values(), self.backend_servers)
 
     def run(self, scenario: Scenario, seed: int) -> Report:
-        """Run the load and the faults of one scenario."""
+        """Send the load with the faults of one scenario, and return the report."""
         with self._frozen_zone(scenario):
             return run_experiment(
                 self._load_plan(scenario, seed), uuid.uuid4().hex[:12]
             )
 
     def wait_for_readmissions(self) -> set[str]:
-        """Wait `READMISSION_TIMEOUT_S` at most until no backend server is suspected.
+        """Wait until no node suspects a backend server.
 
-        Returns the ids of the backend servers that are still suspected.
+        The wait ends after `READMISSION_TIMEOUT_S`. Returns the ids of the backend
+        servers that are then still suspected.
         """
         deadline_s = time.monotonic() + READMISSION_TIMEOUT_S
         while True:
@@ -189,7 +197,7 @@
             seed=seed,
             faults=self._fault_periods(scenario),
             workers=WORKERS,
-            quiet_s=QUIET_S,
+            quiet_s=HELD_OUT_GAP_S,
         )
 
     def _fault_periods(self, scenario: Scenario) -> list[FaultPeriod]:
@@ -210,7 +218,10 @@
         return faults
 
     def _arrivals(self, service: str, servers: int) -> list[Arrival]:
-        """Divide the request rate of a service among its routes."""
+        """Return the arrivals of requests for each route of a service.
+
+        The request rate of the service is proportional to its backend `servers`.
+        """
         routes = [
             (path.rpartition("/")[2], document)
             for path, document in self.settings.items()
@@ -235,7 +246,10 @@
 
     @contextmanager
     def _frozen_zone(self, scenario: Scenario):
-        """Stop the processes of the last zone for `FREEZE_S`, then continue them."""
+        """Stop the processes of the last zone for `FREEZE_S`, then continue them.
+
+        Does nothing if the scenario does not stop a zone.
+        """
         if not scenario.freezes_zone:
             yield
             return
@@ -266,7 +280,7 @@
             _signal(frozen, signal.SIGCONT)
 
 
-def _read(path: Path) -> Any:
+def _read_json(path: Path) -> Any:
     return json.loads(path.read_text())
 
 
@@ -295,12 +309,15 @@
             held_out_before = running.wait_for_readmissions()
             report = running.run(item, seed)
             reports[item.name] = _remove_earlier_ejections(report, held_out_before)
-            typer.echo(f"{name}, {item.name}: done", err=True)
+            typer.echo(f"{name}, {item.name}: finished", err=True)
     return reports
 
 
 def _remove_earlier_ejections(report: Report, held_out_before: set[str]) -> Report:
-    """Remove false ejections of backend servers held out since an earlier scenario."""
+    """Return the report without false ejections caused by an earlier scenario.
+
+    These are the ejections of the backend servers in `held_out_before`.
+    """
     false = [
         ejection
         for ejection in report.ejections.false
@@ -312,9 +329,9 @@
 
 def _format_markdown(name: str, reports: dict[str, Report]) -> str:
     titles = (
-        "scenario | sent | answered, weighted | not_run | unknown | silence"
-        " | worst kind's p99 ms | last met s | held out s | met | false ejections"
-        " | broken promises"
+        "scenario | sent | answered, weighted | not_run | unknown | no answer"
+        " | worst kind's p99 ms | detected s | held out s | requests during fault"
+        " | false ejections | violated guarantees"
     )
     lines = [f"| {titles} |", "|" + " --- |" * (titles.count("|") + 1)]
     lines += [
@@ -327,7 +344,7 @@
     def total(*names: str) -> int:
         return sum(kind.outcomes.get(n, 0) for kind in report.kinds for n in names)
 
-    broken_promises = msgspec.to_builtins(report.truthfulness)
+    violations = msgspec.to_builtins(report.truthfulness)
     cells = [
         scenario,
         sum(kind.sent for kind in report.kinds),
@@ -340,7 +357,7 @@
         _format_seconds(item.held_out_s for item in report.detections),
         ", ".join(str(item.met + item.met_later) for item in report.detections),
         len(report.ejections.false),
-        sum(len(broken) for broken in broken_promises.values()),
+        sum(len(requests) for requests in violations.values()),
     ]
     return " | ".join(map(str, cells))
 
@@ -355,7 +372,7 @@
     seed: int = 1,
     markdown: bool = False,
 ) -> None:
-    """Run deployments, one at a time, and print their reports."""
+    """Run the given deployments or both, in sequence, and print their reports."""
     for name in deployments or DEPLOYMENTS:
         reports = run_deployment(name, scenario, seed)
         if markdown:
--- a/bench/paced_calls.py
+++ b/bench/paced_calls.py
@@ -1,4 +1,4 @@
-"""HTTP calls at a given rate over persistent connections."""
+"""Sends HTTP requests at a given rate over persistent connections."""
 
 import random
 import socket
@@ -18,14 +18,14 @@
 
 
 class Target(NamedTuple):
-    """Server and path of a call.
+    """Server and path of a request.
 
     Attributes
     ----------
     address : str
-        ``IP:port``.
+        ``IP:port`` of the server.
     path : str
-        With the query string.
+        Path with the query string.
     """
 
     address: str
@@ -38,15 +38,17 @@
 
 
 class PacedCalls:
-    """Calls one target over several connections, with a thread for each.
+    """Sends GET requests to a target, over connections with a thread each.
 
-    A call's latency begins at the time at which it is due: a stall of the target
-    also delays the calls that wait for their connection, and counts for each.
+    Each request has a random scheduled time, from which its latency is measured. While
+    the target doesn't answer, the later requests of the connection have to wait. Their
+    latencies include this wait, so that the histogram shows a stall with all requests
+    that it delayed.
 
     Parameters
     ----------
     rate_per_s : float
-        Calls a second over all connections.
+        Requests per second over all connections together.
     """
 
     def __init__(self, target: Target, connections: int, rate_per_s: float, seed: int):
@@ -60,14 +62,14 @@
         self._executor = ThreadPoolExecutor(connections)
 
     def run(self, duration_s: float) -> int:
-        """Call the target for a time and return the number of calls."""
+        """Send requests for `duration_s`, and return their number."""
         start_s = time.monotonic()
         schedules = [self._due_times(start_s, duration_s) for _ in self._sockets]
         list(self._executor.map(self._run_connection, self._sockets, schedules))
         return sum(map(len, schedules))
 
     def close(self) -> None:
-        """Close the connections."""
+        """Stop the threads and close the connections."""
         self._executor.shutdown()
         for connection in self._sockets:
             connection.close()
@@ -103,7 +105,7 @@
 
 
 def encode_request(target: Target) -> bytes:
-    """Return a GET request with the headers that a browser sends."""
+    """Return an encoded GET request with the usual headers of a browser."""
     return (
         f"GET {target.path} HTTP/1.1\r\n"
         f"Host: {target.address}\r\n"
@@ -117,7 +119,10 @@
 
 
 def _read_answer(connection: socket.socket) -> int:
-    """Read an answer, which must have a Content-Length, and return its status."""
+    """Read one answer and return its status.
+
+    The answer must have a Content-Length header.
+    """
     data = connection.recv(RECEIVE_BYTES)
     while (end := data.find(b"\r\n\r\n")) < 0:
         data += _receive(connection)
--- a/bench/played_days.py
+++ b/bench/played_days.py
@@ -1,17 +1,20 @@
-"""Compares versions of the fleet by days that the users' bench plays with each.
+"""Compares two versions of the fleet by their scores on simulated days.
 
-The users' bench plays a day with the sources of a checkout, and writes the result as
-an entry to the checkout's journal. The worth of a day differs by 0.05 from run to run:
-a single run proves nothing. So two versions play the same days with the same seeds,
-and the mean difference of these pairs is given with its confidence interval.
+The users' bench is a separate program. It runs ("plays") a simulated day with the
+sources of a checkout, and writes the result to the checkout's journal. The score of a
+day is called its worth. It varies by 0.05 between runs of the same version, so two
+single runs can't show which version is better. Therefore, both versions run the same
+days with the same seeds. ``compare`` prints the mean difference between the versions
+and its confidence interval.
 
     python -m bench.played_days play --program PATH --site FILE --seeds 11,12 \
         --variant before=DIR --variant after=DIR --results FILE
     python -m bench.played_days read --variant after --results FILE ENTRY...
     python -m bench.played_days compare --results FILE before after
 
-The bench allows one `run` at a time on a machine. It plays several days at once only
-in a call that plays a whole site; `read` imports the days of such a call's entry.
+The users' bench allows only one ``run`` command at a time on a machine. It runs several
+days in parallel only if the command runs all days of a site. ``read`` imports the
+days from the journal entry of such a command.
 """
 
 import json
@@ -39,28 +42,31 @@
 DAYS = "trouble-1,scale-1,trouble-2,scale-2,trouble-3"
 RESAMPLES = 2000
 PROCESSOR_PRICE = "processor seconds"
-# Fraction of the resampled means below the interval, and above it.
+# Fraction of the resampled means that lie below the confidence interval. The same
+# fraction lies above it.
 TAIL_FRACTION = 0.025
 
 app = typer.Typer(add_completion=False)
 
 
 class DayResult(msgspec.Struct, frozen=True):
-    """Result of one played day.
+    """Result of one simulated day.
 
     Attributes
     ----------
     worth : float
-        Fraction earned of the day's possible payoff, less `prices`.
+        Score of the day: the sum of `parts` minus the sum of `prices`.
     parts : dict of str to float
-        Weighted terms whose sum is the worth before prices: the whole day, the worst
+        Weighted fractions of the possible payoff, by name: of the day, of its worst
         seconds, ...
     prices : dict of str to float
-        Amounts subtracted from the worth, by name.
+        Costs that are subtracted from the score, by name. The price of processor time
+        is not included.
     kinds : list of float or None
-        Fraction of the payoff earned with each kind of request.
+        Fraction of the possible payoff that was earned with each kind of request, or
+        None.
     rules : dict of str to int
-        Violations of each rule that was broken.
+        Number of violations, by name of the violated rule.
     """
 
     variant: str
@@ -77,7 +83,13 @@
 
 
 class Comparison(NamedTuple):
-    """Means of one figure in two versions, and the interval of their difference."""
+    """Means of one figure in two versions.
+
+    Attributes
+    ----------
+    low, high : float
+        Bounds of the confidence interval of the difference of the means.
+    """
 
     name: str
     before: float
@@ -92,43 +104,44 @@
 
 
 def day_results(variant: str, entry: dict) -> list[DayResult]:
-    """Return the results of all days of a journal entry.
+    """Return the results of all days of a journal entry of the users' bench.
 
-    The price of processor time differs from run to run, so it is added back.
+    The price of processor time is added back to the score, because it varies between
+    runs of the same version.
     """
-    return [_day_result(variant, played) for played in entry["days"]]
+    return [_day_result(variant, day) for day in entry["days"]]
 
 
-def _day_result(variant: str, played: dict) -> DayResult:
-    prices = {name: worth for name, _, worth in played["prices"]}
+def _day_result(variant: str, day: dict) -> DayResult:
+    prices = {name: worth for name, _, worth in day["prices"]}
     return DayResult(
         variant,
-        played["name"].partition(" ")[0],
-        played["seed"],
-        played["G"] + prices.pop(PROCESSOR_PRICE, 0.0),
-        played["served"],
-        played["refused"],
-        played["failed"],
-        {name: weight * value for name, weight, value in played["parts"]},
+        day["name"].partition(" ")[0],
+        day["seed"],
+        day["G"] + prices.pop(PROCESSOR_PRICE, 0.0),
+        day["served"],
+        day["refused"],
+        day["failed"],
+        {name: weight * value for name, weight, value in day["parts"]},
         prices,
-        played["by_class"],
-        played["rules"],
+        day["by_class"],
+        day["rules"],
     )
 
 
 def confidence_interval(differences: list[float], seed: int = 1) -> tuple[float, float]:
-    """Return the bootstrap confidence interval of the mean difference."""
+    """Return the bounds of the bootstrap confidence interval of the mean difference."""
     rng = random.Random(seed)
     means = sorted(
         statistics.fmean(rng.choices(differences, k=len(differences)))
         for _ in range(RESAMPLES)
     )
-    cut = int(TAIL_FRACTION * RESAMPLES)
-    return means[cut], means[-1 - cut]
+    cut_count = int(TAIL_FRACTION * RESAMPLES)
+    return means[cut_count], means[-1 - cut_count]
 
 
 def compare(results: Iterable[DayResult], before: str, after: str) -> list[Comparison]:
-    """Compare two variants over the days and seeds that both played."""
+    """Return a comparison of each figure, over the days and seeds that both ran."""
     results = list(results)
     pairs = _pairs(results, before, after)
     names = list(dict.fromkeys(name for pair in pairs for name in _figures(pair[1])))
@@ -136,14 +149,17 @@
 
 
 def report(
-    results: Iterable[DayResult], before: str, after: str, least: float = 0.002
+    results: Iterable[DayResult], before: str, after: str, min_difference: float = 0.002
 ) -> str:
-    """Return a table of days and figures.
+    """Return two tables as text, and the violated rules.
+
+    The first table has the mean score of each day; the second, the comparison of each
+    figure.
 
     Parameters
     ----------
-    least : float
-        Smallest difference of a figure, other than the worth, that is listed.
+    min_difference : float
+        Figures with a smaller difference are omitted, except the worth.
     """
     results = list(results)
     lines = [f"{'day':<12} {before:>10} {after:>10}  pairs"]
@@ -157,7 +173,7 @@
         ]
         lines.append(f"{day:<12} {worths[0]:10.3f} {worths[1]:10.3f}  {len(pairs)}")
     for comparison in compare(results, before, after):
-        if comparison.name == "worth" or abs(comparison.difference) >= least:
+        if comparison.name == "worth" or abs(comparison.difference) >= min_difference:
             lines.append(
                 f"{comparison.name:<50} {comparison.before:8.3f} "
                 f"{comparison.after:8.3f} {comparison.difference:+8.3f}  "
@@ -190,9 +206,9 @@
     figures |= {f"part: {name}": value for name, value in result.parts.items()}
     figures |= {f"price: {name}": value for name, value in result.prices.items()}
     figures |= {
-        f"kind {number}": share
-        for number, share in enumerate(result.kinds)
-        if share is not None
+        f"kind {number}": fraction
+        for number, fraction in enumerate(result.kinds)
+        if fraction is not None
     }
     return figures
 
@@ -211,7 +227,7 @@
 
 
 class _DayRun(NamedTuple):
-    """A day to play with the checkout of one variant."""
+    """A simulated day to run with the checkout of one variant."""
 
     variant: str
     checkout: Path
@@ -219,24 +235,30 @@
     seed: int
 
 
-def _play_day(program: Path, site: Path, play: _DayRun) -> DayResult | None:
-    """Play one day; None if the bench wrote no entry or no day."""
-    command = [program, "run", site, play.day, "--no-cpu", "--why", play.variant]
-    if play.seed:
-        command += ["--seed", str(play.seed)]
-    done = subprocess.run(
-        [*map(str, command)], cwd=play.checkout, capture_output=True, text=True
+def _run_day(program: Path, site: Path, day_run: _DayRun) -> DayResult | None:
+    """Run one day with the users' bench and return its result.
+
+    Returns None if the bench wrote no journal entry, or an entry without a day. Then,
+    prints the output or the error of the bench.
+    """
+    command = [program, "run", site, day_run.day, "--no-cpu", "--why", day_run.variant]
+    if day_run.seed:
+        command += ["--seed", str(day_run.seed)]
+    completed = subprocess.run(
+        [*map(str, command)], cwd=day_run.checkout, capture_output=True, text=True
     )
-    match = re.search(r"snapshot ([0-9a-f]{8})", done.stdout + done.stderr)
-    entries = match and list((play.checkout / "journal").glob(f"*-{match[1]}.json"))
+    match = re.search(r"snapshot ([0-9a-f]{8})", completed.stdout + completed.stderr)
+    entries = match and list((day_run.checkout / "journal").glob(f"*-{match[1]}.json"))
     if not entries:
-        typer.echo(f"{play}: {done.stdout[-500:]}{done.stderr[-500:]}", err=True)
+        typer.echo(
+            f"{day_run}: {completed.stdout[-500:]}{completed.stderr[-500:]}", err=True
+        )
         return None
     entry = json.loads(entries[0].read_text())
     if not entry["days"]:
-        typer.echo(f"{play}: {entry['error']}", err=True)
+        typer.echo(f"{day_run}: {entry['error']}", err=True)
         return None
-    [result] = day_results(play.variant, entry)
+    [result] = day_results(day_run.variant, entry)
     return result
 
 
@@ -254,19 +276,19 @@
     program: Annotated[Path, typer.Option()],
     site: Annotated[Path, typer.Option()],
     variant: Annotated[list[str], typer.Option(help="NAME=CHECKOUT")],
-    results: Annotated[Path, typer.Option(help="JSON lines; appended to")],
+    results: Annotated[Path, typer.Option(help="File of JSON lines to append to")],
     days: Annotated[str, typer.Option()] = DAYS,
-    seeds: Annotated[str, typer.Option(help="0: the day's own")] = "0",
+    seeds: Annotated[str, typer.Option(help="0 for the default seed of the day")] = "0",
 ) -> None:
-    """Play days with each variant, one after another."""
-    plays = [
+    """Run days with the users' bench and each variant, one after the other."""
+    day_runs = [
         _DayRun(name, Path(checkout), day, int(seed))
         for seed in seeds.split(",")
         for day in days.split(",")
         for name, checkout in (named.split("=", 1) for named in variant)
     ]
-    for play in plays:
-        result = _play_day(program, site, play)
+    for day_run in day_runs:
+        result = _run_day(program, site, day_run)
         if result is not None:
             _append_results(results, [result])
 
@@ -277,21 +299,21 @@
     variant: Annotated[str, typer.Option()],
     results: Annotated[Path, typer.Option()],
 ) -> None:
-    """Import the days of journal entries that the bench wrote."""
+    """Append the days of journal entries of the users' bench to the results file."""
     for entry in entries:
         _append_results(results, day_results(variant, json.loads(entry.read_text())))
 
 
-def _append_results(results: Path, played: list[DayResult]) -> None:
+def _append_results(results: Path, new_results: list[DayResult]) -> None:
     with results.open("ab") as out:
-        out.writelines(msgspec.json.encode(result) + b"\n" for result in played)
+        out.writelines(msgspec.json.encode(result) + b"\n" for result in new_results)
 
 
 @app.command("compare")
 def compare_command(
     before: str, after: str, results: Annotated[Path, typer.Option()]
 ) -> None:
-    """Compare two variants over the days and seeds that both played."""
+    """Print a comparison of two variants over the days and seeds that both ran."""
     typer.echo(report(_read_results(results), before, after))
 
 
