--- a/balsamspindle/crashes/gossip.py
+++ b/balsamspindle/crashes/gossip.py
@@ -110,8 +110,8 @@
     def _send_in_parts(self, address: str, update: CrashUpdate) -> None:
         """Send an update in messages small enough for a node's byte limit.
 
-        An empty update is sent too: the digest in its message tells the peer that this
-        node's digest differs, so the peer sends a repair.
+        An empty update is sent too: its message contains this node's digest. The peer
+        finds that the digest differs from its own, and sends this node a repair.
         """
         crashes, quarantines = update.crashes, update.quarantines
         is_first = True
--- a/balsamspindle/crashes/history.py
+++ b/balsamspindle/crashes/history.py
@@ -385,7 +385,7 @@
 
     def _compute_digest(self) -> int:
         # Requests that were lost only once are left out: nodes do not share whether
-        # these requests were answered.
+        # these were answered, so the nodes' digests might never become equal.
         crashes = [
             (key, sorted(run for run in known.runs if self._counts[run] > 1))
             for key, known in sorted(self._crashes.items())
--- a/balsamspindle/customers/buckets.py
+++ b/balsamspindle/customers/buckets.py
@@ -50,8 +50,8 @@
     filled_s : float
         Time up to which tokens have been added at the refill rate.
     unreserved_from_s : float
-        Each token added before this time is reserved for one refused caller, whose
-        refusal named the time when the token is added as the time to retry.
+        Each token that is added before this time is reserved for one refused caller.
+        The refusal asked this caller to retry at the time when the token is added.
     """
 
     tokens: float
--- a/balsamspindle/requests/claim_restorer.py
+++ b/balsamspindle/requests/claim_restorer.py
@@ -178,9 +178,10 @@
         self._eras.begin(era, now_s)
         if era > self._era:
             # `_answered_s` is the time of the last answer that this process got from
-            # the store in the previous era. The store was restored after this time, so
-            # the copy was made at most COPY_AGE_MAX_S before it. Claims that were
-            # written after the copy was made may be lost.
+            # the store in the previous era. The store was restored after this time, and
+            # from a copy that was at most COPY_AGE_MAX_S old, so the copy was made no
+            # earlier than COPY_AGE_MAX_S before this time. Claims that were written
+            # after the copy was made may be lost.
             oldest_s = self._answered_s - COPY_AGE_MAX_S
             self._lost_after_s = min(self._lost_after_s, oldest_s)
             self._era, self._to_rewrite = era, None
--- a/balsamspindle/requests/forwarded.py
+++ b/balsamspindle/requests/forwarded.py
@@ -87,8 +87,8 @@
         clock; None until the search looks for a queue in the own zone.
     queue_wait_ms : dict of str to float
         Expected wait for a slot in ms, by backend server id. Gates reported these waits
-        when they refused this request, or another one, because its wait would be too
-        long.
+        when they refused a request (this one or another) that would have had to wait
+        too long.
     """
 
     step: Step = Step.NEAR
@@ -144,8 +144,8 @@
         Until when the request may wait in the queues of step `QUEUE`; None before
         that step.
     parked : ParkedAttempts
-        Attempts at gates whose nodes may stop before the attempts end. They stay open
-        while the request is sent to other gates.
+        Open attempts, at most one, at gates whose nodes may stop before the attempts
+        end. A parked attempt stays open while the request is sent to other gates.
     parked_replies : list of Reply
         Unsuccessful replies to parked attempts that arrived during later attempts.
     run_was_lost : bool
--- a/balsamspindle/requests/ingress.py
+++ b/balsamspindle/requests/ingress.py
@@ -57,8 +57,8 @@
     Attributes
     ----------
     caller_service : str
-        The service that runs beside this node. Backend servers are told that requests
-        that arrive at this node come from this service.
+        Name of the service that runs beside this node. Each request that arrives at
+        this node is sent to a backend server with this name as that of its caller.
     """
 
     def __init__(
--- a/balsamspindle/requests/placement_selection.py
+++ b/balsamspindle/requests/placement_selection.py
@@ -127,11 +127,11 @@
         self._lock = threading.Lock()
 
     def select(self, forwarded: ForwardedRequest, now_s: float) -> Selection | None:
-        """Return where to send the next attempt; None when no placement is left."""
+        """Return where to send the next attempt; None when no placement remains."""
         unreachable = self._find_unreachable_servers(forwarded.route.service, now_s)
         tried, held_out_servers = set(forwarded.tried), self._sender.held_out_servers
         if forwarded.is_last_resort:
-            # Only suspected backend servers are left. Those with several errors in a
+            # Only suspected backend servers remain. Those with several errors in a
             # row are selected in the second pass only: a backend server that fails
             # all requests has all of its slots free and would always be preferred.
             passes = [tried | held_out_servers.failing(now_s) | unreachable, tried]
--- a/balsamspindle/requests/reply_wait.py
+++ b/balsamspindle/requests/reply_wait.py
@@ -15,8 +15,8 @@
 
 __all__ = ["WaitOptions", "WaitResult", "wait_first"]
 
-# Interval at which a waiting task checks whether this node has given up all requests
-# or is about to stop.
+# Interval at which a waiting task checks whether this node no longer waits for replies,
+# and whether the time at which the node stops has been set.
 CHECK_INTERVAL_MS = 100
 
 
@@ -45,7 +45,7 @@
         Called with the cause for each message that is dropped because it is not a
         reply to the attempt.
     is_aborted : callable, default=never
-        Returns whether this node has given up all requests.
+        Returns whether this node no longer waits for replies to any requests.
     node_ends_s : callable, default=infinity
         Returns the monotonic time at which this node stops; infinity before the time is
         set. Once set, the time is sent to the gates, which then start no run whose
@@ -99,8 +99,8 @@
         one of `attempts`. If there was no such reply, the last reply to one of
         `attempts`, such as a gate's refusal; None if there was no reply to any of them.
         If no answer arrives, the wait ends at the deadline, when the links or the
-        caller's connection close, when this node gives up all requests, or at a gate's
-        notice that its node may stop before the attempt ends.
+        caller's connection close, when this node no longer waits for any replies, or at
+        a gate's notice that its node may stop before the attempt ends.
     """
     waiting = {**wait.parked_attempts, **attempts}
     poller = zmq.Poller()
--- a/balsamspindle/services/peer_evidence.py
+++ b/balsamspindle/services/peer_evidence.py
@@ -1,8 +1,8 @@
 """Tracks how a service's backend servers answer one ingress, for comparison.
 
-A gate sees only the requests at its own backend servers. With each request that an
-ingress sends to a gate, it also sends a summary (`PeerEvidence`) of how the service's
-other backend servers answered it. From the summary the gate learns whether the other
+A gate sees only the requests at its own backend servers. Each request that an ingress
+sends to a gate therefore contains a summary (`PeerEvidence`) of how the service's other
+backend servers answered this ingress. The summary shows the gate whether the other
 backend servers also fail or are slow.
 """
 
