--- a/bench/capacity/bad_days.py
+++ b/bench/capacity/bad_days.py
@@ -38,10 +38,9 @@
 
 
 def measure() -> dict[str, float]:
-    """Return each event's costs: percent of a core, bytes sent per second, duration.
+    """Return percent of a core, bytes sent per second and settling time by event.
 
-    Each name of a figure starts with the name of its event. The duration ends when the
-    event has settled.
+    The name of each figure starts with the name of the event.
     """
     figures = {}
     for name, nodes in (("rack", RACK_NODES), ("zone", ZONE_NODES)):
@@ -72,9 +71,11 @@
     for number, node_id in enumerate(node_ids):
         record = simulation.directory.view(node_id).record
         reporter_id = simulation.peers[number].node_id
-        epoch = record.incarnation, record.version
-        yield VerdictNews(node_id, *epoch, Verdict.SUSPECT, reporter_id)
-        yield VerdictNews(node_id, *epoch, Verdict.DEAD, reporter_id)
+        incarnation_and_version = record.incarnation, record.version
+        yield VerdictNews(
+            node_id, *incarnation_and_version, Verdict.SUSPECT, reporter_id
+        )
+        yield VerdictNews(node_id, *incarnation_and_version, Verdict.DEAD, reporter_id)
 
 
 def _return_news(
--- a/bench/capacity/customers.py
+++ b/bench/capacity/customers.py
@@ -1,8 +1,8 @@
 """Memory and processor time that customers cost a node, by number of customers.
 
-Each customer has two keys. Each number of customers is loaded in a new interpreter
-process. In a single process, a later number would reuse memory that an earlier one has
-freed, and its memory would seem too small.
+Each customer has two keys. Each number of customers is measured in a new interpreter
+process. A second measurement in the same process would reuse memory that the first has
+freed, so its figure would be too small.
 """
 
 import gc
@@ -34,11 +34,11 @@
     """Return the costs of `LONG_RUN.customers`, extrapolated from fewer customers.
 
     The costs are the memory of all customers, and the processor times to load all
-    customers, to apply a change of one customer and to find a key. Only the time to
-    find a key is not extrapolated.
+    customers, to apply a change of one customer and to find a key. The time to find a
+    key is not extrapolated: it is that of the largest measured number of customers.
     """
     samples = [
-        _measure_in_fresh_process(round(LONG_RUN.customers * fraction))
+        _measure_in_new_process(round(LONG_RUN.customers * fraction))
         for fraction in SIZE_FRACTIONS
     ]
     memory, load, change = (
@@ -55,7 +55,7 @@
     }
 
 
-def _measure_in_fresh_process(customers: int) -> dict[str, float]:
+def _measure_in_new_process(customers: int) -> dict[str, float]:
     command = [sys.executable, "-m", "bench.capacity.customers", str(customers)]
     completed = subprocess.run(command, check=True, capture_output=True, text=True)
     return json.loads(completed.stdout)
--- a/bench/capacity/in_force.py
+++ b/bench/capacity/in_force.py
@@ -83,7 +83,7 @@
         if not outdated:
             return most_rounds, rounds
     raise TimeoutError(
-        f"{outdated} nodes did not receive the change before the time limit"
+        f"{outdated} nodes did not receive the change in the maximum of rounds"
     )
 
 
@@ -96,8 +96,8 @@
     number of messages that a node receives per second.
     """
     for node in network.nodes:
-        # A node receives at most one message per round, even if `per_s` requires more.
-        # More messages would only report further peers' revisions in the same round.
+        # A node receives at most one message per round, even if `per_s` exceeds the
+        # number of rounds per second. One message is enough to report a new revision.
         if rng.random() < per_s * ROUND_S:
             peer = rng.randrange(len(network.nodes))
             node.receive_revision(f"n{peer}", network.configurations[peer].revision)
--- a/bench/capacity/ledgers.py
+++ b/bench/capacity/ledgers.py
@@ -37,7 +37,7 @@
 def fill_ledgers() -> Ledgers:
     """Return tables of keys and events filled to their bounds, and a table of attempts.
 
-    The table contains the attempts of `ATTEMPT_LIFE_S`, at the request rate
+    The number of attempts is that of `ATTEMPT_LIFE_S` at the request rate
     `LIMITS.requests_per_s_per_node`.
     """
     return Ledgers(_fill_keys(), _fill_attempts(), _fill_events())
--- a/bench/capacity/look_ups.py
+++ b/bench/capacity/look_ups.py
@@ -1,6 +1,7 @@
 """Processor time to find a route and to pick a placement.
 
-The first is measured by number of routes, the second by size of the service.
+Routes are looked up in a small and a large table. Placements are picked from services
+with `SERVICE_SIZES` backend servers.
 """
 
 import random
--- a/bench/capacity/memory.py
+++ b/bench/capacity/memory.py
@@ -45,7 +45,7 @@
     """
     samples = {
         state: [
-            _measure_in_fresh_process(state, round(LONG_RUN.nodes * fraction))
+            _measure_in_new_process(state, round(LONG_RUN.nodes * fraction))
             for fraction in SIZE_FRACTIONS
         ]
         for state in _FILLS
@@ -83,7 +83,7 @@
     return fit_line([(s[size_name], s["state_bytes"]) for s in samples])
 
 
-def _measure_in_fresh_process(state: str, nodes: int) -> dict[str, float]:
+def _measure_in_new_process(state: str, nodes: int) -> dict[str, float]:
     command = [sys.executable, "-m", "bench.capacity.memory", state, str(nodes)]
     completed = subprocess.run(command, check=True, capture_output=True, text=True)
     return json.loads(completed.stdout)
@@ -123,7 +123,7 @@
 def _fill_all(size: FleetSize) -> tuple:
     """Fill all state, then apply a settings change.
 
-    The old revision stays in memory until the change is in force, so that the peak of
+    The old revision is still in memory while the change is applied, so the peak of
     memory contains two revisions.
     """
     picker = _fill_views(size)
--- a/bench/capacity/processes.py
+++ b/bench/capacity/processes.py
@@ -25,9 +25,9 @@
 
 
 def measure() -> dict[str, float]:
-    """Return costs of two node processes, of which one is ingress and one is gate.
+    """Start two nodes, an ingress and a gate, and return their costs.
 
-    Memory, threads and open files are those of the ingress.
+    Memory, threads and open files are those of the ingress alone.
     """
     with Fleet() as fleet:
         fleet.start_platform()
