--- a/balsamspindle/backend_servers/admission.py
+++ b/balsamspindle/backend_servers/admission.py
@@ -10,7 +10,7 @@
 from typing import NamedTuple
 
 from balsamspindle.backend_servers.cancellation import CancelToken
-from balsamspindle.backend_servers.queue import SlotQueue, Ticket, Verdict
+from balsamspindle.backend_servers.queue import QueueDecision, SlotQueue, Ticket
 from balsamspindle.backend_servers.servers import (
     BackendServerState,
     LocalBackendServer,
@@ -28,16 +28,14 @@
 # A cold backend server takes about twice as long for each request, so it can answer
 # only half as many requests per second.
 COLD_SLOTS_FRACTION = 0.5
-# A waiting attempt requests a slot again at each notification of
-# `LocalBackendServers.changed`, and at the latest after this time. The limit is needed
-# because no notification is sent when the slots of a cold backend server increase.
+# A waiting attempt requests a slot again at each notification of `changed`, and also
+# after this time, because no notification is sent when a cold server's slots increase.
 RECHECK_INTERVAL_S = 0.5
 RECHECK_MIN_S = 0.005
-# An attempt is started only if its gate and its ingress will both run for at least this
-# many times the mean service time of the attempt's route. Half of all requests,
-# including reads, take longer than the mean, but few take longer than twice the mean.
-# Refusing an attempt is better than interrupting its run when a node ends, because a
-# refused attempt can still be retried in time.
+# An attempt, even a read, is started only if its gate and its ingress will run for at
+# least this many times its route's mean service time. Half of a route's requests take
+# longer than the mean, but few take longer than twice the mean. A refused attempt can
+# still be retried in time; a run that a node's end interrupts may be lost too late.
 LAST_START_FACTOR = 2.0
 
 
@@ -213,17 +211,17 @@
                 pass
         if now_s >= self._latest_start_s(dispatch, token):
             return Refused(Reason.NODE_STOPPING)
-        verdict = queue.request_slot(
+        decision = queue.request_slot(
             ticket,
             availability.free_slots,
             availability.effective_slots,
             availability.service_time_s,
             now_s,
         )
-        match verdict:
-            case Verdict.WAIT:
+        match decision:
+            case QueueDecision.WAIT:
                 return None
-            case Verdict.START:
+            case QueueDecision.START:
                 availability.server.account.acquire(availability.kind)
                 availability.server.in_flight += 1
                 availability.server.running.add(token)
@@ -236,7 +234,7 @@
                 )
                 self._running.add(admitted)
                 return admitted
-        return _refusal(verdict, queue, ticket, availability)
+        return _refusal(decision, queue, ticket, availability)
 
     def preview(self, query: AdmissionQuery, deadline_s: float) -> Refused | None:
         """Return why an attempt would be refused now, None if it would be accepted.
@@ -252,16 +250,16 @@
                 case _Availability() as availability:
                     pass
             queue = self._queue(query.service)
-            verdict = queue.preview(
+            decision = queue.preview(
                 ticket,
                 availability.free_slots,
                 availability.effective_slots,
                 availability.service_time_s,
                 now_s,
             )
-            if verdict in (Verdict.START, Verdict.WAIT):
+            if decision in (QueueDecision.START, QueueDecision.WAIT):
                 return None
-            return _refusal(verdict, queue, ticket, availability)
+            return _refusal(decision, queue, ticket, availability)
 
     def _availability(
         self, dispatch: Dispatch | AdmissionQuery, ticket: Ticket, now_s: float
@@ -365,9 +363,12 @@
 
 
 def _refusal(
-    verdict: Verdict, queue: SlotQueue, ticket: Ticket, availability: _Availability
+    decision: QueueDecision,
+    queue: SlotQueue,
+    ticket: Ticket,
+    availability: _Availability,
 ) -> Refused:
-    if verdict is Verdict.WAIT_TOO_LONG:
+    if decision is QueueDecision.WAIT_TOO_LONG:
         return Refused(Reason.WOULD_WAIT, ticket.expected_wait_s * 1000)
     delay_ms = _backlog_ms(len(queue), availability.slots, availability.service_time_s)
     return Refused(Reason.NO_FREE_SLOT, delay_ms)
--- a/balsamspindle/backend_servers/queue.py
+++ b/balsamspindle/backend_servers/queue.py
@@ -14,7 +14,7 @@
 
 from balsamspindle.backend_servers.customer_turns import CustomerTurns
 
-__all__ = ["Order", "SlotQueue", "Ticket", "Verdict"]
+__all__ = ["Order", "SlotQueue", "Ticket", "QueueDecision"]
 
 
 # An attempt is expected to meet its latency target if the time until the target is at
@@ -36,7 +36,7 @@
     LIFO = "lifo"
 
 
-class Verdict(StrEnum):
+class QueueDecision(StrEnum):
     """The queue's decision on an attempt that requests a slot."""
 
     START = "start"
@@ -167,11 +167,11 @@
         effective_slots: float,
         service_time_s: float,
         now_s: float,
-    ) -> Verdict:
+    ) -> QueueDecision:
         """Decide whether an attempt starts, waits or is refused.
 
         Call this method when the attempt arrives, and again after each change of the
-        slots or the queue. After any verdict other than ``WAIT`` the attempt is not in
+        slots or the queue. After any decision other than ``WAIT`` the attempt is not in
         the queue.
 
         Parameters
@@ -183,16 +183,16 @@
         service_time_s : float
             Mean service time of the backend server; 0 when unknown.
         """
-        verdict = self._judge(
+        decision = self._judge(
             ticket, free_slots, effective_slots, service_time_s, now_s
         )
-        if verdict is Verdict.WAIT:
-            verdict = self._enqueue(ticket, now_s)
-        if verdict is Verdict.START and ticket.key is not None:
+        if decision is QueueDecision.WAIT:
+            decision = self._enqueue(ticket, now_s)
+        if decision is QueueDecision.START and ticket.key is not None:
             self._turns.advance_to(ticket.key.turn)
-        if verdict is not Verdict.WAIT:
+        if decision is not QueueDecision.WAIT:
             self.withdraw(ticket)
-        return verdict
+        return decision
 
     def preview(
         self,
@@ -201,19 +201,19 @@
         effective_slots: float,
         service_time_s: float,
         now_s: float,
-    ) -> Verdict:
-        """Return the verdict that `request_slot` would give now to a ticket.
+    ) -> QueueDecision:
+        """Return the decision that `request_slot` would give now to a ticket.
 
         Unlike `request_slot`, this method does not change the queue. If the queue is
         full, it returns ``SHED`` even if `request_slot` would shed another attempt
         instead.
         """
-        verdict = self._judge(
+        decision = self._judge(
             ticket, free_slots, effective_slots, service_time_s, now_s
         )
-        if verdict is Verdict.WAIT and len(self._waiting) >= self.queue_max:
-            return Verdict.SHED
-        return verdict
+        if decision is QueueDecision.WAIT and len(self._waiting) >= self.queue_max:
+            return QueueDecision.SHED
+        return decision
 
     def count_waiting(self, backend_server_id: str) -> int:
         """Return how many attempts wait for one backend server."""
@@ -233,11 +233,11 @@
 
     def _judge(
         self, ticket, free_slots, effective_slots, service_time_s, now_s
-    ) -> Verdict:
+    ) -> QueueDecision:
         if now_s >= ticket.deadline_s:
-            return Verdict.TOO_LATE
+            return QueueDecision.TOO_LATE
         if ticket.is_shed:
-            return Verdict.SHED
+            return QueueDecision.SHED
         ahead, competing = self._count_competing(ticket, now_s)
         wait_s = _expected_wait_s(ahead, free_slots, effective_slots, service_time_s)
         run_time_s = ticket.route_time_s or service_time_s
@@ -248,15 +248,15 @@
         # would never change.
         has_slot = ahead < free_slots
         if ends_s > ticket.deadline_s and (competing or not has_slot):
-            return Verdict.TOO_LATE
+            return QueueDecision.TOO_LATE
         if has_slot:
-            return Verdict.START
+            return QueueDecision.START
         ticket.expected_wait_s = wait_s or (
             _expected_wait_s(ahead, free_slots, effective_slots, DEFAULT_SERVICE_TIME_S)
         )
         if _waits_too_long(ticket, now_s):
-            return Verdict.WAIT_TOO_LONG
-        return Verdict.WAIT
+            return QueueDecision.WAIT_TOO_LONG
+        return QueueDecision.WAIT
 
     def _count_competing(self, ticket: Ticket, now_s: float) -> tuple[int, int]:
         """Count the other attempts that wait for the same backend server.
@@ -291,17 +291,17 @@
             -ticket.weight, turn, target_s, sequence * _SEQUENCE_SIGNS[self._order]
         )
 
-    def _enqueue(self, ticket: Ticket, now_s: float) -> Verdict:
+    def _enqueue(self, ticket: Ticket, now_s: float) -> QueueDecision:
         if ticket.key is not None:
-            return Verdict.WAIT
+            return QueueDecision.WAIT
         if len(self._waiting) >= self.queue_max and not self._shed_for(ticket):
-            return Verdict.SHED
+            return QueueDecision.SHED
         ticket.key = self._next_key(ticket)
         self._turns.assign_turn(ticket.customer)
         ticket.enqueued_s = now_s
         self._sequence += 1
         self._waiting.append(ticket)
-        return Verdict.WAIT
+        return QueueDecision.WAIT
 
     def _shed_for(self, ticket: Ticket) -> bool:
         """Shed one of the lightest waiting attempts to make room for the ticket.
--- a/bench/queue_overload.py
+++ b/bench/queue_overload.py
@@ -11,7 +11,7 @@
 from collections import Counter
 from typing import NamedTuple
 
-from balsamspindle.backend_servers.queue import Order, SlotQueue, Ticket, Verdict
+from balsamspindle.backend_servers.queue import Order, QueueDecision, SlotQueue, Ticket
 
 __all__ = ["OverloadResult", "Plan", "run_overload"]
 
@@ -129,12 +129,12 @@
 
     def _request_slot(self, request: _Request, now_s: float) -> None:
         known_s = SERVICE_TIME_S if self._plan.knows_service_time else 0.0
-        verdict = self._queue.request_slot(
+        decision = self._queue.request_slot(
             request, self._free_slots, SLOTS, known_s, now_s
         )
-        if verdict is Verdict.WAIT:
+        if decision is QueueDecision.WAIT:
             self._waiting.append(request)
-        elif verdict is Verdict.START:
+        elif decision is QueueDecision.START:
             self._start(request, now_s)
         else:
             self._refusal_delays_s.append(now_s - request.arrival_s)
--- a/tests/test_admission_queries.py
+++ b/tests/test_admission_queries.py
@@ -12,7 +12,7 @@
 from balsamspindle.backend_servers.cancellation import CancelToken
 from balsamspindle.backend_servers.client import BackendServerClient
 from balsamspindle.backend_servers.gate import Gate
-from balsamspindle.backend_servers.queue import SlotQueue, Ticket, Verdict
+from balsamspindle.backend_servers.queue import QueueDecision, SlotQueue, Ticket
 from balsamspindle.backend_servers.servers import Announcement, LocalBackendServers
 from balsamspindle.membership import Directory
 from balsamspindle.protocol.outcomes import Execution, Outcome, Reason
@@ -203,7 +203,7 @@
     def test_a_query_sheds_no_waiting_request(self):
         queue = SlotQueue(1)
         waits = Ticket("s", 0.3, 100.0)
-        self.assertIs(Verdict.WAIT, queue.request_slot(waits, 0, 1, 1.0, 0.0))
+        self.assertIs(QueueDecision.WAIT, queue.request_slot(waits, 0, 1, 1.0, 0.0))
         heavier = Ticket("s", 0.5, 100.0)
-        self.assertIs(Verdict.SHED, queue.preview(heavier, 0, 1, 1.0, 0.0))
-        self.assertIs(Verdict.WAIT, queue.request_slot(waits, 0, 1, 1.0, 0.1))
+        self.assertIs(QueueDecision.SHED, queue.preview(heavier, 0, 1, 1.0, 0.0))
+        self.assertIs(QueueDecision.WAIT, queue.request_slot(waits, 0, 1, 1.0, 0.1))
--- a/tests/test_overload.py
+++ b/tests/test_overload.py
@@ -6,7 +6,7 @@
 
 from testtools import TestCase
 
-from balsamspindle.backend_servers.queue import SlotQueue, Ticket, Verdict
+from balsamspindle.backend_servers.queue import QueueDecision, SlotQueue, Ticket
 from balsamspindle.backend_servers.slots import SlotAccount, WorkEnd, WorkKind
 from balsamspindle.requests.placement_selection import QUEUE_WAIT_FRACTION
 
@@ -84,13 +84,13 @@
         if self._wait_part is None:
             effective_slots = SLOTS
         free = account.free(SLOTS, now_s)
-        verdict = self._queue.request_slot(
+        decision = self._queue.request_slot(
             request.ticket, free, effective_slots, WORK_S, now_s
         )
-        if verdict is Verdict.WAIT:
+        if decision is QueueDecision.WAIT:
             return
         self._waiting.remove(request)
-        if verdict is not Verdict.START:
+        if decision is not QueueDecision.START:
             request.refused_after_s = max(STEP_S, now_s - request.arrived_s)
             return
         account.acquire(request.kind)
--- a/tests/test_placement_selection.py
+++ b/tests/test_placement_selection.py
@@ -6,7 +6,7 @@
 import msgspec
 from testtools import TestCase
 
-from balsamspindle.backend_servers.queue import SlotQueue, Ticket, Verdict
+from balsamspindle.backend_servers.queue import QueueDecision, SlotQueue, Ticket
 from balsamspindle.backend_servers.slots import SlotAccount, WorkEnd, WorkKind
 from balsamspindle.membership.directory import Placement
 from balsamspindle.protocol.outcomes import Execution
@@ -318,14 +318,16 @@
     def test_a_request_that_may_not_wait_is_refused_with_the_expected_wait(self):
         queue = SlotQueue(10)
         hasty = self.ticket(wait_max_s=0.0)
-        self.assertIs(Verdict.WAIT_TOO_LONG, self.ask(queue, hasty, 0))
+        self.assertIs(QueueDecision.WAIT_TOO_LONG, self.ask(queue, hasty, 0))
         self.assertEqual(0.5, hasty.expected_wait_s)
-        self.assertIs(Verdict.START, self.ask(queue, self.ticket(wait_max_s=0.0), 1))
+        self.assertIs(
+            QueueDecision.START, self.ask(queue, self.ticket(wait_max_s=0.0), 1)
+        )
         patient = self.ticket(wait_max_s=0.6)
-        self.assertIs(Verdict.WAIT, self.ask(queue, patient, 0))
+        self.assertIs(QueueDecision.WAIT, self.ask(queue, patient, 0))
         # The wait is longer than estimated: the request is refused, to try elsewhere.
-        self.assertIs(Verdict.WAIT, self.ask(queue, patient, 0, 0.7))
-        self.assertIs(Verdict.WAIT_TOO_LONG, self.ask(queue, patient, 0, 0.9))
+        self.assertIs(QueueDecision.WAIT, self.ask(queue, patient, 0, 0.7))
+        self.assertIs(QueueDecision.WAIT_TOO_LONG, self.ask(queue, patient, 0, 0.9))
         self.assertEqual(0, len(queue))
 
     def test_requests_that_can_be_in_time_go_before_late_ones(self):
@@ -336,10 +338,10 @@
         late = self.ticket(target_s=1.0, route_time_s=0.5)
         fresh = self.ticket(target_s=3.0, route_time_s=0.5)
         for ticket in (late, fresh):
-            self.assertIs(Verdict.WAIT, self.ask(queue, ticket, 0, 0.0))
-        self.assertIs(Verdict.WAIT, self.ask(queue, late, 1, 0.5))
-        self.assertIs(Verdict.START, self.ask(queue, fresh, 1, 0.5))
-        self.assertIs(Verdict.START, self.ask(queue, late, 1, 0.5))
+            self.assertIs(QueueDecision.WAIT, self.ask(queue, ticket, 0, 0.0))
+        self.assertIs(QueueDecision.WAIT, self.ask(queue, late, 1, 0.5))
+        self.assertIs(QueueDecision.START, self.ask(queue, fresh, 1, 0.5))
+        self.assertIs(QueueDecision.START, self.ask(queue, late, 1, 0.5))
 
     def test_a_request_whose_run_was_lost_is_not_put_back_for_being_late(self):
         # A request is late because its run was cut when the gate's node left. Late
@@ -349,26 +351,26 @@
         cut = self.ticket(target_s=1.0, route_time_s=0.5, run_was_lost=True)
         fresh = self.ticket(target_s=3.0, route_time_s=0.5)
         for ticket in (fresh, cut):
-            self.assertIs(Verdict.WAIT, self.ask(queue, ticket, 0, 2.0))
-        self.assertIs(Verdict.WAIT, self.ask(queue, fresh, 1, 2.0))
-        self.assertIs(Verdict.START, self.ask(queue, cut, 1, 2.0))
+            self.assertIs(QueueDecision.WAIT, self.ask(queue, ticket, 0, 2.0))
+        self.assertIs(QueueDecision.WAIT, self.ask(queue, fresh, 1, 2.0))
+        self.assertIs(QueueDecision.START, self.ask(queue, cut, 1, 2.0))
 
     def test_a_heavier_request_that_is_late_still_goes_first(self):
         queue = SlotQueue(10)
         heavy = self.ticket(target_s=0.1, route_time_s=0.5, weight=2.0)
         light = self.ticket(target_s=5.0, route_time_s=0.5)
         for ticket in (light, heavy):
-            self.assertIs(Verdict.WAIT, self.ask(queue, ticket, 0))
-        self.assertIs(Verdict.WAIT, self.ask(queue, light, 1))
-        self.assertIs(Verdict.START, self.ask(queue, heavy, 1))
+            self.assertIs(QueueDecision.WAIT, self.ask(queue, ticket, 0))
+        self.assertIs(QueueDecision.WAIT, self.ask(queue, light, 1))
+        self.assertIs(QueueDecision.START, self.ask(queue, heavy, 1))
 
     def test_a_short_request_is_not_refused_for_the_length_of_others(self):
         # The request takes 0.1 s and has 1 s left; others take 1 s each. By the mean
         # duration it would be refused although it can be served in time.
         queue = SlotQueue(10)
         short = Ticket("s", 1.0, 1.0, route_time_s=0.1)
-        self.assertIs(Verdict.WAIT, self.ask(queue, short, 0))
-        self.assertIs(Verdict.TOO_LATE, self.ask(queue, Ticket("s", 1.0, 1.0), 0))
+        self.assertIs(QueueDecision.WAIT, self.ask(queue, short, 0))
+        self.assertIs(QueueDecision.TOO_LATE, self.ask(queue, Ticket("s", 1.0, 1.0), 0))
 
     def test_a_short_request_goes_before_a_long_one_of_the_same_weight(self):
         # A long request holds its slot while it waits for its own calls, which are
@@ -378,8 +380,8 @@
         call = self.ticket(target_s=0.5)
         heavier = self.ticket(target_s=9.0, weight=2.0)
         for ticket in (signature, call, heavier):
-            self.assertIs(Verdict.WAIT, self.ask(queue, ticket, 0))
-        self.assertIs(Verdict.WAIT, self.ask(queue, call, 1))
-        self.assertIs(Verdict.START, self.ask(queue, heavier, 1))
-        self.assertIs(Verdict.START, self.ask(queue, call, 1))
-        self.assertIs(Verdict.START, self.ask(queue, signature, 1))
+            self.assertIs(QueueDecision.WAIT, self.ask(queue, ticket, 0))
+        self.assertIs(QueueDecision.WAIT, self.ask(queue, call, 1))
+        self.assertIs(QueueDecision.START, self.ask(queue, heavier, 1))
+        self.assertIs(QueueDecision.START, self.ask(queue, call, 1))
+        self.assertIs(QueueDecision.START, self.ask(queue, signature, 1))
--- a/tests/test_queue.py
+++ b/tests/test_queue.py
@@ -4,7 +4,7 @@
 from hypothesis import strategies as st
 from testtools import TestCase
 
-from balsamspindle.backend_servers.queue import Order, SlotQueue, Ticket, Verdict
+from balsamspindle.backend_servers.queue import Order, QueueDecision, SlotQueue, Ticket
 from balsamspindle.backend_servers.slots import SlotAccount, WorkEnd, ramped_slots
 from bench.queue_overload import PLANS, run_overload
 
@@ -26,10 +26,10 @@
         self.shed: list[Ticket] = []
         self.now_s = 0.0
 
-    def arrive(self, ticket: Ticket) -> Verdict:
-        verdict = self._ask(ticket)
+    def arrive(self, ticket: Ticket) -> QueueDecision:
+        decision = self._ask(ticket)
         self._wake()
-        return verdict
+        return decision
 
     def end(self, ticket: Ticket, is_answered: bool) -> None:
         self.running.remove(ticket)
@@ -50,23 +50,23 @@
         for ticket in waiting:
             self._ask(ticket)
 
-    def _ask(self, ticket: Ticket) -> Verdict:
+    def _ask(self, ticket: Ticket) -> QueueDecision:
         server = ticket.backend_server_id
         account = self.accounts[server]
-        verdict = self.queue.request_slot(
+        decision = self.queue.request_slot(
             ticket, self.free(server), self.slots, account.service_time_s, self.now_s
         )
-        match verdict:
-            case Verdict.START:
+        match decision:
+            case QueueDecision.START:
                 account.acquire()
                 self.running.append(ticket)
-            case Verdict.WAIT:
+            case QueueDecision.WAIT:
                 self.waiting.append(ticket)
-            case Verdict.SHED:
+            case QueueDecision.SHED:
                 self.shed.append(ticket)
-            case Verdict.TOO_LATE:
+            case QueueDecision.TOO_LATE:
                 self.late.append(ticket)
-        return verdict
+        return decision
 
 
 arrivals = st.tuples(
@@ -121,24 +121,24 @@
         model = GateModel(slots=1, queue_max=2)
         running, old, new = (Ticket("a", 1.0, 100.0) for _ in range(3))
         heavy, light = Ticket("a", 3.0, 100.0), Ticket("a", 0.5, 100.0)
-        verdicts = [model.arrive(ticket) for ticket in (running, old, new, heavy)]
-        self.assertEqual([Verdict.START] + [Verdict.WAIT] * 3, verdicts)
+        decisions = [model.arrive(ticket) for ticket in (running, old, new, heavy)]
+        self.assertEqual([QueueDecision.START] + [QueueDecision.WAIT] * 3, decisions)
         self.assertEqual([new], model.shed)
-        self.assertIs(Verdict.SHED, model.arrive(light))
+        self.assertIs(QueueDecision.SHED, model.arrive(light))
 
     def test_a_request_that_can_not_be_finished_in_time_is_refused_at_once(self):
         model = GateModel(slots=1)
         model.accounts["a"].service_time_s = SERVICE_TIME_S
-        self.assertIs(Verdict.START, model.arrive(Ticket("a", 1.0, 100.0)))
-        self.assertIs(Verdict.TOO_LATE, model.arrive(Ticket("a", 1.0, 1.9)))
-        self.assertIs(Verdict.WAIT, model.arrive(Ticket("a", 1.0, 2.1)))
+        self.assertIs(QueueDecision.START, model.arrive(Ticket("a", 1.0, 100.0)))
+        self.assertIs(QueueDecision.TOO_LATE, model.arrive(Ticket("a", 1.0, 1.9)))
+        self.assertIs(QueueDecision.WAIT, model.arrive(Ticket("a", 1.0, 2.1)))
 
     def test_an_estimate_that_is_far_too_high_does_not_stop_the_work(self):
         # A backend server hung for a while, so its mean service time is an hour. An
         # attempt that finds a free slot and no competing attempts starts nevertheless.
         model = GateModel()
         model.accounts["a"].service_time_s = 3600.0
-        self.assertIs(Verdict.START, model.arrive(Ticket("a", 1.0, 2.0)))
+        self.assertIs(QueueDecision.START, model.arrive(Ticket("a", 1.0, 2.0)))
 
     def test_a_slot_is_held_for_as_long_again_after_a_time_out(self):
         account = SlotAccount()
@@ -211,8 +211,8 @@
         model.arrive(Ticket("a", 1.0, 1e6))
         for name in ("hot", "hot", "hot"):
             model.arrive(Ticket("a", 1.0, 1e6, customer=name))
-        verdict = model.arrive(Ticket("a", 1.0, 1e6, customer="anna"))
-        self.assertIs(Verdict.WAIT, verdict)
+        decision = model.arrive(Ticket("a", 1.0, 1e6, customer="anna"))
+        self.assertIs(QueueDecision.WAIT, decision)
         self.assertEqual(["hot"], [ticket.customer for ticket in model.shed])
-        verdict = model.arrive(Ticket("a", 1.0, 1e6, customer="hot"))
-        self.assertIs(Verdict.SHED, verdict)
+        decision = model.arrive(Ticket("a", 1.0, 1e6, customer="hot"))
+        self.assertIs(QueueDecision.SHED, decision)
--- a/tests/test_siblings.py
+++ b/tests/test_siblings.py
@@ -6,7 +6,7 @@
 
 from testtools import TestCase
 
-from balsamspindle.backend_servers.queue import SlotQueue, Ticket, Verdict
+from balsamspindle.backend_servers.queue import QueueDecision, SlotQueue, Ticket
 from balsamspindle.protocol.outcomes import Execution
 from balsamspindle.requests.siblings import SiblingRanks
 from balsamspindle.settings.documents import RouteDocument
@@ -102,13 +102,13 @@
             return
         free = SLOTS - self._busy[gate]
         match self._queues[gate].request_slot(call.ticket, free, SLOTS, WORK_S, now_s):
-            case Verdict.START:
+            case QueueDecision.START:
                 self._busy[gate] += 1
                 self.runs += 1
                 self._at(
                     now_s + self._random.uniform(0.5, 1.5) * WORK_S, self._end, call
                 )
-            case Verdict.WAIT:
+            case QueueDecision.WAIT:
                 self._waiting[gate].append(call)
             case _:
                 self._search(now_s, call)
