--- a/balsamspindle/backend_servers/answers.py
+++ b/balsamspindle/backend_servers/answers.py
@@ -156,6 +156,10 @@
         A backend server may send an answer twice. The next request on the same
         connection then receives the second copy. If this copy were taken for the answer
         to that request, a caller would get another caller's data.
+
+        If the deployment has a signature header, backend servers add it to each answer
+        that they produced by running a request. A successful answer without this header
+        was therefore not produced by running this request.
         """
         names, is_success = self._names, 200 <= answer.status < 300
         if names.echoes_request_id:
@@ -163,7 +167,7 @@
             if echoed != self._request_id and (is_success or echoed is not None):
                 return "the answer belongs to another request"
         if names.signature and is_success and answer.header(names.signature) is None:
-            return "the answer is not signed"
+            return "the answer has no signature header"
         return None
 
     def _format_error(self, bodiless: bool) -> str | None:
--- a/balsamspindle/backend_servers/crash_watch.py
+++ b/balsamspindle/backend_servers/crash_watch.py
@@ -1,4 +1,4 @@
-"""Detects crashes of a gate's backend servers, and the requests that ran in each."""
+"""Detects when a gate's backend server crashes, and which requests it was running."""
 
 import errno
 import socket
@@ -26,8 +26,9 @@
 __all__ = ["CrashWatch", "refuses_connections"]
 
 # A run that was lost at most this long before a crash was detected counts as lost in
-# that crash. A run can be lost before the crash is detected because its caller
-# disconnects, or because its thread first notices that the connection has ended.
+# that crash. A run can be lost before the detection for two reasons: its caller
+# disconnects, or the thread that handles the run notices the end of its connection
+# earlier than the thread that detects the crash.
 LOST_TOGETHER_S = 1.0
 # The longest time from the crash of a backend server until another one announces
 # itself at the same address.
@@ -80,9 +81,15 @@
     def is_refuted_by_answer(self, run: _Run | None, now_s: float) -> bool:
         """Return whether an answer received now shows that this process still runs.
 
-        The answer shows this if its run began after the supposed end of the process, or
-        if the supposed end is more than `LATE_READ_S` ago: an answer that was sent
-        before the end would have been read earlier.
+        The answer shows this in two cases. First, the answered run began after the
+        supposed end of the process, because no run can begin at a process that has
+        ended. Second, the supposed end is more than `LATE_READ_S` ago, because an
+        answer that was sent before that end would have been read by now.
+
+        Parameters
+        ----------
+        run : _Run or None
+            The answered run. If it is unknown, the answer shows nothing.
         """
         if self.ended_s is None or run is None:
             return False
@@ -155,8 +162,9 @@
             was_refuted = end.is_answer and process.is_refuted_by_answer(run, now_s)
             process.ended_s = None if was_refuted else process.ended_s
         if was_refuted:
-            # The answer shows that the backend server has not crashed. It refused a
-            # connection only because it had no room for another one.
+            # The answer shows that the backend server has not crashed. A running
+            # backend server, too, may refuse connections: it may stop listening while
+            # its own queue is long.
             self._on_update(self._history.retract(key, now_s), now_s)
             self._events.emit("backend_server_crash_retracted", backend_server=key[0])
         if end.is_success and run is not None:
@@ -188,7 +196,7 @@
     def _detect_crash(
         self, server: LocalBackendServer, process: _ServerProcess, now_s: float
     ) -> bool:
-        """Return whether this process has crashed; record a crash not detected before.
+        """Return whether a process has crashed, and record a newly detected crash.
 
         Parameters
         ----------
--- a/balsamspindle/backend_servers/evidence.py
+++ b/balsamspindle/backend_servers/evidence.py
@@ -106,7 +106,9 @@
     def held_out(self, backend_server_id: str, now_s: float) -> HoldOut:
         """Return how long the gate will refuse attempts, and on what evidence.
 
-        Attempts of last resort and attempts that a trial accepts are not refused.
+        Two kinds of attempts are not refused during this time: attempts that a trial
+        accepts, and attempts with `Dispatch.is_last_resort`, which go to a suspected
+        backend server because all others were tried or refused the request.
         """
 
 
--- a/balsamspindle/backend_servers/gate.py
+++ b/balsamspindle/backend_servers/gate.py
@@ -286,7 +286,9 @@
             return self._refuse(dispatch, Reason.SUSPECTED)
         service, weight = dispatch.service, dispatch.weight
         # A request suspected of crashing backend servers probably causes its failures
-        # itself. It gets only repeats that are not reserved for other requests.
+        # itself. Its repeats are therefore limited like those of last-resort attempts:
+        # they leave half of the service's repeats to other requests. `run_was_lost`,
+        # which gives access to reserved repeats, is ignored.
         if dispatch.is_repeat and not self._grants.try_grant(
             service,
             weight,
--- a/balsamspindle/backend_servers/health.py
+++ b/balsamspindle/backend_servers/health.py
@@ -210,13 +210,15 @@
     def held_out_ms(self, now_s: float) -> float:
         """Return how long the gate will refuse attempts; 0 if it refuses none.
 
-        The time is always 0 without `independent_errors`: the gate then admits all
-        attempts, also in the phases other than serving, and publishes its suspicion to
-        all nodes. If an ingress were also sent the planned length of the phase, it
-        would send no requests until the planned end, even if a restart or good requests
-        ended the phase early. It would also avoid backend servers that have to stay in
-        use: those on trial, and those without which the service's remaining capacity
-        would be below its floor.
+        The gate refuses attempts only for services with the setting
+        `independent_errors`. For all other services this method returns 0, also during
+        a hold-out: the gate admits all attempts, and publishes its suspicion, so that
+        ingresses prefer other backend servers. If an ingress also received the length
+        of such a hold-out, it would send no requests until the planned end, even if a
+        restart or good requests ended the hold-out early. The ingress would also avoid
+        backend servers that have to stay in use: those on trial, which need requests to
+        pass it, and those without which the service's remaining capacity would be below
+        its floor.
         """
         refuses = self._work.detection.independent_errors
         if self.phase is HealthPhase.SERVING or not refuses:
@@ -238,9 +240,9 @@
         if now_s - self._last_attempt_s > PROBE_DEMAND_WINDOW_S:
             return False
         if self._work.detection.independent_errors:
-            # The health endpoints of services with `independent_errors` answer
-            # "healthy" while requests fail. A probe would use a slot and be weaker
-            # evidence than the next trial.
+            # Services that use `independent_errors` have health endpoints that answer
+            # "healthy" while requests fail. A probe would use a slot, and would be
+            # weaker evidence than the requests of the next trial.
             return False
         if self.phase is not HealthPhase.SERVING:
             return True
@@ -260,8 +262,9 @@
         is so near the threshold that one bad request ejects the backend server again.
 
         A failed probe raises the score, unless a request gave a verdict within the last
-        `PROBE_AFTER_IDLE_S`. A refused connection counts like a failed request. Without
-        bad requests, other failed probes never raise the score to the threshold.
+        `PROBE_AFTER_IDLE_S`. A refused connection counts like a failed request. Failed
+        probes of the other kind (an error status, or no answer in time) never raise the
+        score to the threshold without bad requests.
         """
         self._readmission.record_probe_result(result is ProbeResult.PASSED)
         if (
@@ -276,9 +279,9 @@
     def record_restart(self, now_s: float) -> None:
         """Discard the work in flight after a restart of the backend server.
 
-        If the backend server is held out, a trial begins. The restart does not undo the
-        increase of the next hold-out, because a backend server that restarts again and
-        again also fails again and again.
+        If the backend server is held out, a trial begins. Its ejection has made its
+        next hold-out longer. The restart does not change this, because a backend server
+        that restarts again and again also fails again and again.
         """
         self._work.discard_in_flight()
         if self.phase is HealthPhase.HELD_OUT:
@@ -355,7 +358,12 @@
                     self._start_trial(now_s)
 
     def _has_passed_trial(self, now_s: float) -> bool:
-        """Return whether an attempt ends a trial by running longer than errors do."""
+        """Return whether an attempt in flight shows that the trial is passed.
+
+        This is only possible with `independent_errors`. An attempt that began in the
+        trial and is still in flight passes the trial once it has run longer than
+        attempts that end in an error usually run; it will then probably succeed.
+        """
         return (
             self.phase is HealthPhase.ON_TRIAL
             and self._work.detection.independent_errors
--- a/balsamspindle/backend_servers/health_work.py
+++ b/balsamspindle/backend_servers/health_work.py
@@ -51,8 +51,8 @@
     SLOW_RESULTS[WorkResult.ANSWERED],
     WorkResult.ANSWERED.value,
 }
-# A trial starts with a score that is lower than the threshold by this fraction of a bad
-# request's increment, so that one bad request ends the trial.
+# Without `independent_errors`, the score of a trial starts at the threshold minus this
+# fraction of a bad request's increment, so that one bad request ends the trial.
 TRIAL_MARGIN = 0.9
 
 
@@ -157,11 +157,11 @@
     def _is_normal_among_peers(self, now_s: float) -> bool:
         """Return whether the latency that was counted as slow is normal for the peers.
 
-        If the latency is normal, the ejection can be undone without a full trial of
-        five requests. That trial would take half a minute, because a server on trial
-        gets about 4 of 100 requests when all servers are slow. The fraction of bad
-        peers does not show this slowness: when a trial begins, the peers' percentiles
-        have adapted to the higher latency, and the peers no longer count as bad.
+        If so, the ejection can be undone without a full trial of five requests. When
+        all servers are slow, the one on trial gets about 4 of 100 requests of the
+        service; at 4 requests a second, a trial would take half a minute. The fraction
+        of bad peers does not show the slowness: when a trial begins, their percentiles
+        have adapted to the higher latency, and they no longer count as bad.
         """
         if not self._slowest_counted_ms or self.evidence.keys() - SLOW_EVIDENCE:
             return False
@@ -230,11 +230,11 @@
         self._add_to_score(max(0.0, min(increment, limit)))
 
     def lower_for_trial(self, now_s: float) -> None:
-        """Lower the score for a trial, so that one more bad request ends the trial."""
+        """Lower the score for a trial, so that one more error ends the trial."""
         self._peers.mark_p99_stale()
         if self.detection.independent_errors:
-            # One error ends a trial at any score. At a score above 0, one slow answer
-            # could also end the trial, so the trial starts at 0.
+            # One error adds the whole threshold, so it ends the trial even at score 0.
+            # At a higher score, one slow answer could also end the trial.
             self._set_score(0.0)
             return
         increments = (
@@ -328,13 +328,13 @@
     def _is_outside_last_pause(self, attempt: _InFlight, now_s: float) -> bool:
         """Return whether an attempt was slow for a reason other than the last pause.
 
-        The pause is not the reason if a good request ended after the pause and before
-        the attempt began, or if a good request began after the attempt and ended before
-        the attempt. A good request that ended at the same moment proves nothing,
-        because all requests end together at the end of a pause. An attempt that began
-        at the same moment as the last counted one was always delayed by the same pause,
-        even if it ends later: threads that wait for a processor are delayed for
-        different times.
+        There are two such cases. A good request ended after the pause and before the
+        attempt began, so the pause was over. Or a good request began later than the
+        attempt but ended earlier: a pause would have delayed both. Ends at the same
+        moment prove nothing, as all requests end together at the end of a pause. An
+        attempt that began at the same moment as the last counted one was delayed by the
+        same pause, even if it ends later: threads that wait for a processor are delayed
+        for different times.
         """
         if abs(attempt.started_s - self._last_slow_start_s) < SAME_MOMENT_S:
             return False
--- a/balsamspindle/backend_servers/ledger.py
+++ b/balsamspindle/backend_servers/ledger.py
@@ -170,9 +170,10 @@
         if claim.version <= self._released_versions.get(key, 0):
             return KeyRefused(Outcome.NOT_RUN, Reason.CLAIM_MOVED)
         if len(self._entries) + len(self._released_versions) >= KEYS_MAX:
-            # After the outcome 'not run', another gate could claim the key. This gate
-            # would have to record that the present claim is released, but there is no
-            # room.
+            # The ledger is full. After the outcome 'not run', another gate could claim
+            # the key, so this gate would have to record that the present claim is
+            # released. There is no room for this record, so the outcome is 'unknown',
+            # although the request has not run.
             return KeyRefused(Outcome.UNKNOWN, Reason.NO_FREE_SLOT)
         return None
 
--- a/balsamspindle/backend_servers/lifetimes.py
+++ b/balsamspindle/backend_servers/lifetimes.py
@@ -176,8 +176,9 @@
         self._ids_by_address[announcement.address] = server_id
         lifetime.sequence, lifetime.announced_s = status.sequence, now_s
         if replaced not in (None, server_id) and not lifetime.is_draining:
-            # A late announcement of the replaced backend server may have drained the
-            # present backend server, which has not announced that it is draining.
+            # A late announcement of the replaced backend server may have been applied
+            # before. It made that backend server the user of the address and drained
+            # this one. Undo this drain, because this one has not announced a drain.
             self._servers.undrain(server_id)
         announcement = msgspec.structs.replace(
             announcement, boot_id=_boot_id(server_id, status.start_unix_ms)
--- a/balsamspindle/backend_servers/queue.py
+++ b/balsamspindle/backend_servers/queue.py
@@ -61,7 +61,7 @@
     lightness : float
         The negative weight.
     turn : int
-        Turn of the customer; see `CustomerTurns`.
+        Turn number of the request; see `CustomerTurns`.
     target_s : float
         The ticket's `target_s` plus its `rank_s`; 0 without a target.
     sequence : int
--- a/balsamspindle/backend_servers/retry_grants.py
+++ b/balsamspindle/backend_servers/retry_grants.py
@@ -72,7 +72,7 @@
             greatest of recent requests, half of the service's repeats are reserved for
             requests of this weight. If repeats were also reserved for requests that are
             never repeated, half of all grants could stay unused while repeats of
-            lighter requests are refused, for example 67 repeats within 15 s.
+            lighter requests are refused, for example 67 refusals within 15 s.
         repeat_fraction : float
             Probability that the request was sent by a run that is a repeat.
         """
--- a/balsamspindle/backend_servers/slots.py
+++ b/balsamspindle/backend_servers/slots.py
@@ -20,8 +20,10 @@
 # slot idle for 80% of the time while lighter requests are refused.
 LOAD_ROUNDING = 0.7
 # Heavier requests are assumed to leave at least this many slots to lighter requests.
-# Their average load is accurate only to a few tenths of a slot. Even if it is as high
-# as the number of slots, lighter requests may get a fraction of a slot.
+# The expected wait of lighter requests is inversely proportional to these slots. The
+# average load is accurate only to a few tenths of a slot. Without this minimum, the
+# expected wait would be far too long, infinite or negative when the average load is
+# close to the number of slots or above it.
 EFFECTIVE_SLOTS_MIN = 0.25
 # Bounds of the time for which a slot stays occupied after `WorkEnd.IN_DOUBT`.
 RELEASE_DELAY_MIN_S = 0.1
--- a/tests/test_crash_watch.py
+++ b/tests/test_crash_watch.py
@@ -219,9 +219,9 @@
         self.assertEqual([], self.updates)
 
     def test_an_answer_after_a_refused_connection_retracts_the_crash(self):
-        # The backend server accepts no connections while its queue is long. The first
-        # run that it answers shows that it is running, and clears all requests that
-        # ran there.
+        # A backend server may stop listening while its queue is long, and then refuses
+        # connections. The first run that it answers shows that it has not crashed, and
+        # clears all requests that ran there.
         watch = CrashWatch(self.log, self.history, is_down=lambda address: True)
         self.watch = watch
         self.gate = self._make_gate()
