--- a/balsamspindle/backend_servers/admission.py
+++ b/balsamspindle/backend_servers/admission.py
@@ -35,7 +35,7 @@
 # An attempt, even a read, is started only if its gate and its ingress will run for at
 # least this many times its route's mean service time. Half of a route's requests take
 # longer than the mean, but few take longer than twice the mean. A refused attempt can
-# still be retried in time; a run that a node's end interrupts may be lost too late.
+# still be retried in time, but a run that is lost at a node's end may be lost too late.
 LAST_START_FACTOR = 2.0
 
 
--- a/balsamspindle/backend_servers/queue.py
+++ b/balsamspindle/backend_servers/queue.py
@@ -360,10 +360,10 @@
     # after all new attempts, it would never start.
     if ticket.target_s is None or ticket.run_was_lost:
         return False
-    # Attempts with the same rank are calls that a backend server makes for one request,
-    # which needs all of their answers, even late ones. If late calls started after new
-    # attempts, one gate could delay some of the calls while another gate does not delay
-    # the others.
+    # Attempts with the same rank are calls that a backend server makes for one request.
+    # The request needs all of their answers, even late ones. The calls may wait at
+    # different gates. If late calls started after new attempts, one gate could delay
+    # some calls of a request while another gate answers the rest in vain.
     if ticket.rank_s:
         return False
     return now_s + IN_TIME_FACTOR * ticket.route_time_s > ticket.target_s
