--- a/balsamspindle/membership/membership_state.py
+++ b/balsamspindle/membership/membership_state.py
@@ -132,7 +132,7 @@
                     self._handle_node_news(item, now_s, spread)
 
     def record_failed_probe(self, node: NodeRecord, now_s: float) -> None:
-        """Suspect a node that no probe reached, or declare it dead if it is leaving."""
+        """Suspect a node that answered no probe; if it is leaving, declare it dead."""
         view = self.directory.view(node.node_id)
         if view is None or view.is_dead:
             return
@@ -362,8 +362,8 @@
     def _may_suspect(self, node: NodeRecord) -> bool:
         """Return whether this node may suspect a node after a failed probe.
 
-        The link between two regions can fail for an hour. If the nodes of each
-        region could suspect those of the other, all would be declared dead at once.
+        The link between two regions can fail for an hour. If nodes could then suspect
+        the nodes of the other region, each region would declare the other one dead.
         """
         if node.region == self.own.region:
             return True
--- a/balsamspindle/membership/own_record.py
+++ b/balsamspindle/membership/own_record.py
@@ -91,7 +91,7 @@
         self._set_epoch(Epoch(self.epoch.incarnation, self._view.version + 1))
 
     def refute(self, epoch: Epoch) -> bool:
-        """Raise this node's epoch above `epoch`, which peers have for this node.
+        """Raise this node's epoch above `epoch`, which a peer has stored for this node.
 
         If a VM is replaced and the new VM's wall clock is behind, the new node starts
         with a lower incarnation than the old node had. Peers that still have the old
--- a/balsamspindle/membership/probing.py
+++ b/balsamspindle/membership/probing.py
@@ -139,8 +139,8 @@
 
         A suspected node is declared dead only if several nodes suspect it
         independently, so other nodes have to probe it. If all other nodes probed it,
-        it would receive thousands of probes at once. So each of them probes it with
-        the probability at which `EXPECTED_CHECKERS` nodes probe it on average.
+        it would receive thousands of probes at once. So each node decides at random
+        whether to probe it, and on average `EXPECTED_CHECKERS` nodes do.
         """
         probed = {probe.node.node_id for probe in self._probes.values()}
         for node_id in sorted(self._state.nodes_to_check - probed):
--- a/balsamspindle/membership/sync.py
+++ b/balsamspindle/membership/sync.py
@@ -37,7 +37,8 @@
 # long pause, it compares its directory with `CATCH_UP_PEERS` peers at this interval.
 CATCH_UP_INTERVAL_S = 0.4
 CATCH_UP_PEERS = 4
-# Time until the next comparison after one whose differences fit into one exchange.
+# Time until the next comparison if the differences that the last one found fitted into
+# one exchange, or if its request could not be sent.
 REPAIR_INTERVAL_S = 2.0
 SUMMARY_NODES_MAX = 64
 NODE_PULLS_MAX = 64
--- a/balsamspindle/settings/editing.py
+++ b/balsamspindle/settings/editing.py
@@ -49,7 +49,7 @@
     expected_version : int or None
         Version of the subtree's row on which the operator based the edit.
         If None, the edit is based on the version that its first attempt reads.
-        The edit is rejected if the row has another version when it is written.
+        The edit is rejected if the row has another version when the edit is written.
     owner : str or None
         Hash of the team's new key; None leaves the key unchanged.
     in_doubt : bool
--- a/balsamspindle/settings/subtree.py
+++ b/balsamspindle/settings/subtree.py
@@ -3,11 +3,11 @@
 Validation reads the team's own documents and the rows of other teams whose services
 these documents name, so its cost does not grow with the number of teams.
 
-A team may remove a service even if routes of other teams name it. Otherwise a team
-could block another team's edits by naming its service in a route. Afterwards, requests
-for such a route are answered with ``not_run`` (no backend server). The team that owns
-the route can still edit its documents, because an edit is refused only for faults that
-the edit introduces.
+A team may remove its service even if routes of other teams name the service. Otherwise
+any other team could prevent the removal by naming the service in a route. After the
+removal, requests for such a route are answered with ``not_run`` (no backend server).
+The team that owns the route can still edit its documents, because an edit is refused
+only for faults that the edit introduces.
 """
 
 from collections.abc import Iterable, Mapping
--- a/balsamspindle/settings/type_descriptions.py
+++ b/balsamspindle/settings/type_descriptions.py
@@ -10,7 +10,7 @@
 
 
 class TypeDescription(NamedTuple):
-    """A type in words, and the allowed values of a type with a fixed set of them."""
+    """A type in words, and its allowed values if only a fixed set is allowed."""
 
     words: str
     choices: tuple[str, ...] = ()
--- a/balsamspindle/settings/validation.py
+++ b/balsamspindle/settings/validation.py
@@ -68,7 +68,7 @@
 
 
 class _RouteKey(NamedTuple):
-    """The requests that a route matches; routes with equal keys match the same ones."""
+    """Which requests a route matches; equal keys match the same requests."""
 
     host: str
     path_prefix: str
--- a/balsamspindle/wire/security.py
+++ b/balsamspindle/wire/security.py
@@ -81,8 +81,8 @@
     socket.setsockopt(zmq.CURVE_SERVER, 1)
     socket.setsockopt(zmq.ZAP_DOMAIN, ZAP_DOMAIN)
     # With this option, the socket rejects all clients while no authenticator runs, for
-    # example after the authenticator has failed. Without the option, it would then
-    # accept every client that knows the public key.
+    # example after the authenticator has failed. Without the option, the socket would
+    # accept every client that knows the public key while no authenticator runs.
     socket.setsockopt(zmq.ZAP_ENFORCE_DOMAIN, 1)
 
 
