--- a/tests/at_most_once_utils.py
+++ b/tests/at_most_once_utils.py
@@ -1,7 +1,8 @@
-"""A fleet in which faults are injected while requests with keys are sent.
+"""A fleet in which faults are injected while callers send non-idempotent requests.
 
-Ingress ``i`` prefers gate ``a``, behind a relay; resends come through ingress
-``j``, which prefers gate ``b``. Each of the gates has one backend server.
+Ingress ``i`` prefers gate ``a``, to which it connects through a relay. Callers send
+requests through ingress ``i``, and repeat them through ingress ``j``, which prefers
+gate ``b``, or ``i``. Each of the two gates has one backend server.
 """
 
 import itertools
@@ -34,10 +35,13 @@
 SERVICE = "crew/contracts"
 TIMEOUT_MS = 500
 WORK_MS = 150
-# Requests per moment; half of them have an Idempotency-Key.
+# Requests per burst; every second one has an Idempotency-Key.
 BURST = 4
-# How long a fault lasts: longer than each deadline.
+# How long a fault lasts: longer than `TIMEOUT_MS`, so that each request that is
+# running at its start reaches its deadline.
 FAULT_S = 0.6
+# When the fault is injected, relative to a burst: after its answers, while its requests
+# run, or before it is sent.
 MOMENTS = ("after", "during", "before")
 NO_ANSWER = "no answer"
 
@@ -53,13 +57,13 @@
 
 
 class Fault(NamedTuple):
-    """A fault, with functions that inject it and that end it."""
+    """A function that injects a fault, and one that ends it."""
 
     inject: Callable[[], object]
     recover: Callable[[], object]
 
     def __add__(self, other: "Fault") -> "Fault":
-        """Return one fault that combines both."""
+        """Return a fault that injects this one, then `other`; recovers in reverse."""
 
         def inject():
             self.inject()
@@ -101,7 +105,7 @@
         super().__exit__()
 
     def start_server(self, name: str, address: str) -> None:
-        """Start or restart the backend server of a gate."""
+        """Start the backend server of a gate at the given address."""
         self.servers[name] = self.start_backend(
             f"contract-{name}",
             SERVICE,
@@ -111,24 +115,24 @@
         )
 
     def restart_node(self, name: str) -> None:
-        """Replace a node by a new process at the same addresses."""
+        """Kill a node, and start a new process at the same addresses."""
         self.nodes[name].kill()
         self.nodes[name] = self._add(
             NodeProgram(self.nodes[name].settings, self.folder)
         )
 
     def restart_server(self, name: str) -> None:
-        """Restart a backend server at the same address."""
+        """Kill a gate's backend server, and start it again at the same address."""
         self.servers[name].kill()
         self.start_server(name, self.servers[name].address)
 
     def wait_all_ready(self) -> None:
-        """Wait until each node sees both backend servers."""
+        """Wait until all nodes know both backend servers, and these are ready."""
         self.wait_ready(list(self.nodes.values()), ["contract-a", "contract-b"])
         for name, server in self.servers.items():
             wait_until(
                 lambda name=name, server=server: self._is_ready(name, server),
-                f"backend server {name} is announced",
+                f"the backend server of gate {name} is ready",
             )
 
     def _is_ready(self, name: str, server: BackendProgram) -> bool:
@@ -139,7 +143,10 @@
         )
 
     def runs(self, key: str, names: str = "ab") -> int:
-        """Return how often a request ran, including runs at killed backend servers."""
+        """Return how often a request ran at the backend servers of the gates `names`.
+
+        Runs before a backend server was killed and restarted count, too.
+        """
         line = f"event=run run_key={key}"
         return sum(
             self.servers[name].log_path.read_text().splitlines().count(line)
@@ -152,7 +159,7 @@
         call(self.platform_address, "/faults", "POST", body)
 
     def drain(self, name: str, verb: str = "drain") -> None:
-        """Drain the backend server of a gate, or `undrain` it."""
+        """Drain the backend server of a gate; the verb ``undrain`` ends the drain."""
         address = self.nodes[name].admin_address
         call(address, f"/backend-servers/contract-{name}/{verb}", "POST", b"")
 
@@ -162,31 +169,34 @@
             setattr(self.relay, direction, flow)
 
     def backend_fault(self, **switch) -> Fault:
-        """Return a fault of the requests that run at the backend server of gate a."""
+        """Return a fault that makes the backend server of gate a fail requests."""
         return Fault(
             lambda: self.servers["a"].set_fault(**switch),
             lambda: self.servers["a"].set_fault(mode="none"),
         )
 
     def backend_end(self, number: int) -> Fault:
-        """Return a signal to the backend server of gate a, which is then restarted."""
+        """Return a fault that sends a signal to the backend server of gate a.
+
+        The fault ends when the backend server is restarted.
+        """
         return Fault(
             lambda: self.servers["a"].signal(number),
             lambda: self.restart_server("a"),
         )
 
     def node_end(self, name: str, number: int) -> Fault:
-        """Return a signal to a node, which is then replaced."""
+        """Return a fault that sends a signal to a node, and ends with its restart."""
         return Fault(
             lambda: self.nodes[name].signal(number), lambda: self.restart_node(name)
         )
 
     def drained(self, name: str) -> Fault:
-        """Return the drain of one backend server."""
+        """Return a fault that drains the backend server of a gate."""
         return Fault(lambda: self.drain(name), lambda: self.drain(name, verb="undrain"))
 
     def flow_fault(self, **directions: Flow) -> Fault:
-        """Return a loss or a delay of data on the network to gate a."""
+        """Return a fault that loses or delays data on the network to gate a."""
         return Fault(
             lambda: self.flow(**directions),
             lambda: self.flow(forward=Flow.PASS, backward=Flow.PASS),
@@ -197,7 +207,7 @@
         return Fault(lambda: self.set_platform(mode), lambda: self.set_platform("none"))
 
     def frozen(self, find: Callable) -> Fault:
-        """Return a fault that suspends the process that `find` returns."""
+        """Return a fault that suspends a process, which `find` returns."""
         return Fault(
             lambda: find().signal(signal.SIGSTOP),
             lambda: find().signal(signal.SIGCONT),
@@ -206,8 +216,9 @@
     def replaced_while_frozen(self) -> Fault:
         """Return a fault that replaces gate a while its predecessor is suspended.
 
-        Both have the same name, and new connections to the relay lead to the
-        replacement. The predecessor is resumed, and killed shortly after.
+        Both processes have the same node id, and the relay forwards new connections to
+        the replacement. The fault ends when the predecessor is resumed; after
+        `FAULT_S` the predecessor and its backend server are killed.
         """
         old: list[Program] = []
 
@@ -233,7 +244,7 @@
 
 
 class Requests:
-    """Sends requests of callers and checks the outcomes that they got."""
+    """Sends requests in bursts and checks the outcomes that callers receive."""
 
     def __init__(self, fleet: ScheduleFleet) -> None:
         self._fleet = fleet
@@ -245,19 +256,22 @@
         self.outcomes: dict[str, Counter] = {}
 
     def send_burst(self, name: str, size: int = BURST) -> list:
-        """Send a burst through ingress i; return the pending answers."""
+        """Send a new burst through ingress i; return futures of the outcomes."""
         self._bursts[name] = [f"{name}/{number}" for number in range(size)]
         return [
             self.executor.submit(self._send, key, "i") for key in self._bursts[name]
         ]
 
     def resend_keyed(self, name: str, ingress: str) -> list:
-        """Send a burst's requests with a key again; return the pending answers."""
+        """Send those requests of a burst again that have an idempotency key.
+
+        Returns futures of the outcomes.
+        """
         keys = self._bursts[name][::2]
         return [self.executor.submit(self._send, key, ingress) for key in keys]
 
     def reaches_gate_a(self) -> bool:
-        """Return whether a request through ingress i runs at gate a."""
+        """Send a request through ingress i; return whether it ran at gate a."""
         address = self._fleet.nodes["i"].caller_address
         answer = try_call(address, "/sign", "POST", b"")
         return bool(
@@ -274,16 +288,16 @@
         )
 
     def last_outcome(self, key: str) -> str:
-        """Return the last outcome that the caller of a request got."""
+        """Return the outcome that the last sending of a request had."""
         return self._last_outcomes[key]
 
     def check(self, name: str) -> None:
-        """Check the outcomes of a burst against the runs of its requests."""
+        """Check that no request of a burst ran twice, or ran with outcome not_run."""
         for key in self._bursts[name]:
             runs = self._fleet.runs(key)
             assert runs <= 1, f"{key} ran {runs} times"
             assert not (runs and self._last_outcomes.get(key) == "not_run"), (
-                f"{key} got not_run but ran"
+                f"{key} had the outcome not_run but ran"
             )
 
     def _send(self, key: str, ingress: str) -> str:
@@ -304,22 +318,22 @@
         return outcome
 
     def _check_not_run(self, key: str) -> None:
-        """Check that a request with outcome not_run has not run so far."""
+        """Check that a request has not run if its last outcome is not_run."""
         if self._last_outcomes.get(key) == "not_run":
-            assert not self._fleet.runs(key), f"{key} got not_run but ran"
+            assert not self._fleet.runs(key), f"{key} had the outcome not_run but ran"
 
     def _check_answer(self, key: str, answer: HttpAnswer) -> None:
-        """Check that the answer is complete and belongs to this request."""
+        """Check that an answer belongs to its request and equals earlier answers."""
         if answer.status == 200:
             body = answer.json()
             assert (body["run_key"], body["body"]) == (key, key), body
         with self._lock:
             first = self._answers.setdefault(key, answer.body)
-        assert first == answer.body, f"{key} got two different answers"
+        assert first == answer.body, f"{key} was answered in two different ways"
 
 
 class FaultScheduleCase(TestCase):
-    """Injects faults into a fleet that all tests of the class share."""
+    """Injects faults into one fleet that all tests of the class use."""
 
     @classmethod
     def setUpClass(cls):
@@ -330,17 +344,19 @@
         cls.addClassCleanup(cls.requests.executor.shutdown)
 
     def check_fault(self, name: str, fault: Fault, fault_s: float = FAULT_S) -> Counter:
-        """Send requests around a fault and check them; return their outcomes.
+        """Send bursts before and during a fault; return how often each outcome came.
 
-        One burst is answered, a second one is running when the fault is injected, and a
-        third one is sent after that. Requests with a key are then sent again while the
-        fault lasts and after it has ended.
+        The first burst is answered before the fault is injected. The second burst is
+        running at that time, and the third burst is sent right after it. Requests with
+        an idempotency key are sent again during the fault and after its end. Fails if a
+        request ran twice, ran although its outcome was not_run, or had a wrong answer.
         """
         requests = self.requests
         bursts = {moment: f"{name}/{moment}" for moment in MOMENTS}
         wait_until(requests.reaches_gate_a, "ingress i sends requests to gate a")
-        # Twice as many as in the other bursts, so that enough recently used links are
-        # idle when the last burst is sent, and it uses links that the fault has broken.
+        # Twice as many requests as in the other bursts leave enough idle links for the
+        # last burst. It then uses links that were opened before the fault, and that
+        # the fault may have broken.
         _results(requests.send_burst(bursts["after"], 2 * BURST))
         pending = requests.send_burst(bursts["during"])
         requests.wait_running(bursts["during"])
@@ -366,5 +382,5 @@
 
 
 def _results(pending) -> list[str]:
-    """Wait for the outcomes and return them; raise the first failed check."""
+    """Wait for all futures; return their outcomes or raise the first failed check."""
     return [future.result() for future in pending]
--- a/tests/caller_side.py
+++ b/tests/caller_side.py
@@ -1,4 +1,4 @@
-"""An ingress in the test's process, whose forwarder answers every request itself."""
+"""An ingress in the test's process, with a forwarder that answers each request."""
 
 import json
 import re
@@ -30,14 +30,20 @@
 
 
 class EchoForwarder:
-    """Answers each request with its own contents, and keeps the forwarded requests.
+    """Answers each request with the method, target and body of that request.
 
     Attributes
     ----------
+    forwarded : list of ForwardedRequest
+        All requests so far.
+    remaining_ms : list of float
+        Time until its deadline for each of these requests, when it arrived.
+    headers : list of tuple of str
+        Headers of each answer.
     answers_allowed : Event
-        Answers wait until it is set, as it is at first.
+        Initially set. While a test has cleared the event, answers are delayed.
     padding : str
-        Included in each answer, to make it longer.
+        Included in the body of each answer, to make it longer.
     """
 
     def __init__(self) -> None:
@@ -81,7 +87,10 @@
         return [value for known, value in self.headers if known.lower() == name]
 
     def header_value(self, name: str) -> str | None:
-        """Return the value of a header that must not be repeated; None without it."""
+        """Return the only value of a header, or None without that header.
+
+        Raises AssertionError if the header is repeated.
+        """
         values = self.header_values(name)
         assert len(values) <= 1, values
         return values[0] if values else None
@@ -92,7 +101,7 @@
 
 
 class RawCaller:
-    """A caller that sends raw bytes, also such as are no valid HTTP."""
+    """A caller that sends raw bytes, which need not be valid HTTP."""
 
     def __init__(self, address: str) -> None:
         host, _, port = address.partition(":")
@@ -105,12 +114,17 @@
         return self
 
     def read(self, is_head: bool = False) -> Answer:
-        """Read one answer, up to the end given by its Content-Length.
+        """Read one answer, with as many bytes of body as its Content-Length says.
 
         Parameters
         ----------
         is_head : bool
-            Whether the request was a HEAD, whose answer has no body.
+            Whether the request was a HEAD request; its answer has no body.
+
+        Raises
+        ------
+        ConnectionError
+            When the ingress closes the connection before the end of the answer.
         """
         while b"\r\n\r\n" not in self._data:
             self._receive()
@@ -128,7 +142,10 @@
         return answer._replace(body=body)
 
     def wait_for_close(self) -> bool:
-        """Wait for the ingress to close the connection; False if bytes come first."""
+        """Wait until the ingress closes the connection or sends bytes.
+
+        Returns False if there are bytes that were not read.
+        """
         return not self._data and self.socket.recv(1) == b""
 
     def close(self) -> None:
@@ -145,12 +162,16 @@
 
 
 class IngressFixture:
-    """A running ingress.
+    """Runs an ingress with an `EchoForwarder` until `close`.
 
     Parameters
     ----------
+    documents : dict of str to bytes
+        Settings in force.
+    freshness, limiter
+        See `CustomerAdmission`.
     changes
-        Values for fields of the node's settings, in place of the defaults here.
+        Fields of the node's settings that differ from the defaults of the fixture.
     """
 
     def __init__(
@@ -191,7 +212,7 @@
         self._callers: list[RawCaller] = []
 
     def caller(self) -> RawCaller:
-        """Open a connection to the ingress, closed by `close`."""
+        """Open a connection to the ingress; `close` closes it, too."""
         caller = RawCaller(self.address)
         self._callers.append(caller)
         return caller
--- a/tests/claim_world.py
+++ b/tests/claim_world.py
@@ -1,4 +1,7 @@
-"""Simulated nodes that claim keys in a store that is restored from older copies."""
+"""Simulated nodes that claim idempotency keys in a simulated store.
+
+Tests restore the store from older copies, so that claims are lost.
+"""
 
 import io
 import random
@@ -16,7 +19,7 @@
 __all__ = ["KEY", "SERVICE", "Process", "World", "make_dispatch", "make_reply"]
 
 SERVICE, KEY = "crew/contracts", "sign-7"
-# Later than `FLEET_KNOWN_AFTER_S` after the start of each process.
+# Simulated time at which each process has run for more than `FLEET_KNOWN_AFTER_S`.
 STARTED_S = 100.0
 
 
@@ -32,7 +35,7 @@
 
 
 class ThreadlessClaimsTable(ClaimsTable):
-    """Calls the store without a thread, since the simulated store never hangs."""
+    """Calls the store in the caller's thread, since the simulated store never hangs."""
 
     def _call_store(self, deadline_s, call):
         return call()
@@ -42,7 +45,7 @@
 
 
 class Process:
-    """One node with the ledger of its gate, its claims table and its restorer."""
+    """One process of a node: its gate's ledger, claims table and claim restorer."""
 
     def __init__(
         self, name: str, incarnation: int, world: "World", rng: random.Random
@@ -70,7 +73,10 @@
 
 
 class World:
-    """A store and a few nodes, after their start has completed."""
+    """A store and one process for each node, on a simulated clock.
+
+    The clock is initially past `STARTED_S`, so that the processes have started up.
+    """
 
     def __init__(self, seed: int = 0, names: str = "abc") -> None:
         self.rng = random.Random(seed)
@@ -88,7 +94,7 @@
             process.restorer.request_era(era)
 
     def replace(self, name: str) -> None:
-        """Replace a process by a new one with the next incarnation."""
+        """Start a node, or replace its process by one with the next incarnation."""
         before = self.processes.get(name)
         incarnation = before.gate.incarnation + 1 if before else 1
         self.processes[name] = Process(name, incarnation, self, self.rng)
@@ -97,12 +103,16 @@
         """Advance the clock by a second and let each process read the store."""
         self.now_s += 1.0
         for process in self.processes.values():
-            # Nodes also read the store for their settings, which shows them its era.
+            # A node reads its settings from the store, and learns the store's era from
+            # the answer.
             process.view.read("settings", ["any"])
             process.restorer.step(self.now_s)
 
     def run_at(self, name: str, ingress: str = "c", key: str = KEY) -> Claim:
-        """Claim a key for a gate through an ingress, and run it there."""
+        """Claim a key for gate `name` at an ingress, run a request with it, and end it.
+
+        Returns the claim; fails if the claim or the run is refused.
+        """
         gate = self.processes[name]
         claim = self.processes[ingress].claimant(key).claim_for(gate.gate, self.now_s)
         assert isinstance(claim, Claim), claim
--- a/tests/crash_world.py
+++ b/tests/crash_world.py
@@ -1,4 +1,4 @@
-"""A simulation of a service whose backend servers crash, in steps of time."""
+"""A simulation, in steps of time, of a service with crashing backend servers."""
 
 import heapq
 import random
@@ -21,17 +21,26 @@
 
 
 class CrashWorld:
-    """Requests that crash backend servers, and others, in waves of crashes.
+    """Sends requests, some of which crash backend servers, and records quarantines.
 
-    Each request is sent repeatedly, and retried when it is lost. Two suspects never run
-    at the same backend server.
+    Callers send each request repeatedly. An attempt that is lost in a crash is retried.
+    Backend servers crash for other reasons, too, some of them in waves. No two requests
+    under suspicion run at the same backend server.
+
+    Parameters
+    ----------
+    seed : int
+    causes : int
+        Number of requests that crash backend servers.
 
     Attributes
     ----------
-    crashes : Counter
-        Number of crashes by causing request.
-    wrong, right : set of int
-        Quarantined requests that crash no backend server, and those that do.
+    crashes : Counter of int
+        Number of crashes that each request caused, by content hash.
+    wrong : set of int
+        Content hashes of quarantined requests that crash no backend server.
+    right : set of int
+        Content hashes of quarantined requests that crash backend servers.
     """
 
     def __init__(self, seed: int, causes: int) -> None:
@@ -57,7 +66,7 @@
         self.right: set[int] = set()
 
     def run(self) -> None:
-        """Run the simulation to its end."""
+        """Simulate `DURATION_S` seconds."""
         while self._now_s < DURATION_S:
             while self._strikes and self._strikes[0][0] <= self._now_s:
                 self._crash(self._strikes.pop(0)[1])
@@ -72,7 +81,10 @@
         known.add(quarantine.content_hash)
 
     def _draw_strikes(self) -> list[tuple[float, int]]:
-        """Draw crashes that no request causes: single ones, waves, three at once."""
+        """Draw times and backend servers of the crashes that no request causes.
+
+        These are three single crashes, two waves, and a crash of three at once.
+        """
         rng = self._rng
         strikes = [
             (rng.uniform(0, DURATION_S), rng.randrange(SERVERS)) for _ in range(3)
--- a/tests/crashing_server.py
+++ b/tests/crashing_server.py
@@ -1,4 +1,4 @@
-"""A backend server that some requests crash, and that restarts afterwards."""
+"""A stand-in backend server that certain requests crash, and that then restarts."""
 
 import json
 import socket
@@ -15,7 +15,7 @@
 
 HEAD_END = b"\r\n\r\n"
 ANNOUNCE_INTERVAL_S = 0.3
-# With this SO_LINGER value a close resets the connection, as the end of a process does.
+# SO_LINGER with a timeout of 0: a close resets the connection, as a crash does.
 RESET_ON_CLOSE = struct.pack("ii", 1, 0)
 
 
@@ -25,7 +25,7 @@
     Attributes
     ----------
     began_s : float
-        On the monotonic clock.
+        Start of the run on the monotonic clock.
     request_id : str
         Value of the X-Request-Id header.
     """
@@ -37,25 +37,26 @@
 
 
 class CrashingServer:
-    """Announces itself to its node, serves requests, and crashes on some of them.
+    """Announces itself to its node, serves requests, and crashes at some of them.
 
     Parameters
     ----------
     announce_address : str
         Address at which the node receives announcements.
     work_s : callable
-        Takes a target; returns how long its requests run.
+        Takes the target of a request; returns how many seconds the request runs.
     crashes_after_s : callable
-        Takes a run; returns the time until it crashes the backend server, or None
-        if it does not.
+        Takes a `Run`; returns the seconds until that run crashes the backend server,
+        or None if the run does not crash it.
     down_s : float
         Time from a crash to the restart.
 
     Attributes
     ----------
     runs : list of Run
+        All runs so far, including those before a crash.
     crashed_s : list of float
-        Times of its crashes, on the monotonic clock.
+        Times of the crashes on the monotonic clock; a `stop` counts as one.
     """
 
     def __init__(
@@ -81,12 +82,12 @@
         threading.Thread(target=self._announce, daemon=True).start()
 
     def stop(self) -> None:
-        """End without a restart."""
+        """Crash without a restart, and stop the announcements."""
         self._stopped.set()
         self.crash(restarts=False)
 
     def crash(self, restarts: bool = True) -> None:
-        """End at once, resetting all connections; restart with a new id later."""
+        """Reset all connections; if `restarts`, start with a new id after `down_s`."""
         with self._lock:
             if self._listener is None:
                 return
@@ -155,7 +156,7 @@
             while self._answer(connection):
                 pass
         except OSError:
-            # The backend server crashed meanwhile, or the caller disconnected.
+            # The simulated crash reset the connection, or the client disconnected.
             pass
         finally:
             with self._lock:
@@ -202,5 +203,5 @@
         connection.shutdown(socket.SHUT_RDWR)
         connection.close()
     except OSError:
-        # The caller or the serving thread closed the connection meanwhile.
+        # The client or the thread that serves the connection has already closed it.
         pass
--- a/tests/ejection_utils.py
+++ b/tests/ejection_utils.py
@@ -1,4 +1,4 @@
-"""Real processes under load, with the platform down, for ejection tests."""
+"""A fleet of real processes under load, without its platform, for ejection tests."""
 
 import threading
 
@@ -67,7 +67,7 @@
             threading.Thread(target=self._call, daemon=True).start()
 
     def _call(self):
-        """Send requests through the node that has no backend server beside it."""
+        """Send requests to the node without backend servers until the test ends."""
         while not self._done.wait(REQUEST_INTERVAL_S):
             try_call(self.nodes[2].caller_address, "/contracts/7", timeout_s=5)
             self.calls += 1
--- a/tests/fake_gate.py
+++ b/tests/fake_gate.py
@@ -1,4 +1,4 @@
-"""A fake gate that can reply late, twice, with damage, or under another id."""
+"""A fake gate that can send replies late, twice, damaged, or with a wrong id."""
 
 import heapq
 import itertools
@@ -27,18 +27,19 @@
 
 
 class FakeGate:
-    """A ROUTER socket that replies as the test specifies.
+    """A ROUTER socket that answers dispatches and admission queries as a test says.
 
     Parameters
     ----------
     answer : callable
-        Returns (delay_s, frame) pairs to send in reply to a dispatch.
+        Takes a dispatch; returns (delay_s, frame) pairs. Each frame is sent `delay_s`
+        after the dispatch was received.
 
     Attributes
     ----------
     declines : Reason, None or SILENT
-        The reason in the answers to admission queries, None to admit. With `SILENT`,
-        queries are not answered.
+        The reason with which admission queries are declined. None admits them, and
+        `SILENT` leaves them unanswered.
     """
 
     def __init__(
@@ -62,11 +63,12 @@
         self._thread.start()
 
     def close(self) -> None:
-        """Stop the gate: connections are reset and new ones refused."""
+        """Stop the gate; its connections are reset, and new connections are refused."""
         self._stopped.set()
         self._thread.join()
         # If `answer` raised an exception, the thread ended without closing its socket.
-        # `term` would wait for that socket forever and hide the failure.
+        # `destroy` closes the socket; `term` would wait for it forever, and the test
+        # would hang and not show the exception.
         self._context.destroy(linger=0)
 
     def _run(self) -> None:
--- a/tests/health_driver.py
+++ b/tests/health_driver.py
@@ -1,4 +1,4 @@
-"""A driver that feeds requests to the health of one backend server."""
+"""A driver that simulates requests and records them in a `ServerHealth`."""
 
 from balsamspindle.backend_servers.evidence import WorkResult
 from balsamspindle.backend_servers.health import ServerHealth
@@ -14,7 +14,7 @@
 
 
 class HealthDriver:
-    """Feeds one `ServerHealth` requests, with `INTERVAL_S` after each."""
+    """Records simulated requests in one `ServerHealth`, `INTERVAL_S` apart."""
 
     def __init__(self, detection=None, peers=HEALTHY_PEERS) -> None:
         self.health = ServerHealth(detection or Detection(threshold=7.0), 0.0)
@@ -30,7 +30,7 @@
         return attempt_id
 
     def run_requests(self, result=ANSWERED, latency_ms=20.0, times=1) -> Verdict:
-        """Run requests one after the other; return the verdict on the last."""
+        """Simulate `times` requests, one after the other; return the last verdict."""
         for _ in range(times):
             attempt_id = self.start_request()
             self.now_s += latency_ms / 1000
@@ -49,4 +49,4 @@
             if self.health.phase is phase:
                 return number
             self.run_requests(**work)
-        raise AssertionError(f"not {phase} after {limit} requests")
+        raise AssertionError(f"the phase is not {phase} after {limit} requests")
--- a/tests/leaving_utils.py
+++ b/tests/leaving_utils.py
@@ -1,4 +1,4 @@
-"""Callers that send requests continuously while parts of the fleet leave."""
+"""Callers that send requests all the time while nodes or backend servers leave."""
 
 import http.client
 import itertools
@@ -16,7 +16,7 @@
 
 
 def read_events(log_path: Path) -> list[dict[str, str]]:
-    """Return the events in the log of a process so far."""
+    """Return the events that a process has logged so far, each as its fields."""
     events = map(parse_event, log_path.read_text().splitlines())
     return [event for event in events if event and "event" in event]
 
@@ -33,10 +33,11 @@
 
 
 class SteadyCaller(threading.Thread):
-    """Sends requests one after the other on kept-alive connections.
+    """Sends requests one after the other on a persistent connection.
 
-    A refused connection is not a fault: nothing was sent, and the next node is tried. A
-    connection that ends without a complete answer is a fault.
+    A refused connection is not a fault, since no request was sent on it; the caller
+    then connects to the next node. A connection that ends before a complete answer is
+    a fault.
 
     Parameters
     ----------
@@ -49,7 +50,8 @@
     ----------
     calls : list of Call
     faults : list of str
-        Requests without a complete answer, or with the answer to another request.
+        Descriptions of the requests that had no complete answer or the answer to
+        another request.
     """
 
     def __init__(
@@ -124,7 +126,7 @@
     def _record(self, run_key: str, target: str, answer: HttpAnswer) -> None:
         report = json.loads(answer.body)
         if answer.outcome == "answered" and report["target"] != target:
-            self.faults.append(f"{run_key}: got the answer to {report['target']}")
+            self.faults.append(f"{run_key}: received the answer to {report['target']}")
         self.calls.append(
             Call(
                 run_key,
--- a/tests/limit_fleet.py
+++ b/tests/limit_fleet.py
@@ -14,24 +14,25 @@
 from balsamspindle.wire import NodeRecord, encode
 
 WINDOW_S = 5.0
-# By how much a customer may exceed its limit in a window: a fraction of it, plus a
-# number of requests.
+# By how much a customer may exceed its limit in a window: by this fraction of the
+# limit, plus this number of requests.
 OVER_FRACTION, OVER_COUNT = 0.1, 20.0
-# Fraction of that allowance that the nodes are configured to use.
+# Fraction of this permitted excess that the nodes' `LimitPolicy` uses.
 USED_FRACTION = 0.7
-# Bytes that TCP, IP and ZMTP add to one message, in both directions.
+# Bytes that TCP, IP and ZMTP send for one message besides its contents, counted in
+# both directions.
 MESSAGE_OVERHEAD_BYTES = 80
 
 
 class DeadView(NamedTuple):
-    """A dead node in a directory."""
+    """A node that is dead in a `NodeView`, and when it was marked dead."""
 
     record: NodeRecord
     dead_since_s: float
 
 
 class NodeView:
-    """One node's view of the fleet, in place of its directory."""
+    """The nodes that are alive or dead for one node; replaces its `Directory`."""
 
     def __init__(self, records: list[NodeRecord]) -> None:
         self.records = records
@@ -46,25 +47,28 @@
         return self.dead_views
 
     def mark_dead(self, gone: set[str], now_s: float) -> None:
-        """Treat some nodes as dead."""
+        """Move the nodes with the ids in `gone` to the dead nodes."""
         self.dead_views += [
             DeadView(record, now_s) for record in self.records if record.node_id in gone
         ]
         self.records = [other for other in self.records if other.node_id not in gone]
 
     def mark_all_alive(self) -> None:
-        """Treat all nodes as alive again."""
+        """Move all dead nodes back to the alive nodes."""
         self.records = [*self.records, *(view.record for view in self.dead_views)]
         self.dead_views = []
 
 
 class LimitFleet:
-    """Nodes of some zones.
+    """The limiters of simulated nodes, which are spread over availability zones.
 
     Attributes
     ----------
     unreachable : callable
-        Takes the records of two nodes; returns whether the first can't ask the second.
+        Takes the records of two nodes; returns whether messages from the first node to
+        the second node are lost.
+    bytes, bytes_between_zones : int
+        Size of all messages, and of those between nodes of different zones.
     """
 
     def __init__(self, count: int, zones: int = 3, seed: int = 1) -> None:
@@ -90,7 +94,7 @@
         self.now_s += 60
 
     def start(self, record: NodeRecord) -> None:
-        """Start a node, or restart it without its buckets."""
+        """Start a node's limiter; a restarted one has lost its buckets."""
         view = self.views[record.node_id]
         granters = {
             scope: Granters(record, view, scope, self.policy) for scope in Scope
@@ -129,22 +133,26 @@
 
 
 class Load:
-    """Callers of many customers, a few of which send most of the requests.
+    """Simulated callers of many customers; a few customers send most requests.
 
     Attributes
     ----------
     usual_rates : dict of str to float
         Each customer's usual requests per second.
     limits : dict of str to float
-        Each customer's limit; by default a multiple of its usual requests.
+        Each customer's limit in requests per second; by default `headroom` times its
+        usual rate.
     rate_factors : dict of str to float
-        Ratio of each customer's present to its usual requests; 1 by default.
+        Ratio of each customer's present rate to its usual rate; 1 by default.
     zone_weights : dict of str to dict of str to float
-        By customer, the fraction of its callers in each zone; equal by default.
+        For each customer, the weight with which its requests go to nodes of a zone.
+        A customer without an entry uses all nodes equally.
     revision : int
         Revision of the settings that contain the limits.
     granted : dict of str to list of float
-        Times of the granted requests, by customer.
+        Simulated times of the granted requests, by customer.
+    refused : dict of str to int
+        Number of refused requests, by customer.
     """
 
     def __init__(
@@ -167,7 +175,7 @@
         self.refused: dict[str, int] = defaultdict(int)
 
     def run(self, seconds: float) -> None:
-        """Send requests to random nodes for some simulated seconds."""
+        """Advance the clock by `seconds`, and send requests to random nodes."""
         fleet, until_s = self.fleet, self.fleet.now_s + seconds
         names = list(self.usual_rates)
         while True:
@@ -187,7 +195,7 @@
         return self.fleet.random.choices(records, by_node)[0]
 
     def send_request(self, node: NodeRecord, name: str) -> Grant | Denial | None:
-        """Send one request to one node."""
+        """Request a grant for a customer at a node; count and return the result."""
         limit = self.limits[name]
         customer = CustomerDocument(name, (), limit, limit)
         limiter = self.fleet.limiters[node.node_id]
@@ -204,21 +212,27 @@
         return refused / (refused + sum(map(len, self.granted.values())))
 
     def largest_window_fraction(self) -> float:
-        """Return the most requests in one window, as a fraction of those allowed."""
+        """Return the highest ratio of granted to allowed requests in a window.
+
+        The maximum is taken over all customers and all windows of `WINDOW_S`.
+        """
         return max(
             _most_in_window(times) / allowed(self.limits[name], self.limits[name])
             for name, times in self.granted.items()
         )
 
     def reset_counts(self) -> None:
-        """Reset all counts, so that only later requests and messages count."""
+        """Reset the counts of granted and refused requests, and of bytes."""
         self.granted.clear()
         self.refused.clear()
         self.fleet.bytes = self.fleet.bytes_between_zones = 0
 
 
 def allowed(rate_per_s: float, burst: float) -> float:
-    """Return how many requests a customer may run in one window."""
+    """Return how many requests a customer may run in one window of `WINDOW_S`.
+
+    The permitted excess is included.
+    """
     return (rate_per_s * WINDOW_S + burst) * (1 + OVER_FRACTION) + OVER_COUNT
 
 
--- a/tests/member_network.py
+++ b/tests/member_network.py
@@ -1,7 +1,7 @@
 """Several real `Member` objects in one process, on a simulated clock.
 
-Only the transport is simulated: frames are queued until their time of
-delivery. A connection can be cut in one direction.
+Only the transport is simulated: a sent frame is queued, and delivered after
+`LATENCY_S`. Connections can be cut in one direction.
 """
 
 import heapq
@@ -29,8 +29,8 @@
 class FixedClock:
     """A clock that always returns the same time.
 
-    The compressed size of a frame depends on the time in it, and the byte cap
-    counts these sizes: with the real clock, runs would differ from each other.
+    Frames contain a time, and their compressed size depends on it. The members limit
+    the bytes that they send, so that with the real clock each run would be different.
     """
 
     ignored_count = 0
@@ -63,7 +63,8 @@
         self._network = network
         self.address = address
         self._open: dict[str, None] = {}
-        # Whether frames are delivered on connections that this member opens.
+        # Takes an address; returns whether frames that this member sends on its own
+        # connection to that address are delivered.
         self.can_connect: Callable[[str], bool] = lambda address: True
         self.received_bytes = 0
 
@@ -100,7 +101,7 @@
 
 
 class FakeNode:
-    """A real member with its directory and events, and made-up backend servers."""
+    """A real `Member` with its directory and events, and simulated backend servers."""
 
     def __init__(self, network, number, zone, region, incarnation, **settings):
         self.number = number
@@ -153,7 +154,11 @@
         )
 
     def knows_servers(self, boot_id: str, of: "FakeNode") -> bool:
-        """Return whether this node knows the current servers of another one."""
+        """Return whether this node's directory has all backend servers of node `of`.
+
+        Each of them must have the given boot id. If the directory lacks the node or has
+        it as dead, the result is whether `of` has no backend servers.
+        """
         view = self.directory.view(of.node_id)
         if view is None or view.is_dead:
             return not of.servers
@@ -174,7 +179,8 @@
         self.delivers: Callable[[FakeNode, FakeNode], bool] = lambda source, target: (
             True
         )
-        # Like `delivers`, but only for connections that the source node opened.
+        # Takes two nodes; returns whether frames from the source are delivered on a
+        # connection that the source itself opened. `delivers` decides for all frames.
         self.allows_connection: Callable[[FakeNode, FakeNode], bool] = (
             lambda source, target: True
         )
@@ -190,12 +196,12 @@
         options["seed_addresses"] = tuple(node.address for node in seeds)
         node = FakeNode(self, number, zone, region, incarnation, **options)
         self.nodes[node.address] = node
-        # Different nodes tick at different times.
+        # Nodes tick at different times within `TICK_S`.
         self._schedule(self.now_s + TICK_S * ((number * 37 % 100) / 100), node, None)
         return node
 
     def add_many(self, count, zones=3, **options) -> list[FakeNode]:
-        """Start nodes that have the first three of them as seeds."""
+        """Start nodes in turn; each has up to three seeds, the first started nodes."""
         nodes: list[FakeNode] = []
         for number in range(count):
             zone = f"zone-{number % zones}"
@@ -203,14 +209,14 @@
         return nodes
 
     def introduce(self, nodes) -> None:
-        """Add all nodes to each other's directories without any messages."""
+        """Add the nodes to each other's directories without sending messages."""
         records = [node.member.state.own.full_news() for node in nodes]
         for node in nodes:
             for record in records:
                 node.directory.apply(record, self.now_s)
 
     def can_connect(self, source: FakeNode, address: str) -> bool:
-        """Return whether frames are delivered on a connection that a node opens."""
+        """Return whether frames on a node's own connection to an address arrive."""
         target = self.nodes.get(address)
         return target is None or self.allows_connection(source, target)
 
@@ -227,7 +233,10 @@
         self._schedule(self.now_s + LATENCY_S, target_node, (source, frame))
 
     def run(self, duration_s: float, until: Callable[[], bool] | None = None) -> bool:
-        """Advance the clock; stop once `until`, which is checked each tick, holds."""
+        """Advance the clock by `duration_s`, or until `until` returns True.
+
+        `until` is called once in each tick. Returns whether it returned True.
+        """
         end_s = self.now_s + duration_s
         next_check_s = self.now_s
         while self._pending and self._pending[0][0] <= end_s:
@@ -242,15 +251,15 @@
         return until is not None and until()
 
     def pause(self, node: FakeNode) -> None:
-        """Suspend a node's process; frames to it are delivered when it resumes."""
+        """Suspend a node; frames to the node are delivered after `resume`."""
         node.running = False
 
     def resume(self, node: FakeNode) -> None:
-        """Resume a suspended process."""
+        """Resume a suspended node."""
         node.running = True
 
     def kill(self, node: FakeNode) -> None:
-        """Terminate a node without notice to the others."""
+        """Remove a node without notice to the others; frames to it are lost."""
         if self.nodes.get(node.address) is node:
             del self.nodes[node.address]
 
@@ -274,5 +283,5 @@
 
 
 def count_events(nodes, event: str) -> int:
-    """Return how often the nodes emitted an event in total."""
+    """Return how often these nodes together emitted an event."""
     return sum(node.events.counts[event] for node in nodes)
--- a/tests/mixed_builds.py
+++ b/tests/mixed_builds.py
@@ -1,10 +1,10 @@
-"""Two builds as one fleet, and each build on what the other one stored.
+"""Checks that two builds work together in one fleet, and read each other's data.
 
-``python -m tests.mixed_builds OLD NEW`` takes two checkouts of the repository. It
-first runs a fleet of the old build, then one of the new build on the same store,
-then the old build again; after that, nodes, backend servers and operators' tools of
-both builds at once. Each check prints a line; the exit status is 1 if any failed.
-Everything runs on loopback, and takes about two minutes.
+``python -m tests.mixed_builds OLD NEW`` takes the paths of two checkouts. It first runs
+a fleet of the old build, then one of the new build on the same store, then the old
+build again. After that, nodes, backend servers and operators' tools of both builds run
+as one fleet. Each check that passes prints a line; the exit status is 1 if a check
+failed. Everything runs on loopback, and takes about two minutes.
 """
 
 import http.client
@@ -35,7 +35,7 @@
 
 
 def write_with(fleet: MixedFleet, build: Path, tag: str) -> None:
-    """Write settings, a customer, a claim and a quarantine with one build."""
+    """Write settings and, named after `tag`, a customer, a claim and a quarantine."""
     fleet.ctl(build, "settings", "apply", "--author", tag, text=json.dumps(DOCUMENTS))
     fleet.ctl(build, "customers", "add", f"crew/{tag}", "--rate", "5")
     for number in range(2):
@@ -50,7 +50,7 @@
             fleet.nodes[0].send(target).status == 503
             and fleet.nodes[1].send(target).json().get("reason") == "crashes_servers"
         ),
-        "the request is quarantined",
+        "both nodes refuse the quarantined request",
         READY_TIMEOUT_S,
     )
     wait_until(
@@ -62,7 +62,7 @@
 
 
 def read_with(fleet: MixedFleet, build: Path, tag: str, before: list[str]) -> None:
-    """Check that one build reads all that earlier ones stored."""
+    """Check that a build reads what earlier builds stored under their tags."""
     history = fleet.ctl(build, "settings", "history", "crew", "--json")
     listed = fleet.ctl(build, "customers", "list", "crew")
     nodes = [fleet.start_node(build, f"{tag}-reads-{number}") for number in range(2)]
@@ -71,14 +71,14 @@
         fleet.start_crashing(node)
     fleet.wait_ready()
     for written in before:
-        assert f"crew/{written}" in listed, f"{written}'s customer is lost"
-        assert f'"{written}"' in history, f"{written}'s change is not in the history"
+        assert f"crew/{written}" in listed, f"customer of {written} is lost"
+        assert f'"{written}"' in history, f"no change by {written} in the history"
         for node in nodes:
             answer = fleet.sign(node, f"{written}-key")
-            assert not fleet.runs(f"{written}-key"), f"{written}'s claim ran again"
+            assert not fleet.runs(f"{written}-key"), f"claim of {written} ran again"
             assert answer.outcome != "answered", answer
             refused = node.send(f"{CRASHING}/{written}")
-            assert refused.status == 503, f"{written}'s quarantine: {refused}"
+            assert refused.status == 503, f"quarantine of {written}: {refused}"
             assert refused.json()["reason"] == "crashes_servers", refused
     got = json.loads(fleet.ctl(build, "settings", "get", "crew"))
     for path, document in DOCUMENTS.items():
@@ -88,7 +88,7 @@
 
 
 def check_stored(old: Path, new: Path) -> None:
-    """Run old, new and old again on one store, each on what all before wrote."""
+    """Check that old, new, old and new builds in turn read what those before wrote."""
     with tempfile.TemporaryDirectory() as folder:
         fleet = MixedFleet(Path(folder), old)
         try:
@@ -109,15 +109,15 @@
 
 
 def report(text: str) -> None:
-    """Print one check that passed."""
+    """Print a line for a check that passed."""
     print(f"ok      {text}", flush=True)
 
 
 def check_reads(fleet: MixedFleet) -> None:
-    """Each node reaches the backend servers beside nodes of both builds."""
+    """Check that backend servers of both builds run the reads of each node."""
     slow = {"X-Work-Ms": "300"}
     for node in fleet.nodes:
-        # More at once than the slots beside one node, so that others get some.
+        # More requests than the slots beside one node: other nodes must run some.
         with ThreadPoolExecutor(24) as executor:
             sent = [
                 executor.submit(node.send, "/contracts/7", **slow) for _ in range(48)
@@ -130,7 +130,7 @@
 
 
 def check_keys(fleet: MixedFleet) -> None:
-    """A key that is sent again through nodes of either build runs once."""
+    """Check that a request with a key runs once when sent again through all nodes."""
     for number, first in enumerate(fleet.nodes * 3):
         key = f"resent-{number}"
         answers = [fleet.sign(first, key)]
@@ -142,7 +142,7 @@
 
 
 def check_customers(fleet: MixedFleet, adds: Path, takes: Path, name: str) -> None:
-    """A customer of one build is limited by all nodes; the other takes its key away."""
+    """Check a customer's limit at all nodes, and that they refuse a removed key."""
     fleet.ctl(adds, "customers", "add", f"crew/{name}", "--rate", "1", "--burst", "4")
     key = fleet.ctl(adds, "customers", "give-key", f"crew/{name}").split()[-1]
 
@@ -156,17 +156,17 @@
     statuses = Counter(ask(node) for _ in range(8) for node in fleet.nodes)
     took_s = time.monotonic() - began_s
     assert set(statuses) == {200, 429}, statuses
-    # A token more for each of the zones, as buckets hold at least one.
+    # Each zone can grant one more request, since a bucket holds at least one token.
     assert statuses[200] <= 4 + took_s + len(fleet.nodes), statuses
     listed = json.loads(fleet.ctl(takes, "customers", "list", "crew", "--json"))
     digest = listed[f"crew/{name}"]["key_digests"][0][:8]
     fleet.ctl(takes, "customers", "take-key", f"crew/{name}", digest)
     time.sleep(PROOF_MAX_AGE_S)
-    assert {ask(node) for node in fleet.nodes} == {401}, "the key is served on"
+    assert {ask(node) for node in fleet.nodes} == {401}, "a removed key is valid"
 
 
 def check_settings(fleet: MixedFleet, build: Path, number: int) -> None:
-    """A change by one build's tool is in force at all nodes."""
+    """Check that a change by one build's tool comes into force at all nodes."""
     document = {**DOCUMENTS["crew/services/contracts"], "queue_max": number}
     fleet.ctl(build, "settings", "set", "crew/services/contracts",
               text=json.dumps(document))  # fmt: skip
@@ -189,7 +189,7 @@
 
 
 def check_drain(fleet: MixedFleet, drains: Path, undrains: Path, target: Node) -> None:
-    """A drain by one build is known to the nodes of the other one."""
+    """Check that all nodes see a drain by one build, and its end by the other."""
     name = f"server-{target.name}"
 
     def is_used() -> set[bool]:
@@ -198,11 +198,14 @@
     fleet.ctl(drains, "drain", name, "--node", target.admin)
     wait_until(lambda: is_used() == {False}, f"{name} is drained at all nodes")
     fleet.ctl(undrains, "undrain", name, "--node", target.admin)
-    wait_until(lambda: is_used() == {True}, f"{name} is back at all nodes")
+    wait_until(
+        lambda: is_used() == {True},
+        f"{name} is undrained at all nodes",
+    )
 
 
 def check_ejection(fleet: MixedFleet, target: Node) -> None:
-    """A sick backend server of one build gets no work of any node, and then again."""
+    """Check that all nodes eject a failing backend server, and then readmit it."""
     name = f"server-{target.name}"
     call(fleet.servers[name], "/faults", "POST", b'{"mode": "error"}')
 
@@ -218,7 +221,7 @@
 
 
 def check_quarantine(fleet: MixedFleet, first: Node, second: Node) -> None:
-    """What crashes backend servers beside nodes of both builds is refused by all."""
+    """Check that all nodes refuse a request that crashed servers beside two nodes."""
     fleet.start_crashing(first)
     fleet.start_crashing(second)
     fleet.wait_ready()
@@ -227,7 +230,7 @@
             node.send(CRASHING).body.find(b"crashes_servers") >= 0
             for node in fleet.nodes
         ),
-        "all nodes refuse what crashes backend servers",
+        "all nodes refuse the request that crashes backend servers",
         READY_TIMEOUT_S,
     )
     crashes = sum(server.crashes for server in fleet.crashing)
@@ -241,7 +244,7 @@
 
 
 class Load:
-    """Callers that send reads and signings at all nodes until told to stop."""
+    """Callers that send GET and POST requests to all nodes until `stop`."""
 
     def __init__(self, fleet: MixedFleet) -> None:
         self._fleet, self._done = fleet, threading.Event()
@@ -251,7 +254,7 @@
         self._sending = [self._executor.submit(self._send, i) for i in range(6)]
 
     def stop(self) -> None:
-        """Stop sending; fail when a request was lost or ran twice."""
+        """Stop sending; fail if a request was lost, or a POST did not run once."""
         self._done.set()
         for one in self._sending:
             one.result()
@@ -276,7 +279,7 @@
 
     @staticmethod
     def _try(node: Node, key: str, is_read: bool) -> str | None:
-        """Return the status, the failure, or None where nobody listens."""
+        """Return "200" or a description of the failure; None without a connection."""
         connection = http.client.HTTPConnection(node.caller, timeout=8.0)
         try:
             try:
@@ -298,22 +301,22 @@
 
 
 def check_rolling_restart(fleet: MixedFleet, old: Path, new: Path) -> None:
-    """Under load all nodes go from one build to the other and back; none is lost."""
+    """Check that no request is lost while nodes change to the new build and back."""
     load = Load(fleet)
     for build in (new, old):
         for node in fleet.nodes:
             if node.build != build:
-                assert node.stop() == 0, f"{node.name} failed at its end"
+                assert node.stop() == 0, f"{node.name} did not exit with status 0"
                 node.build = build
                 node.start()
                 fleet.wait_ready([node])
                 time.sleep(2.0)
     load.stop()
-    report(f"a rolling restart under load: {dict(load.counts)}, none lost")
+    report(f"a rolling restart under load: {dict(load.counts)}, no request lost")
 
 
 def check_tools(fleet: MixedFleet, old: Path, new: Path) -> None:
-    """Either build's load tool and time line work with nodes of both."""
+    """Check that each build's load tool and timeline tool work with all nodes."""
     plan = {
         "nodes": {node.name: node.caller for node in fleet.nodes},
         "node_admins": {node.name: node.admin for node in fleet.nodes},
@@ -346,7 +349,7 @@
 
 
 def check_mixed(old: Path, new: Path) -> None:
-    """Run nodes of both builds, with backend servers beside all, as one fleet."""
+    """Check a fleet of both builds, with a backend server beside each node."""
     with tempfile.TemporaryDirectory() as folder:
         fleet = MixedFleet(Path(folder), new)
         try:
@@ -379,7 +382,7 @@
 
 
 def main() -> int:
-    """Run all checks; 1 when one failed."""
+    """Run all checks; return 1 if one failed, else 0."""
     old, new = (Path(word).resolve() for word in sys.argv[1:3])
     failed = 0
     for check in (check_stored, check_mixed):
--- a/tests/mixed_fleet.py
+++ b/tests/mixed_fleet.py
@@ -1,4 +1,4 @@
-"""A fleet whose nodes and backend servers run from two checkouts."""
+"""A fleet of nodes and backend servers, each from one of two checkouts."""
 
 import json
 import os
@@ -46,7 +46,10 @@
 
 
 class Process:
-    """One process of a build; `start` starts it again with the same arguments."""
+    """A process that runs a module of one build, until `stop` or `kill`.
+
+    `start` starts it again with the same arguments.
+    """
 
     def __init__(self, build: Path, module: str, arguments, log: Path) -> None:
         self.build, self.log = build, log
@@ -54,7 +57,7 @@
         self.start()
 
     def start(self) -> None:
-        """Start the process from its build."""
+        """Start the process with the modules of `build`."""
         with self.log.open("ab") as log:
             self._process = subprocess.Popen(
                 [sys.executable, *self._arguments],
@@ -65,19 +68,19 @@
             )
 
     def stop(self) -> int:
-        """End the process in order; return its exit status."""
+        """Send SIGTERM, wait for the end of the process, and return its exit status."""
         self._process.terminate()
         return self._process.wait(40.0)
 
     def kill(self) -> None:
-        """End the process at once."""
+        """Send SIGKILL unless the process has ended, and wait for it."""
         if self._process.poll() is None:
             self._process.send_signal(signal.SIGKILL)
         self._process.wait()
 
 
 def environment(build: Path) -> dict[str, str]:
-    """Return an environment in which modules come from one build."""
+    """Return environment variables with which Python imports modules of a build."""
     return {**os.environ, "PYTHONPATH": str(build)}
 
 
@@ -109,18 +112,19 @@
         )
 
     def status(self) -> dict:
-        """Return the status page; empty when the node does not answer."""
+        """Return the node's `/status`; empty if the node does not answer."""
         answer = try_call(self.admin, "/status", timeout_s=2)
         return answer.json() if answer and answer.status == 200 else {}
 
     def explanation(self) -> dict[str, dict]:
-        """Return what the node says of each backend server of the service."""
+        """Return the node's explanation of each backend server of `SERVICE`, by id."""
         page = call(self.admin, f"/services/{SERVICE}/explain").json()
         return {one["backend_server_id"]: one for one in page["backend_servers"]}
 
     def send(self, target: str, method: str = "GET", **headers: str) -> HttpAnswer:
-        """Send one request; status 0 when no answer came."""
-        # A quarantine is kept by host and target, so all nodes get the same host.
+        """Send one request; return its answer, with status 0 if there is none."""
+        # A quarantine applies to one host and target. Without this header, the host
+        # would be the address of the node, and thus differ between nodes.
         headers = {"Host": "crew.example", **headers}
         answer = try_call(self.caller, target, method, b"", headers, 8.0)
         return answer or HttpAnswer(0, {}, b"")
@@ -189,11 +193,11 @@
                 head = f"HTTP/1.1 200 OK\r\nContent-Length: {len(body)}\r\n\r\n"
                 connection.sendall(head.encode() + body)
         except OSError:
-            # A crash closed the connection.
+            # The simulated crash closed the connection.
             return
 
     def crash(self) -> None:
-        """Close the listener and all connections; start again after a pause."""
+        """Close the listener and all connections; start again after `DOWN_S`."""
         listener, self._listener = self._listener, None
         if listener is None:
             return
@@ -204,7 +208,7 @@
             try:
                 connection.shutdown(socket.SHUT_RDWR)
             except OSError:
-                # Its peer closed it before.
+                # The peer has already closed the connection.
                 pass
             connection.close()
         self._open.clear()
@@ -212,13 +216,16 @@
             threading.Timer(DOWN_S, self._start).start()
 
     def stop(self) -> None:
-        """End it for good."""
+        """Crash without a restart, and stop the announcements."""
         self.is_stopped = True
         self.crash()
 
 
 class MixedFleet:
-    """The store's stand-in, nodes of either build and backend servers beside them."""
+    """The stand-in platform, nodes of two builds, and backend servers beside them.
+
+    The stand-in platform runs from `build`.
+    """
 
     def __init__(self, folder: Path, build: Path) -> None:
         self.folder, self.store = folder, free_address()
@@ -235,7 +242,7 @@
         return process
 
     def start_node(self, build: Path, name: str) -> Node:
-        """Start a node."""
+        """Start a node from a build, without waiting for it."""
         node = self._add(Node(build, name, self))
         self.nodes.append(node)
         return node
@@ -251,11 +258,14 @@
         self.servers[name] = address
 
     def start_crashing(self, node: Node) -> None:
-        """Start a backend server that can crash beside a node."""
+        """Start a `CrashingServer` beside a node."""
         self.crashing.append(CrashingServer(f"crashing-{node.name}", node))
 
     def wait_ready(self, nodes=None) -> None:
-        """Wait until nodes have settings, know each other and all backend servers."""
+        """Wait until nodes accept callers, know all backend servers and serve requests.
+
+        `nodes` is by default all nodes of the fleet.
+        """
         count = len(self.servers)
         for node in nodes or self.nodes:
             wait_until(
@@ -270,7 +280,7 @@
             )
 
     def ctl(self, build: Path, *words: str, text: str | None = None) -> str:
-        """Run a build's operators' tool; return what it wrote."""
+        """Run a build's operators' tool with `text` as input; return its output."""
         known = ["--platform", self.store]
         if words[0] not in ("settings", "customers"):
             known = []
@@ -287,26 +297,30 @@
         return done.stdout
 
     def runs(self, run_key: str) -> int:
-        """Return how often a request ran at the backend servers."""
+        """Return how often a request ran at the present stand-in backend servers."""
         line = f"event=run run_key={run_key}"
         logs = [self.folder / f"{name}.log" for name in self.servers]
         return sum(log.read_text().splitlines().count(line) for log in logs)
 
     def sign(self, node: Node, key: str) -> HttpAnswer:
-        """Send a non-idempotent request with a key."""
+        """Send a non-idempotent request with an idempotency key."""
         headers = {KEY_HEADER: key, RUN_HEADER: key}
         return node.send(f"/contracts/{key}", "POST", **headers)
 
     def stop_nodes(self) -> None:
-        """End all nodes in order and forget them, with their backend servers."""
+        """Stop all nodes and crashing backend servers; clear all lists of the fleet.
+
+        The other backend servers run until `end`. Fails if the exit status of a node is
+        not 0.
+        """
         for node in self.nodes:
-            assert node.stop() == 0, f"{node.name} failed at its end"
+            assert node.stop() == 0, f"{node.name} did not exit with status 0"
         for server in self.crashing:
             server.stop()
         self.nodes, self.servers, self.crashing = [], {}, []
 
     def end(self) -> None:
-        """End all processes."""
+        """Kill all processes and stop all crashing backend servers."""
         for server in self.crashing:
             server.stop()
         for process in self._processes:
--- a/tests/one_gate.py
+++ b/tests/one_gate.py
@@ -34,9 +34,9 @@
 
 
 def answer_frame(dispatch, **changes) -> bytes:
-    """Return an encoded reply to a dispatch, which echoes its body.
+    """Return an encoded reply with the body of the dispatch.
 
-    `changes` replace fields of the reply.
+    `changes` override fields of the reply.
     """
     fields = {
         "attempt_id": dispatch.attempt_id,
@@ -55,7 +55,10 @@
 
 
 class Ingress:
-    """The ingress of a node that knows one peer, at `gate_address`."""
+    """The forwarder of a node that knows one other node, which has the fake gate.
+
+    The fake gate listens at `gate_address` and has `servers_count` backend servers.
+    """
 
     def __init__(self, gate_address: str, servers_count: int = 1) -> None:
         self.events = io.StringIO()
@@ -73,7 +76,11 @@
         self._forwarder = Forwarder(OWN, picker, gate, self.links, events)
 
     def request(self, body: bytes = b"signature", timeout_s: float = 5.0, **route):
-        """Forward one request; the caller's connection stays open meanwhile."""
+        """Forward one request and return the reply.
+
+        The caller's connection is open until then, unless a test closes `caller`.
+        `route` overrides fields of the route.
+        """
         near, far = socket.socketpair()
         self.caller = far
         with near, far:
@@ -88,5 +95,5 @@
             return self._forwarder.forward(self.forwarded)
 
     def abort_attempts(self) -> None:
-        """Stop waiting for replies, like a node that leaves."""
+        """End all attempts without a reply, as a node does that leaves."""
         self._forwarder.abort_attempts()
--- a/tests/persistent_caller.py
+++ b/tests/persistent_caller.py
@@ -11,10 +11,10 @@
 __all__ = ["NO_ANSWER", "NOT_SENT", "Exchange", "PersistentCaller"]
 
 CALL_TIMEOUT_S = 10.0
-# After the request was sent the connection closed, or no answer came within the
-# timeout.
+# Outcome of a request whose connection closed, or whose timeout elapsed, before the
+# complete answer was received. The request may have run.
 NO_ANSWER = "no answer"
-# No node accepted a connection, so nothing was sent.
+# Outcome of a request that was not sent, since no node accepted a connection.
 NOT_SENT = "not sent"
 
 
@@ -24,15 +24,17 @@
     Attributes
     ----------
     outcome : str
-        The outcome header of the answer; "answered" is followed by the status when
-        a refusal or error of the backend server was passed on. `NO_ANSWER` or
-        `NOT_SENT` when there is no answer.
+        The outcome header of the answer. If that is "answered" and the backend server's
+        status is not 200, the status follows. `NO_ANSWER` or `NOT_SENT` if there is no
+        answer.
     reason : str
-        Why the fleet refused or failed the request; empty for other answers.
+        Why the fleet refused or failed the request; empty if it did neither, or if
+        there is no answer.
     address : str
-        Address of the ingress.
+        Address of the ingress, or of the one tried last if none accepted.
     sent_s, ended_s : float
-        Wall-clock time, comparable with `wall_s` in the events of nodes.
+        Wall-clock time before and after the request, comparable with `wall_s` in the
+        events of nodes.
     """
 
     outcome: str
@@ -51,16 +53,16 @@
         Addresses of ingresses. When a connection closes, the caller connects to
         the next address.
     path : str
-        Path prefix of the requests; the run key follows it.
+        Path prefix of the requests; a slash and the run key follow it.
     headers : dict of str to str
         Additional headers of each request.
 
     Attributes
     ----------
     exchanges : dict of str to Exchange
-        All requests with their answers, by run key.
+        All requests, by run key.
     violations : list of str
-        Answers that belong to another request.
+        Descriptions of answers that belonged to another request.
     """
 
     def __init__(
@@ -92,7 +94,7 @@
         if answer is not None and answer.status == 200:
             self._check_belongs(key, answer)
         elif outcome == "answered":
-            # A refusal or error of the backend server that the fleet passed on.
+            # The backend server itself refused or failed the request.
             outcome = f"answered {answer.status}"
         reason = "" if answer is None else answer.json().get("reason", "")
         self.exchanges[key] = Exchange(
@@ -108,7 +110,7 @@
             )
 
     def _connect(self) -> bool:
-        """Connect to the next ingress that accepts; False when none does."""
+        """Connect to the next ingress that accepts; return False if none does."""
         for address in itertools.islice(self._addresses, self._address_count):
             self._address = address
             connection = http.client.HTTPConnection(address, timeout=self._timeout_s)
--- a/tests/platform_fleet.py
+++ b/tests/platform_fleet.py
@@ -1,4 +1,4 @@
-"""Fixtures: nodes on the users' platform, each a process of its own."""
+"""Nodes that run as on the users' platform, each in a process of its own."""
 
 import json
 import os
@@ -12,7 +12,8 @@
 __all__ = ["PlatformFleet", "PlatformNode"]
 
 HOST = "127.0.0.1"
-# Ports that a node uses of its range: member messages and the admin address.
+# Number of ports in a node's range: one for member messages, one for the admin
+# address.
 PORT_COUNT = 2
 
 
@@ -53,7 +54,7 @@
         self.start()
 
     def start(self) -> None:
-        """Start the process, also after `kill`."""
+        """Start the process; also restarts it after `kill`."""
         with self.log_path.open("ab") as log:
             self.process = subprocess.Popen(
                 [sys.executable, "-m", "balsamspindle.platform"],
@@ -64,14 +65,14 @@
             )
 
     def revision(self) -> int:
-        """Return the revision of the settings in force; -1 for none."""
+        """Return the revision of the settings in force; -1 without an answer."""
         answer = try_call(self.admin_address, "/status", timeout_s=2)
         if answer is None or answer.status != 200:
             return -1
         return answer.json()["settings_revision"]
 
     def known_node_count(self) -> int:
-        """Return the number of nodes that this node knows, including itself."""
+        """Return how many nodes this node knows, with itself; 0 without an answer."""
         answer = try_call(self.admin_address, "/status", timeout_s=2)
         return 0 if answer is None else len(answer.json()["nodes"])
 
@@ -80,14 +81,14 @@
         return call(self.caller_address, path, headers={"Host": host}).status
 
     def kill(self) -> None:
-        """Send SIGKILL to the process if it runs, and wait until it has ended."""
+        """Send SIGKILL unless the process has ended, and wait for it."""
         if self.process.poll() is None:
             self.process.kill()
         self.process.wait()
 
 
 class PlatformFleet(Fleet):
-    """The stand-in store in the test's process, and nodes that get its address."""
+    """The stand-in platform's store in the test's process, and nodes that use it."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -105,7 +106,7 @@
         ]
 
     def put_configuration(self, configuration: dict, name: str = "config") -> None:
-        """Write the operator's configuration, or another row of that table."""
+        """Write a row of the operator's table, by default its configuration."""
         body = json.dumps(configuration).encode()
         answer = call(self.store.address, f"/op/{name}", "PUT", body)
         assert answer.status == 200, answer
--- a/tests/raw_server.py
+++ b/tests/raw_server.py
@@ -1,4 +1,4 @@
-"""A backend server that sends raw bytes, such as invalid HTTP answers."""
+"""A backend server that sends given bytes, which need not be valid HTTP."""
 
 import socket
 import threading
@@ -11,7 +11,7 @@
 
 
 def answer_with_length(body: bytes, head: bytes = b"") -> bytes:
-    """Return an answer with status 200 and a Content-Length header."""
+    """Return an answer with status 200, the header lines `head` and Content-Length."""
     return b"HTTP/1.1 200 OK\r\n%bContent-Length: %d\r\n\r\n%b" % (
         head,
         len(body),
@@ -25,14 +25,14 @@
     Parameters
     ----------
     answer : callable
-        Takes the request's number, from 1; returns the answer's bytes and whether the
-        connection stays open. If the bytes are None, the server sends nothing and waits
-        until the other end closes the connection.
+        Takes the number of the request, from 1; returns the bytes of the answer, and
+        whether the connection stays open. If the bytes are None, the server sends
+        nothing and waits until the client closes the connection.
 
     Attributes
     ----------
     closed_s : list of float
-        When the other end closed such a connection, on the monotonic clock.
+        When the client closed a connection without an answer, on the monotonic clock.
     """
 
     def __init__(self, answer: Callable[[int], tuple[bytes | None, bool]]) -> None:
@@ -45,10 +45,10 @@
         threading.Thread(target=self._accept, daemon=True).start()
 
     def close(self) -> None:
-        """Refuse new connections from now on; safe to repeat."""
+        """Refuse new connections; can be called more than once."""
         try:
-            # Closing alone does not wake the thread that waits in accept, and the
-            # kernel would keep listening until that call returns.
+            # Without a shutdown the thread would stay in `accept`, and the kernel would
+            # accept connections until that call returns.
             self._listener.shutdown(socket.SHUT_RDWR)
         except OSError:
             pass
--- a/tests/relay.py
+++ b/tests/relay.py
@@ -1,4 +1,4 @@
-"""A TCP relay that simulates network faults: it loses or delays data per direction."""
+"""A TCP relay that simulates network faults by losing or delaying data."""
 
 import socket
 import threading
@@ -12,17 +12,25 @@
 
 
 class Flow(StrEnum):
-    """What happens to the data of one direction."""
+    """How the relay handles the data that is sent in one direction."""
 
     PASS = "pass"
-    # Data is kept until the flow is `PASS` again, and then forwarded in order.
+    # Data is delayed until the flow is `PASS` again, and then forwarded in order.
     HOLD = "hold"
-    # Data is lost while the connection stays open, as in a one-way partition.
+    # Data is discarded, and the connection stays open, as in a one-way partition.
     DROP = "drop"
 
 
 class Relay:
-    """Listens on `address` and forwards data to and from `target`."""
+    """Listens on `address` and relays each connection to `target`.
+
+    Attributes
+    ----------
+    forward, backward : Flow
+        How data to the target and data from the target is handled.
+    delay_s : float
+        Delay of each chunk of data in either direction.
+    """
 
     def __init__(self, target: str) -> None:
         self.target = target
--- a/tests/restart_checks.py
+++ b/tests/restart_checks.py
@@ -1,4 +1,8 @@
-"""Checks of the outcomes in a soak of restarts, against logs and backend servers."""
+"""Checks the outcomes that callers received in a soak of restarts.
+
+The outcomes are compared with the logs of nodes and backend servers, and with the
+times at which these were restarted.
+"""
 
 import math
 from collections import Counter, defaultdict
@@ -16,31 +20,33 @@
 __all__ = ["UNPLANNED", "OutcomeChecks", "RequestTrace"]
 
 UNPLANNED = ("freeze", "kill")
-# One for the request and one for a hedge, which occupies a slot, too.
+# A request occupies one slot, and its hedge another one.
 SLOTS_PER_CALLER = 2
-# Time that one more attempt needs in addition to the work itself.
+# Time that a further attempt needs besides the work of the backend server.
 ATTEMPT_RESERVE_S = 0.5
-# Reasons of refusals that say that no backend server was available.
+# With these reasons an ingress refuses a request for want of a backend server.
 NO_SERVER_REASONS = frozenset(
     {"no_backend_server", "no_free_slot", "would_wait", "draining"}
 )
 
 
 class RequestTrace:
-    """Runs on backend servers and events in the logs of nodes, by run key.
+    """Runs and events of each request, from the logs of backend servers and nodes.
+
+    All attributes are by run key.
 
     Attributes
     ----------
     runs : Counter of str
         How often each request ran.
     reached_gates : dict of str to set of str
-        Names of the nodes beside whose backend servers a request ran, or to which
-        an attempt was sent.
+        Names of the nodes to whose gates a request was sent, or whose backend
+        servers ran it.
     last_sent_s : dict of str to float
-        When the ingress sent the last attempt of a request, in wall-clock time.
+        Wall-clock time at which the ingress sent the last attempt of a request.
     retry_denials : dict of str to str
-        For a request that was not retried: how its last attempt ended, and how
-        many retries its ingress had left.
+        For a request whose retry was denied: how its last attempt ended, and the
+        remaining retries of the ingress.
     """
 
     def __init__(self, fleet: RestartFleet) -> None:
@@ -59,7 +65,7 @@
                 key = event.get("request", "")
                 if event["event"] == "retry_denied":
                     self.retry_denials[key] = (
-                        f"{event.get('after')}, {event.get('retries_left')} left"
+                        f"{event.get('after')}, {event.get('retries_left')} remaining"
                     )
                 elif event["event"] == "attempt_sent":
                     gate = event["backend_server"].removeprefix("server-")
@@ -68,14 +74,16 @@
 
 
 class OutcomeChecks:
-    """Compares the outcomes that callers received with a trace and the outages.
+    """Compares the outcomes that callers received with a `RequestTrace` and outages.
 
     Attributes
     ----------
     violations : list of str
-        Descriptions of the requests whose outcome broke a promise of the fleet.
+        Descriptions of the requests whose outcome the fleet must not produce, and of
+        answers that belonged to another request.
     counts : Counter of str
-        Number of requests by work, outcome and reason, and by result of a check.
+        Number of requests by kind of work, outcome and reason, and by the result of
+        each check.
     """
 
     def __init__(
@@ -90,7 +98,7 @@
         self.counts: Counter[str] = Counter()
 
     def run(self) -> None:
-        """Check all requests."""
+        """Check all requests; fill `violations` and `counts`."""
         requests = [
             (work, key, exchange)
             for caller, work in self._callers.items()
@@ -140,15 +148,18 @@
         self.violations.append(
             f"{name}: {key} {exchange.outcome} {exchange.reason} after"
             f" {exchange.ended_s - exchange.sent_s:.1f} s, ingress {ingress}, gates"
-            f" {sorted(self._trace.reached_gates[key])}, s since SIGTERM"
-            f" {since_sigterm_s}, denied after {self._trace.retry_denials.get(key)}"
+            f" {sorted(self._trace.reached_gates[key])}, seconds since SIGTERM"
+            f" {since_sigterm_s}, retry denied after"
+            f" {self._trace.retry_denials.get(key)}"
         )
 
     def _check_given_up(self, work: WorkClass, key: str, exchange: Exchange) -> None:
-        """Check that an idempotent request was given up for a valid reason.
+        """Check that an ingress had a valid reason to end an idempotent request.
 
-        Valid reasons are that no time or no backend server was left for another
-        attempt. An ingress that was sent SIGTERM has `SHUTDOWN_TIMEOUT_S` left.
+        Valid reasons are that another attempt would have lasted longer than the
+        timeout of the request, or that no backend server was available. An ingress
+        that received SIGTERM ends after `SHUTDOWN_TIMEOUT_S`; it need not start an
+        attempt that would last longer.
         """
         retry_end_s = exchange.ended_s + work.work_ms / 1000 + ATTEMPT_RESERVE_S
         sigterm_s = self._sigterm_s(self._ingresses[exchange.address], exchange)
@@ -166,10 +177,12 @@
             self.counts["given_up_by_leaving_ingress"] += 1
 
     def _check_cut(self, work: WorkClass, key: str, exchange: Exchange) -> None:
-        """Find the cause of an `unknown` outcome of work that must not be repeated.
+        """Check that a non-idempotent request had a valid cause for outcome `unknown`.
 
-        An ingress that is shutting down must not start work of which it knows that
-        it lasts longer than the rest of its shutdown.
+        Valid causes are the shutdown of the gate, and that of the ingress if the
+        request was sent to the gate before. A request that the ingress sent during its
+        shutdown is a violation if the ingress knew how long such work lasts, since it
+        must not start work that lasts longer than the rest of its shutdown.
         """
         sigterm_s = self._sigterm_s(self._ingresses[exchange.address], exchange)
         if sigterm_s == math.inf and self._is_gate_leaving(key, exchange):
@@ -186,9 +199,9 @@
     def _is_duration_known(
         self, work: WorkClass, address: str, sigterm_s: float
     ) -> bool:
-        """Tell whether an ingress had answered such work between start and SIGTERM.
+        """Return whether an ingress had answered such work between start and SIGTERM.
 
-        It then knows how long such work takes.
+        The ingress then knows how long such work lasts.
         """
         outages = self._fleet.outages
         name = self._ingresses[address]
@@ -209,9 +222,10 @@
         return any(self._sigterm_s(gate, exchange) < math.inf for gate in gates)
 
     def _sigterm_s(self, name: str, exchange: Exchange) -> float:
-        """Return when a node got SIGTERM whose restart lasted as an exchange ended.
+        """Return when a node received the SIGTERM of its restart.
 
-        Infinity when the node was not being restarted then.
+        The restart must have been under way when the exchange ended; otherwise
+        infinity is returned.
         """
         for outage in self._fleet.outages:
             if outage.target == name and outage.kind == "restart":
@@ -229,14 +243,14 @@
             if services[name] == work.service and name not in out
         ]
         needed = len(self._callers) // len(SERVICES) * SLOTS_PER_CALLER
-        # For a while after its start a backend server is given only half of its load.
+        # A backend server that was just started is given only half of its load.
         return len(available) * SLOTS // 2 >= needed
 
     def _is_excused(self, key: str, exchange: Exchange) -> bool:
-        """Tell whether an unplanned fault could have affected a request.
+        """Return whether an unplanned fault could have affected a request.
 
-        That is a fault, during the request, of a node or backend server that the
-        request reached, or the kill of its ingress.
+        The fault must overlap the request in time. It affects a request if it is at a
+        gate or backend server that the request reached, or if it kills the ingress.
         """
         ingress = self._ingresses[exchange.address]
         return any(
--- a/tests/restart_fleet.py
+++ b/tests/restart_fleet.py
@@ -18,18 +18,21 @@
     "WorkClass",
 ]
 
-# The nodes' backend servers alternate between the services, so that each ingress
-# also gets requests that only the backend server of another node can run.
+# Every other node has a backend server of the first service, and the rest of the
+# second. Each ingress therefore also receives requests for a service that only
+# backend servers beside other nodes can run.
 SERVICES = ("front", "back")
 SHUTDOWN_TIMEOUT_S = 4.0
-# More than all callers use, even when only a few backend servers are left.
+# Slots of each backend server: enough for all callers when few backend servers
+# remain.
 SLOTS = 256
-# Nodes of each service that are untouched at any time, with their backend servers.
+# Minimum number of nodes of each service that have no outage at any time; their
+# backend servers have none, either.
 UNAFFECTED_MIN = 1
 TURN_TIMEOUT_S = 60.0
 STOP_TIMEOUT_S = 30.0
 READY_TIMEOUT_S = 40.0
-# From the return of a node or backend server until all nodes use it again.
+# Time from the start of a node or backend server until all nodes use it again.
 SETTLE_S = 1.5
 BURST_PAUSE_S = 0.05
 LOG_TAIL_CHARS = 500
@@ -41,11 +44,11 @@
     Attributes
     ----------
     work_ms : int
-        Time that a backend server takes for each request.
+        Time that a backend server works on each request.
     timeout_ms : int
         Timeout of the route.
     connections : int
-        Number of connections, as a multiple of that of an ordinary class.
+        Number of connections, as a multiple of the usual number per class.
     """
 
     service: str
@@ -56,7 +59,7 @@
     connections: int = 1
 
 
-# Some of these last longer than `SHUTDOWN_TIMEOUT_S`.
+# The work of some classes lasts longer than `SHUTDOWN_TIMEOUT_S`.
 WORK_CLASSES = [
     WorkClass(service, f"{service}-{name}", *kind)
     for service in SERVICES
@@ -86,7 +89,8 @@
     Attributes
     ----------
     from_s, to_s : float
-        Wall-clock time, from the signal until all nodes use the target again.
+        Wall-clock time of the signal, and from which on all nodes use the target
+        again.
     """
 
     target: str
@@ -95,7 +99,7 @@
     to_s: float
 
     def covers(self, at_s: float) -> bool:
-        """Tell whether a time is within the outage."""
+        """Return whether a wall-clock time is within the outage."""
         return self.from_s <= at_s <= self.to_s
 
 
@@ -107,9 +111,9 @@
     services : dict of str to str
         Service of the backend server beside each node, by the node's name.
     nodes : dict of str to NodeProgram
-        By name.
+        Nodes by name.
     servers : dict of str to BackendProgram
-        By the name of the node beside them.
+        Backend servers by the name of the node beside them.
     outages : list of Outage
         Outages that have ended.
     """
@@ -126,7 +130,7 @@
         self._settings_lock = threading.Lock()
 
     def start(self) -> None:
-        """Start all programs and wait for them."""
+        """Start the platform, nodes and backend servers; wait until they are ready."""
         self.start_platform()
         self.put_settings({f"crew/services/{name}": {} for name in SERVICES} | ROUTES)
         for number, name in enumerate(self.services):
@@ -137,7 +141,7 @@
         self.wait_all_ready()
 
     def wait_all_ready(self) -> None:
-        """Wait until each node knows each backend server."""
+        """Wait until each node accepts callers and knows all backend servers."""
         ids = [server.name for server in self.servers.values()]
         for name, node in self.nodes.items():
             wait_until(
@@ -149,7 +153,13 @@
     def run_step(self, kind: str, target: str, duration_s: float) -> None:
         """Run one outage to its end, or make a burst of settings changes.
 
-        `duration_s` is how long a freeze, the time after a kill, or the burst lasts.
+        Parameters
+        ----------
+        kind : str
+            "freeze" and "replace" affect the backend server beside the node `target`,
+            "restart" and "kill" the node. "settings" makes the burst.
+        duration_s : float
+            Length of a freeze or burst, or time from a kill to the node's new start.
         """
         if kind == "settings":
             self._change_settings(round(duration_s / BURST_PAUSE_S))
@@ -166,7 +176,7 @@
                     self._start_server(target, server.address)
                 case "restart":
                     assert node.stop(STOP_TIMEOUT_S) == 0, (
-                        f"{target} failed to shut down"
+                        f"{target} did not exit with status 0"
                     )
                 case "kill":
                     node.kill()
@@ -174,17 +184,19 @@
             if kind in ("restart", "kill"):
                 self.nodes[target] = self._add(NodeProgram(node.settings, self.folder))
             wait_until(
-                lambda: self._is_back(target), f"{target} is back", READY_TIMEOUT_S
+                lambda: self._is_back(target),
+                f"{target} is ready again",
+                READY_TIMEOUT_S,
             )
             time.sleep(SETTLE_S)
 
     @contextmanager
     def _outage(self, kind: str, target: str) -> Iterator[None]:
-        """Wait until a node may be taken down, then record its outage."""
+        """Wait until a node may have an outage; record the outage when it ends."""
         with self._changed:
             assert self._changed.wait_for(
                 lambda: self._may_take_down(target), TURN_TIMEOUT_S
-            ), f"no turn for {kind} of {target}"
+            ), f"{kind} of {target} could not begin in time"
             self._affected.add(target)
         from_s = time.time()
         yield
@@ -220,7 +232,10 @@
         )
 
     def _change_settings(self, changes: int) -> None:
-        """Write settings in quick succession that change no caller's requests."""
+        """Write `changes` settings changes in quick succession.
+
+        They don't affect the routes that callers use.
+        """
         spare = ROUTES["crew/routes/front-read"] | {"path_prefix": "/spare"}
         with self._settings_lock:
             for number in range(changes):
--- a/tests/restorable_store.py
+++ b/tests/restorable_store.py
@@ -20,7 +20,10 @@
 
 
 class RestorableStore:
-    """Rows whose version numbers fall back when the store is restored."""
+    """The rows of a store; a restore brings back older rows and version numbers.
+
+    Each restore begins a new era.
+    """
 
     def __init__(self) -> None:
         self.rows: dict[tuple[str, str], tuple[int, object]] = {}
@@ -41,12 +44,12 @@
 
 
 class StoreView(TableService):
-    """One process's access to the store, whose calls may fail.
+    """One process's access to the store; calls can fail.
 
     Attributes
     ----------
     failure_rate : float
-        Fraction of the calls that fail.
+        Probability that a call, or the reply to a transaction, is lost.
     is_cut : bool
         Whether all calls fail.
     """
--- a/tests/settings_network.py
+++ b/tests/settings_network.py
@@ -1,4 +1,4 @@
-"""Fixtures: settings gossip between many nodes, without sockets."""
+"""A simulated network for settings gossip between many nodes, without sockets."""
 
 from balsamspindle.settings.configuration import CurrentConfiguration
 from balsamspindle.settings.gossip import SettingsGossip
@@ -9,7 +9,7 @@
 
 
 class History:
-    """Accepted changes in their order, as in the platform's change log."""
+    """Makes successive changes of settings, like the platform's change log."""
 
     def __init__(self) -> None:
         self.revision, self.chain = 0, ""
@@ -32,7 +32,7 @@
 
 
 class Network:
-    """Gossip tasks of many nodes, connected by queues instead of sockets.
+    """A `SettingsGossip` per node; messages are delivered through a list.
 
     Messages to the addresses in `unreachable` are lost.
     """
@@ -58,7 +58,13 @@
         ]
 
     def run(self, rounds: int = 1) -> None:
-        """Advance the clock, let each node do what is due, deliver all messages."""
+        """Advance the clock, let all nodes tick, and deliver all messages.
+
+        Parameters
+        ----------
+        rounds : int
+            How often this is done, 0.1 s apart.
+        """
         for _ in range(rounds):
             self.now_s += 0.1
             for node in self.nodes:
@@ -75,5 +81,5 @@
         self.nodes[number].handle(message, self.now_s)
 
     def revisions(self) -> set[int]:
-        """Return the revisions in force at any of the nodes."""
+        """Return the set of revisions that are in force at the nodes."""
         return {configuration.revision for configuration in self.configurations}
--- a/tests/settings_utils.py
+++ b/tests/settings_utils.py
@@ -1,4 +1,4 @@
-"""Fixtures of the settings tests: a stand-in platform in the test's process."""
+"""Fixtures of the settings tests: node records and an in-process platform."""
 
 import threading
 
@@ -27,7 +27,7 @@
 
 
 class PlatformServer:
-    """An HTTP server of a stand-in platform in this process."""
+    """A stand-in platform that serves HTTP in a thread of this process."""
 
     def __init__(self, seed: int = 0) -> None:
         self.standin = StandinPlatform(seed)
@@ -39,7 +39,7 @@
         threading.Thread(target=self._server.serve_forever, daemon=True).start()
 
     def tables(self) -> HttpTableService:
-        """Return a new table service, since each operator has one of its own."""
+        """Return a new client of the platform's tables; each operator needs its own."""
         return HttpTableService(self.address)
 
     def stop(self) -> None:
--- a/tests/soak.py
+++ b/tests/soak.py
@@ -1,15 +1,18 @@
-"""A randomized soak: real processes, persistent connections, overlapping faults.
-
-``python -m tests.soak --seeds 50`` runs that many seeds, starting at `--first`. Seeds
-that found a fault are listed in `REGRESSION_SEEDS` with its cause, and
-tests/test_soak.py runs them again.
-
-Each seed draws a series of faults for `ScheduleFleet` that start and end at random
-times, up to `OVERLAP_MAX` at once, never two at one target. Callers send on
-persistent connections all the time. The outcomes that they received are compared
-with the runs on backend servers: no request runs twice, none with the outcome
-`not_run` ran, each answer is complete and belongs to its request, and all callers
-are answered again after the last fault has ended.
+"""A randomized soak of a fleet of real processes with overlapping faults.
+
+``python -m tests.soak --seeds 50`` runs that many seeds, starting at `--first`. A
+seed that found a fault in the code is listed in `REGRESSION_SEEDS` with the cause, and
+tests/test_soak.py runs it again.
+
+Each seed draws a series of faults for `ScheduleFleet`, which start and end at random
+times. Up to `OVERLAP_MAX` faults overlap, but never two at one target. Meanwhile
+callers send requests on persistent connections. The soak compares the outcomes that
+callers received with the runs at backend servers. It checks that
+
+- no request runs twice;
+- no request with the outcome `not_run` has run;
+- each answer is complete and belongs to its request;
+- all callers are answered again after the last fault has ended.
 """
 
 import argparse
@@ -29,7 +32,7 @@
 
 __all__ = ["REGRESSION_SEEDS", "Soak", "run_seed"]
 
-# Seeds that found a fault, with its cause.
+# Seeds that found a fault in the code, with the cause of that fault.
 REGRESSION_SEEDS: dict[int, str] = {}
 
 FAULT_COUNT = 12
@@ -38,14 +41,15 @@
 FAULT_MIN_S, FAULT_MAX_S = 0.2, 2.5
 CALLERS = 6
 REQUEST_INTERVAL_S = 0.03
-# After the last fault, recovery takes hold-outs of a few seconds and then a trial.
-# Without idempotent requests, probes end a trial after ten seconds.
+# After the last fault, a backend server can be held out for a few seconds, and then be
+# on trial. Only probes end that trial, after ten seconds, since the soak sends no
+# idempotent requests.
 RECOVERY_TIMEOUT_S = 45.0
 RECOVERY_ANSWERS = 20
 
 
 class PlannedFault(NamedTuple):
-    """A fault, and the target that no other fault may affect at the same time."""
+    """A fault and its target, which has no other fault at the same time."""
 
     name: str
     target: str
@@ -53,7 +57,7 @@
 
 
 class Soak:
-    """The series of faults of one seed, applied to one fleet."""
+    """Injects the faults of one seed into a fleet that serves callers."""
 
     def __init__(self, seed: int, faults: int = FAULT_COUNT) -> None:
         self._random = random.Random(seed)
@@ -68,7 +72,7 @@
         ------
         AssertionError
             When an outcome or an answer was wrong, or a caller was not answered
-            again.
+            after the last fault.
         """
         with ScheduleFleet() as fleet:
             ingresses = [fleet.nodes["i"], fleet.nodes["j"]]
@@ -98,7 +102,7 @@
             caller.send()
 
     def _inject_all(self, fleet: ScheduleFleet) -> None:
-        """Inject one fault after the other; each ends in a task of its own."""
+        """Start faults one after the other, each in a task that also ends the fault."""
         busy: set[str] = set()
         lock = threading.Lock()
         with ThreadPoolExecutor(OVERLAP_MAX) as executor:
@@ -129,11 +133,11 @@
             for key, (outcome, *_) in caller.exchanges.items():
                 assert runs[key] <= 1, (f"{key} ran {runs[key]} times", self.injected)
                 assert not (outcome == "not_run" and runs[key]), (
-                    f"{key} had the outcome not_run and ran",
+                    f"{key} had the outcome not_run but ran",
                     self.injected,
                 )
                 assert not (outcome == "answered" and not runs[key]), (
-                    f"{key} was answered and did not run",
+                    f"{key} was answered but did not run",
                     self.injected,
                 )
 
@@ -155,18 +159,19 @@
     planned.fault.inject()
     time.sleep(fault_s)
     planned.fault.recover()
-    # The next fault of server a may be set by an HTTP call, which fails until the
-    # restarted process listens.
+    # The next fault of this backend server may be injected by an HTTP call. The call
+    # would fail before the restarted process listens.
     if planned.target == "server-a":
         wait_until(
-            lambda: try_call(fleet.servers["a"].address, "/runs"), "server a answers"
+            lambda: try_call(fleet.servers["a"].address, "/runs"),
+            "the backend server of gate a answers",
         )
     with lock:
         busy.discard(planned.target)
 
 
 def _possible_faults(fleet: ScheduleFleet) -> list[PlannedFault]:
-    """Return the faults to draw from."""
+    """Return all faults from which the soak draws."""
     modes = ("hang", "shed", "close", "truncate", "error")
     planned = [
         PlannedFault(f"backend-{mode}", "server-a", fleet.backend_fault(mode=mode))
@@ -233,7 +238,7 @@
 
 
 def main() -> int:
-    """Run the seeds of the command line; return 1 when one of them failed."""
+    """Run the seeds that the command line selects; return 1 if one failed, else 0."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--first", type=int, default=1)
     parser.add_argument("--seeds", type=int, default=50)
--- a/tests/soak_crashes.py
+++ b/tests/soak_crashes.py
@@ -1,17 +1,18 @@
-"""A randomized soak of requests that crash backend servers, among other faults.
+"""A randomized soak with requests that crash backend servers, and other faults.
 
 ``python -m tests.soak_crashes --seeds 50`` runs that many seeds, starting at
-`--first`. Seeds that found a fault are listed in `REGRESSION_SEEDS` with its cause.
-
-Each seed draws one to three paths whose requests crash the backend server that runs
-them, after a time drawn for the path. Callers keep sending new requests of each path to
-random nodes. Other callers do so for paths of harmless requests, some of which run for
-seconds. Meanwhile backend servers crash for other reasons, one or several at once,
-nodes are killed, paused and restarted, and the store is unavailable. The soak checks
-that
-
-- more than `KNOWN_S` after its third crash, a path runs at most `RUNS_AFTER_MAX`
-  times through nodes that were undisturbed for `KNOWN_S`;
+`--first`. A seed that found a fault in the code is listed in `REGRESSION_SEEDS` with
+the cause.
+
+Each seed draws one to three crashing paths: a request for such a path crashes the
+backend server that runs it, after a time drawn for the path. Callers send new requests
+for each path to random nodes. Other callers send harmless requests, some of which run
+for seconds. Backend servers also crash for other reasons, one or several at once. Nodes
+are killed, suspended and restarted, and the store fails. The soak checks that
+
+- a crashing path has at most `RUNS_AFTER_MAX` runs that begin more than
+  `KNOWN_S` after its third crash; runs through a node with a disturbance in the
+  last `KNOWN_S` don't count;
 - no harmless request is refused as the cause of a crash;
 - all nodes serve all harmless requests at the end.
 """
@@ -36,17 +37,18 @@
 
 __all__ = ["REGRESSION_SEEDS", "run_seed"]
 
-# Seeds that found a fault, with its cause.
+# Seeds that found a fault in the code, with the cause of that fault.
 REGRESSION_SEEDS: dict[int, str] = {
-    4: "five crashes of other reasons struck a request of seconds, and were enough",
-    11: "a cause that was once lost with another one had to crash three more",
-    19: "a request with copies nearly everywhere was there at each crash of a wave",
-    33: "ended starts counted as backend servers, and a wave as a calm time",
+    4: "a request of seconds was quarantined for five crashes with other causes",
+    11: "a path lost once in another path's crash had to cause three more crashes",
+    19: "a request with runs at nearly all servers was lost in each crash of a wave",
+    33: "ended boot ids counted as servers, and a wave as a time without crashes",
 }
 
 HOST = "crew.example"
 NODES, SLOTS = 6, 4
 LOAD_S = 16.0
+# Time in which undisturbed nodes learn of a crash and refuse the path that caused it.
 KNOWN_S, RUNS_AFTER_MAX = 3.0, 3
 CAUSES_MAX = 3
 HARMLESS_COUNT = 8
@@ -62,7 +64,7 @@
 
 @dataclass
 class Cause:
-    """A path whose requests crash backend servers, with the times of the crashes."""
+    """A path whose requests crash backend servers, and the times of these crashes."""
 
     target: str
     crashes_after_s: float
@@ -70,14 +72,14 @@
 
 
 class PersistentConnection:
-    """A caller's connection to one node, reused until it closes."""
+    """A caller's connection to one node; opened again after it closed."""
 
     def __init__(self, node: PlatformNode) -> None:
         self._node = node
         self._connection: http.client.HTTPConnection | None = None
 
     def send(self, target: str, request_id: str) -> tuple[int, bytes]:
-        """Send a request; return its status and body; status 0 without an answer."""
+        """Send a GET request; return status and body, or status 0 without an answer."""
         if self._connection is None:
             self._connection = http.client.HTTPConnection(
                 self._node.caller_address, timeout=CALL_TIMEOUT_S
@@ -98,7 +100,7 @@
 
 
 class CrashSoak:
-    """The requests and faults of one seed, applied to one fleet."""
+    """Sends the requests and injects the faults of one seed in one fleet."""
 
     def __init__(self, seed: int, load_s: float = LOAD_S) -> None:
         self._random = random.Random(seed)
@@ -106,7 +108,7 @@
         self._done = threading.Event()
         self._lock = threading.Lock()
         self._numbers = itertools.count()
-        # Start and end of the disturbances of each node, by its number.
+        # Start and end of the time in which a node was killed or suspended, by node.
         self._disturbances: list[list[tuple[float, float]]] = [[] for _ in range(NODES)]
         self._busy: set[str] = set()
         self.causes = {
@@ -129,8 +131,8 @@
         Raises
         ------
         AssertionError
-            When a harmless request was refused or not served, or a path ran too
-            often after its third crash.
+            When a harmless request was refused or not served, or a crashing path
+            ran too often after its third crash.
         """
         with PlatformFleet() as fleet:
             fleet.put_configuration(_configuration())
@@ -178,7 +180,7 @@
                 lambda target=target: (
                     connection.send(target, self._next_id("w"))[0] == 200
                 ),
-                f"{target} is served after {self.injected}",
+                f"{target} is served after the faults {self.injected}",
                 SERVED_TIMEOUT_S,
             )
 
@@ -187,7 +189,7 @@
 
     def _run_load(self) -> None:
         callers = len(self.causes) + len(self._work_time_s)
-        # Drawn before the callers start, so that a seed always gives the same values.
+        # Drawn before the faults, which use the same generator at varying times.
         seeds = [self._random.random() for _ in range(callers)]
         targets = [*self.causes, *self._work_time_s]
         with ThreadPoolExecutor(callers + 4) as executor:
@@ -203,7 +205,7 @@
                 future.result()
 
     def _send_all(self, target: str, rng: random.Random) -> None:
-        """Send requests of one path to random nodes, on persistent connections."""
+        """Send requests for one path to random nodes on persistent connections."""
         connections = [PersistentConnection(node) for node in self._nodes]
         is_cause = target in self.causes
         while not self._done.wait(rng.uniform(RESEND_MIN_S, RESEND_MAX_S)):
@@ -238,7 +240,7 @@
             self._busy.discard(target)
 
     def _possible_faults(self) -> list[tuple[str, str, Callable[[float], None]]]:
-        """Return the faults to draw from: name, target, and function to inject it."""
+        """Return the faults to draw from: name, target and injecting function."""
         faults = [("store-down", "store", self._store_down)]
         for number, server in enumerate(self._servers):
             faults.append(
@@ -270,7 +272,7 @@
             time.sleep(fault_s / 4)
 
     def _crash_three(self, fault_s: float) -> None:
-        """Crash three backend servers at once, as the loss of a rack does."""
+        """Crash three backend servers at once, like the failure of a rack."""
         for server in random.Random(fault_s).sample(self._servers, 3):
             server.crash()
 
@@ -327,7 +329,7 @@
         ]
 
     def _is_undisturbed(self, number: int, at_s: float) -> bool:
-        """Tell whether a node was undisturbed at a time and for `KNOWN_S` before it."""
+        """Return whether a node was undisturbed from `at_s - KNOWN_S` to `at_s`."""
         return not any(
             started_s <= at_s <= ended_s + KNOWN_S
             for started_s, ended_s in self._disturbances[number]
@@ -342,7 +344,7 @@
 
     def __enter__(self) -> None:
         self._started_s = time.monotonic()
-        # Replaced when the disturbance ends.
+        # `__exit__` replaces the infinite end.
         self._times.append((self._started_s, float("inf")))
 
     def __exit__(self, *_) -> None:
@@ -382,7 +384,7 @@
 
 
 def main() -> int:
-    """Run the seeds of the command line; return 1 when one of them failed."""
+    """Run the seeds that the command line selects; return 1 if one failed, else 0."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--first", type=int, default=1)
     parser.add_argument("--seeds", type=int, default=50)
--- a/tests/soak_limits.py
+++ b/tests/soak_limits.py
@@ -1,8 +1,9 @@
-"""Customers' limits during series of faults, simulated without sockets.
+"""A soak of customers' limits with faults of nodes, simulated without sockets.
 
-``python -m tests.soak_limits 50`` runs 50 seeds. Nodes are restarted or isolated, and
-other nodes mark isolated ones dead only after a delay. Customers send several times
-their usual rate. None may run more requests than its limit and the permitted excess.
+``python -m tests.soak_limits 50`` runs 50 seeds. Nodes are restarted, and some nodes
+are isolated from the others. The two groups mark each other's nodes dead only after a
+delay. Customers send up to several times their usual rate. No customer may run more
+requests than its limit and the permitted excess allow.
 """
 
 import random
@@ -13,21 +14,21 @@
 
 NODES, CUSTOMERS, REQUESTS_PER_S = 30, 12, 90.0
 ROUNDS, ROUND_S = 24, 0.5
-# Rounds after which a node marks nodes dead that it can't reach.
+# Number of rounds after which nodes mark the nodes dead that they can't reach.
 DETECTED_AFTER_ROUNDS = 3
 RATE_FACTORS = (1.0, 3.0, 7.5)
 
 
 class SoakResult(NamedTuple):
-    """Load of the customers in one seed.
+    """How many requests customers ran in one seed, and how many were refused.
 
     Attributes
     ----------
     largest_window_fraction : float
-        Most requests that a customer ran in one window, as a fraction of those
-        allowed; over 1 is a violation.
+        Highest ratio of the requests that a customer ran in a window to the requests
+        that it was allowed. A value over 1 is a violation.
     refused_fraction : float
-        Refused requests, as a fraction of all.
+        Ratio of refused requests to all requests.
     """
 
     largest_window_fraction: float
@@ -72,13 +73,13 @@
 
 
 def main(count: int) -> int:
-    """Run seeds; return 1 when a customer ran more than is allowed."""
+    """Run seeds 0 to `count - 1`; return 1 if a customer ran too much, else 0."""
     results = {seed: run_seed(seed) for seed in range(count)}
     over = [
         seed for seed, result in results.items() if result.largest_window_fraction > 1
     ]
     most = max(result.largest_window_fraction for result in results.values())
-    print(f"{count} seeds, largest window {most:.2f} of what is allowed, over: {over}")
+    print(f"{count} seeds, at most {most:.2f} of the allowed requests, over 1: {over}")
     return 1 if over else 0
 
 
--- a/tests/soak_restarts.py
+++ b/tests/soak_restarts.py
@@ -1,14 +1,16 @@
-"""A randomized soak of planned restarts, in series that overlap.
+"""A randomized soak of planned restarts in two overlapping series.
 
 ``python -m tests.soak_restarts --seeds 50`` runs that many seeds, starting at
-`--first`. Seeds that found a fault are listed in `REGRESSION_SEEDS` with its cause;
-`--again` runs these. Each seed draws two series of node restarts, the second of
-which starts during the first, replacements of backend servers, changes of settings,
-and sometimes one unplanned fault. Only requests that the unplanned fault could have
-affected may be lost.
-
-Callers reuse their connections until these close. The outcomes that they received
-are compared with the runs on backend servers and the events in the logs of nodes.
+`--first`. A seed that found a fault in the code is listed in `REGRESSION_SEEDS` with
+the cause; `--again` runs all of these seeds.
+
+Each seed draws two series of node restarts. The second series starts while the first
+may still be running. A seed also draws replacements of backend servers, changes of
+settings, and sometimes one unplanned fault. A request may be lost only if the unplanned
+fault could have affected it.
+
+Callers reuse their connections until these close. The soak compares the outcomes that
+callers received with the runs at backend servers and the events in the logs of nodes.
 """
 
 import argparse
@@ -31,13 +33,14 @@
 
 __all__ = ["REGRESSION_SEEDS", "run_seed"]
 
-# Faults that the seeds below found.
+# Causes of the faults that the seeds below found.
 _BUDGET = (
-    "a leaving gate cut several queries at once; their ingress had no retries left"
+    "a leaving gate ended several queries at once; their ingress ran out of retries"
 )
-_TOO_LONG = "a leaving ingress sent on work that is longer than its orderly end"
-# Seeds that found a fault, with its cause. A seed fixes the steps but not how they
-# coincide with requests, so a fault may show only in some of several runs.
+_TOO_LONG = "a leaving ingress sent out work that lasts longer than its own shutdown"
+# Seeds that found a fault in the code, with the cause of that fault. A seed determines
+# the steps, but not which requests are running at each step. A fault may therefore
+# appear only in some runs of a seed.
 REGRESSION_SEEDS: dict[int, str] = {
     4: f"{_BUDGET}; {_TOO_LONG}",
     5: _TOO_LONG,
@@ -60,19 +63,22 @@
 }
 
 NODES = 6
-# Connections of each class of work; a large fleet has more of them.
+# Minimum number of connections for each class of work. In a large fleet it is the
+# number of nodes divided by `NODES_PER_CALLER`.
 CALLERS_MIN = 4
 NODES_PER_CALLER = 5
 REQUEST_INTERVAL_S = 0.1
 CALL_TIMEOUT_MARGIN_S = 10.0
-# Restarts that begin at the same time; a large fleet allows more of them.
+# Maximum number of restarts that begin at the same time. In a large fleet it is the
+# number of nodes divided by `NODES_PER_SIMULTANEOUS`.
 SIMULTANEOUS_MAX = 3
 NODES_PER_SIMULTANEOUS = 8
 FIRST_STEP_S = 2.0
 GAP_MIN_S, GAP_MAX_S = 0.3, 3.0
 SECOND_SERIES_MIN_S, SECOND_SERIES_MAX_S = 1.0, 5.0
 EXTRA_UNTIL_S = 12.0
-# Bounds of how long a burst of changes, a freeze or the time after a kill lasts.
+# Bounds of the length of a burst of settings changes or a freeze, and of the time from
+# a kill to the restart.
 DURATIONS_S = {"settings": (0.1, 0.5), "freeze": (1.0, 5.0), "kill": (1.0, 5.0)}
 UNPLANNED_PROBABILITY = 0.3
 RECOVERY_ATTEMPTS = 10
@@ -80,7 +86,13 @@
 
 
 class Step(NamedTuple):
-    """A fault or change, `at_s` after the start; see `RestartFleet.run_step`."""
+    """An outage or a burst of settings changes; see `RestartFleet.run_step`.
+
+    Attributes
+    ----------
+    at_s : float
+        Time from the start of the seed's steps.
+    """
 
     at_s: float
     kind: str
@@ -107,7 +119,7 @@
 def _restart_series(
     rng: random.Random, names: list[str], at_s: float
 ) -> Iterator[Step]:
-    """Return steps that restart all of these nodes, a few at a time."""
+    """Generate steps from `at_s` on that restart the nodes, a few at a time."""
     waiting = rng.sample(names, len(names))
     simultaneous_max = max(SIMULTANEOUS_MAX, len(names) // NODES_PER_SIMULTANEOUS)
     while waiting:
@@ -117,7 +129,7 @@
 
 
 class _SeedRun:
-    """The steps of one seed, applied to a fleet with callers."""
+    """Runs the steps of one seed in a fleet while callers send requests."""
 
     def __init__(self, seed: int, nodes: int, steps: int | None, works) -> None:
         self._seed, self._works = seed, works
@@ -126,7 +138,10 @@
         self._done = threading.Event()
 
     def run(self) -> OutcomeChecks:
-        """Run the steps and return the checked outcomes of all requests."""
+        """Run the steps; return the checks with violations of all requests.
+
+        A caller that is not answered after the last step is a violation, too.
+        """
         with self._fleet as fleet:
             fleet.start()
             callers = self._callers()
@@ -147,7 +162,9 @@
                 fleet.wait_all_ready()
                 lost = [*executor.map(_retry_until_answered, callers)]
             checks.violations += [
-                f"not answered again: {exchange}" for exchange in lost if exchange
+                f"not answered after the last step: {exchange}"
+                for exchange in lost
+                if exchange
             ]
             return checks
 
@@ -155,8 +172,8 @@
         addresses = [node.caller_address for node in self._fleet.nodes.values()]
         count = max(CALLERS_MIN, len(addresses) // NODES_PER_CALLER)
         rng = random.Random(self._seed)
-        # All connections of a class use the nodes in the same order, so that the
-        # end of one node affects many requests at once.
+        # All connections of a class use the nodes in the same order. The shutdown of
+        # one node therefore affects many requests at once.
         orders = {work: rng.sample(addresses, len(addresses)) for work in self._works}
         return {
             PersistentCaller(
@@ -171,7 +188,7 @@
         }
 
     def _send(self, caller: PersistentCaller, after_ms: float) -> None:
-        # Without this delay all long requests would begin and end together.
+        # Without this delay all long requests would begin and end at the same time.
         self._done.wait(after_ms / 1000)
         while not self._done.wait(REQUEST_INTERVAL_S):
             caller.send()
@@ -188,9 +205,10 @@
 
 
 def _retry_until_answered(caller: PersistentCaller) -> str | None:
-    """Return the last exchange of a caller that gets no answer, else None.
+    """Send requests until one is answered; return the last exchange if none is.
 
-    The first attempts may fail, since a connection may lead to an ended process.
+    The first requests may fail, since the caller's connection may be to a process that
+    has ended.
     """
     if any(caller.send() == "answered" for _ in range(RECOVERY_ATTEMPTS)):
         return None
@@ -200,14 +218,14 @@
 def run_seed(
     seed: int, nodes=NODES, steps: int | None = None, works=WORK_CLASSES
 ) -> str | None:
-    """Run one seed and print its counts; return its violations, or None.
+    """Run one seed and print its counts; return how it failed, or None.
 
     Parameters
     ----------
     steps : int, default=all
-        Number of the seed's first steps that are run.
+        How many of the seed's steps are run, from the first one.
     works : sequence of WorkClass
-        Requests that callers send.
+        Classes of the requests that callers send.
     """
     started_s = time.monotonic()
     try:
@@ -226,7 +244,7 @@
 
 
 def main() -> int:
-    """Run the seeds of the command line; return 1 when one of them failed."""
+    """Run the seeds that the command line selects; return 1 if one failed, else 0."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--first", type=int, default=1)
     parser.add_argument("--seeds", type=int, default=50)
--- a/tests/two_gates.py
+++ b/tests/two_gates.py
@@ -1,4 +1,4 @@
-"""An ingress with two fake gates, for tests of second attempts."""
+"""A forwarder with two fake gates, for tests of retries and hedges."""
 
 import io
 import socket
@@ -50,10 +50,11 @@
 
 
 class TwoGateCase(TestCase):
-    """An ingress and its fake gates, each with one backend server.
+    """A forwarder and its fake gates; each gate has one backend server.
 
-    `NAMES` lists the gates. A test replaces functions in `answers`, which return the
-    frames that a gate sends for a dispatch.
+    `NAMES` lists the names of the gates. `answers` has for each gate the function that
+    returns the frames to send in reply to a dispatch; see `FakeGate`. A test can
+    replace these functions.
     """
 
     NAMES = ("a", "b")
@@ -74,7 +75,7 @@
                 0.0,
             )
             self.gates[name] = gate
-        # Backend servers of the ingress's own gate; none at first.
+        # Backend servers beside the forwarder's own node; initially none.
         self.servers = LocalBackendServers()
         events = EventLog("own", 1, HybridClock(), io.StringIO())
         self.links = LinkPool(zmq.Context.instance(), events)
--- a/tests/utils.py
+++ b/tests/utils.py
@@ -1,4 +1,4 @@
-"""Test fixtures: real processes on loopback addresses, and a small HTTP client."""
+"""Test fixtures: a fleet of real processes on loopback, and a small HTTP client."""
 
 import http.client
 import json
@@ -21,19 +21,21 @@
 
 ROOT = Path(__file__).resolve().parent.parent
 READY_TIMEOUT_S = 20.0
-# Below the ephemeral ports of the kernel, so that no outgoing connection gets a port
-# on which a process is about to listen.
+# These are below the ephemeral ports of the kernel. An outgoing connection therefore
+# never occupies a port on which a process is about to listen.
 FIRST_PORT, LAST_PORT = 18_000, 32_000
-# Ports reserved for one test process, which does so by binding the first of them.
+# Number of ports that a test process reserves at a time. The process binds the first
+# port of this block, and uses the other ports.
 BLOCK_PORTS = 50
 _reserved_blocks: list[socket.socket] = []
 _ports = iter(range(0))
 
 
 def free_port() -> int:
-    """Return a TCP port that is free and that no other test process is given.
+    """Return a free TCP port from the blocks that this test process has reserved.
 
-    A test may bind it later, and again after it killed the process that had it.
+    No other test process uses the port, so a test may bind it at any later time, and
+    once more after a process that listened there was killed.
     """
     global _ports
     while True:
@@ -47,7 +49,7 @@
 
 
 def _reserve_block() -> range:
-    """Reserve a block of ports until this process ends."""
+    """Reserve a block of ports until this process ends; return the ports to use."""
     firsts = list(range(FIRST_PORT, LAST_PORT, BLOCK_PORTS))
     start = os.getpid() % len(firsts)
     for first in firsts[start:] + firsts[:start]:
@@ -73,7 +75,10 @@
 
 
 def wait_until(condition, what: str, timeout_s: float = READY_TIMEOUT_S):
-    """Return the condition's first true value; raise AssertionError at the timeout."""
+    """Call `condition` until its value is true, and return that value.
+
+    Raises AssertionError after the timeout; its message says that `what` was awaited.
+    """
     deadline_s = time.monotonic() + timeout_s
     while time.monotonic() < deadline_s:
         value = condition()
@@ -84,7 +89,7 @@
 
 
 class HttpAnswer(NamedTuple):
-    """An HTTP answer; names of headers are in lower case."""
+    """An HTTP answer; the names in `headers` are in lower case."""
 
     status: int
     headers: dict[str, str]
@@ -92,7 +97,7 @@
 
     @property
     def outcome(self) -> str | None:
-        """Value of the outcome header, None without one."""
+        """Value of the outcome header, or None without that header."""
         return self.headers.get("x-balsamspindle-outcome")
 
     def json(self):
@@ -108,7 +113,10 @@
     headers: dict[str, str] | None = None,
     timeout_s: float = 10.0,
 ) -> HttpAnswer:
-    """Send one HTTP request on a new connection."""
+    """Send one HTTP request on a new connection and return the answer.
+
+    Raises OSError or HTTPException if no complete answer is received.
+    """
     connection = http.client.HTTPConnection(address, timeout=timeout_s)
     try:
         connection.request(method, target, body, headers or {})
@@ -120,7 +128,7 @@
 
 
 def try_call(*args, **kwargs) -> HttpAnswer | None:
-    """Send one HTTP request; return None when there is no answer."""
+    """Send one HTTP request as `call` does; return None without a complete answer."""
     try:
         return call(*args, **kwargs)
     except (OSError, http.client.HTTPException):
@@ -128,7 +136,7 @@
 
 
 class Program:
-    """A process of one of the project's programs, started by a test."""
+    """A process that runs a module of `balsamspindle.cli`, started by a test."""
 
     def __init__(self, module: str, arguments: list[str], log_path: Path) -> None:
         self.log_path = log_path
@@ -146,7 +154,7 @@
         self.process.send_signal(number)
 
     def stop(self, timeout_s: float = 30.0) -> int:
-        """Send SIGTERM and return the exit status."""
+        """Send SIGTERM, wait for the end of the process, and return its exit status."""
         self.signal(signal.SIGTERM)
         return self.process.wait(timeout_s)
 
@@ -171,12 +179,12 @@
         )
 
     def status(self) -> dict | None:
-        """Return the node's `/status`, None when it does not answer."""
+        """Return the node's `/status`, or None without an answer."""
         answer = try_call(self.admin_address, "/status", timeout_s=2)
         return answer.json() if answer and answer.status == 200 else None
 
     def knows_server(self, backend_server_id: str) -> bool:
-        """Tell whether the node knows a backend server beside any node."""
+        """Return whether the node knows a backend server, beside whichever node."""
         status = self.status() or {"nodes": []}
         return any(
             server[0] == backend_server_id
@@ -185,7 +193,14 @@
         )
 
     def is_ready(self, backend_ids, revision: int) -> bool:
-        """Tell whether the node accepts, with these settings and backend servers.
+        """Return whether the node accepts callers and has the settings and servers.
+
+        Parameters
+        ----------
+        backend_ids : iterable of str
+            Ids of the backend servers that the node must know.
+        revision : int
+            Least revision of the settings in force.
 
         Raises
         ------
@@ -201,7 +216,7 @@
         )
 
     def accepts(self) -> bool:
-        """Tell whether the node accepts connections of callers."""
+        """Return whether the node accepts connections of callers."""
         status = self.status()
         return status is not None and status["accepting"]
 
@@ -224,7 +239,10 @@
         super().__init__("standin_backend", arguments, folder / f"{name}.log")
 
     def set_fault(self, **switch) -> None:
-        """Set the fault that affects the requests of callers."""
+        """Set how the backend server fails callers' requests.
+
+        Takes the fields of the `/faults` request; ``mode="none"`` ends the fault.
+        """
         call(self.address, "/faults", "POST", json.dumps(switch).encode())
 
     def runs(self) -> dict[str, int]:
@@ -233,7 +251,10 @@
 
 
 class Fleet:
-    """Processes of one test; a context manager that kills them all."""
+    """The processes of a test and a folder for their files.
+
+    A context manager: its exit kills the processes and removes the folder.
+    """
 
     def __init__(self) -> None:
         self._folder = tempfile.TemporaryDirectory()
@@ -250,7 +271,7 @@
         self._folder.cleanup()
 
     def start_platform(self) -> Program:
-        """Start the stand-in platform and wait for it."""
+        """Start the stand-in platform and wait until it answers."""
         program = self._add(
             Program(
                 "standin_platform",
@@ -264,7 +285,7 @@
         return program
 
     def put_settings(self, documents: dict[str, dict]) -> None:
-        """Write documents as an operator would, services before their routes."""
+        """Write settings documents to the store, services before routes."""
         from balsamspindle.platform import HttpTableService
         from balsamspindle.settings.store import SettingsStore
 
@@ -274,7 +295,10 @@
             assert result.is_ok(), result.error
 
     def start_node(self, node_id: str, zone: str, **changes) -> NodeProgram:
-        """Start a node; `changes` override fields of its settings."""
+        """Start a node, with all earlier nodes as seeds, without waiting for it.
+
+        `changes` override fields of its settings.
+        """
         settings = {
             "node_id": node_id,
             "region": "test",
@@ -294,7 +318,10 @@
         return self._add(NodeProgram(settings, self.folder))
 
     def start_backend(self, name, service, node, **options) -> BackendProgram:
-        """Start a stand-in backend server beside a node."""
+        """Start a stand-in backend server beside a node, without waiting for it.
+
+        `options` are command line options of the stand-in.
+        """
         return self._add(BackendProgram(name, service, node, self.folder, **options))
 
     def wait_ready(self, nodes, backend_ids, revision: int = 1) -> None:
@@ -331,7 +358,10 @@
         threading.Thread(target=self._server.serve_forever, daemon=True).start()
 
     def set_fault(self, **switch) -> None:
-        """Set the fault that affects calls."""
+        """Set how the platform fails calls.
+
+        Takes the fields of the `/faults` request; ``mode="none"`` ends the fault.
+        """
         call(self.address, "/faults", "POST", json.dumps(switch).encode())
 
     def stop(self) -> None:
@@ -345,7 +375,10 @@
 
 
 def start_fleet(case: TestCase, settings: dict) -> Fleet:
-    """Start a platform with these settings; the test's cleanup kills all processes."""
+    """Return a fleet with a stand-in platform that has these settings.
+
+    The cleanup of the test kills all processes of the fleet.
+    """
     fleet = Fleet()
     case.addCleanup(fleet.__exit__)
     fleet.start_platform()
