--- a/balsamspindle/customers/freshness.py
+++ b/balsamspindle/customers/freshness.py
@@ -16,7 +16,7 @@
 
 
 class Proof(NamedTuple):
-    """The newest revision in the store when a read of it began.
+    """The newest revision in the store when a read of the store began.
 
     Attributes
     ----------
--- a/balsamspindle/requests/admission_queries.py
+++ b/balsamspindle/requests/admission_queries.py
@@ -84,11 +84,10 @@
 
         Before an attempt with a large body, a query is always sent. Before other
         attempts, a query is sent only if the attempt looks for a free slot in another
-        zone and is not a last-resort attempt. For these other attempts, a query would
-        gain little in three cases. Traffic within the own zone is free. Last-resort
-        attempts are rarely refused. An attempt that may wait in a gate's queue is
-        refused only after its wait, so the answer to a query would not predict the
-        refusal.
+        zone and is not a last-resort attempt. All others are sent without a query, for
+        three reasons. Traffic within the own zone is free. Last-resort attempts are
+        rarely refused. An attempt that may wait in a gate's queue is refused only after
+        its wait, so the answer to a query would not predict the refusal.
         """
         if len(forwarded.request.body) >= LARGE_BODY_BYTES:
             return True
--- a/balsamspindle/requests/claim_restorer.py
+++ b/balsamspindle/requests/claim_restorer.py
@@ -337,7 +337,7 @@
 
 
 def _must_write(claim: _ClaimRewrite, row: Row) -> bool:
-    """Return whether a claim has to be written, given the current row of its key."""
+    """Return whether to write a claim in place of the present row of its key."""
     if row.value is None:
         return True
     present = msgspec.convert(row.value, StoredClaim)
--- a/balsamspindle/requests/forwarding.py
+++ b/balsamspindle/requests/forwarding.py
@@ -46,8 +46,8 @@
 # after a wait, the queues of all unsuspected backend servers would be full.
 SEARCH_AGAIN_S = 0.25
 SEARCH_AGAIN_FRACTIONS = {Execution.IDEMPOTENT: 0.0, Execution.NON_IDEMPOTENT: 0.1}
-# Reasons of attempts that a gate cancelled, may not end before its node stops, or did
-# not answer. The request may then be sent again to gates that refused it before.
+# Reasons in replies to attempts that their gate cancelled, may not end before its node
+# stops, or did not answer. Gates that refused the request before may then get it again.
 _GATE_FAILURES = frozenset({Reason.GATE_ENDING, Reason.CANCELLED, Reason.SILENCE})
 
 
@@ -256,8 +256,8 @@
         if not is_refusal(reply):
             forwarded.failed.add(server_id)
         if reply.reason is Reason.SERVER_CRASHED:
-            # Without the crash, the backend server would probably have answered. So the
-            # request may use retries that are reserved for routes of a higher weight.
+            # An answer was likely without the crash, so the request isn't blamed, and
+            # it may use retries that are reserved for routes of a higher weight.
             forwarded.run_was_lost = True
 
     def _may_retry(
@@ -307,10 +307,10 @@
         """Prepare a new search after all gates refused; return False to end the search.
 
         A non-idempotent request is sent to all gates every `SEARCH_AGAIN_S`, for a
-        fraction of its remaining time. Meanwhile, a suspected backend server may pass a
-        trial, which it gets within a second, and serve the request. After that time, or
-        at once if idempotent, a request may be sent to a suspected backend server as a
-        last resort. So some are answered if all servers are suspected or busy.
+        fraction of its remaining time. Meanwhile, a suspected backend server gets a
+        trial within a second, may pass it and serve the request. After that time, or at
+        once if idempotent, a request may be sent to a suspected one as a last resort.
+        So some requests are answered even if all servers are suspected or busy.
         """
         now_s = self._clock()
         if forwarded.is_last_resort or not forwarded.may_send():
@@ -362,7 +362,7 @@
         return None if placement is None else Selection(placement)
 
     def _stop_or_restart(self, forwarded: ForwardedRequest, reply: Reply) -> bool:
-        """Return whether to end attempts; if not, and a run failed, start at `NEAR`."""
+        """Return True to end attempts; else search from `NEAR` after a failed run."""
         if not is_refusal(reply):
             if not forwarded.may_send():
                 return True
--- a/balsamspindle/requests/link_attempts.py
+++ b/balsamspindle/requests/link_attempts.py
@@ -30,8 +30,8 @@
 __all__ = ["LinkAttempts"]
 
 # A leaving node announces a stop time this much before its real one. Gates refuse
-# attempts that would end after it, so that the refusals arrive before the node stops.
-# If a refusal were lost, the caller would get `unknown` instead of `not_run`.
+# attempts that would end after the announced time, so refusals arrive before the real
+# one. If a refusal were lost, the caller would get `unknown` instead of `not_run`.
 REPLY_RESERVE_S = 0.2
 
 
--- a/balsamspindle/requests/placement_selection.py
+++ b/balsamspindle/requests/placement_selection.py
@@ -72,11 +72,10 @@
 # at the deadline, too late for their callers to retry. The time that remains after
 # this fraction is enough for a retry.
 QUEUE_WAIT_FRACTION = 0.5
-# A gate that refuses a request reports the wait in its queue. The ingress then may send
-# another request to this queue in step QUEUE, if the reported wait is at most this
-# fraction of the time that the other request may still spend in queues. A longer wait
-# indicates that the service is overloaded. Then the ingress prefers a suspected backend
-# server.
+# A gate that refuses a request reports the wait in its queue. In step QUEUE, another
+# request may be sent to this queue if the reported wait is at most this fraction of the
+# time that the other request may still spend in queues. A longer wait indicates that
+# the service is overloaded; then a suspected backend server is the better choice.
 SHORT_QUEUE_FRACTION = 0.5
 
 
