--- a/tests/test_admission_queries.py
+++ b/tests/test_admission_queries.py
@@ -136,7 +136,8 @@
         self.assertIs(Outcome.ANSWERED, self._request().outcome)
         self.assertEqual(1, len(self.gates["there"].queries))
         [dispatch] = self.gates["there"].dispatches
-        # In the gate's queue, the request may wait for half of its remaining time.
+        # The request may wait in the gate's queue for half of the request's remaining
+        # time.
         half_ms = dispatch.remaining_ms / 2
         self.assertAlmostEqual(half_ms, dispatch.wait_max_ms, delta=0.02 * half_ms)
         self.events.flush()
@@ -146,7 +147,7 @@
         # Guards against an unknown outcome when a gate does not answer a query. The
         # link is up, but the gate is suspended, or one direction of the link is cut.
         # Since no request was sent, the outcome is not_run, and even a non-idempotent
-        # request can be sent elsewhere. The gate is held out.
+        # request can be sent elsewhere. The link to the gate is held out.
         self._refuse_in_own_zone()
         self.gates["there"].declines = SILENT
         reply = self._request(timeout_s=1.0)
--- a/tests/test_caller_connections.py
+++ b/tests/test_caller_connections.py
@@ -31,11 +31,11 @@
             while not stop.wait(0.05):
                 caller.send(b"x")
 
-        sending = threading.Thread(target=send_slowly)
-        sending.start()
+        sender = threading.Thread(target=send_slowly)
+        sender.start()
         answer = caller.read()
         stop.set()
-        sending.join()
+        sender.join()
         self.assertEqual((408, "not_run"), (answer.status, answer.json()["outcome"]))
 
     def test_an_incomplete_body_is_answered_with_408(self):
@@ -101,7 +101,8 @@
     ):
         # The first request ends before the node starts to leave, and the second one
         # after that. The run of the second request is lost before the node starts to
-        # leave, so the log line of this request has both times.
+        # leave, so the log line of this request has both `leaving_ms` and
+        # `after_cut_ms`.
         fixture = IngressFixture()
         self.addCleanup(fixture.close)
         fixture.caller().send(GET).read()
@@ -143,7 +144,7 @@
         wait_until(
             lambda: len(self.fixture.forwarder.forwarded) == 2, "one request runs"
         )
-        new = self.fixture.caller().send(GET)
+        new_caller = self.fixture.caller().send(GET)
         wait_until(
             lambda: len(self.fixture.forwarder.forwarded) == 3, "two requests run"
         )
@@ -155,7 +156,7 @@
         )
         self.assertEqual("not_run", answer.header_value("x-balsamspindle-outcome"))
         self.fixture.forwarder.answers_allowed.set()
-        self.assertEqual([200, 200], [busy.read().status, new.read().status])
+        self.assertEqual([200, 200], [busy.read().status, new_caller.read().status])
 
     def test_a_stopping_node_closes_idle_connections_and_answers_running_requests(self):
         # Guards against idle connections that keep the process alive until their idle
--- a/tests/test_caller_gone.py
+++ b/tests/test_caller_gone.py
@@ -35,7 +35,7 @@
         self.fleet.wait_ready([self.gate, self.ingress], ["contract"])
 
     def _answer(self, number):
-        """Answer probes, but no signature request; these wait until they are cut."""
+        """Answer probes; leave signature requests unanswered until they are cut."""
         if self.server.requests[number - 1].startswith(b"GET"):
             return answer_with_length(b"{}"), False
         return None, False
--- a/tests/test_capacity_page.py
+++ b/tests/test_capacity_page.py
@@ -31,7 +31,7 @@
         self.assertFalse(row.met)
         self.assertEqual("**missed** 2x", row.margin)
 
-    def test_a_member_sends_hardly_more_bytes_than_in_the_baseline(self):
+    def test_the_bytes_that_a_member_sends_stay_within_their_bound(self):
         # Guards against members that send more bytes for each change of a record. In a
         # small fleet this is not noticed, but in a large one the additional bytes use
         # up the byte budget of members and delay all news. On the simulated clock, each
--- a/tests/test_claims.py
+++ b/tests/test_claims.py
@@ -26,7 +26,7 @@
 
 
 class Tables(TableService):
-    """A claims table in memory; each call takes its fault from the list `faults`."""
+    """A claims table in memory; each call removes its fault from the list `faults`."""
 
     def __init__(self) -> None:
         self.rows: dict[str, Row] = {}
@@ -278,5 +278,6 @@
             for _ in range(30):
                 schedule.step()
             outcomes += schedule.outcomes
-        # If an outcome hardly occurred, the schedules would not test its conditions.
+        # If one of the outcomes hardly occurred, the schedules would hardly test the
+        # cases that lead to it.
         self.assertTrue(all(outcomes[outcome] > 100 for outcome in Outcome), outcomes)
--- a/tests/test_claims_restored.py
+++ b/tests/test_claims_restored.py
@@ -54,7 +54,8 @@
 
     def test_an_ingress_claims_a_key_again_whose_gate_has_ended(self):
         # Guards against a second run after `KEY_RESEND_MAX_S`. From then on, the era is
-        # settled although the gate has ended and can't claim the key again.
+        # settled although the gate has ended and can't claim the key again. Therefore
+        # the ingress that wrote the claim has to write it again.
         world = World()
         world.store.save_copy()
         world.run_at("a", ingress="c")
@@ -100,8 +101,7 @@
         gate = world.processes["b"]
         late = gate.claimant()
         self.assertIs(Reason.CLAIMS_UNAVAILABLE, late.claim_for(gate.gate, 1.0))
-        # Another ingress finds the new claim before the gate that ran the key replaces
-        # it.
+        # Another ingress finds this claim before the gate that ran the key replaces it.
         claim = world.processes["c"].claimant().claim_for(gate.gate, 1.0)
         refused = gate.ledger.begin(make_dispatch(claim), world.now_s)
         self.assertIsInstance(refused, KeyRefused)
--- a/tests/test_claims_restored_processes.py
+++ b/tests/test_claims_restored_processes.py
@@ -7,7 +7,7 @@
 from tests.at_most_once_utils import ScheduleFleet
 from tests.utils import HttpAnswer, call, wait_until
 
-# Time after its start by which each node of a new fleet knows all others.
+# Longer than a new fleet takes until each node knows all others.
 FLEET_KNOWN_S = 7.0
 
 
--- a/tests/test_clock.py
+++ b/tests/test_clock.py
@@ -27,8 +27,8 @@
 
     def test_a_clock_years_ahead_is_not_followed(self):
         # The clock of one VM is ten years ahead, and its messages reach all other VMs.
-        # If their clocks followed it, all events of the fleet would carry a wrong time
-        # for years, even after this VM is removed.
+        # If the other VMs followed this clock, all events of the fleet would carry a
+        # wrong time for years, even after this VM is removed.
         clock, wrong = HybridClock(), HybridClock(10 * 365 * 86_400)
         clock.tick(WALL_S)
         after = clock.observe(wrong.tick(WALL_S), WALL_S)
--- a/tests/test_crash_gossip.py
+++ b/tests/test_crash_gossip.py
@@ -149,9 +149,9 @@
 
 
 def test_answers_to_requests_lost_once_are_not_shared():
-    """Guards against a shared answer for each request that was lost in one crash.
+    """Guards against nodes that share each answer to a request lost in only one crash.
 
-    The crash ends six runs. If each answer to these requests were shared, the traffic
+    A crash ends six runs. If each answer to these requests were shared, the traffic
     would be seven times as high.
     """
     fleet = Fleet(21)
--- a/tests/test_crash_verdicts.py
+++ b/tests/test_crash_verdicts.py
@@ -98,7 +98,7 @@
 
 
 def test_an_answer_before_the_report_of_a_crash_clears_the_request():
-    # Guards against a request that is suspected because of a crash before its answer.
+    # Guards against the suspicion of a request answered between a crash and its report.
     scenario = CrashScenario()
     for number in range(4):
         scenario.answer(2)
@@ -192,7 +192,7 @@
     assert len(scenario.quarantined) <= tried / 10_000
 
 
-def test_one_crash_after_its_quarantine_quarantines_a_request_again():
+def test_a_request_is_run_after_its_quarantine_and_one_crash_quarantines_it_again():
     scenario = CrashScenario()
     for _ in range(3):
         scenario.crash({CAUSE: SHORT_S})
@@ -312,9 +312,9 @@
 def test_a_cause_crashes_no_more_than_six_backend_servers_in_any_wave():
     """Guards against a cause that is not quarantined in a wave of other crashes.
 
-    It may crash three backend servers, and three more during a wave. Here each backend
-    server crashes every second for other reasons, and the cause takes longer to crash
-    one that has just started.
+    A cause may crash three backend servers, and three more during a wave. Here each
+    backend server crashes every second for other reasons, and the cause takes longer to
+    crash one that has just started.
     """
     rng = random.Random(3)
     for crashes_after_s in (0.02, 0.1, 0.4, 1.5):
--- a/tests/test_crash_watch.py
+++ b/tests/test_crash_watch.py
@@ -159,9 +159,9 @@
         self.assertEqual(Reason.SERVER_CRASHED, running.result().reason)
 
     def test_a_restart_without_notice_is_a_crash(self):
-        # Guards against a crash that is missed because no connection ends: the backend
-        # server loses power. The gate detects the crash when the backend server
-        # announces itself with another boot id.
+        # Guards against a crash that is missed because no connection ends. The backend
+        # server loses power and restarts. The gate detects the crash when the backend
+        # server announces itself with another boot id.
         running = self._begin(1)
         self._wait_running(1)
         self._announce("2")
--- a/tests/test_crashing_requests.py
+++ b/tests/test_crashing_requests.py
@@ -84,8 +84,8 @@
         self.assertGreaterEqual(third_s - second_s, RETRIED_WITHIN_S)
 
     def test_an_ingress_records_the_answers_to_its_callers(self):
-        # Guards against an answer that nobody knows of any more because the node of the
-        # gate that recorded it has ended.
+        # Guards against a request that stays suspected because only the node of its
+        # gate recorded its answer, and this node has ended.
         self.assertEqual(Outcome.ANSWERED, self._forward().outcome)
         for number in range(3):
             self._crash(number)
--- a/tests/test_crashing_requests_processes.py
+++ b/tests/test_crashing_requests_processes.py
@@ -99,7 +99,7 @@
         return answer or HttpAnswer(0, {}, b"")
 
     def _repeat(self, target: str, method: str = "GET", body=None) -> list[HttpAnswer]:
-        """Send a request to the nodes in turn until `_done`; return the answers."""
+        """Send a request to the nodes in turn until `_done` is set; return answers."""
         answers = []
         with ThreadPoolExecutor(64) as executor:
             sent = []
--- a/tests/test_ctl.py
+++ b/tests/test_ctl.py
@@ -223,7 +223,7 @@
                 (answer := try_call(nodes[0].caller_address, "/7"))
                 and answer.json().get("server") == "contract-0"
             ),
-            "contract-0 takes work again",
+            "contract-0 gets requests again",
         )
 
     def check_announcements(self, node):
--- a/tests/test_customer_documents.py
+++ b/tests/test_customer_documents.py
@@ -53,7 +53,7 @@
         self.assertIn("not JSON", fault.message)
 
     def test_a_key_may_belong_to_only_one_customer(self):
-        # Guards against requests that are attributed to a different customer.
+        # Guards against requests that are attributed to the wrong customer.
         (fault,) = faults(
             {
                 "crew/customers/anna": {"name": "Anna", "key_digests": [FIRST]},
--- a/tests/test_quarantine_store.py
+++ b/tests/test_quarantine_store.py
@@ -84,7 +84,7 @@
 
 
 def test_a_row_with_a_later_term_is_not_overwritten():
-    """Guards against a quarantine that is replaced by an earlier one, written later."""
+    """Guards against a quarantine that is overwritten by an older one."""
     platform = PlatformInProcess()
     try:
         tables = HttpTableService(platform.address)
