--- a/tests/test_customers_processes.py
+++ b/tests/test_customers_processes.py
@@ -100,7 +100,8 @@
         ends_s = time.monotonic() + PROOF_MAX_AGE_S
         for node in self.nodes[:2]:
             wait_until(
-                lambda node=node: self._ask(node).status != 200, "the key is refused"
+                lambda node=node: self._ask(node).status != 200,
+                "the revoked key is refused",
             )
         self.assertLess(time.monotonic(), ends_s)
         time.sleep(max(0.0, ends_s - time.monotonic()))
--- a/tests/test_detection_bench.py
+++ b/tests/test_detection_bench.py
@@ -45,7 +45,7 @@
 
 
 def test_healthy_backend_servers_are_rarely_ejected():
-    """4 false ejections in 22 server-hours, in which servers pause for up to 0.4 s."""
+    """There are 4 false ejections in 22 server-hours with pauses of up to 0.4 s."""
     assert sequential_figures().false_ejections <= 5
 
 
--- a/tests/test_health.py
+++ b/tests/test_health.py
@@ -245,8 +245,8 @@
 
 
 def test_a_backend_server_that_still_hangs_stays_ejected_when_peers_are_slow():
-    # Guards against readmitting a backend server whose requests still hang, because its
-    # peers have become slow.
+    # The peers of a backend server that hangs have become slow. Guards against
+    # readmitting the backend server for this reason although its requests still hang.
     driver = HealthDriver()
     hold_out_by_standstill(driver)
     driver.advance(5.5)
--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -305,8 +305,8 @@
         self.assertEqual(sorted(times), times)
 
     def test_the_gate_logs_that_a_leaving_ingress_cut_a_run(self):
-        # The ingress leaves and stops waiting for the reply. The gate's node stays; it
-        # cuts the run and logs that the ingress is the reason.
+        # The ingress leaves and stops waiting for the reply. The gate's node stays in
+        # the fleet. The gate cuts the run and logs that the ingress is the reason.
         ingress, gate = self._start_nodes(["contract-1"])
         with ThreadPoolExecutor(1) as executor:
             answer = executor.submit(
