--- a/tests/test_at_most_once.py
+++ b/tests/test_at_most_once.py
@@ -26,15 +26,20 @@
     def test_requests_run_at_most_once_with_a_faulty_backend_server(self):
         for name, options in BACKEND_FAULTS.items():
             self.check_fault(f"backend-{name}", self.fleet.backend_fault(**options))
-        self.check_fault("backend-drain", self.fleet.drained("a"))
-        self.check_fault("backend-kill", self.fleet.backend_end(signal.SIGKILL))
-        self.check_fault("backend-sigterm", self.fleet.backend_end(signal.SIGTERM))
+        self.check_fault("backend-drain", self.fleet.drain_fault("a"))
+        self.check_fault(
+            "backend-kill", self.fleet.backend_signal_fault(signal.SIGKILL)
+        )
+        self.check_fault(
+            "backend-sigterm", self.fleet.backend_signal_fault(signal.SIGTERM)
+        )
 
     def test_requests_run_at_most_once_when_a_node_ends(self):
         for node in ("a", "i"):
             for number in (signal.SIGKILL, signal.SIGTERM):
                 self.check_fault(
-                    f"node-{node}-{number.name}", self.fleet.node_end(node, number)
+                    f"node-{node}-{number.name}",
+                    self.fleet.node_signal_fault(node, number),
                 )
 
     def test_requests_run_at_most_once_with_a_network_fault(self):
@@ -56,7 +61,7 @@
         # run. The backend servers' counts of runs show whether these outcomes are
         # correct.
         outcomes = self.check_fault(
-            "both-drained", self.fleet.drained("a") + self.fleet.drained("b")
+            "both-drained", self.fleet.drain_fault("a") + self.fleet.drain_fault("b")
         )
         self.assertTrue(outcomes["not_run"], outcomes)
 
@@ -69,7 +74,7 @@
             lambda: [future.result() for future in pending],
         )
         slow = self.fleet.backend_fault(mode="slow", delay_s=0.3)
-        self.check_fault("gate-full", self.fleet.drained("b") + slow + full)
+        self.check_fault("gate-full", self.fleet.drain_fault("b") + slow + full)
         self.requests.check("gate-full/more")
         counts = self.requests.outcomes["gate-full/more"]
         self.assertTrue(counts["not_run"], counts)
--- a/tests/test_at_most_once_frozen.py
+++ b/tests/test_at_most_once_frozen.py
@@ -21,7 +21,7 @@
             "node-i": lambda: fleet.nodes["i"],
         }
         for name, find in processes.items():
-            self.check_fault(f"{name}-frozen", fleet.frozen(find), FREEZE_S)
+            self.check_fault(f"{name}-frozen", fleet.freeze_fault(find), FREEZE_S)
         # The ingress has stopped waiting for requests that reached the suspended gate.
         # The gate must not run them after it is resumed.
         requests = self.requests
@@ -34,4 +34,4 @@
         # Guards against a second run at a replaced gate. The replacement does not know
         # which requests its predecessor ran, and the resumed predecessor does not know
         # that it was replaced.
-        self.check_fault("node-a-replaced", self.fleet.replaced_while_frozen(), 3.0)
+        self.check_fault("node-a-replaced", self.fleet.replacement_fault(), 3.0)
--- a/tests/test_at_most_once_pairs.py
+++ b/tests/test_at_most_once_pairs.py
@@ -13,9 +13,9 @@
 class TwoFaultTests(FaultScheduleCase):
     def test_requests_run_at_most_once_with_two_faults(self):
         fleet = self.fleet
-        gate_killed = fleet.node_end("a", signal.SIGKILL)
-        gate_frozen = fleet.frozen(lambda: fleet.nodes["a"])
-        backend_killed = fleet.backend_end(signal.SIGKILL)
+        gate_killed = fleet.node_signal_fault("a", signal.SIGKILL)
+        gate_frozen = fleet.freeze_fault(lambda: fleet.nodes["a"])
+        backend_killed = fleet.backend_signal_fault(signal.SIGKILL)
         answers_cut = fleet.flow_fault(backward=Flow.DROP)
         answers_late = fleet.flow_fault(backward=Flow.HOLD)
         requests_cut = fleet.flow_fault(forward=Flow.DROP)
@@ -35,13 +35,14 @@
             + fleet.platform_fault("lost_reply"),
             "answers-late-gate-killed": answers_late + gate_killed,
             "answers-cut-ingress-killed": answers_cut
-            + fleet.node_end("i", signal.SIGKILL),
-            "ingress-killed-backend-hangs": hang + fleet.node_end("i", signal.SIGKILL),
+            + fleet.node_signal_fault("i", signal.SIGKILL),
+            "ingress-killed-backend-hangs": hang
+            + fleet.node_signal_fault("i", signal.SIGKILL),
             # No other backend server is available, so requests are refused as not run,
             # and this must be correct.
-            "requests-cut-other-drained": requests_cut + fleet.drained("b"),
-            "backend-killed-other-drained": backend_killed + fleet.drained("b"),
-            "gate-killed-other-drained": gate_killed + fleet.drained("b"),
+            "requests-cut-other-drained": requests_cut + fleet.drain_fault("b"),
+            "backend-killed-other-drained": backend_killed + fleet.drain_fault("b"),
+            "gate-killed-other-drained": gate_killed + fleet.drain_fault("b"),
         }
         for name, fault in pairs.items():
             self.check_fault(name, fault)
--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -88,7 +88,7 @@
                 addresses[number % 3 :] + addresses[: number % 3],
                 "POST" if number % 2 else "GET",
                 pause_s=1.3 if number >= 12 else 0.01,
-                fresh=6 <= number < 12,
+                reconnects=6 <= number < 12,
             )
             for number in range(15)
         ]
