--- a/tests/caller_side.py
+++ b/tests/caller_side.py
@@ -84,9 +84,7 @@
 
     def header_values(self, name: str) -> list[str]:
         """Return all values of a header."""
-        return [
-            value for header_name, value in self.headers if header_name.lower() == name
-        ]
+        return [value for known, value in self.headers if known.lower() == name]
 
     def header_value(self, name: str) -> str | None:
         """Return the only value of a header, or None without that header.
@@ -208,8 +206,8 @@
             self.events,
             customers=CustomerAdmission(configuration, freshness, limiter),
         )
-        self._thread = threading.Thread(target=self.ingress.run)
-        self._thread.start()
+        self._task = threading.Thread(target=self.ingress.run)
+        self._task.start()
         wait_until(self.ingress.accepting, "the ingress accepts connections")
         self._callers: list[RawCaller] = []
 
@@ -230,5 +228,5 @@
         self.ingress.stop()
         for caller in self._callers:
             caller.close()
-        self._thread.join()
+        self._task.join()
         self.executor.shutdown()
