--- a/balsamspindle/crashes/gossip.py
+++ b/balsamspindle/crashes/gossip.py
@@ -23,8 +23,8 @@
 
 __all__ = ["CrashGossip"]
 
-# A node sends no repair for this long after its own digest changed, because the update
-# that makes both digests equal may not have arrived yet.
+# For this long after its own digest changed, a node sends no repair. The update that
+# changed it may still be on its way to the peer, and makes the peer's digest equal.
 SETTLE_TIME_S = 0.4
 REPAIR_INTERVAL_S = 0.8
 REPAIRED_PEERS_MAX = 1000
--- a/balsamspindle/crashes/history.py
+++ b/balsamspindle/crashes/history.py
@@ -39,8 +39,8 @@
 BLOCKED_MAX_S = 86_400.0
 QUARANTINES_MAX = 1000
 QUARANTINE_EXPIRY_S = 2 * BLOCKED_MAX_S
-# A crash's estimated time may be late by up to this, the delay of its report. So an
-# answer up to this long before the estimated time counts as later than the crash.
+# The estimated time of a crash is after the crash, by the delay of its report: at most
+# this. So an answer less than this before the estimated time counts as after the crash.
 REPORT_DELAY_MAX_S = 1.0
 EXPIRE_INTERVAL_S = 1.0
 
--- a/balsamspindle/crashes/verdicts.py
+++ b/balsamspindle/crashes/verdicts.py
@@ -1,6 +1,7 @@
 """Distinguishes requests that cause crashes from those that run by coincidence.
 
-A request that runs at a backend server when it crashes need not be the cause.
+A request that is running at a backend server when the backend server crashes need not
+be the cause of the crash.
 """
 
 import heapq
@@ -28,7 +29,7 @@
 # by coincidence is less than this.
 COINCIDENCE_MAX = 1e-5
 # A request to which this many crashes are attributed, all after similar run times,
-# counts as their cause whatever the rate of other crashes.
+# counts as the cause of these crashes, whatever the rate of other crashes.
 CRASHES_SUFFICIENT = 6
 # For CRASHES_SUFFICIENT, run times count as similar if
 # longest <= SIMILAR_TIME_FACTOR * shortest + SIMILAR_TIME_S.
@@ -47,7 +48,8 @@
 # The probability that run times are similar by coincidence counts as at least this:
 # similar run times alone are no proof, since timeouts also end runs after equal times.
 SIMILAR_TIMES_PROBABILITY_MIN = 1e-3
-# Shorter run times are raised to this, since clocks are read late on a busy VM.
+# Run times shorter than this are raised to this, since a busy VM may read its clock
+# late, and a run time may then seem too short.
 RUN_TIME_MIN_S = 0.05
 # Crashes within this time may have one common reason, such as the loss of a rack.
 SIMULTANEOUS_S = 0.1
@@ -138,7 +140,7 @@
 
 
 def independent_crashes(crashes: Sequence[AttributedCrash]) -> list[AttributedCrash]:
-    """Return the crashes, without repeats that a single outage may have caused.
+    """Return the crashes, but only the first of those that one outage may have caused.
 
     The loss of a rack or an availability zone ends several backend servers at the same
     moment. If copies of a request were running at several of them, the request must not
@@ -188,7 +190,7 @@
 
 
 def coincidence_probability(evidence: CauseEvidence) -> float:
-    """Return the probability that a request ran at its crashes by coincidence."""
+    """Return the probability that a request ran at its crashes by coincidence only."""
     crashes = independent_crashes(evidence.crashes)
     count = len(crashes)
     window_s = crashes[-1].at_s - crashes[0].at_s + RATE_LEAD_S
@@ -198,15 +200,17 @@
 
 
 def _count_probability(count: int, expected: float) -> float:
-    """Return the Poisson probability of exactly `count` crashes.
+    """Return the Poisson probability of exactly `count` crashes, with mean `expected`.
 
-    Returns 1 if `count` crashes or more are expected.
+    Returns 1 if `expected` is `count` or more.
     """
     if expected >= count:
         return 1.0
-    # The probabilities of larger counts are not added. If `expected` is less than half
-    # of `count`, their sum is less than the probability of `count` itself. The result
-    # is then more than half of the probability of `count` or more crashes.
+    # This approximates the probability of `count` or more crashes by that of exactly
+    # `count`. If `expected` is less than half of `count`, the probability of each
+    # larger count is less than half of the one before, so the result is more than half
+    # of the probability of `count` or more crashes. The larger `expected` is, the
+    # smaller is the fraction that the result includes.
     return expected**count * math.exp(-expected) / math.factorial(count)
 
 
--- a/balsamspindle/customers/admission.py
+++ b/balsamspindle/customers/admission.py
@@ -133,7 +133,7 @@
         return identified
 
     def refund(self, admitted: Admitted) -> None:
-        """Return the grant of an admitted request that did not run."""
+        """Give back the grant of a request that did not run, to the granting node."""
         if self._limiter is not None and admitted.grant is not None:
             self._limiter.refund(admitted.grant)
 
--- a/balsamspindle/customers/freshness.py
+++ b/balsamspindle/customers/freshness.py
@@ -3,10 +3,10 @@
 A revoked key must stop working on all nodes within a few seconds, even on a node that
 receives no messages. So a node uses keys only while it can prove that a short time ago
 its settings were the store's newest. A proof is a read of the newest revision in the
-store. A node can use the proof if that revision, or a newer one, is in force at the
-node. The age of a proof counts from the start of the read, because the result may lack
-changes that the store accepted later. If a node received no message about a newer
-revision, this proves nothing: the message may have been lost.
+store. A node can use the proof if the revision that was read, or a newer one, is in
+force at the node. The age of a proof counts from the start of the read, because the
+result may lack changes that the store accepted later. If a node received no message
+about a newer revision, this proves nothing: the message may have been lost.
 """
 
 import threading
@@ -16,7 +16,7 @@
 
 
 class Proof(NamedTuple):
-    """The newest revision in the store when a read of it began.
+    """The newest revision in the store when a read of the store began.
 
     Attributes
     ----------
@@ -34,6 +34,10 @@
 class Freshness:
     """Stores the newest proof and the newest usable proof; thread-safe.
 
+    A proof is usable once the revision in force at this node is that of the proof or a
+    newer one. So the newest proof is not usable while this node has yet to load the
+    proof's revision.
+
     Parameters
     ----------
     age_max_s : float or None
@@ -44,7 +48,8 @@
         self._age_max_s = age_max_s
         self._lock = threading.Lock()
         self._newest = _NO_PROOF
-        # The newest proof whose revision is not newer than this node's own revision.
+        # The newest proof that was usable when it was last compared with the revision
+        # in force at this node.
         self._usable = _NO_PROOF
 
     @property
@@ -53,7 +58,7 @@
         return self._age_max_s is not None
 
     def record(self, proof: Proof, own_revision: int) -> None:
-        """Store a proof if it is newer than all earlier ones.
+        """Store a proof if its read began later than that of the newest proof.
 
         Parameters
         ----------
@@ -73,7 +78,11 @@
             return self._usable
 
     def is_fresh(self, own_revision: int, now_s: float) -> bool:
-        """Return whether keys may be used: a proof is valid, or none is required."""
+        """Return whether keys may be used now.
+
+        True if the newest usable proof is younger than `age_max_s`, or if keys are used
+        without a proof.
+        """
         if self._age_max_s is None:
             return True
         return now_s - self.usable_proof(own_revision).began_s < self._age_max_s
--- a/balsamspindle/customers/granters.py
+++ b/balsamspindle/customers/granters.py
@@ -4,9 +4,9 @@
 zone, one node grants the zone's fraction: the customer's granter for the zone. Each
 node queries the granter in its own zone first, because messages within a zone cost
 nothing. The remaining fraction of the limit is granted by one node of the whole fleet,
-the customer's granter for the fleet. It is queried for requests that exceed the
-fraction of their zone. So a customer whose callers are all in one zone can use more
-than that zone's fraction.
+the customer's granter for the fleet. A node queries the granter for the fleet about
+requests that exceed the fraction of their zone. So a customer whose callers are all in
+one zone can use more than that zone's fraction.
 
 Each node selects the granters by rendezvous hashing over the nodes that it knows,
 without any agreement between nodes. While nodes can't reach each other, a customer may
@@ -49,12 +49,14 @@
     zones : int
         Number of availability zones in the fleet; if 0, the known zones are counted.
     window_s : float
-        Length of a time window. In any window of this length, a customer may run
-        `rate_per_s * window_s + burst` requests. If 0, there is no window: a customer
-        may run its burst at once, and a spent burst refills at the customer's rate.
+        Length of a time window in s. In any window of this length, a customer may run
+        `rate_per_s * window_s + burst` requests, at an even rate: only as many as
+        `over_fraction` and `slack` allow can run at once. If 0, there is no window: a
+        customer may run its burst at once, and a spent burst refills at the customer's
+        rate.
     over_fraction : float
-        Number of requests per window by which a customer may exceed its limit, as a
-        fraction of the requests that the limit allows.
+        Fraction of the requests allowed in a window by which a customer may exceed that
+        number. Not used if `window_s` is 0.
     slack : float
         Number of requests by which a customer may exceed its limit, in addition to
         those that `over_fraction` allows.
@@ -115,7 +117,7 @@
         self._rankings: dict[str, tuple[NodeRecord, ...]] = {}
 
     def update(self) -> bool:
-        """Update the scope's nodes from the directory; return whether an id changed."""
+        """Update the scope's nodes; return whether a node was added or removed."""
         records = self._directory.alive()
         if records is self._last_records:
             return False
@@ -129,8 +131,8 @@
         zones = {record.availability_zone for record in (*records, self._own)}
         self._known_zones = len(zones)
         self._last_records, self._nodes = records, nodes
-        # The rankings contain node records, so they are cleared even if no id changed:
-        # a node may have restarted at another address.
+        # The rankings contain node records, so they are cleared even if the nodes are
+        # the same: a node may have restarted at another address.
         self._rankings = {}
         return is_changed
 
--- a/balsamspindle/requests/admission_queries.py
+++ b/balsamspindle/requests/admission_queries.py
@@ -9,8 +9,9 @@
 Before an attempt with a large body is sent, its gate is queried even if the gate is in
 the own zone. Gates of a busy service refuse three of four attempts. With bodies of
 60 KB on 10 Mbit/s links, the refused attempts would fill a quarter of each gate's link.
-They would delay queries and short requests by a quarter of a second, and the gate would
-be considered unreachable.
+They would delay queries and short requests by a quarter of a second. An ingress waits
+only that long for the answer to a query (`QUERY_TIMEOUT_S`), so it would consider the
+gate unreachable.
 """
 
 import itertools
@@ -81,9 +82,10 @@
     def should_query(self, forwarded: ForwardedRequest, placement: Placement) -> bool:
         """Return whether to query the gate before the attempt is sent.
 
-        A query is sent for a large body, and for an attempt that looks for a free slot
-        in another zone and is not a last-resort attempt. Other attempts are sent
-        without a query. Traffic within the own zone is free. Last-resort attempts are
+        Before an attempt with a large body, a query is always sent. Before other
+        attempts, a query is sent only if the attempt looks for a free slot in another
+        zone and is not a last-resort attempt. All others are sent without a query, for
+        three reasons. Traffic within the own zone is free. Last-resort attempts are
         rarely refused. An attempt that may wait in a gate's queue is refused only after
         its wait, so the answer to a query would not predict the refusal.
         """
--- a/balsamspindle/requests/attempts.py
+++ b/balsamspindle/requests/attempts.py
@@ -88,7 +88,7 @@
         return AttemptId(self._own.node_id, self._own.incarnation, next(self._sequence))
 
     def set_end_time(self, ends_s: float) -> None:
-        """Set this node's stop time; gates then start no run that would end later."""
+        """Set this node's stop time; gates then start no run for it that ends later."""
         self._link_attempts.set_end_time(ends_s)
 
     def abort_attempts(self) -> None:
--- a/balsamspindle/requests/claim_eras.py
+++ b/balsamspindle/requests/claim_eras.py
@@ -32,11 +32,13 @@
 COPY_AGE_MAX_S = 60.0
 # Time after its start by which a process knows all other processes of the fleet.
 FLEET_KNOWN_AFTER_S = 5.0
-# An era is settled no earlier than this time after its start. A process that reaches
-# the store but not its peers may be unknown to them, and then they don't wait for its
-# confirmation. This time is long enough for such a process to write its claims again.
+# An era is settled (a key without a claim counts as unclaimed) no earlier than this
+# time after its start. A process that reaches the store but not its peers may be
+# unknown to them, and then they don't wait for its confirmation. This time is long
+# enough for such a process to write its claims again.
 RESTORE_MIN_S = 1.0
-# Requests wait for an era to be settled only until this time after the era's start.
+# Until this time after an era's start, requests that claim a key wait for the era to be
+# settled. Later they don't wait, and while the era isn't settled, no key is claimed.
 RESTORE_WAIT_S = 2.0
 
 
@@ -66,6 +68,8 @@
 class ClaimEras:
     """Tracks which eras of the store are settled; thread-safe.
 
+    In a settled era, a key without a claim in the store counts as unclaimed.
+
     Parameters
     ----------
     resend_max_s : float
--- a/balsamspindle/requests/claim_restorer.py
+++ b/balsamspindle/requests/claim_restorer.py
@@ -75,8 +75,9 @@
 class ClaimRestorer:
     """Background task that restores claims in each new era of the store.
 
-    It writes the claims of this process again, and settles the era once all processes
-    have confirmed it.
+    It writes the claims of this process again. Once all processes have confirmed that
+    they wrote theirs, it marks the era as settled: from then on, a key without a claim
+    in the store counts as unclaimed.
 
     Parameters
     ----------
@@ -145,7 +146,7 @@
         self._changed.set()
 
     def request_era(self, era: int) -> None:
-        """Record that a request waits for an era to be settled; wake `run`."""
+        """Record that a request waits until an era is settled, and wake `run`."""
         self._requested_era = max(self._requested_era, era)
         self._changed.set()
 
@@ -172,7 +173,7 @@
             self._to_rewrite, era
         ):
             return False
-        return self._eras.is_settled(era) or self._check_settled(era, now_s)
+        return self._eras.is_settled(era) or self._try_settle(era, now_s)
 
     def _update_era(self, era: int, now_s: float) -> None:
         self._eras.begin(era, now_s)
@@ -236,8 +237,9 @@
     def _write_batch(self, claims: list[_ClaimRewrite], era: int) -> bool:
         """Write a batch of claims; return False if the store fails or changes its era.
 
-        A claim is not written if the store has a claim of the same key, unless
-        `overrides` is set and the store's claim names another process.
+        If the store has no claim of a key, the key's claim is written. If the store has
+        one, it is replaced only by a claim with `overrides`, and only if the two claims
+        name different gate processes.
         """
         versions = dict.fromkeys((claim.key for claim in claims), 0)
         for _ in range(BATCH_ATTEMPTS_MAX):
@@ -269,8 +271,14 @@
                     return False
         return False
 
-    def _check_settled(self, era: int, now_s: float) -> bool:
-        """Settle the era if possible; return whether it is settled."""
+    def _try_settle(self, era: int, now_s: float) -> bool:
+        """Mark the era as settled if allowed; return whether it is settled.
+
+        Adopts the mark that another process wrote into the store. If there is none,
+        this process writes the mark, but only if `ClaimEras.can_settle` is True: if all
+        processes have confirmed the era, or callers can no longer resend the keys of
+        lost claims.
+        """
         match self._tables.scan(CLAIM_ERAS_TABLE):
             case Result(tag="ok", ok=rows):
                 confirmations = {row.key: _confirmation(row) for row in rows}
@@ -317,16 +325,19 @@
 def _rewrite_without_run(written_claim: WrittenClaim) -> _ClaimRewrite:
     """Return a claim of this node's ingress, changed so that no gate runs its key.
 
-    The original claim cannot be written again: the gate that it names may have replied
-    'not run' after the claim was written, or its process may have ended. If a gate ran
-    the key, its process replaces the changed claim with a claim for this gate.
+    The original claim is not written again. The gate that it names may have replied
+    'not run' after the claim was written; then another gate may have claimed and run
+    the key. If the original claim were written again, it would get a new version, with
+    which the gate that it names could run the key a second time. The process of this
+    gate may also have ended. If a gate ran the key, its process replaces the changed
+    claim with a claim that names this process.
     """
     stored = msgspec.structs.replace(written_claim.stored, incarnation=NO_INCARNATION)
     return _ClaimRewrite(written_claim.key, stored, False)
 
 
 def _must_write(claim: _ClaimRewrite, row: Row) -> bool:
-    """Return whether a claim has to be written, given the current row of its key."""
+    """Return whether to write a claim in place of the present row of its key."""
     if row.value is None:
         return True
     present = msgspec.convert(row.value, StoredClaim)
--- a/balsamspindle/requests/claims.py
+++ b/balsamspindle/requests/claims.py
@@ -73,7 +73,8 @@
     Attributes
     ----------
     gate_time_s : float
-        Time of the claim on the gate's monotonic clock, or a little earlier.
+        Time of the claim on the gate's monotonic clock. The ingress estimates it with
+        `GateClock`, so it may be too early by the delay of one message from the gate.
     claimed_wall_s : float
         Wall-clock time of the claim, only for the removal of old rows. No decision
         about a key depends on it.
@@ -285,8 +286,8 @@
     def look_up(self) -> None:
         """Read the key's claim, unless it is known or an earlier read got no answer.
 
-        If no backend server can run the request now, the gate that the claim names can
-        still report whether it ran the key.
+        The claim is needed even if no backend server can run the request now: the gate
+        that it names can still report whether it ran the key.
         """
         if self._claim is not None or self._unavailable:
             return
@@ -308,7 +309,7 @@
         Parameters
         ----------
         gate_time_s : float
-            Current time on the gate's monotonic clock, or a little earlier.
+            Current time on the gate's monotonic clock; see `StoredClaim.gate_time_s`.
         """
         if self._claim is None or self._is_void:
             version = self._claim.version if self._claim else 0
--- a/balsamspindle/requests/closing.py
+++ b/balsamspindle/requests/closing.py
@@ -22,7 +22,7 @@
 _DROP_HANDSHAKES_FILTER = (
     (0x30, 0, 0, _FLAGS_OFFSET),  # load the flags byte
     (0x54, 0, 0, _SYN_ACK),  # clear all flags but SYN and ACK
-    (0x15, 0, 1, _SYN),  # is only SYN left?
+    (0x15, 0, 1, _SYN),  # is SYN set, and ACK not set?
     (0x06, 0, 0, 0),  # yes: drop the segment
     (0x06, 0, 0, 0xFFFFFFFF),  # no: keep the segment
 )
--- a/balsamspindle/requests/content.py
+++ b/balsamspindle/requests/content.py
@@ -11,9 +11,11 @@
 def hash_content(request: CallerRequest, names: HeaderNames) -> int:
     """Return a hash that is the same for all repeats of a request.
 
-    The hash covers the host, the method, the target, the caller's credential, the
-    digest of the customer's key and the body. All other headers are left out, because
-    they may contain ids and times that change from one repeat to the next.
+    The hash covers the host, the method, the target and the body. It also covers the
+    two headers that identify the sender: the caller's credential (by default the
+    Authorization header), and the digest of the customer's API key if there is one. All
+    other headers are left out, because they may contain ids and times that change from
+    one repeat to the next.
     """
     credential = request.header(names.credential.lower()) or ""
     parts = (request.host, request.method, request.target, credential)
--- a/balsamspindle/requests/forwarded.py
+++ b/balsamspindle/requests/forwarded.py
@@ -117,8 +117,8 @@
     may_have_run : bool
         Whether an attempt had an unknown outcome, so that the request may have run.
     caller_service : str
-        Name of the service that runs beside this node and sent the request; backend
-        servers get the name in a header.
+        Name of the service whose backend server runs on this node's VM and sent the
+        request; backend servers get the name in a header.
     sends : int
         Attempts that reached, or may have reached, a backend server.
     attempts : int
--- a/balsamspindle/requests/forwarding.py
+++ b/balsamspindle/requests/forwarding.py
@@ -41,14 +41,14 @@
 __all__ = ["ForwardedRequest", "Forwarder"]
 
 # A request that all gates refused is sent to them again every SEARCH_AGAIN_S (half of
-# gate_links.HOLD_OUT_S), for this fraction of its remaining time. Then it may be sent
-# to a suspected backend server. The fraction is 0 for an idempotent request: after a
-# wait, it would find the queues of all unsuspected backend servers full.
+# gate_links.HOLD_OUT_S), for a fraction of its remaining time, SEARCH_AGAIN_FRACTIONS.
+# Then it may be sent to a suspected backend server. An idempotent request doesn't wait:
+# after a wait, the queues of all unsuspected backend servers would be full.
 SEARCH_AGAIN_S = 0.25
 SEARCH_AGAIN_FRACTIONS = {Execution.IDEMPOTENT: 0.0, Execution.NON_IDEMPOTENT: 0.1}
-# Reasons of replies to attempts whose run was lost because of the gate's node. The
-# request may then be sent again to gates that refused it before the run.
-_LOST_WITH_GATE = frozenset({Reason.GATE_ENDING, Reason.CANCELLED, Reason.SILENCE})
+# Reasons in replies to attempts that their gate cancelled, may not end before its node
+# stops, or did not answer. Gates that refused the request before may then get it again.
+_GATE_FAILURES = frozenset({Reason.GATE_ENDING, Reason.CANCELLED, Reason.SILENCE})
 
 
 class Forwarder:
@@ -111,7 +111,7 @@
         return self._sender.held_out_servers
 
     def set_end_time(self, ends_s: float) -> None:
-        """Set this node's stop time; gates then start no run that would end later."""
+        """Set this node's stop time; gates then start no run for it that ends later."""
         self._sender.set_end_time(ends_s)
 
     def abort_attempts(self) -> None:
@@ -162,7 +162,7 @@
             if is_success(reply):
                 forwarded.stopped_by = None
                 break
-            if self._must_stop(forwarded, reply):
+            if self._stop_or_restart(forwarded, reply):
                 forwarded.stopped_by = self._stop_reason(forwarded)
                 break
             if not self._may_retry(forwarded, replies, None, self._clock()):
@@ -201,7 +201,7 @@
                 self._hedge_planner.refund(forwarded, hedge)
                 break
             self._record_failure(forwarded, selected.placement, reply)
-            if self._must_stop(forwarded, reply):
+            if self._stop_or_restart(forwarded, reply):
                 forwarded.stopped_by = self._stop_reason(forwarded)
                 self._hedge_planner.refund(forwarded, hedge)
                 break
@@ -237,8 +237,8 @@
     ) -> None:
         """Record an answer, its size and, unless `latency_s` is None, its latency."""
         route = forwarded.route
-        # The gate's node also records the answer and reports it to the other nodes. It
-        # may stop before it reports the answer, so this node records it too.
+        # The gate's node also records the answer and reports it to the other nodes. But
+        # that node may stop before it has done so, so this node records the answer too.
         self._crash_history.record_answer(forwarded.content_hash, self._clock())
         if latency_s is not None:
             self._retries.record_answer(
@@ -256,8 +256,8 @@
         if not is_refusal(reply):
             forwarded.failed.add(server_id)
         if reply.reason is Reason.SERVER_CRASHED:
-            # The crash is not attributed to the request: without it, an answer was
-            # likely. So the request may use retries reserved for heavier requests.
+            # An answer was likely without the crash, so the request isn't blamed, and
+            # it may use retries that are reserved for routes of a higher weight.
             forwarded.run_was_lost = True
 
     def _may_retry(
@@ -306,11 +306,11 @@
     def _widen_search(self, forwarded: ForwardedRequest) -> bool:
         """Prepare a new search after all gates refused; return False to end the search.
 
-        A non-idempotent request is sent to all gates again for a fraction of its
-        remaining time: a suspected backend server gets a trial within a second and, if
-        it passes, may serve the request. After that time, or at once if idempotent, the
-        request may be sent to a suspected backend server as a last resort. So a service
-        whose backend servers are all suspected or busy still answers some requests.
+        A non-idempotent request is sent to all gates every `SEARCH_AGAIN_S`, for a
+        fraction of its remaining time. Meanwhile, a suspected backend server gets a
+        trial within a second, may pass it and serve the request. After that time, or at
+        once if idempotent, a request may be sent to a suspected one as a last resort.
+        So some requests are answered even if all servers are suspected or busy.
         """
         now_s = self._clock()
         if forwarded.is_last_resort or not forwarded.may_send():
@@ -357,16 +357,16 @@
         return selected
 
     def _select_at_owner(self, forwarded, claimant: KeyClaimant) -> Selection | None:
-        """Select the gate that the claim names; None if no placement of it is known."""
+        """Select the gate that the claim names; None if its node is not known."""
         placement = self._picker.locate(claimant.owner_id(), forwarded.route.service)
         return None if placement is None else Selection(placement)
 
-    def _must_stop(self, forwarded: ForwardedRequest, reply: Reply) -> bool:
-        """Return whether to end attempts; after a failed run, restart the search."""
+    def _stop_or_restart(self, forwarded: ForwardedRequest, reply: Reply) -> bool:
+        """Return True to end attempts; else search from `NEAR` after a failed run."""
         if not is_refusal(reply):
             if not forwarded.may_send():
                 return True
-            if reply.reason in _LOST_WITH_GATE:
+            if reply.reason in _GATE_FAILURES:
                 forwarded.restart_search()
             else:
                 forwarded.search.restart()
--- a/balsamspindle/requests/http.py
+++ b/balsamspindle/requests/http.py
@@ -371,7 +371,7 @@
         self._body.append(body)
 
     def on_message_complete(self) -> None:
-        """Complete the request, unless a new parser has to read its body."""
+        """Complete the request, unless the parser stopped before the body (upgrade)."""
         control_headers = self._head.control_headers
         has_body = (
             "content-length" in control_headers
--- a/balsamspindle/requests/ingress.py
+++ b/balsamspindle/requests/ingress.py
@@ -39,9 +39,10 @@
 ERROR_STATUS_MIN = 500
 
 # Fraction of the shutdown timeout during which a leaving node still accepts requests.
-# Callers are directed to other nodes during the first half of the timeout. Requests
-# that arrive a little later were sent before their callers switched. The rest of the
-# timeout is long enough for a request that takes some seconds.
+# Callers are directed to other nodes during the first half of the timeout (0.5).
+# Requests that arrive between 0.5 and this fraction were sent before their callers
+# switched. The time from this fraction to the end of the timeout is long enough for a
+# request that takes some seconds.
 LAST_REQUEST_FRACTION = 0.55
 
 
@@ -57,8 +58,9 @@
     Attributes
     ----------
     caller_service : str
-        Name of the service that runs beside this node. Each request that arrives at
-        this node is sent to a backend server with this name as that of its caller.
+        Name of the service whose backend server runs on this node's VM. For each
+        request that arrives at this node, backend servers get this name in a header, as
+        the name of the calling service.
     """
 
     def __init__(
@@ -326,11 +328,11 @@
         )
         reply = self._forwarder.forward(forwarded)
         if reply.outcome is not Outcome.ANSWERED or reply.status >= ERROR_STATUS_MIN:
-            # The failure is recorded before the answer is sent. The caller may be the
-            # backend server beside this node, which made this call while it served
-            # another request. If the other request fails because of this call, this
-            # node's gate looks up the record of the failed call, and does not count the
-            # other request's failure against the backend server.
+            # This request's failure is recorded before the answer is sent. The caller
+            # may be the backend server beside this node, which sent this request while
+            # it served another one. If the other request fails because this one did,
+            # this node's gate finds the record of this request's failure. The gate then
+            # does not count the other request's failure against the backend server.
             self._on_failure(time.monotonic())
         if reply.outcome is Outcome.NOT_RUN:
             self._admissions.refund(admitted)
--- a/balsamspindle/requests/link_attempts.py
+++ b/balsamspindle/requests/link_attempts.py
@@ -1,10 +1,9 @@
 """Attempts sent to the gates of other nodes over links.
 
 If the reply to an attempt is late, a hedge may be sent to another gate in parallel.
-
-When a gate's node is leaving, the gate sends a notice for each attempt that may
-not finish before the node stops. The ingress then parks the attempt: it stays open
-while the request is sent to another gate. The first successful answer is used.
+When a gate's node is leaving, the gate sends a notice for each attempt that may not
+finish before the node stops. The ingress then parks the attempt: it stays open while
+the request is sent to another gate. The first successful answer is used.
 """
 
 import math
@@ -30,9 +29,9 @@
 
 __all__ = ["LinkAttempts"]
 
-# The stop time that a leaving node announces to gates is this much before the node's
-# real stop time, so that a gate's refusal arrives before the node stops. If the refusal
-# were lost, the caller would get `unknown` instead of `not_run`.
+# A leaving node announces a stop time this much before its real one. Gates refuse
+# attempts that would end after the announced time, so refusals arrive before the real
+# one. If a refusal were lost, the caller would get `unknown` instead of `not_run`.
 REPLY_RESERVE_S = 0.2
 
 
@@ -79,11 +78,11 @@
         self._outcomes = AttemptOutcomes(events, clock, lambda: self._aborted)
 
     def set_end_time(self, ends_s: float) -> None:
-        """Set this node's stop time; gates then start no run that would end later."""
+        """Set this node's stop time; gates then start no run for it that ends later."""
         self._announced_end_s = ends_s - REPLY_RESERVE_S
 
     def time_to_stop_ms(self) -> float | None:
-        """Return the time to the announced stop; None before `set_end_time`."""
+        """Return the time to the announced stop time; None before `set_end_time`."""
         if math.isinf(self._announced_end_s):
             return None
         return (self._announced_end_s - self._clock()) * 1000
@@ -193,7 +192,7 @@
         return unanswered[0]
 
     def cancel_parked(self, forwarded: ForwardedRequest, has_answer: bool) -> None:
-        """Cancel the open parked attempt, if any; `has_answer` decides the cause."""
+        """Cancel any parked attempt; `has_answer`: whether the request was answered."""
         if has_answer:
             cause = CancelCause.ANSWERED_ELSEWHERE
         else:
@@ -228,7 +227,7 @@
 
         def listen() -> None:
             attempts = forwarded.parked.all()
-            # After the other attempt, `own_end` is closed below, which ends this wait.
+            # The wait ends when `own_end` is closed below, after the other attempt.
             wait = self._build_wait(
                 forwarded, forwarded.deadline_s, listener_end.fileno(), lambda: True
             )
@@ -270,7 +269,7 @@
         return [second]
 
     def _declined_reply(self, forwarded, placement, declined: DeclinedAttempt) -> Reply:
-        """Record an attempt that was declined before it was sent; return a refusal."""
+        """Record an attempt that a query showed would be refused; return a refusal."""
         forwarded.tried.add(placement.backend_server.backend_server_id)
         forwarded.attempts += 1
         reply = Reply(
@@ -377,9 +376,10 @@
 
         If another attempt was answered, an attempt without a reply is not cancelled;
         only its link is closed. The gate can then measure how long the run takes, and
-        detect a backend server that hangs. Exception: while an attempt is parked, an
-        attempt without a reply is cancelled. The answer may be the parked attempt's. An
-        attempt without a reply may then have just started, and is not known to be slow.
+        detect a backend server that hangs. But while an attempt is parked, the answer
+        may be the parked attempt's. The attempt without a reply may then have started
+        much later. So it may be unanswered although its backend server is not slow, and
+        it is cancelled.
         """
         replies = {} if waited is None else waited.replies
         may_continue = is_answered(waited) and not forwarded.parked
--- a/balsamspindle/requests/placement_selection.py
+++ b/balsamspindle/requests/placement_selection.py
@@ -72,10 +72,10 @@
 # at the deadline, too late for their callers to retry. The time that remains after
 # this fraction is enough for a retry.
 QUEUE_WAIT_FRACTION = 0.5
-# A gate that refuses a request reports the wait in its queue. Another request may join
-# this queue if the reported wait is at most this fraction of the time that the other
-# request may still wait in queues. A longer queue indicates an overload, in which a
-# suspected backend server is the better choice.
+# A gate that refuses a request reports the wait in its queue. In step QUEUE, another
+# request may be sent to this queue if the reported wait is at most this fraction of the
+# time that the other request may still spend in queues. A longer wait indicates that
+# the service is overloaded; then a suspected backend server is the better choice.
 SHORT_QUEUE_FRACTION = 0.5
 
 
@@ -94,7 +94,7 @@
 
 
 def near_wait_ms(target_ms: float, answer_bytes: float) -> float:
-    """Return how long a request may wait in its own zone before it tries others.
+    """Return how many ms a request may wait in its own zone before it tries others.
 
     Parameters
     ----------
@@ -198,12 +198,15 @@
         remaining_ms: float,
         now_s: float,
     ) -> None:
-        """Add to a search the short queues that gates just reported to other requests.
-
-        For a while after a gate reported a long queue, step FAR excludes the gate. A
-        search in which all gates are excluded has no reported queues of its own. Its
-        request would then be sent to a suspected backend server, where 37 of 100 calls
-        fail, although the wait for a healthy backend server is only 0.2 s.
+        """Add to a search the queues that gates reported in replies to other requests.
+
+        For a while after a gate reported a wait above `near_wait_ms`, step FAR excludes
+        the gate, so the search sends it no attempt and gets no report from it. If all
+        gates are excluded, the request would be sent to a suspected backend server,
+        where 37 of 100 calls fail, although the wait for a healthy backend server is
+        only 0.2 s. So step QUEUE also uses a reported wait above `near_wait_ms` if it
+        is at most `SHORT_QUEUE_FRACTION` of `remaining_ms`, the time that the request
+        may still spend in queues.
         """
         for place in places:
             server_id = place.backend_server.backend_server_id
@@ -281,9 +284,9 @@
 
 
 def _remaining_near_wait_ms(search: Search, wait_ms: float, now_s: float) -> float:
-    """Return how much longer a request may wait in queues of its own zone.
+    """Return how many more ms a request may wait in queues of its own zone.
 
-    The allowed time ends `wait_ms` after the first call in a search.
+    The allowed time ends `wait_ms` after this function is first called for the search.
     """
     if search.queue_near_until_s is None:
         search.queue_near_until_s = now_s + wait_ms / 1000
@@ -291,10 +294,10 @@
 
 
 def _remaining_queue_wait_ms(forwarded: ForwardedRequest, now_s: float) -> float:
-    """Return how much longer a request may wait in the queues of step QUEUE.
+    """Return how many more ms a request may wait in the queues of step QUEUE.
 
-    The first call for a request sets the end of the allowed time, by means of
-    `QUEUE_WAIT_FRACTION`.
+    When this function is first called for a request, it sets the end of the allowed
+    time, `QUEUE_WAIT_FRACTION` of the request's remaining time later.
     """
     if forwarded.queue_until_s is None:
         remaining_s = forwarded.deadline_s - now_s
--- a/balsamspindle/requests/reply_wait.py
+++ b/balsamspindle/requests/reply_wait.py
@@ -42,8 +42,8 @@
     caller_left : callable
         Returns whether the caller closed its connection.
     on_dropped : callable
-        Called with the cause for each message that is dropped because it is not a
-        reply to the attempt.
+        Called each time a message is dropped because it is not a reply to the attempt.
+        Gets a text that says what was wrong with the message.
     is_aborted : callable, default=never
         Returns whether this node no longer waits for replies to any requests.
     node_ends_s : callable, default=infinity
@@ -95,9 +95,10 @@
     Returns
     -------
     WaitResult or None
-        The reply that ended the wait: a success, or any answer of a backend server to
-        one of `attempts`. If there was no such reply, the last reply to one of
-        `attempts`, such as a gate's refusal; None if there was no reply to any of them.
+        The reply that ended the wait: an answer of a backend server to one of
+        `attempts`, also an error, or a successful reply to a parked attempt. If there
+        was no such reply, the last reply to one of `attempts`, such as a gate's
+        refusal; None if there was no reply to any of them.
         If no answer arrives, the wait ends at the deadline, when the links or the
         caller's connection close, when this node no longer waits for any replies, or at
         a gate's notice that its node may stop before the attempt ends.
--- a/balsamspindle/requests/retries.py
+++ b/balsamspindle/requests/retries.py
@@ -38,8 +38,8 @@
 
     # No other attempt is allowed.
     FINAL = "final"
-    # The next attempt costs no token. For example, the ingress selected the gate with
-    # outdated information.
+    # The next attempt costs no token. For example, the ingress selected an unsuitable
+    # gate, because the ingress's information was outdated.
     FREE = "free"
     # The next attempt costs no token after a request's first reply with this reason,
     # and one token after each further reply with the same reason. The attempts did not
@@ -313,9 +313,10 @@
             latency = state.latency(route_id)
             if self.gates_limit_retries(service):
                 if is_own:
-                    # An attempt at the own gate is ended before its retry is sent. If
-                    # all gates then denied the retry, the request would fail, although
-                    # the first attempt might still have been answered.
+                    # The attempt may run until the deadline. An attempt at the own gate
+                    # is ended before its retry is sent. If it were ended early and all
+                    # gates then denied the retry, the request would fail, although the
+                    # first attempt might still have been answered.
                     return remaining_s
             elif not state.tokens.available(self._budget(service), now_s):
                 return remaining_s
--- a/balsamspindle/requests/siblings.py
+++ b/balsamspindle/requests/siblings.py
@@ -1,12 +1,14 @@
 """Assigns one rank to all calls of a request, so that gates serve all or none.
 
-While a backend server handles a request, it may make two or more calls of its own at
-the same time. If one of the calls fails, the backend server answers the request with an
-error. All these calls arrive at the node beside the backend server, at the same moment
-and with the same deadline. If the called service is overloaded, each gate refuses some
-calls independently of other gates. For example, if calls are made in pairs and six of
-ten calls are served, both calls are served for only four of ten pairs, and a third of
-the service's work is wasted.
+While a backend server handles a request, it may send two or more requests of its own,
+its calls, at the same time. If one of the calls fails, the backend server answers the
+request with an error. All these calls arrive at the node beside the backend server, at
+the same moment and with the same deadline. If the called service is overloaded, each
+gate refuses some calls independently of other gates. Suppose that calls are made in
+pairs, and that six of ten calls are served. Then both calls are served for only about
+four of ten pairs (0.6 * 0.6 = 0.36). Ten pairs get about twelve answers, but only eight
+of them belong to these four pairs. The other four answers, a third of the service's
+work, are wasted.
 
 The calls of one request therefore share a random rank, and every gate serves lower
 ranks first. The calls of a request with a low rank are then all served. The calls of a
@@ -21,31 +23,36 @@
 
 __all__ = ["SiblingRanks"]
 
-# Calls that arrive within this time of each other may belong to one request. The calls
-# of one request are made within 1 ms; the other 19 ms allow for delays on a shared CPU.
+# Calls that arrive within this time of each other may have been made for one request.
+# A backend server makes the calls for one request within 1 ms; the other 19 ms allow
+# for delays on a shared CPU.
 GROUPING_WINDOW_S = 0.02
-# Calls whose deadlines differ by more than this belong to different requests, because
-# all calls of one request have the request's deadline.
+# All calls that a backend server makes for one request have the deadline of that
+# request. If the deadlines of two calls differ by more than this, the calls are made
+# for different requests.
 DEADLINE_TOLERANCE_S = 0.02
-# Requests of a route are ranked if at least this fraction of them arrive together with
-# the route's previous request. For calls made in pairs, the fraction is a half; for
-# callers' independent requests at one node, it is almost 0. Requests without ranks are
-# served by deadline, and fewer of them are late than with ranks.
+# A route's requests get ranks if at least this fraction of them arrive together with
+# the route's previous request. If they are calls made in pairs, the fraction is a half;
+# if they are callers' independent requests at one node, it is almost 0. Independent
+# requests get no ranks: without ranks, gates serve them by target time, and fewer of
+# them are late than if random ranks changed their order.
 GROUPED_FRACTION_MIN = 0.25
 # The fraction of requests that arrive together is an exponential moving average; this
 # is the weight of the newest request. If the true fraction of a route changes, the
 # average follows within about twenty requests.
 SMOOTHING_FACTOR = 0.1
-# Difference between the due times of requests with the highest and the lowest rank, as
-# a multiple of the route's target time. This spread is about the longest time that
-# requests wait for a slot. With a smaller spread, requests that arrived far apart are
-# served in order of arrival; the longer the queue is, the less effect the ranks have.
+# Longest delay that a rank adds to a request's due time, as a multiple of the route's
+# target time. The due time is the end of the target time plus this delay; gates serve
+# requests by due time. If two requests of a route arrive further apart than the longest
+# delay, they are served in order of arrival, whatever their ranks. So the longest delay
+# is about the longest time that requests wait for a slot. With a shorter one, ranks
+# would have no effect between most of the requests in a long queue.
 RANK_SPREAD = 1.0
 ROUTES_MAX = 1000
 
 
 class _RouteState:
-    """A route's last request, and the fraction of requests that arrive together."""
+    """A route's last request, and the fraction that arrive with the previous one."""
 
     def __init__(self) -> None:
         self.arrived_s = float("-inf")
@@ -63,12 +70,14 @@
         self._routes: dict[int, _RouteState] = {}
 
     def rank_ms(self, route: RouteDocument, deadline_s: float, now_s: float) -> float:
-        """Return the delay that an arriving request's rank adds to its due time.
-
-        The rank is a random number from 0 to 1, and equal for requests that were sent
-        as calls of one request. Gates serve the requests in their queues by due time.
-        The delay is 0 if fewer than `GROUPED_FRACTION_MIN` of the route's requests
-        arrive together with the previous one.
+        """Return the delay in ms that an arriving request's rank adds to its due time.
+
+        The rank is a random number from 0 to 1. The request gets the rank of the
+        route's previous request if both arrive within `GROUPING_WINDOW_S` with the same
+        deadline: both are then probably calls that a backend server made for one
+        request. Gates serve the requests in their queues by due time. The delay is 0 if
+        fewer than `GROUPED_FRACTION_MIN` of the route's requests arrive together with
+        the previous one.
 
         Parameters
         ----------
--- a/balsamspindle/requests/zone_hints.py
+++ b/balsamspindle/requests/zone_hints.py
@@ -19,8 +19,9 @@
 __all__ = ["ZoneHints"]
 
 # Maximum number of nodes to which a hold-out is sent. In a small zone, these are all
-# other nodes. In a large zone, about this many nodes send requests to the same backend
-# server within a second; only these nodes need the hold-out.
+# other nodes. In a large zone, they are selected at random. Only nodes that would send
+# requests to the backend server need the hold-out: within a second, about as many nodes
+# as this, though not the same ones.
 PEERS_MAX = 12
 # A hold-out is shared again only if it was extended by at least this much. Each further
 # reply from the gate extends the hold-out by a few ms; this is not worth a message.
--- a/balsamspindle/services/held_out_servers.py
+++ b/balsamspindle/services/held_out_servers.py
@@ -13,9 +13,10 @@
 
 HOLD_OUTS_MAX = 10_000
 # A backend server counts as failing after this many bad results in a row. One error
-# does not show that it fails: a healthy backend server, which fails one request in a
-# hundred, is as likely to be the source of the error as an unhealthy one. Two errors in
-# a row show that the backend server is unhealthy.
+# does not show that it is unhealthy. Healthy backend servers fail only one request in a
+# hundred, but run so many more requests that a single error is as likely to come from a
+# healthy backend server as from an unhealthy one. Two errors in a row show that the
+# backend server is unhealthy.
 FAILING_IN_A_ROW = 2
 
 
--- a/bench/detection.py
+++ b/bench/detection.py
@@ -52,14 +52,14 @@
     """A detector and its parameters: one point of the detector's curve."""
 
     detector: str
-    value: tuple[float, ...]
+    parameters: tuple[float, ...]
 
     def make_detector(self, servers: int) -> Detector:
         """Return a new detector for a service with this number of backend servers."""
-        return _DETECTOR_FACTORIES[self.detector](servers, *self.value)
+        return _DETECTOR_FACTORIES[self.detector](servers, *self.parameters)
 
     def __str__(self) -> str:
-        return f"{self.detector} {'/'.join(f'{value:g}' for value in self.value)}"
+        return f"{self.detector} {'/'.join(f'{value:g}' for value in self.parameters)}"
 
 
 _DETECTOR_FACTORIES: dict[str, Callable[..., Detector]] = {
@@ -139,7 +139,9 @@
     healthy_h : float
         Virtual hours of the run without a fault, in which false ejections are counted.
     """
-    deployment = next(known for known in DEPLOYMENTS if known.name == deployment_name)
+    deployment = next(
+        candidate for candidate in DEPLOYMENTS if candidate.name == deployment_name
+    )
     runs: dict[Fault, list[RunResult]] = {fault: [] for fault in Fault}
 
     def run(service: Service, fault: Fault, seed: str, duration_s: float) -> None:
@@ -274,7 +276,7 @@
 def _describe_accuracy(as_fast: list[Figures], baseline: Figures) -> str:
     if not as_fast:
         return "no sequential setting is as fast"
-    best = min(as_fast, key=lambda point: (point.false_rate, point.setting.value))
+    best = min(as_fast, key=lambda point: (point.false_rate, point.setting.parameters))
     if not baseline.false_ejections:
         return f"{best.setting} is as fast with {_rate_text(best)} false/server-h"
     if not best.false_ejections:
--- a/bench/membership.py
+++ b/bench/membership.py
@@ -62,13 +62,13 @@
     sent = sum(node.member.budget.spent_bytes for node in nodes)
     received = sum(node.transport.received_bytes for node in nodes)
     frames = network.frames
-    started = time.process_time()
+    started_s = time.process_time()
     for second in range(int(seconds)):
         if on_second is not None:
             on_second(second)
         network.run(1.0)
     node_seconds = len(nodes) * seconds
-    cpu_s = time.process_time() - started
+    cpu_s = time.process_time() - started_s
     sent = sum(node.member.budget.spent_bytes for node in nodes) - sent
     received = sum(node.transport.received_bytes for node in nodes) - received
     return {
@@ -127,10 +127,10 @@
     victim, *others = nodes
     network.kill(victim)
     started_s = network.now_s
-    gone = network.run(
+    removed = network.run(
         120, lambda: all(victim.node_id not in node.alive() for node in others)
     )
-    return network.now_s - started_s if gone else math.inf
+    return network.now_s - started_s if removed else math.inf
 
 
 def measure_join(network, nodes) -> dict:
@@ -202,7 +202,7 @@
     """Return all figures of one fleet size."""
     network, nodes = start_fleet(size)
     idle = measure_rate(network, nodes, IDLE_S)
-    busy = measure_rate(network, nodes, IDLE_S, churn(nodes))
+    with_churn = measure_rate(network, nodes, IDLE_S, churn(nodes))
     network.run(20)
     news_s = measure_news_delay(network, nodes)
     join_figures = measure_join(network, nodes)
@@ -210,7 +210,7 @@
     return {
         "nodes": size,
         "idle": idle,
-        "churn": busy,
+        "churn": with_churn,
         "news_s": news_s,
         "death_s": death_s,
         "join": join_figures,
@@ -230,17 +230,17 @@
         news = node_news(number, TARGET_SERVERS_PER_NODE, TARGET_SERVICES)
         member.directory.apply(news, network.now_s)
     network.run(5)
-    started = time.process_time()
+    started_s = time.process_time()
     network.run(IDLE_S)
-    idle_fraction = (time.process_time() - started) / IDLE_S
-    started = time.process_time()
+    idle_fraction = (time.process_time() - started_s) / IDLE_S
+    started_s = time.process_time()
     for second in range(int(IDLE_S)):
         # A node joins in each second, so that the CPU includes the time in which the
         # member rebuilds its lists of nodes.
         news = node_news(nodes + 10 + second, 1, TARGET_SERVICES)
         member.directory.apply(news, network.now_s)
         network.run(1)
-    fraction_with_joins = (time.process_time() - started) / IDLE_S
+    fraction_with_joins = (time.process_time() - started_s) / IDLE_S
     return {
         "nodes": nodes,
         "cpu_fraction": idle_fraction,
@@ -281,7 +281,7 @@
     return {
         "nodes": nodes,
         "answering_nodes": ANSWERING_NODES,
-        "s_until_share": fraction_times_s,
+        "s_until_fraction": fraction_times_s,
         "received_bytes": joiner.transport.received_bytes,
         "sent_bytes": joiner.member.budget.spent_bytes,
     }
--- a/bench/membership_directory.py
+++ b/bench/membership_directory.py
@@ -52,12 +52,12 @@
     before_kb = _resident_kb()
     directory = Directory()
     retained.append(directory)
-    started = time.process_time()
+    started_s = time.process_time()
     for number in range(nodes):
         news = node_news(number, TARGET_SERVERS_PER_NODE, TARGET_SERVICES)
         frame = msgspec.msgpack.encode(news)
         directory.apply(msgspec.msgpack.decode(frame, type=NodeNews), 0.0)
-    load_s = time.process_time() - started
+    load_s = time.process_time() - started_s
     for service in directory.services():
         directory.placements(service)
     gc.collect()
@@ -86,7 +86,7 @@
 
 def _time_updates(directory: Directory, sample, with_read: bool = False) -> float:
     version = 2 + with_read
-    started = time.process_time()
+    started_s = time.process_time()
     for number in sample:
         known = directory.view(f"node-{number:05d}").entries
         record = next(iter(known.values())).record._replace(boot_id=str(version))
@@ -98,22 +98,22 @@
         directory.apply(news, 0.0)
         if with_read:
             directory.placements(record.service)
-    return time.process_time() - started
+    return time.process_time() - started_s
 
 
 def _time_reads(directory: Directory) -> float:
     services = directory.services()
-    started = time.process_time()
+    started_s = time.process_time()
     for service in services:
         directory.placements(service)
-    return (time.process_time() - started) / len(services)
+    return (time.process_time() - started_s) / len(services)
 
 
 def _time_digests(directory: Directory) -> float:
-    started = time.process_time()
+    started_s = time.process_time()
     for _ in range(100):
         directory.differing_buckets(directory.digests())
-    return (time.process_time() - started) / 100
+    return (time.process_time() - started_s) / 100
 
 
 def _resident_kb() -> int:
--- a/bench/membership_sockets.py
+++ b/bench/membership_sockets.py
@@ -24,15 +24,15 @@
     near = ZmqTransport(context, free_address(), keys)
     far = ZmqTransport(context, address, keys)
     _echo(near, far, address)
-    started = time.process_time()
+    started_s = time.process_time()
     for _ in range(ZMQ_MESSAGES):
         _echo(near, far, address)
-    message_us = 1e6 * (time.process_time() - started) / ZMQ_MESSAGES
-    started = time.process_time()
+    message_us = 1e6 * (time.process_time() - started_s) / ZMQ_MESSAGES
+    started_s = time.process_time()
     for _ in range(ZMQ_CONNECTS):
         near.disconnect(address)
         _echo(near, far, address)
-    connect_us = 1e6 * (time.process_time() - started) / ZMQ_CONNECTS
+    connect_us = 1e6 * (time.process_time() - started_s) / ZMQ_CONNECTS
     near.close()
     far.close()
     if authenticator is not None:
--- a/bench/queue_overload.py
+++ b/bench/queue_overload.py
@@ -109,8 +109,8 @@
 
     def _add_arrival(self, now_s: float) -> None:
         weight = HEAVY_WEIGHT if self._rng.random() < HEAVY_FRACTION else LIGHT_WEIGHT
-        known_weight = weight if self._plan.knows_weight else LIGHT_WEIGHT
-        request = _Request("a", known_weight, now_s + REQUEST_TIMEOUT_S)
+        queued_weight = weight if self._plan.knows_weight else LIGHT_WEIGHT
+        request = _Request("a", queued_weight, now_s + REQUEST_TIMEOUT_S)
         request.arrival_s, request.kind_weight = now_s, weight
         self._counts["arrived", weight] += 1
         self._request_slot(request, now_s)
@@ -131,9 +131,9 @@
             self._request_slot(request, now_s)
 
     def _request_slot(self, request: _Request, now_s: float) -> None:
-        known_s = SERVICE_TIME_S if self._plan.knows_service_time else 0.0
+        service_time_s = SERVICE_TIME_S if self._plan.knows_service_time else 0.0
         decision = self._queue.request_slot(
-            request, self._free_slots, SLOTS, known_s, now_s
+            request, self._free_slots, SLOTS, service_time_s, now_s
         )
         if decision is QueueDecision.WAIT:
             self._waiting.append(request)
--- a/bench/settings.py
+++ b/bench/settings.py
@@ -99,9 +99,11 @@
             wait_until(lambda node=node: node.revision() >= 1, "settings", 60.0)
         # Until a node knows the other nodes, it polls the platform itself. So nothing
         # is measured before all nodes know each other.
-        wait_until(lambda: self._all_know(count), "all nodes know each other", 90.0)
+        wait_until(
+            lambda: self._all_know_each_other(count), "all nodes know each other", 90.0
+        )
 
-    def _all_know(self, count: int) -> bool:
+    def _all_know_each_other(self, count: int) -> bool:
         statuses = [node.status() for node in self.nodes]
         return all(status and len(status["nodes"]) == count for status in statuses)
 
@@ -181,7 +183,7 @@
         return {
             "each_node": _summarize_delays(all_delays_s),
             "nodes_that_poll": _summarize_delays(by_source["platform"]),
-            "nodes_that_learn_from_peers": _summarize_delays(by_source["peer"]),
+            "learned_from_peers": _summarize_delays(by_source["peer"]),
             "last_node": _summarize_delays(last_node_delays_s),
         }
 
--- a/tests/at_most_once_utils.py
+++ b/tests/at_most_once_utils.py
@@ -30,7 +30,7 @@
     wait_until,
 )
 
-__all__ = ["BURST", "Fault", "FaultScheduleCase", "Requests", "ScheduleFleet"]
+__all__ = ["BURST", "Fault", "FaultScheduleCase", "RequestBursts", "ScheduleFleet"]
 
 SERVICE = "crew/contracts"
 TIMEOUT_MS = 500
@@ -142,20 +142,20 @@
             for record in status["backend_servers"]
         )
 
-    def runs(self, key: str, names: str = "ab") -> int:
-        """Return how often a request ran at the backend servers of the gates `names`.
+    def runs(self, key: str, gates: str = "ab") -> int:
+        """Return how often a request ran at the backend servers of `gates`.
 
         Runs before a backend server was killed and restarted count, too.
         """
         line = f"event=run run_key={key}"
         return sum(
             self.servers[name].log_path.read_text().splitlines().count(line)
-            for name in names
+            for name in gates
         )
 
-    def set_platform(self, mode: str, **more) -> None:
+    def set_platform(self, mode: str, **fields) -> None:
         """Set the fault mode of the platform."""
-        body = json.dumps({"mode": mode, **more}).encode()
+        body = json.dumps({"mode": mode, **fields}).encode()
         call(self.platform_address, "/faults", "POST", body)
 
     def drain(self, name: str, verb: str = "drain") -> None:
@@ -163,19 +163,19 @@
         address = self.nodes[name].admin_address
         call(address, f"/backend-servers/contract-{name}/{verb}", "POST", b"")
 
-    def flow(self, **directions: Flow) -> None:
+    def set_flow(self, **directions: Flow) -> None:
         """Set the flow of the given directions at the relay to gate a."""
         for direction, flow in directions.items():
             setattr(self.relay, direction, flow)
 
-    def backend_fault(self, **switch) -> Fault:
+    def backend_fault(self, **fields) -> Fault:
         """Return a fault that makes the backend server of gate a fail requests."""
         return Fault(
-            lambda: self.servers["a"].set_fault(**switch),
+            lambda: self.servers["a"].set_fault(**fields),
             lambda: self.servers["a"].set_fault(mode="none"),
         )
 
-    def backend_end(self, number: int) -> Fault:
+    def backend_signal_fault(self, number: int) -> Fault:
         """Return a fault that sends a signal to the backend server of gate a.
 
         The fault ends when the backend server is restarted.
@@ -185,35 +185,35 @@
             lambda: self.restart_server("a"),
         )
 
-    def node_end(self, name: str, number: int) -> Fault:
+    def node_signal_fault(self, name: str, number: int) -> Fault:
         """Return a fault that sends a signal to a node, and ends with its restart."""
         return Fault(
             lambda: self.nodes[name].signal(number), lambda: self.restart_node(name)
         )
 
-    def drained(self, name: str) -> Fault:
+    def drain_fault(self, name: str) -> Fault:
         """Return a fault that drains the backend server of a gate."""
         return Fault(lambda: self.drain(name), lambda: self.drain(name, verb="undrain"))
 
     def flow_fault(self, **directions: Flow) -> Fault:
         """Return a fault that loses or delays data on the network to gate a."""
         return Fault(
-            lambda: self.flow(**directions),
-            lambda: self.flow(forward=Flow.PASS, backward=Flow.PASS),
+            lambda: self.set_flow(**directions),
+            lambda: self.set_flow(forward=Flow.PASS, backward=Flow.PASS),
         )
 
     def platform_fault(self, mode: str) -> Fault:
         """Return a fault of the platform."""
         return Fault(lambda: self.set_platform(mode), lambda: self.set_platform("none"))
 
-    def frozen(self, find: Callable) -> Fault:
+    def freeze_fault(self, find: Callable) -> Fault:
         """Return a fault that suspends a process, which `find` returns."""
         return Fault(
             lambda: find().signal(signal.SIGSTOP),
             lambda: find().signal(signal.SIGCONT),
         )
 
-    def replaced_while_frozen(self) -> Fault:
+    def replacement_fault(self) -> Fault:
         """Return a fault that replaces gate a while its predecessor is suspended.
 
         Both processes have the same node id, and the relay forwards new connections to
@@ -243,7 +243,7 @@
         return Fault(inject, recover)
 
 
-class Requests:
+class RequestBursts:
     """Sends requests in bursts and checks the outcomes that callers receive."""
 
     def __init__(self, fleet: ScheduleFleet) -> None:
@@ -340,7 +340,7 @@
         super().setUpClass()
         cls.fleet = ScheduleFleet()
         cls.addClassCleanup(cls.fleet.__exit__)
-        cls.requests = Requests(cls.fleet)
+        cls.requests = RequestBursts(cls.fleet)
         cls.addClassCleanup(cls.requests.executor.shutdown)
 
     def check_fault(self, name: str, fault: Fault, fault_s: float = FAULT_S) -> Counter:
@@ -357,7 +357,7 @@
         # Twice as many requests as in the other bursts leave enough idle links for the
         # last burst. It then uses links that were opened before the fault, and that
         # the fault may have broken.
-        _results(requests.send_burst(bursts["after"], 2 * BURST))
+        _wait_for_outcomes(requests.send_burst(bursts["after"], 2 * BURST))
         pending = requests.send_burst(bursts["during"])
         requests.wait_running(bursts["during"])
         fault.inject()
@@ -365,15 +365,15 @@
         for moment in ("after", "during"):
             pending += requests.resend_keyed(bursts[moment], "j")
         time.sleep(fault_s)
-        _results(pending)
-        _results(requests.resend_keyed(bursts["before"], "j"))
+        _wait_for_outcomes(pending)
+        _wait_for_outcomes(requests.resend_keyed(bursts["before"], "j"))
         fault.recover()
         self.fleet.wait_all_ready()
         for ingress in ("i", "j"):
             pending = [
                 requests.resend_keyed(burst, ingress) for burst in bursts.values()
             ]
-            _results(itertools.chain(*pending))
+            _wait_for_outcomes(itertools.chain(*pending))
         for burst in bursts.values():
             requests.check(burst)
         by_moment = {moment: requests.outcomes[bursts[moment]] for moment in MOMENTS}
@@ -381,6 +381,6 @@
         return sum(by_moment.values(), Counter())
 
 
-def _results(pending) -> list[str]:
+def _wait_for_outcomes(pending) -> list[str]:
     """Wait for all futures; return their outcomes or raise the first failed check."""
     return [future.result() for future in pending]
--- a/tests/caller_side.py
+++ b/tests/caller_side.py
@@ -84,7 +84,9 @@
 
     def header_values(self, name: str) -> list[str]:
         """Return all values of a header."""
-        return [value for known, value in self.headers if known.lower() == name]
+        return [
+            value for header_name, value in self.headers if header_name.lower() == name
+        ]
 
     def header_value(self, name: str) -> str | None:
         """Return the only value of a header, or None without that header.
@@ -206,8 +208,8 @@
             self.events,
             customers=CustomerAdmission(configuration, freshness, limiter),
         )
-        self._task = threading.Thread(target=self.ingress.run)
-        self._task.start()
+        self._thread = threading.Thread(target=self.ingress.run)
+        self._thread.start()
         wait_until(self.ingress.accepting, "the ingress accepts connections")
         self._callers: list[RawCaller] = []
 
@@ -228,5 +230,5 @@
         self.ingress.stop()
         for caller in self._callers:
             caller.close()
-        self._task.join()
+        self._thread.join()
         self.executor.shutdown()
--- a/tests/crashing_server.py
+++ b/tests/crashing_server.py
@@ -74,7 +74,7 @@
         self._down_s = down_s
         self._lock = threading.Lock()
         self._stopped = threading.Event()
-        self._open: set[socket.socket] = set()
+        self._connections: set[socket.socket] = set()
         self.runs: list[Run] = []
         self.crashed_s: list[float] = []
         self.address = ""
@@ -92,7 +92,7 @@
             if self._listener is None:
                 return
             listener, self._listener = self._listener, None
-            connections, self._open = self._open, set()
+            connections, self._connections = self._connections, set()
             self.crashed_s.append(time.monotonic())
         listener.shutdown(socket.SHUT_RDWR)
         listener.close()
@@ -146,7 +146,7 @@
             except OSError:
                 return
             with self._lock:
-                self._open.add(connection)
+                self._connections.add(connection)
             threading.Thread(
                 target=self._serve, args=(connection,), daemon=True
             ).start()
@@ -160,7 +160,7 @@
             pass
         finally:
             with self._lock:
-                self._open.discard(connection)
+                self._connections.discard(connection)
             connection.close()
 
     def _answer(self, connection: socket.socket) -> bool:
--- a/tests/leaving_utils.py
+++ b/tests/leaving_utils.py
@@ -41,7 +41,7 @@
 
     Parameters
     ----------
-    fresh : bool, default=False
+    reconnects : bool, default=False
         Use a new connection for each request.
     target : str, default="/contracts"
         Path of the requests; the run key is appended.
@@ -60,7 +60,7 @@
         addresses,
         method="GET",
         pause_s=0.01,
-        fresh=False,
+        reconnects=False,
         target="/contracts",
     ):
         super().__init__(name=name, daemon=True)
@@ -68,7 +68,7 @@
         self._method = method
         self._pause_s = pause_s
         self._target = target
-        self._fresh = fresh
+        self._reconnects = reconnects
         self._stopped = threading.Event()
         self._connection: http.client.HTTPConnection | None = None
         self.calls: list[Call] = []
@@ -92,7 +92,7 @@
         body = run_key.encode() if self._method == "POST" else None
         try:
             connection = self._connection
-            if connection is None or connection.sock is None or self._fresh:
+            if connection is None or connection.sock is None or self._reconnects:
                 self._connect()
             self._connection.request(self._method, target, body, {"X-Run-Key": run_key})
             response = self._connection.getresponse()
--- a/tests/limit_fleet.py
+++ b/tests/limit_fleet.py
@@ -160,10 +160,10 @@
     ) -> None:
         self.fleet = fleet
         self.zone_weights: dict[str, dict[str, float]] = {}
-        shares = [1 / (rank + 3) for rank in range(customers)]
+        weights = [1 / (rank + 3) for rank in range(customers)]
         self.usual_rates = {
-            f"c-{rank}": per_s * share / sum(shares)
-            for rank, share in enumerate(shares)
+            f"c-{rank}": per_s * weight / sum(weights)
+            for rank, weight in enumerate(weights)
         }
         self.limits = {
             name: max(1.0, round(headroom * rate))
--- a/tests/member_network.py
+++ b/tests/member_network.py
@@ -153,20 +153,20 @@
             for one in range(count)
         )
 
-    def knows_servers(self, boot_id: str, of: "FakeNode") -> bool:
-        """Return whether this node's directory has all backend servers of node `of`.
+    def knows_servers(self, boot_id: str, other: "FakeNode") -> bool:
+        """Return whether this node's directory has all backend servers of node `other`.
 
         Each of them must have the given boot id. If the directory lacks the node or has
-        it as dead, the result is whether `of` has no backend servers.
+        it as dead, the result is whether `other` has no backend servers.
         """
-        view = self.directory.view(of.node_id)
+        view = self.directory.view(other.node_id)
         if view is None or view.is_dead:
-            return not of.servers
+            return not other.servers
         known = {s.backend_server_id: s for s in view.full_record().backend_servers}
         return all(
             known.get(one.backend_server_id, one._replace(boot_id="")).boot_id
             == boot_id
-            for one in of.servers
+            for one in other.servers
         )
 
 
--- a/tests/mixed_builds.py
+++ b/tests/mixed_builds.py
@@ -19,7 +19,7 @@
 from pathlib import Path
 
 from tests.mixed_fleet import (
-    CRASHING,
+    CRASHING_TARGET,
     CUSTOMER_HEADER,
     DOCUMENTS,
     PROOF_MAX_AGE_S,
@@ -31,7 +31,7 @@
 )
 from tests.utils import call, wait_until
 
-LOAD_PACE_S = 0.03
+LOAD_INTERVAL_S = 0.03
 
 
 def write_with(fleet: MixedFleet, build: Path, tag: str) -> None:
@@ -41,10 +41,10 @@
     for number in range(2):
         node = fleet.start_node(build, f"{tag}-{number}")
         fleet.start_server(build, node)
-        fleet.start_crashing(node)
+        fleet.start_crashing_server(node)
     fleet.wait_ready()
     assert fleet.sign(fleet.nodes[0], f"{tag}-key").status == 200
-    target = f"{CRASHING}/{tag}"
+    target = f"{CRASHING_TARGET}/{tag}"
     wait_until(
         lambda: (
             fleet.nodes[0].send(target).status == 503
@@ -61,23 +61,23 @@
     )
 
 
-def read_with(fleet: MixedFleet, build: Path, tag: str, before: list[str]) -> None:
+def read_with(fleet: MixedFleet, build: Path, tag: str, earlier: list[str]) -> None:
     """Check that a build reads what earlier builds stored under their tags."""
     history = fleet.ctl(build, "settings", "history", "crew", "--json")
     listed = fleet.ctl(build, "customers", "list", "crew")
     nodes = [fleet.start_node(build, f"{tag}-reads-{number}") for number in range(2)]
     for node in nodes:
         fleet.start_server(build, node)
-        fleet.start_crashing(node)
+        fleet.start_crashing_server(node)
     fleet.wait_ready()
-    for written in before:
+    for written in earlier:
         assert f"crew/{written}" in listed, f"customer of {written} is lost"
         assert f'"{written}"' in history, f"no change by {written} in the history"
         for node in nodes:
             answer = fleet.sign(node, f"{written}-key")
             assert not fleet.runs(f"{written}-key"), f"claim of {written} ran again"
             assert answer.outcome != "answered", answer
-            refused = node.send(f"{CRASHING}/{written}")
+            refused = node.send(f"{CRASHING_TARGET}/{written}")
             assert refused.status == 503, f"quarantine of {written}: {refused}"
             assert refused.json()["reason"] == "crashes_servers", refused
     got = json.loads(fleet.ctl(build, "settings", "get", "crew"))
@@ -141,28 +141,28 @@
         )
 
 
-def check_customers(fleet: MixedFleet, adds: Path, takes: Path, name: str) -> None:
+def check_customers(fleet: MixedFleet, build: Path, other: Path, name: str) -> None:
     """Check a customer's limit at all nodes, and that they refuse a removed key."""
-    fleet.ctl(adds, "customers", "add", f"crew/{name}", "--rate", "1", "--burst", "4")
-    key = fleet.ctl(adds, "customers", "give-key", f"crew/{name}").split()[-1]
+    fleet.ctl(build, "customers", "add", f"crew/{name}", "--rate", "1", "--burst", "4")
+    key = fleet.ctl(build, "customers", "give-key", f"crew/{name}").split()[-1]
 
-    def ask(node: Node) -> int:
+    def send(node: Node) -> int:
         return node.send("/customers/7", **{CUSTOMER_HEADER: key}).status
 
     for node in fleet.nodes:
-        wait_until(lambda node=node: ask(node) in (200, 429), "the key is valid")
+        wait_until(lambda node=node: send(node) in (200, 429), "the key is valid")
     time.sleep(5.0)
     began_s = time.monotonic()
-    statuses = Counter(ask(node) for _ in range(8) for node in fleet.nodes)
+    statuses = Counter(send(node) for _ in range(8) for node in fleet.nodes)
     took_s = time.monotonic() - began_s
     assert set(statuses) == {200, 429}, statuses
     # Each zone can grant one more request, since a bucket holds at least one token.
     assert statuses[200] <= 4 + took_s + len(fleet.nodes), statuses
-    listed = json.loads(fleet.ctl(takes, "customers", "list", "crew", "--json"))
+    listed = json.loads(fleet.ctl(other, "customers", "list", "crew", "--json"))
     digest = listed[f"crew/{name}"]["key_digests"][0][:8]
-    fleet.ctl(takes, "customers", "take-key", f"crew/{name}", digest)
+    fleet.ctl(other, "customers", "take-key", f"crew/{name}", digest)
     time.sleep(PROOF_MAX_AGE_S)
-    assert {ask(node) for node in fleet.nodes} == {401}, "a removed key is valid"
+    assert {send(node) for node in fleet.nodes} == {401}, "a removed key is valid"
 
 
 def check_settings(fleet: MixedFleet, build: Path, number: int) -> None:
@@ -188,16 +188,16 @@
     )
 
 
-def check_drain(fleet: MixedFleet, drains: Path, undrains: Path, target: Node) -> None:
+def check_drain(fleet: MixedFleet, build: Path, other: Path, target: Node) -> None:
     """Check that all nodes see a drain by one build, and its end by the other."""
     name = f"server-{target.name}"
 
     def is_used() -> set[bool]:
         return {node.explanation()[name]["takes_work"] for node in fleet.nodes}
 
-    fleet.ctl(drains, "drain", name, "--node", target.admin)
+    fleet.ctl(build, "drain", name, "--node", target.admin)
     wait_until(lambda: is_used() == {False}, f"{name} is drained at all nodes")
-    fleet.ctl(undrains, "undrain", name, "--node", target.admin)
+    fleet.ctl(other, "undrain", name, "--node", target.admin)
     wait_until(
         lambda: is_used() == {True},
         f"{name} is undrained at all nodes",
@@ -209,37 +209,37 @@
     name = f"server-{target.name}"
     call(fleet.servers[name], "/faults", "POST", b'{"mode": "error"}')
 
-    def takes(expected: bool) -> bool:
+    def is_used(expected: bool) -> bool:
         for node in fleet.nodes:
             node.send("/contracts/7")
         views = [node.explanation()[name] for node in fleet.nodes]
         return all(view["takes_work"] is expected for view in views)
 
-    wait_until(lambda: takes(False), f"{name} is ejected at all nodes", 30.0)
+    wait_until(lambda: is_used(False), f"{name} is ejected at all nodes", 30.0)
     call(fleet.servers[name], "/faults", "POST", b'{"mode": "none"}')
-    wait_until(lambda: takes(True), f"{name} is used again by all nodes", 60.0)
+    wait_until(lambda: is_used(True), f"{name} is used again by all nodes", 60.0)
 
 
 def check_quarantine(fleet: MixedFleet, first: Node, second: Node) -> None:
     """Check that all nodes refuse a request that crashed servers beside two nodes."""
-    fleet.start_crashing(first)
-    fleet.start_crashing(second)
+    fleet.start_crashing_server(first)
+    fleet.start_crashing_server(second)
     fleet.wait_ready()
     wait_until(
         lambda: all(
-            node.send(CRASHING).body.find(b"crashes_servers") >= 0
+            node.send(CRASHING_TARGET).body.find(b"crashes_servers") >= 0
             for node in fleet.nodes
         ),
         "all nodes refuse the request that crashes backend servers",
         READY_TIMEOUT_S,
     )
-    crashes = sum(server.crashes for server in fleet.crashing)
+    crashes = sum(server.crashes for server in fleet.crashing_servers)
     for node in fleet.nodes:
-        assert node.send(CRASHING).status == 503
-    assert crashes == sum(server.crashes for server in fleet.crashing)
-    for server in fleet.crashing:
+        assert node.send(CRASHING_TARGET).status == 503
+    assert crashes == sum(server.crashes for server in fleet.crashing_servers)
+    for server in fleet.crashing_servers:
         server.stop()
-    fleet.crashing = []
+    fleet.crashing_servers = []
     time.sleep(6.0)
 
 
@@ -263,19 +263,19 @@
 
     def _send(self, caller: int) -> None:
         number = 0
-        while not self._done.wait(LOAD_PACE_S):
+        while not self._done.wait(LOAD_INTERVAL_S):
             number += 1
             key = f"load-{id(self)}-{caller}-{number}"
             nodes = self._fleet.nodes
             for attempt in range(200):
                 node = nodes[(caller + number + attempt) % len(nodes)]
-                told = self._try(node, key, caller % 2 == 0)
-                if told is not None:
+                result = self._try(node, key, caller % 2 == 0)
+                if result is not None:
                     break
                 time.sleep(0.02)
             self.counts["sent"] += 1
-            if told != "200" or (caller % 2 and self._fleet.runs(key) != 1):
-                self.lost.append(f"{key} at {node.name}: {told}")
+            if result != "200" or (caller % 2 and self._fleet.runs(key) != 1):
+                self.lost.append(f"{key} at {node.name}: {result}")
 
     @staticmethod
     def _try(node: Node, key: str, is_read: bool) -> str | None:
@@ -375,8 +375,8 @@
                 (check_rolling_restart, old, new),
             ):
                 check(fleet, *arguments)
-                named = [getattr(a, "name", str(a)) for a in arguments]
-                report(f"{check.__name__} {' '.join(named)}")
+                argument_names = [getattr(a, "name", str(a)) for a in arguments]
+                report(f"{check.__name__} {' '.join(argument_names)}")
         finally:
             fleet.end()
 
--- a/tests/mixed_fleet.py
+++ b/tests/mixed_fleet.py
@@ -40,7 +40,7 @@
         "allows_anonymous": False,
     },
 }
-CRASHING = "/fragile/crashes"
+CRASHING_TARGET = "/fragile/crashes"
 CRASH_AFTER_S, DOWN_S = 0.08, 0.8
 READY_TIMEOUT_S = 40.0
 
@@ -131,11 +131,11 @@
 
 
 class CrashingServer:
-    """A backend server that crashes at each request for `CRASHING`, then restarts."""
+    """A backend server that crashes at requests for `CRASHING_TARGET` and restarts."""
 
     def __init__(self, name: str, node: Node) -> None:
         self._name, self._node, self._starts = name, node, 0
-        self._open: set[socket.socket] = set()
+        self._connections: set[socket.socket] = set()
         self.crashes = 0
         self.is_stopped = False
         self._start()
@@ -170,7 +170,7 @@
                 connection, _ = listener.accept()
             except OSError:
                 return
-            self._open.add(connection)
+            self._connections.add(connection)
             threading.Thread(
                 target=self._serve, args=(connection,), daemon=True
             ).start()
@@ -184,7 +184,7 @@
                     if not chunk:
                         return
                     data += chunk
-                if CRASHING.encode() in data:
+                if CRASHING_TARGET.encode() in data:
                     time.sleep(CRASH_AFTER_S)
                     self.crash()
                     return
@@ -204,14 +204,14 @@
         self.crashes += 1
         listener.shutdown(socket.SHUT_RDWR)
         listener.close()
-        for connection in list(self._open):
+        for connection in list(self._connections):
             try:
                 connection.shutdown(socket.SHUT_RDWR)
             except OSError:
                 # The peer has already closed the connection.
                 pass
             connection.close()
-        self._open.clear()
+        self._connections.clear()
         if not self.is_stopped:
             threading.Timer(DOWN_S, self._start).start()
 
@@ -231,7 +231,7 @@
         self.folder, self.store = folder, free_address()
         self.nodes: list[Node] = []
         self.servers: dict[str, str] = {}
-        self.crashing: list[CrashingServer] = []
+        self.crashing_servers: list[CrashingServer] = []
         self._processes: list[Process] = []
         self._add(Process(build, "standin_platform", ["--address", self.store],
                           folder / "store.log"))  # fmt: skip
@@ -257,9 +257,9 @@
         )
         self.servers[name] = address
 
-    def start_crashing(self, node: Node) -> None:
+    def start_crashing_server(self, node: Node) -> None:
         """Start a `CrashingServer` beside a node."""
-        self.crashing.append(CrashingServer(f"crashing-{node.name}", node))
+        self.crashing_servers.append(CrashingServer(f"crashing-{node.name}", node))
 
     def wait_ready(self, nodes=None) -> None:
         """Wait until nodes accept callers, know all backend servers and serve requests.
@@ -273,7 +273,10 @@
                     node.status().get("accepting")
                     and len(node.explanation()) >= count
                     and node.send("/contracts/ready").status == 200
-                    and (not self.crashing or node.send("/fragile/ready").status == 200)
+                    and (
+                        not self.crashing_servers
+                        or node.send("/fragile/ready").status == 200
+                    )
                 ),
                 f"{node.name} is ready",
                 READY_TIMEOUT_S,
@@ -281,11 +284,11 @@
 
     def ctl(self, build: Path, *words: str, text: str | None = None) -> str:
         """Run a build's operators' tool with `text` as input; return its output."""
-        known = ["--platform", self.store]
+        platform_option = ["--platform", self.store]
         if words[0] not in ("settings", "customers"):
-            known = []
+            platform_option = []
         done = subprocess.run(
-            [sys.executable, "-m", "balsamspindle.cli.ctl", *words, *known],
+            [sys.executable, "-m", "balsamspindle.cli.ctl", *words, *platform_option],
             cwd=build,
             env=environment(build),
             input=text,
@@ -315,13 +318,13 @@
         """
         for node in self.nodes:
             assert node.stop() == 0, f"{node.name} did not exit with status 0"
-        for server in self.crashing:
+        for server in self.crashing_servers:
             server.stop()
-        self.nodes, self.servers, self.crashing = [], {}, []
+        self.nodes, self.servers, self.crashing_servers = [], {}, []
 
     def end(self) -> None:
         """Kill all processes and stop all crashing backend servers."""
-        for server in self.crashing:
+        for server in self.crashing_servers:
             server.stop()
         for process in self._processes:
             process.kill()
--- a/tests/persistent_caller.py
+++ b/tests/persistent_caller.py
@@ -92,7 +92,7 @@
         answer = self._exchange(key) if is_open else None
         outcome = (answer and answer.outcome) or (NO_ANSWER if is_open else NOT_SENT)
         if answer is not None and answer.status == 200:
-            self._check_belongs(key, answer)
+            self._check_answer(key, answer)
         elif outcome == "answered":
             # The backend server itself refused or failed the request.
             outcome = f"answered {answer.status}"
@@ -102,7 +102,7 @@
         )
         return outcome
 
-    def _check_belongs(self, key: str, answer: HttpAnswer) -> None:
+    def _check_answer(self, key: str, answer: HttpAnswer) -> None:
         body = answer.json()
         if (body["run_key"], body["body"]) != (key, key):
             self.violations.append(
--- a/tests/platform_fleet.py
+++ b/tests/platform_fleet.py
@@ -20,17 +20,17 @@
 def _free_port_range() -> int:
     """Return the first of `PORT_COUNT` consecutive free ports."""
     while True:
-        first = free_port()
-        if all(free_port() == first + number for number in range(1, PORT_COUNT)):
-            return first
+        first_port = free_port()
+        if all(free_port() == first_port + number for number in range(1, PORT_COUNT)):
+            return first_port
 
 
 class PlatformNode:
     """A process that runs ``python -m balsamspindle.platform``."""
 
     def __init__(self, name: str, zone: str, store: str, folder: Path) -> None:
-        first = _free_port_range()
-        self.admin_address = f"{HOST}:{first + 1}"
+        first_port = _free_port_range()
+        self.admin_address = f"{HOST}:{first_port + 1}"
         listen = {
             name: f"{HOST}:{free_port()}"
             for name in ("inbound", "outbound", "ready", "control")
@@ -43,7 +43,7 @@
             "zone": zone,
             "region": "south",
             "listen": listen,
-            "port_range": [first, first + PORT_COUNT - 1],
+            "port_range": [first_port, first_port + PORT_COUNT - 1],
             "service": "crew",
             "platform": {"address": store},
             "bounds": ["retry_budget_ratio=0.2", "budget_slack=60", "grace=6s"],
--- a/tests/restart_checks.py
+++ b/tests/restart_checks.py
@@ -117,7 +117,7 @@
         if exchange.reason in NO_SERVER_REASONS and self._has_available_server(
             work, exchange
         ):
-            self.counts["refused_with_a_place"] += 1
+            self.counts["refused_with_available_server"] += 1
         if runs > 1 and not work.is_idempotent:
             self._record_violation("ran_twice", key, exchange)
         if exchange.outcome == "not_run" and runs:
@@ -131,7 +131,7 @@
         elif exchange.outcome == NO_ANSWER and self._trace.reached_gates[key]:
             self._record_violation("ended_without_answer", key, exchange)
         elif exchange.outcome == NO_ANSWER:
-            self.counts["ended_and_not_sent_on"] += 1
+            self.counts["ended_without_attempt"] += 1
         elif work.is_idempotent:
             self._check_given_up(work, key, exchange)
         else:
@@ -166,11 +166,11 @@
         if retry_end_s > exchange.sent_s + work.timeout_ms / 1000:
             self.counts["given_up_without_time"] += 1
         elif not self._has_available_server(work, exchange):
-            self.counts["given_up_without_place"] += 1
+            self.counts["given_up_without_server"] += 1
         elif retry_end_s <= sigterm_s + SHUTDOWN_TIMEOUT_S:
             self._record_violation("given_up_with_time_left", key, exchange)
         elif exchange.sent_s > sigterm_s:
-            self.counts["read_by_leaving_ingress_and_given_up"] += 1
+            self.counts["received_by_leaving_ingress_and_given_up"] += 1
         elif self._is_gate_leaving(key, exchange):
             self.counts["given_up_by_leaving_ingress_and_gate"] += 1
         else:
@@ -192,9 +192,9 @@
         elif self._trace.last_sent_s.get(key, 0.0) <= sigterm_s:
             self.counts["cut_by_leaving_ingress"] += 1
         elif self._is_duration_known(work, exchange.address, sigterm_s):
-            self._record_violation("started_to_be_cut", key, exchange)
+            self._record_violation("cut_with_known_duration", key, exchange)
         else:
-            self.counts["started_unknowing_to_be_cut"] += 1
+            self.counts["cut_with_unknown_duration"] += 1
 
     def _is_duration_known(
         self, work: WorkClass, address: str, sigterm_s: float
@@ -235,12 +235,14 @@
 
     def _has_available_server(self, work: WorkClass, exchange: Exchange) -> bool:
         outages = self._fleet.outages
-        out = {outage.target for outage in outages if outage.covers(exchange.ended_s)}
+        unavailable = {
+            outage.target for outage in outages if outage.covers(exchange.ended_s)
+        }
         services = self._fleet.services
         available = [
             name
             for name in services
-            if services[name] == work.service and name not in out
+            if services[name] == work.service and name not in unavailable
         ]
         needed = len(self._callers) // len(SERVICES) * SLOTS_PER_CALLER
         # A backend server that was just started is given only half of its load.
--- a/tests/restart_fleet.py
+++ b/tests/restart_fleet.py
@@ -29,7 +29,7 @@
 # Minimum number of nodes of each service that have no outage at any time; their
 # backend servers have none, either.
 UNAFFECTED_MIN = 1
-TURN_TIMEOUT_S = 60.0
+OUTAGE_START_TIMEOUT_S = 60.0
 STOP_TIMEOUT_S = 30.0
 READY_TIMEOUT_S = 40.0
 # Time from the start of a node or backend server until all nodes use it again.
@@ -195,7 +195,7 @@
         """Wait until a node may have an outage; record the outage when it ends."""
         with self._changed:
             assert self._changed.wait_for(
-                lambda: self._may_take_down(target), TURN_TIMEOUT_S
+                lambda: self._may_take_down(target), OUTAGE_START_TIMEOUT_S
             ), f"{kind} of {target} could not begin in time"
             self._affected.add(target)
         from_s = time.time()
--- a/tests/soak.py
+++ b/tests/soak.py
@@ -103,7 +103,7 @@
 
     def _inject_all(self, fleet: ScheduleFleet) -> None:
         """Start faults one after the other, each in a task that also ends the fault."""
-        busy: set[str] = set()
+        affected_targets: set[str] = set()
         lock = threading.Lock()
         with ThreadPoolExecutor(OVERLAP_MAX) as executor:
             recovering = []
@@ -112,12 +112,17 @@
                 fault_s = self._random.uniform(FAULT_MIN_S, FAULT_MAX_S)
                 planned = self._random.choice(_possible_faults(fleet))
                 with lock:
-                    if planned.target in busy or len(busy) >= OVERLAP_MAX:
+                    if (
+                        planned.target in affected_targets
+                        or len(affected_targets) >= OVERLAP_MAX
+                    ):
                         continue
-                    busy.add(planned.target)
+                    affected_targets.add(planned.target)
                 self.injected.append(planned.name)
                 recovering.append(
-                    executor.submit(_inject, fleet, planned, fault_s, busy, lock)
+                    executor.submit(
+                        _inject, fleet, planned, fault_s, affected_targets, lock
+                    )
                 )
             for future in recovering:
                 future.result()
@@ -155,7 +160,9 @@
             )
 
 
-def _inject(fleet, planned: PlannedFault, fault_s: float, busy: set[str], lock) -> None:
+def _inject(
+    fleet, planned: PlannedFault, fault_s: float, affected_targets: set[str], lock
+) -> None:
     planned.fault.inject()
     time.sleep(fault_s)
     planned.fault.recover()
@@ -167,7 +174,7 @@
             "the backend server of gate a answers",
         )
     with lock:
-        busy.discard(planned.target)
+        affected_targets.discard(planned.target)
 
 
 def _possible_faults(fleet: ScheduleFleet) -> list[PlannedFault]:
@@ -178,29 +185,31 @@
         for mode in modes
     ]
     planned += [
-        PlannedFault(f"backend-{number.name}", "server-a", fleet.backend_end(number))
+        PlannedFault(
+            f"backend-{number.name}", "server-a", fleet.backend_signal_fault(number)
+        )
         for number in (signal.SIGKILL, signal.SIGTERM)
     ]
     planned.append(
         PlannedFault(
-            "backend-frozen", "server-a", fleet.frozen(lambda: fleet.servers["a"])
+            "backend-frozen", "server-a", fleet.freeze_fault(lambda: fleet.servers["a"])
         )
     )
-    planned.append(PlannedFault("drained-b", "server-b", fleet.drained("b")))
+    planned.append(PlannedFault("drained-b", "server-b", fleet.drain_fault("b")))
     for name in "aij":
         for number in (signal.SIGKILL, signal.SIGTERM):
             planned.append(
                 PlannedFault(
                     f"node-{name}-{number.name}",
                     f"node-{name}",
-                    fleet.node_end(name, number),
+                    fleet.node_signal_fault(name, number),
                 )
             )
         planned.append(
             PlannedFault(
                 f"node-{name}-frozen",
                 f"node-{name}",
-                fleet.frozen(lambda name=name: fleet.nodes[name]),
+                fleet.freeze_fault(lambda name=name: fleet.nodes[name]),
             )
         )
     for direction in ("forward", "backward"):
@@ -245,11 +254,11 @@
     parser.add_argument("--faults", type=int, default=FAULT_COUNT)
     arguments = parser.parse_args()
     seeds = range(arguments.first, arguments.first + arguments.seeds)
-    broken = [
+    failures = [
         failure for seed in seeds if (failure := run_seed(seed, arguments.faults))
     ]
-    print(*broken, f"{len(broken)} of {len(seeds)} seeds failed", sep="\n")
-    return 1 if broken else 0
+    print(*failures, f"{len(failures)} of {len(seeds)} seeds failed", sep="\n")
+    return 1 if failures else 0
 
 
 if __name__ == "__main__":
--- a/tests/soak_crashes.py
+++ b/tests/soak_crashes.py
@@ -10,9 +10,9 @@
 for seconds. Backend servers also crash for other reasons, one or several at once. Nodes
 are killed, suspended and restarted, and the store fails. The soak checks that
 
-- a crashing path has at most `RUNS_AFTER_MAX` runs that begin more than
-  `KNOWN_S` after its third crash; runs through a node with a disturbance in the
-  last `KNOWN_S` don't count;
+- a crashing path has at most `LATE_RUNS_MAX` runs that begin more than
+  `PROPAGATION_S` after its third crash; runs through a node with a disturbance in the
+  last `PROPAGATION_S` don't count;
 - no harmless request is refused as the cause of a crash;
 - all nodes serve all harmless requests at the end.
 """
@@ -49,7 +49,7 @@
 NODES, SLOTS = 6, 4
 LOAD_S = 16.0
 # Time in which undisturbed nodes learn of a crash and refuse the path that caused it.
-KNOWN_S, RUNS_AFTER_MAX = 3.0, 3
+PROPAGATION_S, LATE_RUNS_MAX = 3.0, 3
 CAUSES_MAX = 3
 HARMLESS_COUNT = 8
 WORK_TIMES_S = (0.05, 0.3, 1.0, 2.0)
@@ -57,9 +57,7 @@
 GAP_MAX_S, FAULT_MIN_S, FAULT_MAX_S = 1.5, 0.3, 2.0
 CALL_TIMEOUT_S = 11.0
 SERVED_TIMEOUT_S = 30.0
-VERDICT_EVENTS = re.compile(
-    r"backend_server_crash|request_quarantined|quarantine_lifted"
-)
+CRASH_EVENTS = re.compile(r"backend_server_crash|request_quarantined|quarantine_lifted")
 
 
 @dataclass
@@ -110,7 +108,7 @@
         self._numbers = itertools.count()
         # Start and end of the time in which a node was killed or suspended, by node.
         self._disturbances: list[list[tuple[float, float]]] = [[] for _ in range(NODES)]
-        self._busy: set[str] = set()
+        self._affected_targets: set[str] = set()
         self.causes = {
             f"/vacancies/broken-{number}": Cause(
                 f"/vacancies/broken-{number}", self._random.uniform(0.02, 0.4)
@@ -144,7 +142,7 @@
                 self._check()
                 self._wait_served()
             except AssertionError:
-                self._print_verdicts()
+                self._print_crash_events()
                 raise
             finally:
                 for server in self._servers:
@@ -184,8 +182,8 @@
                 SERVED_TIMEOUT_S,
             )
 
-    def _next_id(self, who: str) -> str:
-        return f"{who}-{next(self._numbers):08d}"
+    def _next_id(self, prefix: str) -> str:
+        return f"{prefix}-{next(self._numbers):08d}"
 
     def _run_load(self) -> None:
         callers = len(self.causes) + len(self._work_time_s)
@@ -226,9 +224,9 @@
             name, target, inject = self._random.choice(self._possible_faults())
             fault_s = self._random.uniform(FAULT_MIN_S, FAULT_MAX_S)
             with self._lock:
-                if target in self._busy or len(self._busy) >= 2:
+                if target in self._affected_targets or len(self._affected_targets) >= 2:
                     continue
-                self._busy.add(target)
+                self._affected_targets.add(target)
             self.injected.append(name)
             injecting.append(executor.submit(self._inject, target, inject, fault_s))
         for future in injecting:
@@ -237,7 +235,7 @@
     def _inject(self, target: str, inject: Callable, fault_s: float) -> None:
         inject(fault_s)
         with self._lock:
-            self._busy.discard(target)
+            self._affected_targets.discard(target)
 
     def _possible_faults(self) -> list[tuple[str, str, Callable[[float], None]]]:
         """Return the faults to draw from: name, target and injecting function."""
@@ -277,7 +275,7 @@
             server.crash()
 
     def _kill(self, number: int, fault_s: float) -> None:
-        with self._disturbance(number):
+        with self._record_disturbance(number):
             self._nodes[number].kill()
             time.sleep(fault_s)
             self._nodes[number].start()
@@ -287,51 +285,51 @@
             self._kill(number, 0.0)
 
     def _pause(self, number: int, fault_s: float) -> None:
-        with self._disturbance(number):
+        with self._record_disturbance(number):
             process = self._nodes[number].process
             process.send_signal(signal.SIGSTOP)
             time.sleep(fault_s)
             process.send_signal(signal.SIGCONT)
 
-    def _disturbance(self, number: int) -> "_Disturbance":
+    def _record_disturbance(self, number: int) -> "_Disturbance":
         return _Disturbance(self._disturbances[number])
 
     def _check(self) -> None:
         assert not self.violations, (self.violations[:3], self.injected)
         for cause in self.causes.values():
-            after = self._runs_after(cause)
-            assert len(after) <= RUNS_AFTER_MAX, (
-                f"{cause.target} ({cause.crashes_after_s:.2f} s) ran {len(after)} "
-                f"times more than {KNOWN_S} s after its third crash: {after}",
+            late_runs = self._late_runs(cause)
+            assert len(late_runs) <= LATE_RUNS_MAX, (
+                f"{cause.target} ({cause.crashes_after_s:.2f} s) ran {len(late_runs)} "
+                f"times more than {PROPAGATION_S} s after its third crash: {late_runs}",
                 self.injected,
             )
 
-    def _print_verdicts(self) -> None:
+    def _print_crash_events(self) -> None:
         """Print the events on crashes and quarantines from the logs of all nodes."""
         for node in self._nodes:
             lines = node.log_path.read_text(errors="replace").splitlines()
-            print(*(line for line in lines if VERDICT_EVENTS.search(line)), sep="\n")
+            print(*(line for line in lines if CRASH_EVENTS.search(line)), sep="\n")
 
-    def _runs_after(self, cause: Cause) -> list[str]:
-        """Describe runs through undisturbed nodes, `KNOWN_S` after the third crash."""
+    def _late_runs(self, cause: Cause) -> list[str]:
+        """Describe runs at undisturbed nodes, `PROPAGATION_S` after the third crash."""
         crashed_s = sorted(cause.crashed_s)
         if len(crashed_s) < 3:
             return []
-        known_s = crashed_s[2] + KNOWN_S
+        counted_from_s = crashed_s[2] + PROPAGATION_S
         return [
             f"{run.request_id} at {number}, {run.began_s - crashed_s[2]:.2f} s"
             for number, server in enumerate(self._servers)
             for run in server.runs
             if run.target == cause.target
-            and run.began_s > known_s
+            and run.began_s > counted_from_s
             and self._is_undisturbed(number, run.began_s)
             and self._is_undisturbed(int(run.request_id.partition("-")[0]), run.began_s)
         ]
 
     def _is_undisturbed(self, number: int, at_s: float) -> bool:
-        """Return whether a node was undisturbed from `at_s - KNOWN_S` to `at_s`."""
+        """Return whether a node was undisturbed for `PROPAGATION_S` up to `at_s`."""
         return not any(
-            started_s <= at_s <= ended_s + KNOWN_S
+            started_s <= at_s <= ended_s + PROPAGATION_S
             for started_s, ended_s in self._disturbances[number]
         )
 
@@ -390,9 +388,9 @@
     parser.add_argument("--seeds", type=int, default=50)
     arguments = parser.parse_args()
     seeds = range(arguments.first, arguments.first + arguments.seeds)
-    broken = [failure for seed in seeds if (failure := run_seed(seed))]
-    print(*broken, f"{len(broken)} of {len(seeds)} seeds failed", sep="\n")
-    return 1 if broken else 0
+    failures = [failure for seed in seeds if (failure := run_seed(seed))]
+    print(*failures, f"{len(failures)} of {len(seeds)} seeds failed", sep="\n")
+    return 1 if failures else 0
 
 
 if __name__ == "__main__":
--- a/tests/soak_restarts.py
+++ b/tests/soak_restarts.py
@@ -34,7 +34,7 @@
 __all__ = ["REGRESSION_SEEDS", "run_seed"]
 
 # Causes of the faults that the seeds below found.
-_BUDGET = (
+_NO_RETRIES = (
     "a leaving gate ended several queries at once; their ingress ran out of retries"
 )
 _TOO_LONG = "a leaving ingress sent out work that lasts longer than its own shutdown"
@@ -42,24 +42,24 @@
 # the steps, but not which requests are running at each step. A fault may therefore
 # appear only in some runs of a seed.
 REGRESSION_SEEDS: dict[int, str] = {
-    4: f"{_BUDGET}; {_TOO_LONG}",
+    4: f"{_NO_RETRIES}; {_TOO_LONG}",
     5: _TOO_LONG,
-    8: f"{_BUDGET}; {_TOO_LONG}",
-    12: _BUDGET,
+    8: f"{_NO_RETRIES}; {_TOO_LONG}",
+    12: _NO_RETRIES,
     15: _TOO_LONG,
-    17: _BUDGET,
-    18: _BUDGET,
-    21: _BUDGET,
-    24: f"{_BUDGET}; {_TOO_LONG}",
-    27: _BUDGET,
-    28: _BUDGET,
-    29: _BUDGET,
-    31: f"{_BUDGET}; {_TOO_LONG}",
+    17: _NO_RETRIES,
+    18: _NO_RETRIES,
+    21: _NO_RETRIES,
+    24: f"{_NO_RETRIES}; {_TOO_LONG}",
+    27: _NO_RETRIES,
+    28: _NO_RETRIES,
+    29: _NO_RETRIES,
+    31: f"{_NO_RETRIES}; {_TOO_LONG}",
     32: _TOO_LONG,
-    36: f"{_BUDGET}; {_TOO_LONG}",
-    43: _BUDGET,
+    36: f"{_NO_RETRIES}; {_TOO_LONG}",
+    43: _NO_RETRIES,
     45: _TOO_LONG,
-    47: f"{_BUDGET}; {_TOO_LONG}",
+    47: f"{_NO_RETRIES}; {_TOO_LONG}",
 }
 
 NODES = 6
@@ -76,7 +76,7 @@
 FIRST_STEP_S = 2.0
 GAP_MIN_S, GAP_MAX_S = 0.3, 3.0
 SECOND_SERIES_MIN_S, SECOND_SERIES_MAX_S = 1.0, 5.0
-EXTRA_UNTIL_S = 12.0
+EXTRA_STEPS_END_S = 12.0
 # Bounds of the length of a burst of settings changes or a freeze, and of the time from
 # a kill to the restart.
 DURATIONS_S = {"settings": (0.1, 0.5), "freeze": (1.0, 5.0), "kill": (1.0, 5.0)}
@@ -110,7 +110,7 @@
     if rng.random() < UNPLANNED_PROBABILITY:
         kinds.append(rng.choice(UNPLANNED))
     for kind in kinds:
-        at_s = rng.uniform(0, EXTRA_UNTIL_S)
+        at_s = rng.uniform(0, EXTRA_STEPS_END_S)
         duration_s = rng.uniform(*DURATIONS_S.get(kind, (0, 0)))
         steps.append(Step(at_s, kind, rng.choice(names), duration_s))
     return sorted(steps)
@@ -160,10 +160,10 @@
                 checks = OutcomeChecks(fleet, callers)
                 checks.run()
                 fleet.wait_all_ready()
-                lost = [*executor.map(_retry_until_answered, callers)]
+                unanswered = [*executor.map(_retry_until_answered, callers)]
             checks.violations += [
                 f"not answered after the last step: {exchange}"
-                for exchange in lost
+                for exchange in unanswered
                 if exchange
             ]
             return checks
@@ -187,9 +187,9 @@
             for number in range(count * work.connections)
         }
 
-    def _send(self, caller: PersistentCaller, after_ms: float) -> None:
+    def _send(self, caller: PersistentCaller, delay_ms: float) -> None:
         # Without this delay all long requests would begin and end at the same time.
-        self._done.wait(after_ms / 1000)
+        self._done.wait(delay_ms / 1000)
         while not self._done.wait(REQUEST_INTERVAL_S):
             caller.send()
 
@@ -258,9 +258,9 @@
     seeds = list(REGRESSION_SEEDS) if arguments.again else seeds
     with ThreadPoolExecutor(arguments.jobs) as executor:
         results = executor.map(lambda seed: run_seed(seed, arguments.nodes), seeds)
-        broken = [failure for failure in results if failure]
-    print(*broken, f"{len(broken)} of {len(seeds)} seeds failed", sep="\n")
-    return 1 if broken else 0
+        failures = [failure for failure in results if failure]
+    print(*failures, f"{len(failures)} of {len(seeds)} seeds failed", sep="\n")
+    return 1 if failures else 0
 
 
 if __name__ == "__main__":
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -1,4 +1,4 @@
-"""Admission control at a gate with many attempts at once."""
+"""Tests which attempts a gate admits, queues or refuses."""
 
 import itertools
 import math
@@ -86,27 +86,30 @@
         admitted = [self._admit() for _ in range(SLOTS)]
         with ThreadPoolExecutor(QUEUE_MAX) as executor:
             waiting = [executor.submit(self._admit) for _ in range(QUEUE_MAX)]
-            wait_until(lambda: self.admission.waiting() == QUEUE_MAX, "all wait")
+            wait_until(
+                lambda: self.admission.waiting() == QUEUE_MAX, "all attempts wait"
+            )
             self.servers.drain("server")
             reasons = {future.result().reason for future in waiting}
         self.assertEqual({Reason.DRAINING}, reasons)
         for attempt in admitted:
             self.admission.release(attempt, WorkEnd.ANSWERED)
 
-    def test_a_heavier_attempt_takes_the_place_of_one_that_waits(self):
+    def test_a_heavier_attempt_replaces_a_lighter_one_that_waits(self):
         for _ in range(SLOTS):
             self._admit()
         self.document = ServiceDocument(queue_max=1)
         with ThreadPoolExecutor(2) as executor:
             light = executor.submit(self._admit, LIGHT)
-            wait_until(lambda: self.admission.waiting(), "it waits")
+            wait_until(lambda: self.admission.waiting(), "the light attempt waits")
             heavy = executor.submit(self._admit, HEAVY, 1.0)
             self.assertEqual(Reason.NO_FREE_SLOT, light.result().reason)
             self.assertEqual(Reason.DEADLINE, heavy.result().reason)
 
-    def test_a_timed_out_attempt_keeps_its_slot_for_a_while(self):
-        # The backend server hangs. If each time-out freed a slot at once, the backend
-        # server would get more and more requests at the same time.
+    def test_the_slot_of_a_timed_out_attempt_is_released_later(self):
+        # Guards against an overload of a backend server that hangs. It may still be
+        # working on an attempt that timed out. If each time-out released a slot at
+        # once, the gate would send it more and more requests at the same time.
         admitted = [self._admit() for _ in range(SLOTS)]
         for attempt in admitted:
             self.admission.release(attempt, WorkEnd.IN_DOUBT)
@@ -114,10 +117,10 @@
         self.assertEqual(Reason.DEADLINE, refused.reason)
         self.assertIsInstance(self._admit(), Admitted)
 
-    def test_a_leaving_node_starts_only_what_it_can_end(self):
-        # A leaving node cuts the runs that are left when its time is over. An attempt
-        # that gets a slot shortly before would be cut, and its outcome would be
-        # unknown. If it is refused as not run, it can go to another gate.
+    def test_a_leaving_node_refuses_attempts_that_would_run_too_long(self):
+        # Guards against unknown outcomes when a node leaves. At its end time, a leaving
+        # node cuts the attempts that still run. An attempt that is expected to run
+        # longer is refused as not run, so that it can be sent to another gate.
         server = self.servers.get("server")
         server.account.release(WorkEnd.ANSWERED, 1.0, time.monotonic())
         server.account.acquire()
@@ -131,15 +134,17 @@
         admitted = [admitted, *(self._admit() for _ in range(SLOTS - 1))]
         with ThreadPoolExecutor(1) as executor:
             waiting = executor.submit(self._admit)
-            wait_until(self.admission.waiting, "one waits")
+            wait_until(self.admission.waiting, "an attempt waits")
             self.admission.set_end_time(time.monotonic() + 1.5)
             self.assertEqual(Reason.DRAINING, waiting.result(5).reason)
         for attempt in admitted:
             self.admission.release(attempt, WorkEnd.ANSWERED)
 
-    def test_a_silent_backend_server_with_running_work_gets_no_more(self):
-        # The backend server stopped without notice or is cut off from its node, and
-        # one of its requests never ends.
+    def test_a_silent_backend_server_with_running_work_gets_no_attempts(self):
+        # Guards against attempts sent to a backend server that no longer announces
+        # itself. It has stopped without notice, or it is cut off from its node, and one
+        # of its requests never ends. After it has announced itself again, it gets
+        # attempts again.
         now_s = time.monotonic()
         admitted = self._admit()
         later_s = now_s + ANNOUNCEMENT_TTL_S + 1
@@ -159,7 +164,8 @@
         started_s = server.started_s
         capacities = [
             self.admission.capacity(server, started_s + age_s)
-            # Not exactly 3600: the floating-point sum may be rounded down.
+            # A little more than 3600 s, since the floating-point sum may be rounded
+            # down.
             for age_s in (0, 2500, 3600.001)
         ]
         self.assertEqual([0.25, 0.5, 1.0], capacities)
--- a/tests/test_admission_queries.py
+++ b/tests/test_admission_queries.py
@@ -1,4 +1,7 @@
-"""Queries to gates before large requests or requests to other zones are sent."""
+"""Queries that an ingress sends to a gate before it dispatches a request.
+
+An ingress sends a query before a large request and before a request to another zone.
+"""
 
 import io
 import socket
@@ -100,9 +103,10 @@
         self.assertEqual([], self.gates["here"].queries)
 
     def test_a_busy_gate_in_the_own_zone_is_not_sent_a_large_body(self):
-        # Without a query a body of 60 KB is sent to three or four busy gates, which
-        # refuse it. On links of 10 Mbit/s this delays other callers' short requests,
-        # which are then refused because the gates seem unreachable.
+        # Guards against large bodies that delay other callers' requests. Without a
+        # query, a body of 60 KB is sent to three or four busy gates, and each of them
+        # refuses the request. On links of 10 Mbit/s, these bodies delay short requests
+        # so much that the gates seem unreachable and the short requests are refused.
         self.gates["here"].declines = Reason.WOULD_WAIT
         reply = self._request(body=b"x" * 60_000)
         self.assertIs(Outcome.ANSWERED, reply.outcome)
@@ -123,24 +127,27 @@
         self.assertEqual(1, len(self.gates["there"].dispatches))
 
     def test_a_gate_in_another_zone_is_not_sent_a_request_that_it_declines(self):
-        # Without a query two of three such attempts are refused after the whole
-        # request was sent between zones. The answer to the query is used again in
-        # the last step, which queues the request where the wait is shortest.
+        # Guards against requests that are sent to another zone only to be refused
+        # there. Without a query, this happens to two of three such attempts. The
+        # ingress uses the answer to its query again when it finally sends the request
+        # to the gate with the shortest wait, so it sends only one query.
         self._refuse_in_own_zone()
         self.gates["there"].declines = Reason.WOULD_WAIT
         self.assertIs(Outcome.ANSWERED, self._request().outcome)
         self.assertEqual(1, len(self.gates["there"].queries))
         [dispatch] = self.gates["there"].dispatches
-        # The request may wait in that queue for half of its remaining time.
+        # The request may wait in the gate's queue for half of the request's remaining
+        # time.
         half_ms = dispatch.remaining_ms / 2
         self.assertAlmostEqual(half_ms, dispatch.wait_max_ms, delta=0.02 * half_ms)
         self.events.flush()
         self.assertIn("event=attempt_declined", self.log.getvalue())
 
     def test_a_gate_in_another_zone_is_sent_nothing_if_it_does_not_reply(self):
-        # The link is up, but the gate does not answer: it is stopped, or one direction
-        # is cut. No request was sent, so a non-idempotent one may go elsewhere. The
-        # gate is held out for a while.
+        # Guards against an unknown outcome when a gate does not answer a query. The
+        # link is up, but the gate is suspended, or one direction of the link is cut.
+        # Since no request was sent, the outcome is not_run, and even a non-idempotent
+        # request can be sent elsewhere. The link to the gate is held out.
         self._refuse_in_own_zone()
         self.gates["there"].declines = SILENT
         reply = self._request(timeout_s=1.0)
@@ -151,7 +158,7 @@
 
 
 class AdmissionAnswerTests(TestCase):
-    """A gate's answers to queries, which reserve nothing."""
+    """Tests a gate's answers to queries; a query reserves no slot."""
 
     def setUp(self):
         super().setUp()
@@ -168,7 +175,7 @@
         query = msgspec.structs.replace(query, **changes)
         return self.gate.preview(query, time.monotonic())
 
-    def test_a_query_reports_a_free_slot_without_taking_it(self):
+    def test_a_query_reports_a_free_slot_without_acquiring_it(self):
         for _ in range(3):
             reply = self._query_gate(wait_max_ms=0.0)
             self.assertEqual((7, None), (reply.number, reply.reason))
--- a/tests/test_announcements.py
+++ b/tests/test_announcements.py
@@ -1,4 +1,4 @@
-"""Announcements by the platform's backend servers, and by foreign clients."""
+"""Announcements by the platform's backend servers, and by other programs."""
 
 import json
 
@@ -21,7 +21,7 @@
 
 
 def announcement(born=1_700_000_000_000, **changes):
-    """Return an announcement with parts changed, or omitted where None is given."""
+    """Return an announcement with some fields replaced; None omits a field."""
     parts = {
         "address": "10.0.0.1:8080",
         "info": {"service": "a", "version": "v1", "zone": "z", "slots": 3},
@@ -58,17 +58,18 @@
         self.assertEqual(200, self.put(announcement(born=1_700_000_005_000)))
         self.assertEqual({"i-1": BackendServerState.READY}, self.states())
 
-    def test_a_leave_counts_only_for_the_start_that_it_names(self):
-        # The delayed leave of an earlier start arrives last.
+    def test_a_leave_that_names_an_earlier_start_is_ignored(self):
+        # Guards against a delayed leave message of an earlier start that removes the
+        # backend server's current start.
         self.put(announcement())
         body = json.dumps({"born": 1_600_000_000_000})
         self.assertEqual(200, self.client.delete(URL, data=body).status_code)
         self.assertEqual({"i-1": BackendServerState.READY}, self.states())
 
-    def test_announcements_by_foreign_clients_are_rejected(self):
-        # Another program on the VM sends requests to the same address, also with the
-        # id of the running backend server. Its requests are rejected, and the running
-        # backend server stays in service.
+    def test_invalid_announcements_by_other_programs_are_rejected(self):
+        # Guards against a backend server that is removed or replaced by the requests of
+        # another program. This program runs on the VM and sends requests to the same
+        # address, some of them with the id of the running backend server.
         self.put(announcement())
         foreign = [
             announcement(address=None),
--- a/tests/test_backend_client.py
+++ b/tests/test_backend_client.py
@@ -1,4 +1,4 @@
-"""Calls to a backend server: sent once, reported correctly, accepted only complete."""
+"""Calls to a backend server: requests are sent once, only complete answers accepted."""
 
 import os
 import socket
@@ -25,9 +25,9 @@
 WHOLE = answer_with_length(b"whole")
 HEAD_200 = b"HTTP/1.1 200 OK\r\n"
 
-# The bytes that a backend server sends before it closes the connection, and the
-# reason that the client reports. Each is incomplete, or can't be distinguished from an
-# incomplete answer.
+# The bytes that a backend server sends before it closes the connection, and the reason
+# that the client reports. Each answer is invalid, too large, incomplete, or can't be
+# distinguished from an incomplete one.
 BROKEN_ANSWERS = {
     "no bytes": (b"", Reason.BROKEN_ANSWER),
     "a head only": (HEAD_200, Reason.BROKEN_ANSWER),
@@ -122,10 +122,10 @@
         return self.client.call(address, execution=execution, **arguments)
 
     def test_a_reused_connection_that_dies_never_repeats_a_non_idempotent_post(self):
-        # The backend server answers one POST, reads the next one on the same
-        # connection, runs it and dies before it answers. libcurl takes that for a
-        # stale connection and sends the POST again by itself. One signature would be
-        # executed twice, without any error.
+        # Guards against a second run of which no error is reported. The backend server
+        # answers one POST, reads the next one on the same connection, runs it and dies
+        # before it answers. libcurl assumes that the connection was stale and sends the
+        # POST again by itself. One signature would be made twice.
         server = self._server(
             lambda number: (WHOLE, True) if number == 1 else (b"", False)
         )
@@ -135,9 +135,11 @@
         self.assertEqual(2, len(server.requests))
 
     def test_an_idempotent_request_that_was_resent_is_not_reported_as_unsent(self):
-        # A reused connection dies after the request was sent on it, the backend server
-        # stops listening, and the connection for libcurl's own second try is refused.
-        # The error is "could not connect", but the first try may have run.
+        # Guards against an outcome of not_run for a request that may have run. A reused
+        # connection dies after the request was sent on it, and the backend server stops
+        # listening. libcurl then makes a second try by itself, whose connection is
+        # refused. The error is "could not connect", although the first try may have
+        # run.
         server = self._server(lambda number: (WHOLE, True))
         self.assertEqual(200, self._call(server.address, Execution.IDEMPOTENT).status)
 
@@ -165,9 +167,10 @@
                 answer = self._call(server.address, execution)
                 self.assertEqual(BackendAnswer(200, [], b"whole"), answer, name)
 
-    def test_an_unexpected_second_answer_is_not_given_to_the_next_request(self):
-        # The backend server sends two answers to one request. On a reused connection
-        # the second one would be taken for the answer to the next request.
+    def test_a_second_answer_is_not_accepted_for_the_next_request(self):
+        # Guards against an answer for the wrong request. The backend server sends two
+        # answers to one request. On a reused connection, the client would accept the
+        # second one as the answer to the next request.
         stray = WHOLE + answer_with_length(b"stray")
         server = self._server(
             lambda number: (stray, True) if number == 1 else (WHOLE, True)
@@ -185,7 +188,7 @@
             )
             self.assertEqual((200, b""), (answer.status, answer.body))
 
-    def test_hop_by_hop_headers_are_not_passed_on(self):
+    def test_hop_by_hop_headers_are_not_forwarded(self):
         answer = answer_with_length(
             b"whole",
             b"Connection: X-Hop\r\nX-Hop: 1\r\nX-Kept: 2\r\n"
@@ -199,9 +202,10 @@
         self.assertIn(b"X-Too: 2", server.requests[0])
 
     def test_a_target_is_sent_unchanged_and_never_changes_the_host(self):
-        # In a URL, an `@` in the target would turn the backend server's address into a
-        # user name and the text after it into the host. Dot segments would be removed,
-        # and a `#` would cut off the rest.
+        # Guards against a target that is parsed as part of a URL. There, an `@` in the
+        # target would turn the backend server's address into a user name and the text
+        # after the `@` into the host. Dot segments would be removed, and the text from
+        # a `#` on would be cut off.
         server = self._server(lambda number: (WHOLE, True))
         other = self._server(lambda number: (WHOLE, True))
         targets = [f"@{other.address}/", "/a/../b/./c?x=1#y", "//a", "*", "/\xe9"]
@@ -212,7 +216,7 @@
         sent = [request.split(b" ")[1].decode("latin-1") for request in server.requests]
         self.assertEqual([target for target in targets for _ in Execution], sent)
 
-    def test_nothing_sent_is_said_only_before_a_connection_is_up(self):
+    def test_a_request_is_reported_as_unsent_only_without_a_connection(self):
         refused = self._call(free_address())
         self.assertEqual((Reason.UNREACHABLE, False), refused[:2])
         server = self._server(lambda number: (None, False))
@@ -222,10 +226,11 @@
         silent = self._call(server.address, timeout_ms=100)
         self.assertEqual((Reason.SILENCE, True), silent[:2])
 
-    def test_time_that_ends_while_it_connects_is_no_fault_of_the_backend_server(self):
-        # The backend server's listen backlog is full and the request has little time
-        # left, so it times out unsent. Reported as unreachable, it would count against
-        # the backend server's health.
+    def test_a_timeout_during_the_connect_is_not_reported_as_unreachable(self):
+        # The listen backlog of the backend server is full and the request has little
+        # time remaining, so the request times out before it is sent. If the client
+        # reported this as unreachable, it would count against the backend server's
+        # health.
         with socket.create_server(("127.0.0.1", 0), backlog=0) as listener:
             address = listener.getsockname()
             clients = [socket.socket() for _ in range(4)]
@@ -237,8 +242,10 @@
         self.assertEqual((Reason.DEADLINE, False), failure[:2])
 
     def test_a_cancelled_call_ends_the_backend_servers_connection_at_once(self):
-        # libcurl calls its progress callback only about once a second. Without the
-        # shutdown of the socket, the backend server would keep working meanwhile.
+        # Guards against a cancellation that takes effect late. libcurl calls its
+        # progress callback only about once a second. If the client waited for the
+        # callback and did not shut down the socket, the backend server would keep
+        # working for that time.
         server = self._server(lambda number: (None, False))
         for number, execution in enumerate(Execution, 1):
             token = CancelToken()
@@ -246,7 +253,9 @@
                 call = executor.submit(
                     self._call, server.address, execution, token=token
                 )
-                wait_until(partial(_has_requests, server, number), "it is sent")
+                wait_until(
+                    partial(_has_requests, server, number), "the request is sent"
+                )
                 token.cancel(CancelCause.NODE_LEAVING)
                 # A second cancellation does not change the cause.
                 token.cancel(CancelCause.CALLER_LEFT)
@@ -262,14 +271,14 @@
         self.assertEqual((Reason.CANCELLED, False), failure[:2])
         self.assertEqual([], server.requests)
 
-    def test_a_backend_server_is_told_the_time_that_is_left(self):
+    def test_the_remaining_time_is_sent_to_the_backend_server(self):
         server = self._server(lambda number: (WHOLE, True))
         self._call(server.address, timeout_ms=1234.9)
         self.assertIn(b"X-Request-Timeout-Ms: 1234\r\n", server.requests[0])
 
     def test_a_request_is_sent_with_the_callers_headers_and_no_others(self):
-        # If the caller sends no content type, libcurl declares the body as a web form,
-        # and a backend server would parse a signature as one.
+        # If a request has no content type, libcurl declares its body as a web form by
+        # itself, and a backend server would parse a signature as a form.
         server = self._server(lambda number: (WHOLE, True))
         self._call(server.address, headers=[("X-A", "1")])
         self._call(server.address, headers=[("Content-Type", "text/x")])
@@ -281,10 +290,11 @@
         self.assertEqual([own | {b"X-A"}, own | {b"Content-Type"}], names)
         self.assertIn(b"Content-Type: text/x\r\n", server.requests[1])
 
-    def test_a_body_with_any_byte_arrives_as_it_is(self):
-        # One of libcurl's two options for the body rejects a NUL byte in its Python
-        # binding. With it, such an attempt would fail with an exception and its caller
-        # would wait for an answer in vain.
+    def test_a_body_with_all_byte_values_arrives_unchanged(self):
+        # Guards against a caller that waits for an answer in vain. libcurl has two
+        # options for the body, and one of them rejects a NUL byte in the Python
+        # binding. If the client used this option, the attempt would fail with an
+        # exception.
         body = bytes(range(256))
         for execution in Execution:
             server = self._server(lambda number: (WHOLE, True))
@@ -293,10 +303,11 @@
             )
             self.assertTrue(server.requests[0].endswith(body))
 
-    def test_an_answer_to_another_request_is_not_passed_on(self):
-        # A backend server sends an answer twice, and the second one is still unread in
-        # the connection when the next request is sent on it. That request's caller
-        # would read data of another caller. The echoed request id shows the mismatch.
+    def test_an_answer_to_another_request_is_not_accepted(self):
+        # Guards against a caller that gets the answer to another caller's request. A
+        # backend server sends an answer twice, and the second copy is still unread in
+        # the connection when the next request is sent on this connection. The echoed
+        # request id shows that the copy belongs to another request.
         names = HeaderNames(echoes_request_id=True, signature="X-Signature")
         client = BackendServerClient(BODY_MAX_BYTES, names)
         heads = {
@@ -321,10 +332,11 @@
             )
             self.assertEqual(expected, result[0], head)
 
-    def test_a_late_second_answer_costs_the_next_request_nothing(self):
-        # A backend server answers a request twice. The second answer is still unread in
-        # the connection when the next request is sent on it, and is not accepted for
-        # that request. The request must not fail: it is sent once more, on a new
+    def test_an_unread_second_answer_does_not_fail_the_next_request(self):
+        # Guards against a request that fails because of an earlier one. A backend
+        # server answers a request twice, and the second answer is still unread in the
+        # connection when the next request is sent on this connection. The client
+        # rejects the unread answer and sends the request once more, on a new
         # connection. Requests that must not run twice never reuse a connection.
         names = HeaderNames(echoes_request_id=True)
         one = answer_with_length(b"one", b"X-Request-Id: r1\r\n")
@@ -351,10 +363,11 @@
             self.assertEqual([b"one", b"two"], bodies, stray)
             self.assertEqual(3, len(server.requests))
 
-    def test_an_answer_without_a_length_is_whole_only_after_an_orderly_end(self):
-        # If backend servers may end an answer by closing the connection, an answer
-        # whose connection is reset must not be taken for complete. By default an answer
-        # without a length is never accepted.
+    def test_an_answer_without_a_length_is_accepted_only_after_a_clean_close(self):
+        # By default, an answer without a length is never accepted. A client can be set
+        # to accept it after the backend server has closed the connection. Even then,
+        # the client must not accept an answer whose connection is reset, since it may
+        # be incomplete.
         answer = b"HTTP/1.1 200 OK\r\n\r\nwhole"
         lenient = BackendServerClient(BODY_MAX_BYTES, accepts_unframed=True)
         ended = self._server(lambda number: (answer, False))
@@ -367,7 +380,7 @@
         broken = lenient.call(reset.address, *arguments)
         self.assertEqual((Reason.BROKEN_ANSWER, True), broken[:2])
 
-    def test_ended_calls_keep_no_descriptors(self):
+    def test_ended_calls_leave_no_descriptors_open(self):
         server = self._server(lambda number: (WHOLE, True))
         self._call(server.address)
         before = len(os.listdir("/proc/self/fd"))
--- a/tests/test_caller_connections.py
+++ b/tests/test_caller_connections.py
@@ -12,32 +12,33 @@
 from tests.utils import wait_until
 
 HEAD_BEGUN_S = 0.2
-# With a shutdown timeout of one second, later than requests are still accepted.
+# A node with a shutdown timeout of one second refuses requests that arrive this long
+# after it began to leave.
 LATE_S = 0.7
 
 
 class SlowCallerTests(TestCase):
-    def test_a_head_that_trickles_in_ends_with_408(self):
+    def test_a_head_that_is_sent_too_slowly_is_answered_with_408(self):
         # Guards against callers that occupy a connection forever by sending a byte now
-        # and then: each byte restarts a plain socket timeout, so a few hundred such
+        # and then. Each byte restarts a plain socket timeout, so a few hundred of these
         # callers would use up all connections.
         fixture = IngressFixture(request_head_timeout_s=0.4)
         self.addCleanup(fixture.close)
         caller = fixture.caller().send(b"GET /con")
         stop = threading.Event()
 
-        def trickle():
+        def send_slowly():
             while not stop.wait(0.05):
                 caller.send(b"x")
 
-        trickling = threading.Thread(target=trickle)
-        trickling.start()
+        sender = threading.Thread(target=send_slowly)
+        sender.start()
         answer = caller.read()
         stop.set()
-        trickling.join()
+        sender.join()
         self.assertEqual((408, "not_run"), (answer.status, answer.json()["outcome"]))
 
-    def test_a_body_that_does_not_come_ends_with_408(self):
+    def test_an_incomplete_body_is_answered_with_408(self):
         fixture = IngressFixture(request_head_timeout_s=0.1, request_body_timeout_s=0.1)
         self.addCleanup(fixture.close)
         caller = fixture.caller().send(post(b"Content-Length: 5", b"abc"))
@@ -70,15 +71,16 @@
 
 
 class LateRequestTests(TestCase):
-    def test_a_request_read_late_by_a_leaving_node_is_refused_as_not_run(self):
-        # A node that has been leaving for a while receives a request on a connection
-        # accepted before. If it forwarded a long request, the request would be broken
-        # off at the shutdown timeout while a backend server works on it. After a
-        # refusal, the caller can use another node at once.
+    def test_a_request_that_a_leaving_node_reads_late_is_refused_as_not_run(self):
+        # Guards against a request that is cut at the shutdown timeout while a backend
+        # server works on it. A node that has been leaving for a while reads a request
+        # on a connection that it accepted earlier. The node refuses the request, so
+        # that the caller can use another node at once.
         fixture = IngressFixture(shutdown_timeout_s=1.0)
         self.addCleanup(fixture.close)
         caller = fixture.caller().send(GET[:-2])
-        # After its first bytes the connection is busy and is not closed.
+        # The node has received the first bytes of a request, so it considers the
+        # connection busy and does not close it when it stops.
         time.sleep(HEAD_BEGUN_S)
         fixture.ingress.stop()
         time.sleep(LATE_S)
@@ -97,14 +99,16 @@
     def test_a_request_that_ends_on_a_leaving_node_logs_how_long_it_has_been_leaving(
         self,
     ):
-        # One request ends before the node starts to leave and one after it. The run of
-        # the second was cut before, so its log line has both times.
+        # The first request ends before the node starts to leave, and the second one
+        # after that. The run of the second request is lost before the node starts to
+        # leave, so the log line of this request has both `leaving_ms` and
+        # `after_cut_ms`.
         fixture = IngressFixture()
         self.addCleanup(fixture.close)
         fixture.caller().send(GET).read()
         fixture.forwarder.answers_allowed.clear()
         busy = fixture.caller().send(GET)
-        wait_until(lambda: len(fixture.forwarder.forwarded) == 2, "one is busy")
+        wait_until(lambda: len(fixture.forwarder.forwarded) == 2, "one request runs")
         self.assertEqual(1, fixture.ingress.waiting_caller_count())
         fixture.forwarder.forwarded[1].run_lost_s = time.monotonic()
         fixture.forwarder.forwarded[1].stopped_by = StopReason.NO_PLACE
@@ -131,15 +135,19 @@
         self.addCleanup(self.fixture.close)
 
     def test_an_idle_connection_is_closed_for_a_new_one_and_a_busy_one_is_not(self):
-        # Guards against refusing a new caller while no request runs, only because
-        # callers keep idle connections open up to the limit.
+        # Guards against the refusal of a new caller because other callers keep idle
+        # connections open up to the limit, although no request runs.
         idle = self.fixture.caller().send(GET)
         idle.read()
         self.fixture.forwarder.answers_allowed.clear()
         busy = self.fixture.caller().send(GET)
-        wait_until(lambda: len(self.fixture.forwarder.forwarded) == 2, "one is busy")
-        newcomer = self.fixture.caller().send(GET)
-        wait_until(lambda: len(self.fixture.forwarder.forwarded) == 3, "both are busy")
+        wait_until(
+            lambda: len(self.fixture.forwarder.forwarded) == 2, "one request runs"
+        )
+        new_caller = self.fixture.caller().send(GET)
+        wait_until(
+            lambda: len(self.fixture.forwarder.forwarded) == 3, "two requests run"
+        )
         self.assertEqual((408, "gave_way"), _refusal(idle))
         refused = self.fixture.caller().send(GET)
         answer = refused.read()
@@ -148,16 +156,18 @@
         )
         self.assertEqual("not_run", answer.header_value("x-balsamspindle-outcome"))
         self.fixture.forwarder.answers_allowed.set()
-        self.assertEqual([200, 200], [busy.read().status, newcomer.read().status])
+        self.assertEqual([200, 200], [busy.read().status, new_caller.read().status])
 
-    def test_stopping_ends_idle_connections_and_answers_busy_ones(self):
+    def test_a_stopping_node_closes_idle_connections_and_answers_running_requests(self):
         # Guards against idle connections that keep the process alive until their idle
         # timeout, long after the shutdown timeout.
         idle = self.fixture.caller().send(GET)
         idle.read()
         self.fixture.forwarder.answers_allowed.clear()
         busy = self.fixture.caller().send(GET)
-        wait_until(lambda: len(self.fixture.forwarder.forwarded) == 2, "one is busy")
+        wait_until(
+            lambda: len(self.fixture.forwarder.forwarded) == 2, "one request runs"
+        )
         self.fixture.ingress.stop()
         self.assertEqual((408, "node_leaving"), _refusal(idle))
         self.assertFalse(self.fixture.ingress.ended())
@@ -165,7 +175,7 @@
         self.assertEqual("close", busy.read().header_value("connection"))
         self.assertTrue(busy.wait_for_close())
         busy.close()
-        wait_until(self.fixture.ingress.ended, "all are answered")
+        wait_until(self.fixture.ingress.ended, "all connections have ended")
 
 
 def _refusal(caller) -> tuple[int, str]:
--- a/tests/test_caller_gone.py
+++ b/tests/test_caller_gone.py
@@ -1,4 +1,4 @@
-"""When a caller leaves, the connection to its backend server is closed."""
+"""When a caller disconnects, the run of its request at the backend server is cut."""
 
 import json
 import socket
@@ -16,13 +16,13 @@
         "service": SERVICE,
         "execution": "non_idempotent",
         "methods": ["POST"],
-        # So long that only the caller's leaving can end the call.
+        # Long enough that no call ends because of its timeout.
         "timeout_ms": 600_000,
     },
 }
 
 
-class CallerGoneTests(TestCase):
+class CallerDisconnectTests(TestCase):
     def setUp(self):
         super().setUp()
         self.fleet = start_fleet(self, SETTINGS)
@@ -35,7 +35,7 @@
         self.fleet.wait_ready([self.gate, self.ingress], ["contract"])
 
     def _answer(self, number):
-        """Answer probes; let a signature request wait until its connection ends."""
+        """Answer probes; leave signature requests unanswered until they are cut."""
         if self.server.requests[number - 1].startswith(b"GET"):
             return answer_with_length(b"{}"), False
         return None, False
@@ -57,11 +57,12 @@
             json.dumps(announcement).encode(),
         )
 
-    def test_the_backend_servers_connection_ends_when_the_caller_leaves(self):
-        # The caller closes while the backend server works on its request. On the node
-        # of that backend server the task of the caller is busy with the call, so
-        # another thread has to check the caller. From another node, the cancellation
-        # has to go over a link.
+    def test_the_backend_servers_connection_ends_when_the_caller_disconnects(self):
+        # Guards against backend servers that work for a caller that has disconnected.
+        # If the caller is connected to the node of the backend server, the task that
+        # serves the caller waits for the call, so another thread has to check the
+        # caller's connection. If the caller is connected to another node, this node has
+        # to send the cancellation over a link.
         for number, node in enumerate((self.gate, self.ingress), 1):
             host, _, port = node.caller_address.partition(":")
             with socket.create_connection((host, int(port))) as caller:
@@ -79,12 +80,13 @@
                 f"the connection ends, caller at {node.settings['node_id']}",
             )
 
-    def test_the_gate_reports_whether_its_own_caller_left(self):
-        # Two runs are cut at one gate. The caller of the first is connected to the
-        # gate's own node, whose `CallerWatch` detects that it left. The caller of the
-        # second is connected to another node, which notifies the gate over a link.
+    def test_the_gate_reports_whether_a_caller_of_its_own_node_left(self):
+        # Two runs are cut at one gate. The caller of the first run is connected to the
+        # gate's own node, whose `CallerWatch` detects the disconnection. The caller of
+        # the second run is connected to another node, which notifies the gate over a
+        # link.
         for number, node in enumerate((self.gate, self.ingress), 1):
-            self._leave_a_signature(node, number)
+            self._send_and_disconnect(node, number)
         wait_until(lambda: len(self._cuts()) == 2, "both runs are reported as cut")
         self.assertEqual(["own_caller_left", "caller_left"], self._cuts())
         text = call(self.gate.admin_address, "/metrics").body.decode()
@@ -96,8 +98,8 @@
         events = read_events(self.gate.log_path)
         return [event["cut_by"] for event in events if "cut_by" in event]
 
-    def _leave_a_signature(self, node, number: int) -> None:
-        """Send a request and close its connection while it runs."""
+    def _send_and_disconnect(self, node, number: int) -> None:
+        """Send a request, and close its connection while the request runs."""
         host, _, port = node.caller_address.partition(":")
         with socket.create_connection((host, int(port))) as caller:
             caller.sendall(
--- a/tests/test_caller_side.py
+++ b/tests/test_caller_side.py
@@ -85,11 +85,11 @@
         self.fixture = IngressFixture(request_body_max_bytes=100_000)
         self.addCleanup(self.fixture.close)
 
-    def test_a_request_that_can_be_read_in_two_ways_is_refused(self):
-        # Guards against request smuggling: if two implementations on the way disagree
-        # where a request ends, the rest of one caller's body is served as the next
-        # caller's request. Each such request gets one answer and ends its connection,
-        # so that no bytes after it are read as a request.
+    def test_an_ambiguous_or_invalid_request_is_refused(self):
+        # Guards against request smuggling: if two programs between the caller and the
+        # backend server disagree where a request ends, the rest of one caller's body is
+        # served as the next caller's request. An ambiguous request gets one answer and
+        # ends its connection, so that the bytes after it are not read as a request.
         for name, (status, data) in REFUSED.items():
             follower = b"" if name == "endless header" else GET
             caller = self.fixture.caller().send(data + follower)
@@ -105,7 +105,7 @@
             caller.close()
         self.assertEqual([], self.fixture.forwarder.forwarded)
 
-    def test_complete_requests_before_a_bad_one_are_answered_first(self):
+    def test_complete_requests_before_an_invalid_one_are_answered_first(self):
         caller = self.fixture.caller().send(GET + GET + b"nonsense\r\n\r\n")
         self.assertEqual([200, 200, 400], [caller.read().status for _ in range(3)])
         self.assertTrue(caller.wait_for_close())
@@ -139,7 +139,7 @@
         targets = [caller.read().json()["target"] for _ in range(20)]
         self.assertEqual([f"/contracts/{number}" for number in range(20)], targets)
 
-    def test_a_chunked_body_arrives_whole_and_its_trailers_are_left_out(self):
+    def test_a_chunked_body_is_forwarded_complete_and_without_trailers(self):
         body = b"3\r\nabc\r\n2;x=y\r\nde\r\n0\r\nX-Request-Timeout-Ms: 1\r\n\r\n"
         answer = self.fixture.caller().send(post(CHUNKED, body)).read()
         self.assertEqual("abcde", answer.json()["body"])
@@ -170,7 +170,7 @@
         bodies = [caller.read().json()["body"] for _ in range(3)]
         self.assertEqual(["x", "x", ""], bodies)
 
-    def test_head_and_http_1_0(self):
+    def test_head_answers_have_no_body_and_http_1_0_connections_end(self):
         caller = self.fixture.caller().send(GET.replace(b"GET", b"HEAD") + GET)
         self.assertEqual(200, caller.read(is_head=True).status)
         self.assertEqual("GET", caller.read().json()["method"])
@@ -178,7 +178,7 @@
         self.assertEqual("close", caller.read().header_value("connection"))
         self.assertTrue(caller.wait_for_close())
 
-    def test_hop_by_hop_headers_are_not_passed_on(self):
+    def test_hop_by_hop_headers_are_not_forwarded(self):
         headers = (
             b"Host: a\r\nConnection: X-Hop, keep-alive\r\nX-Hop: 1\r\nTE: trailers\r\n"
             b"Keep-Alive: 5\r\nX-Balsamspindle-Outcome: not_run\r\nX-End: 2"
@@ -192,7 +192,8 @@
 
     def test_a_backend_server_can_not_set_headers_of_the_fleet(self):
         # A faulty or hostile backend server adds the fleet's own headers to its answer.
-        # A caller that trusted its "not_run" would send the request again.
+        # A caller that trusted a "not_run" from the backend server would send a request
+        # again that has run.
         self.fixture.forwarder.headers = [
             ("x-balsamspindle-outcome", "not_run"),
             ("X-Request-Id", "forged"),
@@ -216,10 +217,10 @@
                 kept, answer.header_value("x-request-id") == given_id.decode()
             )
 
-    def test_a_callers_timeout_can_shorten_the_routes_and_not_lengthen_it(self):
+    def test_a_callers_timeout_can_only_shorten_the_timeout_of_the_route(self):
         caller = self.fixture.caller()
-        for asked in (b"50", b"999999"):
-            header = b"Host: a\r\nX-Request-Timeout-Ms: " + asked
+        for timeout_ms in (b"50", b"999999"):
+            header = b"Host: a\r\nX-Request-Timeout-Ms: " + timeout_ms
             caller.send(get(headers=header)).read()
         short_ms, long_ms = self.fixture.forwarder.remaining_ms
         self.assertTrue(short_ms <= 50 and long_ms <= 2000, (short_ms, long_ms))
@@ -278,16 +279,18 @@
         pieces = [piece for piece in [*pieces, rest] if piece]
         self.assertEqual(read_all([stream]), read_all(pieces))
 
-    def test_each_stream_holds_the_expected_requests(self):
+    def test_each_stream_contains_the_expected_requests(self):
         counts = [len(read_all([stream])) for stream in STREAMS]
         self.assertEqual([3, 2, 2, 2, 2, 2], counts)
         self.assertEqual(Reason.BODY_TOO_LARGE, read_all([STREAMS[5]])[1])
 
 
-class WholeFleetTests(TestCase):
-    def test_a_refused_request_never_runs_and_an_accepted_one_runs_whole(self):
-        # With real processes: a request with a chunked body runs once, with the whole
-        # body. A request with two lengths does not run, nor do the bytes after it.
+class RealNodeTests(TestCase):
+    def test_a_refused_request_never_runs_and_an_accepted_one_runs_once(self):
+        # Guards against request smuggling through real nodes. The refused request gives
+        # its length in two ways, and the bytes after it look like another request.
+        # Neither may run. A request with a chunked body runs once, with its complete
+        # body.
         fleet = start_fleet(self, SETTINGS)
         ingress, gate = (fleet.start_node(f"node-{n}", f"zone-{n}") for n in range(2))
         server = fleet.start_backend("contract-1", "crew/contracts", gate)
--- a/tests/test_capacity_page.py
+++ b/tests/test_capacity_page.py
@@ -23,18 +23,19 @@
         # was recorded again without the page or a figure was edited by hand.
         self.assertIn(render_tables(self.measured), PAGE.read_text())
 
-    def test_each_part_has_its_figures(self):
+    def test_the_baseline_has_figures_for_each_part(self):
         self.assertEqual(set(PARTS), set(PARTS) & set(self.measured))
 
-    def test_a_row_over_its_target_says_that_it_misses(self):
+    def test_a_row_over_its_target_is_marked_as_missed(self):
         row = Row("node", "memory", "MB", 256.0, 512.0, "", "", "")
         self.assertFalse(row.met)
         self.assertEqual("**missed** 2x", row.margin)
 
-    def test_a_member_sends_no_more_than_the_baseline_says(self):
-        # Guards against more bytes for each change. A small fleet does not show
-        # them, but in a large one they use up the byte budget of members and delay
-        # all news. On the simulated clock each run sends the same number of bytes.
+    def test_the_bytes_that_a_member_sends_stay_within_their_bound(self):
+        # Guards against members that send more bytes for each change of a record. In a
+        # small fleet this is not noticed, but in a large one the additional bytes use
+        # up the byte budget of members and delay all news. On the simulated clock, each
+        # run sends the same number of bytes.
         _, bytes_per_s = ordinary_costs(NODE_COUNTS[0], RECORD_CHANGES_PER_S)
         baseline = self.measured["members"]["sent_bytes_per_s_smallest"]
         self.assertLess(bytes_per_s, SENT_BYTES_BOUND * baseline)
--- a/tests/test_claim_schedules.py
+++ b/tests/test_claim_schedules.py
@@ -1,4 +1,4 @@
-"""Keys under random faults, in a store that is restored from older copies."""
+"""Idempotency keys with random faults and a store restored from older copies."""
 
 from collections import Counter
 
@@ -12,14 +12,14 @@
 from tests.claim_world import SERVICE, Process, World, make_dispatch, make_reply
 
 COPY_INTERVAL_S = claim_eras.COPY_AGE_MAX_S / 2
-# After a few of these steps of time, a key is no longer resent.
+# Three of these steps make up the time for which callers resend a key.
 LONG_STEP_S = claim_eras.KEY_RESEND_MAX_S / 3
 
 
 class Schedule:
     """Callers that resend a key while processes fail and the store is restored.
 
-    When the time for resends is over, they go on with the next key.
+    When the time for which a key may be resent is over, they send the next key.
     """
 
     def __init__(self, seed: int) -> None:
@@ -150,8 +150,9 @@
 
 
 class RestoreScheduleTests(TestCase):
-    def test_a_key_runs_once_whatever_the_store_loses(self):
-        # Guards against a second run of a key after restores at random times.
+    def test_a_key_runs_at_most_once_after_restores_at_random_times(self):
+        # Guards against a second run of a key, and against 'not run' for a key that
+        # ran, after the store was restored at random times.
         self.patch(claim_eras, "RESTORE_WAIT_S", 0.0)
         outcomes, lost_claims, runs_after_restore = Counter(), 0, 0
         for seed in range(1000):
--- a/tests/test_claims.py
+++ b/tests/test_claims.py
@@ -26,7 +26,7 @@
 
 
 class Tables(TableService):
-    """The claims table in memory; each call uses up one entry of `faults`."""
+    """A claims table in memory; each call removes its fault from the list `faults`."""
 
     def __init__(self) -> None:
         self.rows: dict[str, Row] = {}
@@ -86,13 +86,14 @@
         self.assertIs(Reason.CLAIM_MOVED, resend.claim_for(THERE, 9.0))
         self.assertEqual("here", resend.owner_id())
         self.assertEqual(("here", 1, 1, 5.0), resend.claim_for(HERE, 9.0))
-        # The gate that holds the claim was not asked, and may have run the key.
+        # The claimant sent no request to the gate that has the claim, and this gate may
+        # have run the key.
         final = resend.final_reply(reply(Outcome.NOT_RUN, Reason.CLAIM_MOVED))
         self.assertEqual(
             (Outcome.UNKNOWN, Reason.DUPLICATE), (final.outcome, final.reason)
         )
 
-    def test_a_claim_moves_only_after_its_gate_said_not_run(self):
+    def test_a_claim_moves_only_after_its_gate_replied_not_run(self):
         claimant = self._claimant()
         claimant.claim_for(HERE, 5.0)
         claimant.record_reply(reply(Outcome.UNKNOWN, Reason.SILENCE))
@@ -101,7 +102,7 @@
         self.assertIsNone(claimant.owner_id())
         self.assertEqual(("there", 1, 2, 6.0), claimant.claim_for(THERE, 6.0))
 
-    def test_of_two_that_move_a_claim_one_wins(self):
+    def test_only_one_of_two_claimants_can_move_a_claim(self):
         first, second = self._claimant(), self._claimant()
         for claimant in (first, second):
             claimant.claim_for(HERE, 5.0)
@@ -112,9 +113,9 @@
 
     def test_not_run_is_not_replied_when_a_resend_runs_at_another_gate(self):
         # Guards against `not_run` for a resend while the first request runs. A backend
-        # server leaves, and its gate refuses the first request, which moves the claim
-        # to another gate and runs there. The resend, through another node, still uses
-        # the old claim and is refused by the first gate as well.
+        # server leaves, and its gate refuses the first request. The first request moves
+        # the claim to another gate and runs there. The resend, through another node,
+        # still uses the old claim and is refused by the first gate as well.
         first, resend = self._claimant(), self._claimant()
         first.claim_for(HERE, 5.0)
         self.assertIs(Reason.CLAIM_MOVED, resend.claim_for(THERE, 5.0))
@@ -133,11 +134,12 @@
         claimant.claim_for(HERE, 5.0)
         claimant.record_reply(refused)
         self.assertIs(Outcome.NOT_RUN, claimant.final_reply(refused).outcome)
-        # The store is down, so a resend may have moved the claim.
+        # While the store is down, the claimant can't check whether a resend has moved
+        # the claim.
         self.tables.faults = ["down"]
         self.assertIs(Outcome.UNKNOWN, claimant.final_reply(refused).outcome)
 
-    def test_a_write_whose_reply_was_lost_counts_as_our_claim(self):
+    def test_a_claim_is_made_although_a_write_or_its_reply_was_lost(self):
         for number, fault in enumerate(("lost reply", "lost")):
             claimant = KeyClaimant(
                 self.claims, SERVICE, f"key-{number}", time.monotonic() + 30
@@ -146,9 +148,9 @@
             self.assertEqual(1, claimant.claim_for(HERE, 5.0).version)
 
     def test_without_the_platform_nothing_runs_and_the_outcome_is_unknown(self):
-        # Guards against a second run: this request did not run, but an earlier one
-        # with its key may have, and after 'not run' the caller would sign again with
-        # a new key.
+        # Guards against a second run. This request did not run, but an earlier one with
+        # its key may have run. After 'not run' the caller would sign again with a new
+        # key.
         for faults, timeout_s in ((["down"], 30.0), (["slow"], 0.05)):
             self.tables.faults = faults
             claimant = self._claimant(timeout_s)
@@ -165,7 +167,7 @@
         self._claimant().claim_for(HERE, 5.0)
         self.assertIs(Outcome.UNKNOWN, self._claimant().final_reply(refusal).outcome)
 
-    def test_a_first_request_costs_one_write(self):
+    def test_a_first_request_needs_one_write(self):
         claimant = self._claimant()
         claimant.claim_for(HERE, 5.0)
         claimant.final_reply(reply(Outcome.ANSWERED))
@@ -173,10 +175,10 @@
 
 
 class Schedule:
-    """Callers that resend one key through failing gates, at random from a seed.
+    """Callers that resend one key through failing gates, in random steps from a seed.
 
-    Messages are lost, delayed and repeated, gates are replaced, time passes, and the
-    platform fails. Counts the runs of the key.
+    Messages are lost, delayed and repeated, gates are replaced, time passes, and calls
+    of the platform fail. Counts the runs of the key.
     """
 
     def __init__(self, seed: int) -> None:
@@ -269,12 +271,13 @@
 
 
 class ScheduleTests(TestCase):
-    def test_a_key_runs_once_over_all_gates_whatever_fails(self):
+    def test_a_key_runs_at_most_once_over_all_gates_with_random_faults(self):
         outcomes = Counter()
         for seed in range(1000):
             schedule = Schedule(seed)
             for _ in range(30):
                 schedule.step()
             outcomes += schedule.outcomes
-        # Each outcome must occur often, or the schedules would prove little.
+        # If one of the outcomes hardly occurred, the schedules would hardly test the
+        # cases that lead to it.
         self.assertTrue(all(outcomes[outcome] > 100 for outcome in Outcome), outcomes)
--- a/tests/test_claims_restored.py
+++ b/tests/test_claims_restored.py
@@ -37,8 +37,9 @@
         self.assertEqual(("a", Outcome.UNKNOWN), (owner, outcome))
         self.assertEqual("a", self._resend(world, "b", "a")[0].node_id)
 
-    def test_a_gate_that_was_restarted_leaves_a_key_unknown(self):
-        # Guards against a second run of a key whose gate lost its memory in a restart.
+    def test_a_key_is_unknown_after_its_gate_restarted(self):
+        # Guards against a second run of a key whose claim the store has lost and whose
+        # gate has restarted, so that the gate does not know that it ran the key.
         world = World()
         world.store.save_copy()
         world.run_at("a", ingress="a")
@@ -51,9 +52,10 @@
             self.assertIs(Reason.CLAIMS_UNAVAILABLE, claim)
             self.assertIs(Outcome.UNKNOWN, outcome)
 
-    def test_an_ingress_claims_a_key_again_that_ran_at_a_gate_which_is_gone(self):
-        # Guards against a second run after the time for resends, when the claims of
-        # processes that ended are no longer in doubt.
+    def test_an_ingress_claims_a_key_again_whose_gate_has_ended(self):
+        # Guards against a second run after `KEY_RESEND_MAX_S`. From then on, the era is
+        # settled although the gate has ended and can't claim the key again. Therefore
+        # the ingress that wrote the claim has to write it again.
         world = World()
         world.store.save_copy()
         world.run_at("a", ingress="c")
@@ -66,11 +68,11 @@
         claim, owner, outcome = self._resend(world, "b", "a")
         self.assertIs(Reason.CLAIM_MOVED, claim)
         self.assertEqual(("a", Outcome.UNKNOWN), (owner, outcome))
-        # Other keys are served again.
+        # Keys without a claim are served again.
         world.step_all()
         self.assertIsInstance(self._resend(world, "b", "a", "other")[0], Claim)
 
-    def test_a_gate_that_is_cut_off_leaves_keys_unknown_until_it_is_back(self):
+    def test_keys_are_unknown_until_their_gate_reaches_the_store_again(self):
         # Guards against a second run of a key whose gate can't reach the store to
         # claim it again.
         world = World()
@@ -89,8 +91,9 @@
         self.assertIs(Reason.CLAIM_MOVED, self._resend(world, "b", "b")[0])
         self.assertIsInstance(self._resend(world, "b", "b", "other")[0], Claim)
 
-    def test_a_claim_made_before_its_writer_heard_of_the_era_runs_nothing(self):
-        # Guards against a run under a claim that replaced a lost one.
+    def test_a_claim_made_before_its_writer_knew_the_era_allows_no_run(self):
+        # Guards against a second run of a key whose claim the store has lost. Before an
+        # ingress learns of the new era, it writes another claim for the key.
         world = World()
         world.store.save_copy()
         world.run_at("a")
@@ -98,7 +101,7 @@
         gate = world.processes["b"]
         late = gate.claimant()
         self.assertIs(Reason.CLAIMS_UNAVAILABLE, late.claim_for(gate.gate, 1.0))
-        # Another ingress finds that row before the gate that ran the key replaces it.
+        # Another ingress finds this claim before the gate that ran the key replaces it.
         claim = world.processes["c"].claimant().claim_for(gate.gate, 1.0)
         refused = gate.ledger.begin(make_dispatch(claim), world.now_s)
         self.assertIsInstance(refused, KeyRefused)
@@ -106,14 +109,15 @@
             world.step_all()
         self.assertEqual("a", self._resend(world, "b", "b")[1])
 
-    def test_a_claim_of_an_earlier_era_begins_nothing_once_keys_were_counted(self):
-        # Guards against a run that starts after its gate has listed the keys that it
-        # ran, and is therefore missing from the list.
+    def test_a_claim_of_an_earlier_era_allows_no_run_after_keys_were_listed(self):
+        # Guards against a run that is missing from its gate's list. A gate lists the
+        # keys that it ran when an era begins. A run under a claim of an earlier era
+        # that started later would not be listed.
         world = World()
         gate = world.processes["a"]
         claim = world.processes["c"].claimant().claim_for(gate.gate, world.now_s)
-        held = gate.ledger.begin_era(pack_version(2, 0), 0.0, world.now_s)
-        self.assertEqual([], held)
+        listed = gate.ledger.begin_era(pack_version(2, 0), 0.0, world.now_s)
+        self.assertEqual([], listed)
         refused = gate.ledger.begin(make_dispatch(claim), world.now_s)
         self.assertEqual(KeyRefused(Outcome.NOT_RUN, Reason.CLAIM_MOVED), refused)
 
@@ -128,7 +132,7 @@
         final = world.processes["b"].claimant().final_reply(refusal)
         self.assertIs(Outcome.UNKNOWN, final.outcome)
 
-    def test_keys_are_claimed_again_soon_when_all_processes_live(self):
+    def test_new_keys_are_soon_served_when_no_process_has_ended(self):
         # Guards against a fleet that serves no new keys after a restore.
         world = World()
         world.store.save_copy()
@@ -141,8 +145,8 @@
             claim, _, _ = self._resend(world, ingress, "a", f"new-{ingress}")
             self.assertIsInstance(claim, Claim)
 
-    def test_a_fleet_without_keys_calls_the_store_no_more_than_before(self):
-        # Guards against needless calls of all nodes at once after a restore.
+    def test_a_fleet_without_keys_writes_nothing_after_a_restore(self):
+        # Guards against needless writes of all nodes at once after a restore.
         world = World()
         world.store.save_copy()
         world.store.restore()
@@ -202,9 +206,10 @@
         eras.begin(2, 62.0)
         self.assertEqual(set(), eras.missing_holders({"here": Confirmation(1, 2)}))
 
-    def test_a_process_that_ended_since_the_last_answer_of_the_store_is_missing(self):
-        # Guards against a process that removes holders of claims while it is cut off
-        # from the store, although the copy restored later may lack their claims.
+    def test_a_process_that_ended_after_the_last_answer_of_the_store_is_missing(self):
+        # Guards against a process that is cut off from the store and removes the
+        # holders of claims that have ended. The copy that is restored later may have
+        # been made while these holders ran, and may lack their claims.
         here, gone = ClaimHolder("here", 1), ClaimHolder("gone", 1)
         eras = self._eras(here, gone)
         eras.record_holders([here], 30.0, 500.0)
@@ -237,7 +242,7 @@
         eras.begin(2, 50.0)
         self.assertEqual(set(), eras.missing_holders({"here": Confirmation(2, 2)}))
 
-    def test_a_request_after_the_time_to_restore_does_not_wait(self):
+    def test_a_request_later_than_the_restore_wait_is_not_delayed(self):
         eras = self._eras(ClaimHolder("here", 1))
         eras.begin(2, 50.0)
         now_s = 50.1 + claim_eras.RESTORE_WAIT_S
--- a/tests/test_claims_restored_processes.py
+++ b/tests/test_claims_restored_processes.py
@@ -7,7 +7,7 @@
 from tests.at_most_once_utils import ScheduleFleet
 from tests.utils import HttpAnswer, call, wait_until
 
-# Longer than it takes until each node of a new fleet knows all others.
+# Longer than a new fleet takes until each node knows all others.
 FLEET_KNOWN_S = 7.0
 
 
@@ -48,7 +48,7 @@
         self.assertEqual("answered", self._sign("j", "new").outcome)
 
     def test_a_key_whose_gate_was_killed_is_unknown(self):
-        # Guards against a second run when no process is left that knows of the first.
+        # Guards against a second run when no running process knows of the first run.
         self._store("copy")
         first = self._sign("a", "lost")
         self.assertEqual("contract-a", first.json()["server"])
--- a/tests/test_clock.py
+++ b/tests/test_clock.py
@@ -26,9 +26,9 @@
             self.assertLess(sent, clocks[target].observe(sent, wall_s))
 
     def test_a_clock_years_ahead_is_not_followed(self):
-        # One VM's clock is ten years ahead, and its messages reach all other VMs. If
-        # these followed it, all events of the fleet would carry a wrong time for
-        # years, even after that VM is gone.
+        # The clock of one VM is ten years ahead, and its messages reach all other VMs.
+        # If the other VMs followed this clock, all events of the fleet would carry a
+        # wrong time for years, even after this VM is removed.
         clock, wrong = HybridClock(), HybridClock(10 * 365 * 86_400)
         clock.tick(WALL_S)
         after = clock.observe(wrong.tick(WALL_S), WALL_S)
@@ -51,7 +51,8 @@
             value = clock.tick(WALL_S - count % 7)
             self.assertGreater(value, last)
             last = value
-        # The overflow adds two milliseconds, which the wall clock soon exceeds.
+        # The counter overflows twice, which adds two milliseconds. The wall clock soon
+        # exceeds this time.
         self.assertGreater(clock.tick(WALL_S + 0.1), last)
         self.assertEqual(
             int((WALL_S + 0.1) * 1000), clock.tick(WALL_S + 0.1) >> COUNTER_BITS
--- a/tests/test_closing.py
+++ b/tests/test_closing.py
@@ -37,9 +37,10 @@
         self.assertEqual([ANSWER] * CALLERS, [caller.recv(100) for caller in callers])
 
     def test_callers_that_connect_during_the_close_are_served_or_refused(self):
-        # Callers connect one after the other, as fast as possible, while the listener
-        # closes. Each must be either answered or refused at the connect. After a reset
-        # it could not tell whether the request it has sent was run.
+        # Guards against resets, after which a caller does not know whether its request
+        # was run. While the listener closes, callers connect one after the other, as
+        # fast as possible. Each caller must be either answered or refused when it
+        # connects.
         listener = socket.create_server(("127.0.0.1", 0), backlog=512)
         address = listener.getsockname()
         faults, answered = [], []
@@ -70,8 +71,9 @@
         self.assertGreaterEqual(len(answered), 100)
 
     def test_an_answer_is_delivered_despite_unread_bytes(self):
-        # The caller sends a request before it has read the last answer. A plain close
-        # with unread bytes would reset the connection and discard the answer.
+        # Guards against a lost answer. The caller sends a request before it has read
+        # the last answer. If the connection were closed while bytes are unread, it
+        # would be reset and the answer discarded.
         listener = socket.create_server(("127.0.0.1", 0))
         self.addCleanup(listener.close)
         caller = socket.create_connection(listener.getsockname(), 5)
--- a/tests/test_crash_spread.py
+++ b/tests/test_crash_gossip.py
@@ -1,4 +1,4 @@
-"""How fast quarantines reach all nodes, and the traffic this takes."""
+"""Tests how fast all nodes learn of a quarantine, and how much traffic this takes."""
 
 import random
 
@@ -11,7 +11,7 @@
 SERVICE, CAUSE = "crew/vacancies", 1
 # Longest time allowed from the third crash until all nodes refuse the request.
 KNOWN_WITHIN_S = 3.0
-CALM_S = 5.0
+SETTLE_S = 5.0
 
 
 class Fleet:
@@ -25,7 +25,7 @@
         self.network.introduce(self.nodes)
         for node in self.nodes:
             self.join(node)
-        self.network.run(CALM_S)
+        self.network.run(SETTLE_S)
 
     def join(self, node) -> None:
         history = self.histories[node.address] = CrashHistory(lambda service: 6)
@@ -65,38 +65,43 @@
 
 
 def test_all_nodes_know_the_cause_of_three_crashes_within_the_limit():
-    """Three gates saw one crash each, so none of them alone can find the cause.
+    """Guards against a quarantine that not all nodes know.
 
-    A caller may repeat the request at any node.
+    Each of the three crashes is detected by another gate, so no gate alone can find the
+    cause. A caller may repeat the request at any node.
     """
     fleet = Fleet(21)
     fleet.quarantine(random.Random(1).sample(fleet.nodes, 3))
     assert fleet.network.run(KNOWN_WITHIN_S, fleet.all_know)
 
 
-def test_a_fleet_of_233_nodes_knows_as_fast_and_with_bounded_traffic():
-    """In a large fleet each node forwards an update to five peers, not to all."""
+def test_all_of_233_nodes_know_the_cause_soon_and_with_bounded_traffic():
+    """Guards against nodes that send each update to all nodes, not to five peers."""
     fleet = Fleet(233, 5)
     before = sum(node.member.budget.spent_bytes for node in fleet.nodes)
-    calm_s = fleet.network.now_s
+    idle_from_s = fleet.network.now_s
     fleet.network.run(3.0)
-    per_s = sum(n.member.budget.spent_bytes for n in fleet.nodes) - before
-    per_s /= fleet.network.now_s - calm_s
+    idle_bytes_per_s = sum(n.member.budget.spent_bytes for n in fleet.nodes) - before
+    idle_bytes_per_s /= fleet.network.now_s - idle_from_s
     before = sum(node.member.budget.spent_bytes for node in fleet.nodes)
     began_s = fleet.network.now_s
     fleet.quarantine(random.Random(2).sample(fleet.nodes, 3))
     assert fleet.network.run(KNOWN_WITHIN_S - 0.5, fleet.all_know)
     spent = sum(node.member.budget.spent_bytes for node in fleet.nodes) - before
-    spent -= per_s * (fleet.network.now_s - began_s)
+    spent -= idle_bytes_per_s * (fleet.network.now_s - began_s)
     per_node_and_crash = spent / 233 / 3
-    # A crash, and the answers to the requests that ran beside its cause: six updates
-    # of about 300 bytes with the envelope, to five peers each. A node's limit is 9,000
-    # bytes in a second.
+    # Each crash can cause six updates: one for the crash, and one for each answer to
+    # the five requests that ran beside the cause. Each update has about 300 bytes with
+    # the envelope and is sent to five peers. A node's limit is 9,000 bytes in a second.
     assert per_node_and_crash < 9_000, per_node_and_crash
 
 
 def test_a_node_that_was_cut_off_catches_up():
-    """Updates sent during a partition are not sent again; the digests differ."""
+    """Guards against a node that never learns of the crashes during a partition.
+
+    The updates sent during the partition are not sent again. The node catches up
+    because its digest differs from those of its peers.
+    """
     fleet = Fleet(9)
     cut = fleet.nodes[4]
     fleet.network.delivers = lambda source, target: cut not in (source, target)
@@ -108,7 +113,11 @@
 
 
 def test_a_restarted_node_catches_up():
-    """It has nothing in memory, and callers may send it the same request again."""
+    """Guards against a restarted node that runs a quarantined request.
+
+    After the restart, the node has no crashes in memory, and callers may send it the
+    same request again.
+    """
     fleet = Fleet(9)
     fleet.quarantine([fleet.nodes[0], fleet.nodes[1], fleet.nodes[2]])
     fleet.network.run(1.0)
@@ -123,7 +132,7 @@
 
 
 def test_an_answer_at_one_node_lifts_the_quarantine_at_all():
-    """A request that was answered is refused by no node, in any order of updates."""
+    """Guards against nodes that refuse a request after another node answered it."""
     fleet = Fleet(9)
     fleet.quarantine([fleet.nodes[0], fleet.nodes[1]])
     now_s = fleet.network.now_s
@@ -131,8 +140,8 @@
     cleared = fleet.histories[node.address].record_answer(CAUSE, now_s)
     fleet.gossips[node.address].share(cleared, now_s)
     fleet.crash(fleet.nodes[5], 9)
-    # The node of the third crash quarantines the request before the answer is known
-    # there.
+    # The node of the third crash quarantines the request before it learns of the
+    # answer.
     assert fleet.knows(fleet.nodes[5])
     fleet.network.run(KNOWN_WITHIN_S)
     assert not any(map(fleet.knows, fleet.nodes))
@@ -140,20 +149,28 @@
 
 
 def test_answers_to_requests_lost_once_are_not_shared():
-    """A crash ends six runs; sharing each answer would take seven times the traffic."""
+    """Guards against nodes that share each answer to a request lost in only one crash.
+
+    A crash ends six runs. If each answer to these requests were shared, the traffic
+    would be seven times as high.
+    """
     fleet = Fleet(21)
     before = fleet.network.frames
     fleet.network.run(2.0)
-    calm = fleet.network.frames - before
+    idle_frames = fleet.network.frames - before
     before = fleet.network.frames
     fleet.crash(fleet.nodes[0], 1)
     fleet.network.run(2.0)
-    assert fleet.network.frames - before - calm <= 21 * 5
+    assert fleet.network.frames - before - idle_frames <= 21 * 5
     assert len({history.digest() for history in fleet.histories.values()}) == 1
 
 
-def test_an_answer_that_was_not_shared_counts_after_further_losses():
-    """A lookup is lost, answered at one node, and lost twice more at other nodes."""
+def test_an_answer_that_was_not_shared_prevents_a_later_quarantine():
+    """Guards against the quarantine of a lookup that was answered between its losses.
+
+    The lookup is lost once and then answered at one node, which does not share the
+    answer. Then the lookup is lost twice more at other nodes.
+    """
     fleet = Fleet(9)
     for number, node in enumerate(fleet.nodes[:3]):
         fleet.crash(node, number)
--- a/tests/test_crash_verdicts.py
+++ b/tests/test_crash_verdicts.py
@@ -1,4 +1,4 @@
-"""Which requests are quarantined: those that cause crashes, and none beside them."""
+"""Tests that only requests that cause crashes are quarantined, and how soon."""
 
 import random
 
@@ -19,8 +19,9 @@
 SERVERS = 6
 CAUSE = 1
 SHORT_S, LONG_S = 0.09, 1.5
-# Crashes within four seconds: the time of each, and the run times by request. Requests
-# 10 and 11 crash their backend servers; request 2 takes a second.
+# Crashes within four seconds: the time of each in seconds, and the run time in seconds
+# of each request that ran there. Requests 10 and 11 crash their backend servers.
+# Request 2 takes a second.
 CRASHES_WITH_THREE_CAUSES = [
     (0.00, {3: 0.099, 10: 0.110}),
     (0.12, {4: 0.042, 11: 0.084, 10: 0.110}),
@@ -37,7 +38,7 @@
 
 
 class CrashScenario:
-    """A `CrashHistory` that gets crashes one after the other, on a simulated clock."""
+    """A `CrashHistory` that receives crashes one by one, on a simulated clock."""
 
     def __init__(self, servers: int = SERVERS) -> None:
         self.quarantined: list[int] = []
@@ -74,8 +75,8 @@
 def test_requests_that_ran_beside_the_cause_are_not_quarantined():
     """Guards against the refusal of a lookup that causes no crash.
 
-    It runs beside the request that crashes backend servers and is retried beside it
-    again, so it is lost in several crashes too; the cause is lost in more.
+    The lookup and its retries run beside the request that crashes backend servers. So
+    the lookup is lost in several crashes too, but the cause is lost in more.
     """
     scenario = CrashScenario()
     scenario.crash({CAUSE: SHORT_S})
@@ -86,7 +87,7 @@
 
 
 def test_two_requests_that_share_all_their_crashes_are_not_quarantined():
-    """The cause is not known before one of them runs without the other."""
+    """Either of them may be the cause until one of them runs without the other."""
     scenario = CrashScenario()
     for _ in range(4):
         scenario.crash({CAUSE: SHORT_S, 2: SHORT_S})
@@ -96,8 +97,8 @@
     assert scenario.quarantined == [CAUSE]
 
 
-def test_an_answer_that_came_before_the_news_of_a_crash_clears_it():
-    # Guards against reports of crashes that arrive after the answer and keep the run.
+def test_an_answer_before_the_report_of_a_crash_clears_the_request():
+    # Guards against the suspicion of a request answered between a crash and its report.
     scenario = CrashScenario()
     for number in range(4):
         scenario.answer(2)
@@ -105,15 +106,15 @@
         update = CrashUpdate(
             [Crash(f"s-{number}", 1, SERVICE, 500, (CrashedRun(2, 90),))]
         )
-        told = scenario.history.merge(update, scenario.now_s)
-        assert [one.runs for one in told.crashes] == [()]
+        shared = scenario.history.merge(update, scenario.now_s)
+        assert [one.runs for one in shared.crashes] == [()]
         scenario.now_s += 2.0
     assert not scenario.is_blocked(2)
     assert not scenario.history.status_of(2, scenario.now_s).is_suspect
 
 
-def test_an_answer_long_before_a_crash_does_not_clear_it():
-    # Guards against a cause that stays unblocked because it was answered earlier.
+def test_an_answer_long_before_a_crash_does_not_clear_the_request():
+    # Guards against a cause that is not quarantined because it was answered earlier.
     scenario = CrashScenario()
     scenario.answer(CAUSE)
     scenario.now_s += 2.0
@@ -135,9 +136,9 @@
 def test_a_wave_of_crashes_quarantines_no_long_request():
     """Guards against the refusal of long lookups while backend servers flap.
 
-    The backend servers crash repeatedly for other reasons. A request that takes seconds
-    is lost in one crash after the other, alone on its backend server. As many backend
-    servers crash meanwhile that did not run it.
+    The backend servers crash for other reasons. A request that takes seconds is lost in
+    four crashes, alone on its backend server. Before each of these, five other backend
+    servers crash.
     """
     scenario = CrashScenario()
     for number in range(4):
@@ -147,7 +148,7 @@
     assert scenario.quarantined == []
 
 
-def test_the_cause_is_found_in_a_wave_of_crashes():
+def test_the_cause_is_quarantined_in_a_wave_of_crashes():
     """A cause is quarantined after at most five runs, whatever else crashes."""
     scenario, rng, runs = CrashScenario(), random.Random(7), 0
     while not scenario.is_blocked(CAUSE):
@@ -168,29 +169,30 @@
 
 
 def test_requests_in_waves_of_crashes_are_hardly_ever_refused():
-    """Requests of a second on six backend servers, which crash at random every second.
+    """Guards against the refusal of requests while backend servers crash at random.
 
-    A lost request is retried up to twice, as are its caller's repeats. One request in
-    ten thousand may be refused wrongly; a rule that only counts three crashes would
-    refuse dozens.
+    Requests take about a second on six backend servers, one of which crashes each
+    second. A lost request is retried up to twice, as are its caller's repeats. One
+    request in ten thousand may be refused wrongly. A rule that only counts three
+    crashes would refuse dozens.
     """
-    rng, scenario, tried, struck_three_times = random.Random(26), CrashScenario(), 0, 0
+    rng, scenario, tried, lost_three_times = random.Random(26), CrashScenario(), 0, 0
     for content_hash in range(1, 3_000):
-        hits = 0
-        while rng.random() < 0.17 and hits < 4:
-            company = {10**6 + rng.randrange(10**6): rng.random() for _ in range(3)}
+        losses = 0
+        while rng.random() < 0.17 and losses < 4:
+            others = {10**6 + rng.randrange(10**6): rng.random() for _ in range(3)}
             scenario.crash(
-                {content_hash: rng.uniform(0.05, 2.0), **company}, after_s=1.0
+                {content_hash: rng.uniform(0.05, 2.0), **others}, after_s=1.0
             )
-            hits += 1
+            losses += 1
         scenario.crash({10**7 + rng.randrange(10**6): rng.random()}, after_s=1.0)
         tried += 1
-        struck_three_times += hits >= 3
-    assert struck_three_times > 5
+        lost_three_times += losses >= 3
+    assert lost_three_times > 5
     assert len(scenario.quarantined) <= tried / 10_000
 
 
-def test_a_request_is_tried_after_its_block_and_one_crash_quarantines_it_again():
+def test_a_request_is_run_after_its_quarantine_and_one_crash_quarantines_it_again():
     scenario = CrashScenario()
     for _ in range(3):
         scenario.crash({CAUSE: SHORT_S})
@@ -203,7 +205,7 @@
     assert scenario.is_blocked(CAUSE)
 
 
-def test_a_request_that_is_answered_after_its_block_is_served_again():
+def test_a_request_that_is_answered_after_its_quarantine_is_served_again():
     scenario = CrashScenario()
     for _ in range(3):
         scenario.crash({CAUSE: SHORT_S})
@@ -250,8 +252,8 @@
 def test_the_loss_of_backend_servers_at_one_moment_quarantines_no_request():
     """Guards against the quarantine of a lookup after the loss of a rack.
 
-    Its caller had repeated it, so copies that began at different times ran at all the
-    backend servers lost. They ended for one reason, which counts as one crash.
+    Its caller had repeated the lookup, so copies that began at different times ran at
+    all lost backend servers. These ended for one reason, which counts as one crash.
     """
     scenario = CrashScenario()
     for ran_s in (0.2, 0.9, 2.4):
@@ -262,7 +264,7 @@
 
 
 def test_copies_of_the_cause_that_crash_at_one_moment_quarantine_it():
-    """They were started together and crash together, after the same run time."""
+    """The copies were started together and crash together, after the same run time."""
     scenario = CrashScenario()
     for ran_s in (0.088, 0.091, 0.09):
         scenario.crash({CAUSE: ran_s}, after_s=0.002)
@@ -270,10 +272,10 @@
 
 
 def test_the_cause_is_quarantined_when_the_request_beside_it_is_answered():
-    """A lookup that many callers send runs wherever the cause does.
+    """Guards against a fourth crash when a popular lookup always runs beside the cause.
 
-    After the third crash both are equally likely causes. The lookup's next answer shows
-    which one it is, without a fourth crash.
+    After the third crash both are equally likely causes. The next answer to the lookup
+    shows that the other request is the cause.
     """
     scenario = CrashScenario()
     for _ in range(3):
@@ -283,21 +285,22 @@
     assert scenario.quarantined == [CAUSE]
 
 
-def test_the_cause_is_quarantined_when_another_node_reports_that_answer():
+def test_the_cause_is_quarantined_when_another_node_shares_that_answer():
     scenario, other = CrashScenario(), CrashScenario()
     for _ in range(3):
         scenario.crash({CAUSE: SHORT_S, 2: 0.3})
     other.history.merge(scenario.history.export(scenario.now_s), scenario.now_s)
-    told = scenario.history.record_answer(2, scenario.now_s)
-    other.history.merge(CrashUpdate(told.crashes), scenario.now_s)
+    shared = scenario.history.record_answer(2, scenario.now_s)
+    other.history.merge(CrashUpdate(shared.crashes), scenario.now_s)
     assert other.quarantined == [CAUSE]
 
 
-def test_a_popular_request_is_not_taken_for_the_cause_of_a_wave():
-    """A lookup that many callers send runs at nearly all backend servers.
+def test_a_popular_request_is_not_quarantined_in_a_wave_of_crashes():
+    """Guards against the quarantine of a popular lookup in a wave of crashes.
 
-    Seven of them crash for another reason within two seconds, before any of its runs of
-    two seconds has ended. It ran at each crash, so no other crash shows the wave.
+    Many callers send the lookup, so it runs at nearly all backend servers. Seven of
+    them crash for another reason within two seconds. Each run takes two seconds, so
+    none ends before, and no crash without the lookup shows the wave.
     """
     scenario = CrashScenario()
     ran_s = (0.3, 1.4, 0.8, 1.9, 0.6, 1.1, 1.6)
@@ -307,10 +310,11 @@
 
 
 def test_a_cause_crashes_no_more_than_six_backend_servers_in_any_wave():
-    """The limit is three crashes, and three more during a wave of other crashes.
+    """Guards against a cause that is not quarantined in a wave of other crashes.
 
-    Each backend server of the service crashes every second for other reasons, and the
-    request takes longer to crash one that has just started.
+    A cause may crash three backend servers, and three more during a wave. Here each
+    backend server crashes every second for other reasons, and the cause takes longer to
+    crash one that has just started.
     """
     rng = random.Random(3)
     for crashes_after_s in (0.02, 0.1, 0.4, 1.5):
@@ -325,10 +329,10 @@
         assert crashes <= 6, crashes_after_s
 
 
-def test_a_long_request_in_the_worst_of_waves_is_not_taken_for_the_cause():
-    """Each backend server crashes every two seconds; work of two seconds rarely ends.
+def test_a_long_request_is_not_quarantined_when_all_backend_servers_crash():
+    """Guards against the refusal of a long request for minutes after a wave of crashes.
 
-    Guards against refusals for minutes after the wave.
+    Each backend server crashes every two seconds; requests of two seconds rarely end.
     """
     scenario = CrashScenario()
     for number, ran_s in enumerate((0.2, 1.7, 0.9, 0.4, 1.9, 1.2, 0.1, 1.5)):
@@ -338,7 +342,7 @@
     assert scenario.quarantined == []
 
 
-def test_a_lookup_that_follows_a_regular_wave_is_not_taken_for_the_cause():
+def test_a_lookup_that_follows_a_regular_wave_is_not_quarantined():
     # Guards against the quarantine of a request whose retries follow a wave of crashes
     # from one backend server to the next.
     scenario = CrashScenario()
@@ -347,8 +351,10 @@
     assert scenario.quarantined == []
 
 
-def test_a_lookup_lost_four_times_in_two_seconds_is_not_taken_for_the_cause():
-    # Guards against a crash rate that a short wave does not raise enough.
+def test_a_lookup_lost_four_times_in_two_seconds_is_not_quarantined():
+    # Guards against the quarantine of request 2, which is lost four times in two
+    # seconds. This happens if a short wave of crashes does not raise the crash rate
+    # enough.
     scenario, last_s = CrashScenario(2 * SERVERS), 0.0
     for at_s, runs in CRASHES_WITH_THREE_CAUSES:
         scenario.crash(runs, after_s=at_s - last_s)
@@ -356,7 +362,7 @@
     assert 2 not in scenario.quarantined
 
 
-def test_a_cause_that_was_also_there_at_another_crash_is_found():
+def test_a_cause_that_was_also_lost_in_another_crash_is_quarantined():
     # Guards against a cause that is not quarantined because it was also lost in a crash
     # with another cause.
     scenario = CrashScenario()
@@ -368,8 +374,8 @@
 
 
 def test_fewer_crashes_than_expected_are_no_evidence():
-    # Guards against the quarantine of a long request that is lost less often than
-    # expected.
+    # Guards against the quarantine of a long request that is lost less often than the
+    # crash rate of its service lets expect.
     crashes = [AttributedCrash(at_s, 10.0) for at_s in (0.0, 1.0, 2.0)]
     evidence = CauseEvidence(crashes, service_crash_count=60, server_count=SERVERS)
     assert coincidence_probability(evidence) >= SIMILAR_TIMES_PROBABILITY_MIN
@@ -377,7 +383,8 @@
 
 
 def test_backend_servers_that_have_ended_are_not_counted():
-    # Guards against a crash rate that falls as more backend servers crash.
+    # Guards against a crash rate per backend server that falls as more backend servers
+    # crash, because those that have ended are still counted.
     nodes = [NodeRecord(f"n{one}", 1, 1, "r", "z", "-", "-", "alive") for one in "ab"]
     ended = {("a-1", start_id("1")), ("a-2", start_id("2")), ("b-1", start_id("1"))}
     placements = [
