--- a/tests/test_crash_watch.py
+++ b/tests/test_crash_watch.py
@@ -1,4 +1,4 @@
-"""How a gate detects crashes, and what it does with a request that causes them."""
+"""How a gate detects crashes, and how it treats a request that causes them."""
 
 import io
 import socket
@@ -36,10 +36,10 @@
 
     def setUp(self):
         super().setUp()
-        self.hold = threading.Event()
+        self.may_end = threading.Event()
         self.server = RawServer(self._answer)
         self.addCleanup(self.server.close)
-        self.addCleanup(self.hold.set)
+        self.addCleanup(self.may_end.set)
         self.servers = LocalBackendServers()
         self._announce("1")
         self.log = EventLog("gate", 7, HybridClock(), io.StringIO())
@@ -67,8 +67,8 @@
         self.servers.announce("server", announcement, 0.0)
 
     def _answer(self, number):
-        """Hold a request until `hold` is set, then close its connection unanswered."""
-        self.hold.wait(10.0)
+        """Wait until `may_end` is set, then close the connection without an answer."""
+        self.may_end.wait(10.0)
         return b"", False
 
     def _dispatch(self, sequence, content_hash=CAUSE, **changes):
@@ -101,7 +101,7 @@
     def _crash(self):
         """Stop the backend server with all requests that run there."""
         self.server.close()
-        self.hold.set()
+        self.may_end.set()
 
     def _earlier_crashes(self, count, content_hash=CAUSE):
         for number in range(count):
@@ -137,28 +137,31 @@
         self.assertEqual(1, len(self._logged("backend_server_crashed")))
 
     def test_an_answer_broken_off_by_a_running_backend_server_is_no_crash(self):
-        # An unhealthy backend server resets half of its connections. If these counted
-        # as crashes, a request sent to it three times would be refused everywhere.
-        self.hold.set()
+        # An unhealthy backend server resets half of its connections. If these resets
+        # counted as crashes, all nodes would refuse a request that was sent to this
+        # backend server three times.
+        self.may_end.set()
         for sequence in range(1, 6):
             reply = self._begin(sequence).result()
             self.assertEqual(Reason.BROKEN_ANSWER, reply.reason)
         self.assertEqual([], self.updates)
 
     def test_a_crash_right_after_a_broken_answer_is_detected(self):
-        # A running backend server breaks off an answer; a moment later the next
-        # request crashes it.
-        self.hold.set()
+        # Guards against a crash that is missed because the backend server was still
+        # running after an earlier broken answer. The next request crashes it a moment
+        # later.
+        self.may_end.set()
         self.assertEqual(Reason.BROKEN_ANSWER, self._begin(1).result().reason)
-        self.hold.clear()
+        self.may_end.clear()
         running = self._begin(2)
         self._wait_running(2)
         self._crash()
         self.assertEqual(Reason.SERVER_CRASHED, running.result().reason)
 
     def test_a_restart_without_notice_is_a_crash(self):
-        # The backend server loses power: no connection ends, and its next start
-        # announces itself.
+        # Guards against a crash that is missed because no connection ends. The backend
+        # server loses power and restarts. The gate detects the crash when the backend
+        # server announces itself with another boot id.
         running = self._begin(1)
         self._wait_running(1)
         self._announce("2")
@@ -172,7 +175,7 @@
             "another", announcement, AnnouncedStatus(sequence), time.monotonic()
         )
 
-    def _first_lifetime(self):
+    def _announce_first(self):
         self.lifetimes = Lifetimes(self.servers, self.log)
         self.servers.on_replaced = self.watch.record_replacement
         announcement = Announcement(SERVICE, self.server.address, SLOTS, "")
@@ -181,60 +184,67 @@
         )
 
     def test_a_replacement_before_its_run_ends_is_a_crash(self):
-        # The node is suspended while its backend server crashes and is replaced under
-        # another id. When the node probes the address, it accepts connections again.
-        self._first_lifetime()
+        # Guards against a crash that a probe of the address can't detect. The node is
+        # suspended while its backend server crashes and is replaced under another id.
+        # When the node probes the address, the replacement already accepts connections
+        # there.
+        self._announce_first()
         running = self._begin(1)
         self._wait_running(1)
         self._announce_another(1)
-        self.hold.set()
+        self.may_end.set()
         self.assertEqual(Reason.SERVER_CRASHED, running.result().reason)
         self.assertTrue(self.updates)
 
     def test_a_replacement_right_after_a_broken_answer_is_a_crash(self):
-        # A supervisor replaces the backend server within a millisecond, before the
-        # gate probes the address. The announcement arrives a second later.
-        self._first_lifetime()
-        self.hold.set()
+        # Guards against a crash that a probe of the address can't detect. A supervisor
+        # replaces the backend server within a millisecond, before the gate probes the
+        # address. The replacement announces itself a second later.
+        self._announce_first()
+        self.may_end.set()
         self.assertEqual(Reason.BROKEN_ANSWER, self._begin(1).result().reason)
         self.assertEqual([], self.updates)
         self._announce_another(1)
         crashes = [crash for update in self.updates for crash in update.crashes]
         self.assertEqual([CAUSE], [run.content_hash for run in crashes[0].runs])
 
-    def test_a_crash_while_idle_counts_without_requests(self):
-        # How often backend servers crash by themselves shows whether a request that
-        # ran during several crashes did so by chance.
-        self._first_lifetime()
+    def test_the_crash_of_an_idle_backend_server_is_reported(self):
+        # Guards against a crash rate without the crashes of idle backend servers. The
+        # rate shows whether a request that ran during several crashes did so by chance.
+        self._announce_first()
         self._announce_another(1)
         crashes = [crash for update in self.updates for crash in update.crashes]
         self.assertEqual([()], [crash.runs for crash in crashes])
 
     def test_a_replacement_after_a_drain_is_no_crash(self):
-        self._first_lifetime()
-        self.hold.set()
+        self._announce_first()
+        self.may_end.set()
         self._begin(1).result()
         self.lifetimes.record_leave("server")
         self._announce_another(1)
         self.assertEqual([], self.updates)
 
     def test_an_answer_after_a_refused_connection_retracts_the_crash(self):
-        # A backend server may stop listening while its queue is long, and then refuses
-        # connections. The first run that it answers shows that it has not crashed, and
-        # clears all requests that ran there.
+        # Guards against suspected requests whose backend server has not crashed. A
+        # backend server may stop listening while its queue is long. It refuses
+        # connections then, so the gate reports a crash. The first run that the backend
+        # server answers shows that it has not crashed, so all requests that ran there
+        # are cleared.
         watch = CrashWatch(self.log, self.history, is_down=lambda address: True)
         self.watch = watch
         self.gate = self._make_gate()
-        self.hold.set()
+        self.may_end.set()
         self.assertEqual(Reason.SERVER_CRASHED, self._begin(1).result().reason)
         self.assertEqual(1, len(self.history.export(time.monotonic()).crashes[0].runs))
         self.server.answer = lambda number: (answer_with_length(b"whole"), True)
         self.assertEqual(200, self._begin(2, OTHER).result().status)
         self.assertEqual((), self.history.export(time.monotonic()).crashes[0].runs)
 
-    def test_an_answer_that_is_read_late_does_not_undo_a_crash(self):
-        # A request is answered just before another one crashes its backend server. On
-        # a busy VM the thread of the answered request may run last.
+    def test_an_answer_that_is_recorded_late_does_not_retract_a_crash(self):
+        # Guards against a crash that is retracted because of an earlier answer. A
+        # request is answered just before another one crashes its backend server. On a
+        # busy VM, the thread of the answered request may record its end after the crash
+        # was reported.
         first, second = self._begin(1, OTHER), self._begin(2)
         self._wait_running(2)
         server = self.servers.get("server")
@@ -249,12 +259,12 @@
         self.watch.record_end(server, answered, whole, now_s + 0.12)
         runs = self.history.export(now_s + 0.2).crashes[0].runs
         self.assertIn(CAUSE, [run.content_hash for run in runs])
-        self.hold.set()
+        self.may_end.set()
         first.result(), second.result()
 
-    def test_a_run_cut_by_a_leaving_backend_server_is_no_crash(self):
+    def test_the_end_of_a_leaving_backend_server_is_no_crash(self):
         # The backend server announces that it leaves, and ends after its timeout while
-        # long requests are still running. If that were a crash, each rolling
+        # long requests are still running. If this counted as a crash, each rolling
         # replacement would count against these requests.
         running = self._begin(1)
         self._wait_running(1)
@@ -276,10 +286,11 @@
         self.assertTrue(refuses_connections(address))
 
 
-class QuarantinedAtGateTests(CrashWatchCase):
+class GateQuarantineTests(CrashWatchCase):
     def test_copies_that_wait_for_a_slot_do_not_run_after_the_third_crash(self):
-        # Five copies of a request wait at one gate when it crashes its third backend
-        # server. Each copy would crash that backend server again after its restart.
+        # Five copies of a request wait at one gate when the request crashes its third
+        # backend server. If they ran, each copy would crash this backend server again
+        # after its restart.
         self._announce("one slot", slots=1)
         self._earlier_crashes(2)
         first = self._begin(1)
@@ -306,9 +317,9 @@
         self.assertEqual(Reason.CRASHES_SERVERS, result.reason)
 
     def test_two_suspected_requests_do_not_run_together(self):
-        # If both requests were lost in the same crashes, it would stay unknown which of
-        # them is the cause: neither would be quarantined, and the harmless one would
-        # never be answered.
+        # Guards against two suspected requests that are lost in the same crashes. Then
+        # it would stay unknown which of them is the cause: neither would be
+        # quarantined, and the harmless one would never be answered.
         self._earlier_crashes(2)
         self._earlier_crashes(2, OTHER)
         first = self._begin(1)
@@ -317,13 +328,13 @@
         self.assertEqual(
             (Outcome.NOT_RUN, Reason.WOULD_WAIT), (reply.outcome, reply.reason)
         )
-        self.hold.set()
+        self.may_end.set()
         first.result()
 
     def test_a_suspected_request_leaves_half_of_the_repeats_to_others(self):
-        # The repeats of a suspected request fail like its first run. If they used up
-        # the retry budget of the service, requests that were lost in the same crash
-        # could not be repeated.
+        # Guards against a suspected request that uses up the retry budget of its
+        # service. Its repeats fail like its first run. Other requests that were lost in
+        # the same crash could not be repeated then.
         self._earlier_crashes(2)
         error = b"HTTP/1.1 500 Broken\r\nContent-Length: 0\r\n\r\n"
         self.server.answer = lambda number: (error, True)
@@ -374,6 +385,6 @@
         ]
         self.assertEqual(len(others), len({*others, self._content_hash()}) - 1)
 
-    def test_the_same_bytes_split_otherwise_are_another_request(self):
+    def test_the_same_bytes_divided_differently_are_another_request(self):
         first = self._content_hash(target="/a", body=b"bc")
         self.assertNotEqual(first, self._content_hash(target="/ab", body=b"c"))
--- a/tests/test_crashing_requests.py
+++ b/tests/test_crashing_requests.py
@@ -26,7 +26,8 @@
         super().setUp()
         self.history = CrashHistory(lambda service: 5)
         self.forwarder._crash_history = self.history
-        # Gates grant retries; this budget is never used up.
+        # With a minimum for the whole fleet, gates grant the retries. This budget is
+        # never used up.
         self.forwarder._retries = RetryPolicy(
             lambda service: RetryBudget(fleet_per_s_min=100.0)
         )
@@ -56,19 +57,20 @@
         self.assertEqual(0, self._dispatches())
 
     def test_one_idempotent_request_crashes_no_more_than_three_backend_servers(self):
-        # Its route would allow five attempts. Crashes of its own attempts count before
-        # each next attempt, like those of its caller's earlier requests.
+        # The route allows five attempts. Before each further attempt, the crashes of
+        # this request's earlier attempts count like those of its caller's earlier
+        # requests.
         self.answers = dict.fromkeys(self.NAMES, self._crash_and_answer)
         reply = self._forward(attempts_max=5)
         self.assertEqual(3, self._dispatches())
-        # It has run, so the outcome must not be NOT_RUN.
+        # The request has run, so the outcome must not be NOT_RUN.
         self.assertEqual(
             (Outcome.UNKNOWN, Reason.CRASHES_SERVERS), (reply.outcome, reply.reason)
         )
 
-    def test_a_request_lost_twice_does_not_follow_the_crash_at_once(self):
-        # Guards against a retry that follows a wave of crashes to the next backend
-        # server.
+    def test_a_request_lost_twice_is_not_retried_at_once(self):
+        # Guards against retries that follow a wave of crashes from one backend server
+        # to the next.
         times_s = []
 
         def record_and_crash(dispatch):
@@ -81,15 +83,16 @@
         self.assertLess(second_s - first_s, third_s - second_s)
         self.assertGreaterEqual(third_s - second_s, RETRIED_WITHIN_S)
 
-    def test_an_ingress_remembers_the_answers_to_its_callers(self):
-        # Guards against the loss of an answer when the node of its gate is lost.
+    def test_an_ingress_records_the_answers_to_its_callers(self):
+        # Guards against a request that stays suspected because only the node of its
+        # gate recorded its answer, and this node has ended.
         self.assertEqual(Outcome.ANSWERED, self._forward().outcome)
         for number in range(3):
             self._crash(number)
         status = self.history.status_of(CONTENT, time.monotonic())
         self.assertFalse(status.is_suspect)
 
-    def test_a_fourth_request_is_not_dispatched_and_other_contents_are(self):
+    def test_a_fourth_repeat_is_not_dispatched_and_another_request_is(self):
         self.answers = dict.fromkeys(self.NAMES, self._crash_and_answer)
         for _ in range(3):
             self._forward(execution=Execution.NON_IDEMPOTENT)
@@ -98,9 +101,10 @@
         self.assertEqual(3, self._dispatches())
         self.assertEqual(Outcome.ANSWERED, self._request(content_hash=8).outcome)
 
-    def test_the_retry_of_a_request_lost_in_a_crash_is_marked_as_cut(self):
-        # It failed through another request's fault. So gates also grant it retries
-        # that are reserved for heavier requests.
+    def test_the_retry_of_a_request_lost_in_a_crash_is_marked_as_lost(self):
+        # The first attempt failed through another request's fault. Therefore gates also
+        # grant the retry from the part of the budget that is reserved for heavier
+        # requests.
         self.answers = dict.fromkeys(self.NAMES, crashed)
         self._forward(attempts_max=2)
         dispatches = [one for gate in self.gates.values() for one in gate.dispatches]
--- a/tests/test_crashing_requests_processes.py
+++ b/tests/test_crashing_requests_processes.py
@@ -16,7 +16,8 @@
 NODES = 6
 SLOTS = 4
 CRASHING, INNOCENT = "/vacancies/broken", "/vacancies/whole"
-# Run time until the request crashes a backend server, and time until it restarts.
+# Run time after which the request crashes a backend server, and time until that backend
+# server restarts.
 CRASHES_AFTER_S, DOWN_S = 0.08, 0.8
 CRASHES_TOLERATED = 3
 # Time after the third crash within which all nodes must know of the quarantine.
@@ -27,7 +28,7 @@
 
 
 def configuration() -> dict:
-    """Return settings with a route for idempotent requests and one for the others."""
+    """Return settings with an idempotent and a non-idempotent route."""
     common = {
         "hostname": HOST,
         "timeout": "10s",
@@ -53,8 +54,9 @@
     """Callers repeat a request that crashes backend servers, with new request ids.
 
     Guards against a limit on attempts that covers one request but not its repeats. Each
-    request stays within its attempts, yet each run ends all runs at its backend server,
-    about 100 ms after it began; the other runs end after 0.1 to 1.8 s.
+    of the repeats stays within its limit. Yet each run of the crashing request also
+    ends all other runs at its backend server, about 100 ms after it began; the other
+    runs end after 0.1 to 1.8 s.
     """
 
     def setUp(self):
@@ -68,7 +70,9 @@
         self._done = threading.Event()
         for node in self.nodes:
             wait_until(
-                lambda node=node: node.known_node_count() == NODES, "all are known", 40
+                lambda node=node: node.known_node_count() == NODES,
+                "all nodes are known",
+                40,
             )
         for node in self.nodes:
             wait_until(
@@ -95,7 +99,7 @@
         return answer or HttpAnswer(0, {}, b"")
 
     def _repeat(self, target: str, method: str = "GET", body=None) -> list[HttpAnswer]:
-        """Send a request to all nodes in turn until the end; return the answers."""
+        """Send a request to the nodes in turn until `_done` is set; return answers."""
         answers = []
         with ThreadPoolExecutor(64) as executor:
             sent = []
@@ -130,9 +134,10 @@
             return [one.result() for one in running]
 
     def test_a_lookup_that_crashes_its_backend_servers_is_soon_refused(self):
-        # Guards against seconds of 502 answers: a lookup crashes each backend server
-        # that starts to run it, with all other requests that run there. Its caller
-        # sends it again as a new request to any node, and no node recognizes it.
+        # Guards against seconds of 502 answers. A lookup crashes each backend server
+        # that starts to run it, and all other requests that run there are lost. The
+        # caller sends the lookup again as a new request to any node. Without a
+        # quarantine, no node would recognize it.
         answers, _ = self._repeat_all((CRASHING,), (INNOCENT,))
         after = self._runs_after_the_third_crash(CRASHING)
         self.assertLessEqual(len(after), RUNS_AFTER_MAX)
@@ -143,7 +148,9 @@
         # quarantine in the store, the same lookup would crash three more backend
         # servers.
         self._repeat_all((CRASHING,))
-        wait_until(lambda: self._logged("quarantine_written"), "the store has it")
+        wait_until(
+            lambda: self._logged("quarantine_written"), "the quarantine is stored"
+        )
         for node in self.nodes:
             node.kill()
         for node in self.nodes:
@@ -166,9 +173,10 @@
         )
 
     def test_requests_beside_the_causes_are_served(self):
-        # Lookups of a second run at all backend servers while other requests crash
-        # these repeatedly. Each lookup is lost now and then, and its caller sends it
-        # again with the same path. None of the lookups is taken for a cause.
+        # Guards against the refusal of lookups that cause no crash. These lookups take
+        # a second and run at all backend servers, while other requests crash the
+        # backend servers repeatedly. Each lookup is lost now and then, and its caller
+        # sends it again with the same path.
         targets = [f"{INNOCENT}/{number}" for number in range(8)]
         for server in self.servers:
             server._work_s = lambda target: 1.0 if target in targets else 0.2
@@ -191,8 +199,9 @@
         )
 
     def test_an_offer_that_crashes_its_backend_servers_is_soon_refused(self):
-        # A non-idempotent request, which its node does not retry; its caller repeats
-        # it with the same path and body.
+        # Guards against a rule that counts only a node's own retries. A node does not
+        # retry a non-idempotent request, but its caller repeats it with the same path
+        # and body.
         target = f"/offers{CRASHING}"
         for server in self.servers:
             server._crashes_after_s = lambda run: (
--- a/tests/test_ctl.py
+++ b/tests/test_ctl.py
@@ -96,10 +96,11 @@
             self.assertLessEqual(len(result.stderr.splitlines()), 2)
 
     def test_each_result_of_a_change_has_its_message_and_status(self):
-        """A change ends as accepted, not accepted, or not known.
+        """Guards against a message that nothing changed although a change is in force.
 
-        Without a reply from the platform, a message that nothing was changed
-        may be wrong. It must name the command that settles the change.
+        A change is accepted, not accepted, or its result is not known. Without a reply
+        from the platform, the result is not known. Then the message must name the
+        command that settles the change.
         """
         results = [
             (NotKnown("no reply", "op1"), "NOT_KNOWN", "settings settle op1"),
@@ -160,8 +161,9 @@
     def test_explain_shows_a_drained_backend_server_and_where_requests_go(self):
         """Drain the backend server beside the node that gets the request.
 
-        The request goes to the other backend server. ``explain`` shows for the
-        service that the first one drains, and for the request where it went.
+        The request goes to the other backend server. For the service, ``explain`` must
+        show that the first backend server drains. For the request, ``explain`` must
+        show which backend server answered it.
         """
         fleet = Fleet()
         self.addCleanup(fleet.__exit__)
@@ -221,7 +223,7 @@
                 (answer := try_call(nodes[0].caller_address, "/7"))
                 and answer.json().get("server") == "contract-0"
             ),
-            "contract-0 takes work again",
+            "contract-0 gets requests again",
         )
 
     def check_announcements(self, node):
--- a/tests/test_customer_documents.py
+++ b/tests/test_customer_documents.py
@@ -53,7 +53,7 @@
         self.assertIn("not JSON", fault.message)
 
     def test_a_key_may_belong_to_only_one_customer(self):
-        # Guards against requests that are attributed to a different customer.
+        # Guards against requests that are attributed to the wrong customer.
         (fault,) = faults(
             {
                 "crew/customers/anna": {"name": "Anna", "key_digests": [FIRST]},
@@ -87,8 +87,9 @@
         self.assertIsNone(done.find(FIRST))
 
     def test_a_key_that_moved_stays_with_its_new_customer(self):
-        # Guards against a change of two customers whose documents are applied in the
-        # opposite order, so that the old owner's removal deletes the moved key.
+        # Guards against the loss of a key that one change moves to another customer. If
+        # the new owner's document is applied first, the removal of the old owner's
+        # document must not delete the key.
         anna, ben = CustomerDocument("Anna", (FIRST,)), CustomerDocument("Ben", ())
         table = CustomerTable([anna, ben])
         after = table.with_changes([anna, ben], [CustomerDocument("Ben", (FIRST,))])
--- a/tests/test_customer_keys.py
+++ b/tests/test_customer_keys.py
@@ -63,7 +63,7 @@
         self._ask(f"X-Key: {OTHER_KEY}")
         self.assertEqual(1.0, self._last_forwarded().route.weight)
 
-    def test_no_key_and_unknown_keys_are_refused_without_a_run(self):
+    def test_requests_without_a_valid_key_are_refused_and_not_run(self):
         # Guards against requests without a customer on a route that requires one.
         for headers in (
             (),
@@ -112,7 +112,8 @@
             self.assertNotIn(part.lower(), forwarded_headers)
 
     def test_a_key_in_a_trailer_is_ignored(self):
-        # Guards against a key that arrives only after the request was admitted.
+        # Guards against a request that is identified by a key in its trailer, after it
+        # was admitted.
         head = "POST /contracts/7 HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n"
         body = f"Trailer: X-Key\r\n\r\n0\r\nX-Key: {KEY}\r\n\r\n"
         caller = self.fixture.caller().send((head + body).encode())
@@ -170,7 +171,7 @@
             **fields,
         )
 
-    def test_backend_servers_get_the_customer_once(self):
+    def test_backend_servers_receive_one_customer_header(self):
         headers = backend_server_headers(self._dispatch(customer="Anna"), HEADER_NAMES)
         self.assertEqual(["Anna"], [v for name, v in headers if name == "X-Tenant"])
 
--- a/tests/test_customer_limits.py
+++ b/tests/test_customer_limits.py
@@ -32,7 +32,8 @@
         self.assertEqual(2, self._spend_all(101.0))
 
     def test_a_node_that_has_just_started_grants_little(self):
-        # Guards against a further burst from each node that becomes the granter.
+        # Guards against a full burst from each node that becomes the granter, in
+        # addition to the bursts that earlier granters have allowed.
         self.assertEqual(INITIAL_TOKENS, self._spend_all(0.0))
 
     def test_a_lower_burst_limits_the_bucket_at_once(self):
@@ -45,8 +46,9 @@
         self.buckets.refund("anna")
         self.assertEqual(1, self._spend_all(100.0))
 
-    def test_callers_that_retry_after_their_wait_get_a_token_each(self):
-        # Guards against many callers that are all told to retry at the same time.
+    def test_denied_callers_get_different_waits_and_a_token_after_them(self):
+        # Guards against many callers that retry at the same time because all of them
+        # were given the same wait.
         for _ in range(6):
             self.buckets.try_spend("anna", self.RATE, 100.0)
         waits_s = [
@@ -57,8 +59,9 @@
             denied = self.buckets.try_spend("anna", self.RATE, 100.0 + wait_s + 1e-6)
             self.assertIsNone(denied)
 
-    def test_a_customer_granted_by_another_node_meanwhile_gets_a_new_bucket(self):
-        # Guards against a bucket that fills while another node grants from its own.
+    def test_a_customer_whose_granter_was_another_node_gets_a_new_bucket(self):
+        # Guards against a node that keeps a customer's bucket while another node is the
+        # granter. The bucket would fill although the other node grants tokens.
         self._spend_all(100.0)
         self.buckets.keep_only(lambda customer: False, 110.0)
         self.assertEqual(INITIAL_TOKENS, self._spend_all(110.0))
@@ -75,12 +78,13 @@
         load = self._load()
         load.run(30)
         self.assertLess(load.refused_fraction(), 0.01)
-        # Half of the bytes per second that a single granter for the fleet would cost.
+        # The bound is half of the bytes per second that the fleet would send between
+        # zones if a single node granted all requests.
         self.assertLess(load.fleet.bytes_between_zones / 30, 25_000 / 2)
 
-    def test_customers_with_all_callers_in_one_zone_are_not_held_to_its_part(self):
-        # Guards against a customer held to a third of its limit because all of its
-        # callers are in one of three zones.
+    def test_customers_with_callers_in_one_zone_can_use_more_than_its_fraction(self):
+        # Guards against a customer that is limited to a third of its limit because all
+        # of its callers are in one of three zones.
         load = self._load()
         for number, name in enumerate(load.usual_rates):
             load.zone_weights[name] = {f"zone-{number % 3}": 1.0}
@@ -99,7 +103,7 @@
         load.run(20)
         self.assertLess(load.largest_window_fraction(), 1.0)
         granted_per_s = len(load.granted["c-0"]) / 20
-        # Its rate, plus its burst once in each window.
+        # In each window a customer may use its rate and one burst.
         limit_per_s = load.limits["c-0"] * (1 + 1 / WINDOW_S)
         self.assertGreater(granted_per_s, 0.95 * limit_per_s)
         others = [name for name in load.usual_rates if name != "c-0"]
@@ -108,7 +112,8 @@
         self.assertLess(refused / served, 0.01)
 
     def test_limits_hold_through_a_partition_of_a_third_of_each_zone(self):
-        # Guards against two sides of a partition that each grant a zone's whole share.
+        # Guards against a partition in which the nodes on each side grant a zone's
+        # whole fraction of the limit.
         load = self._load()
         fleet = load.fleet
         cut = {record.node_id for record in fleet.records[:31]}
@@ -128,7 +133,7 @@
         load.run(10)
         self.assertLess(load.largest_window_fraction(), 1.0)
 
-    def test_a_partition_of_a_third_refuses_few_requests_at_usual_load(self):
+    def test_few_requests_are_refused_while_a_third_of_the_nodes_is_cut_off(self):
         load = self._load()
         fleet = load.fleet
         cut = {record.node_id for record in fleet.records[:31]}
@@ -142,7 +147,8 @@
         self.assertLess(load.refused_fraction(), 0.05)
 
     def test_few_requests_are_refused_during_a_rolling_restart(self):
-        # Guards against tokens that are lost with each restarted node.
+        # Guards against tokens that are lost when the node that holds their bucket is
+        # restarted.
         load = self._load()
         fleet = load.fleet
         for record in fleet.records[::2]:
@@ -160,8 +166,8 @@
         self.assertLess(load.largest_window_fraction(), 1.0)
 
     def test_nodes_that_all_restart_at_once_do_not_exceed_limits(self):
-        # Guards against a burst from each of many nodes that do not know of earlier
-        # grants.
+        # Guards against a full burst from each of the restarted nodes, which do not
+        # know what was granted before.
         load = self._load()
         load.rate_factors["c-0"] = 7.5
         load.run(5)
@@ -171,7 +177,8 @@
         self.assertLess(load.largest_window_fraction(), 1.0)
 
     def test_a_lower_limit_holds_while_some_nodes_have_older_settings(self):
-        # Guards against grants by the higher limit that nodes with older settings send.
+        # Guards against a granter that applies the old, higher limit because a node
+        # with older settings sends it in its question.
         load = self._load()
         load.rate_factors["c-0"] = 7.5
         load.run(5)
@@ -188,7 +195,8 @@
         self.assertLess(load.largest_window_fraction(), 1.0)
 
     def test_an_isolated_node_grants_very_little(self):
-        # Guards against a node without connections that grants the whole limit itself.
+        # Guards against a node that loses all connections and then grants a customer's
+        # whole limit itself.
         load = self._load()
         isolated = load.fleet.records[0]
         load.fleet.unreachable = lambda one, other: isolated in (one, other)
@@ -200,7 +208,8 @@
         self.assertLess(len(load.granted["c-0"]), 0.1 * 10 * load.limits["c-0"])
 
     def test_a_node_that_becomes_the_granter_again_grants_no_new_burst(self):
-        # Guards against buckets that fill while another node is the granter.
+        # Guards against a bucket that fills while another node is the granter, and is
+        # full when its own node becomes the granter again.
         load = self._load(3, zones=1)
         fleet = load.fleet
         first, second = [
@@ -223,8 +232,9 @@
             fleet.now_s += 30
         self.assertEqual(2 * INITIAL_TOKENS, granted)
 
-    def test_a_node_that_came_back_at_another_address_is_asked_there(self):
-        # Guards against questions sent to the address that a node had before a restart.
+    def test_a_node_that_restarted_at_another_address_is_queried_there(self):
+        # Guards against questions that are sent to the address that the granter had
+        # before its restart.
         load = self._load(2, zones=1)
         own, other = load.fleet.records
         view = load.fleet.views[own.node_id]
@@ -236,7 +246,7 @@
         self.assertIn(moved, ranked)
         self.assertNotIn(other, ranked)
 
-    def test_without_a_limit_no_node_is_asked(self):
+    def test_without_a_limit_no_node_is_queried(self):
         load = self._load(3)
         load.limits["c-1"] = 0.0
         load.reset_counts()
@@ -259,8 +269,8 @@
 
 
 class LimitMessageTests(TestCase):
-    def test_a_question_of_another_release_is_dropped(self):
-        # Guards against an unknown scope number that raises an exception in the thread
-        # which serves all links.
+    def test_a_limit_question_with_an_unknown_scope_is_dropped(self):
+        # Guards against a question from another release whose unknown scope number
+        # raises an exception in the thread that serves all links.
         question = LimitQuestion(1, "anna", 1.0, 1.0, 1, 7)
         self.assertIsInstance(decode_link(encode(question)), WireError)
--- a/tests/test_customers_processes.py
+++ b/tests/test_customers_processes.py
@@ -73,9 +73,9 @@
             self.assertNotIn(key, logs)
         self.assertNotIn(KEY, json.dumps([node.status() for node in self.nodes]))
 
-    def test_each_node_decides_on_the_head(self):
-        # Guards against a refusal that waits for the body, and against white space
-        # after a key that makes the key unknown.
+    def test_each_node_checks_the_key_before_it_reads_the_body(self):
+        # Guards against a node that reads the body before it refuses an unknown key,
+        # and against a valid key that is refused because white space follows it.
         self._wait_accepted()
         for node in self.nodes:
             for key, status in (("k-nobody", 401), (f"{KEY} \t", 200)):
@@ -92,15 +92,16 @@
                 self.assertEqual(status, first.status)
 
     def test_a_revoked_key_is_not_accepted_after_the_maximum_age(self):
-        # Guards against nodes that still accept it, whether they are running or were
-        # paused during the revocation.
+        # Guards against nodes that accept a revoked key for too long. Two of the nodes
+        # run during the revocation, the third one is suspended.
         self._wait_accepted()
         self.nodes[2].signal(signal.SIGSTOP)
         self._revoke_key()
         ends_s = time.monotonic() + PROOF_MAX_AGE_S
         for node in self.nodes[:2]:
             wait_until(
-                lambda node=node: self._ask(node).status != 200, "the key is refused"
+                lambda node=node: self._ask(node).status != 200,
+                "the revoked key is refused",
             )
         self.assertLess(time.monotonic(), ends_s)
         time.sleep(max(0.0, ends_s - time.monotonic()))
@@ -117,7 +118,8 @@
         )
 
     def test_keys_are_refused_only_while_the_store_is_unavailable(self):
-        # Guards against nodes that keep renewing each other's old proofs.
+        # Guards against nodes that confirm each other's old settings as current, so
+        # that keys stay in use although no node can read the store.
         self._wait_accepted()
         self.platform.signal(signal.SIGSTOP)
         time.sleep(PROOF_MAX_AGE_S + 0.2)
@@ -137,5 +139,7 @@
         ]
         took_s = time.monotonic() - began_s
         self.assertEqual({200, 429}, set(statuses))
-        # One more for each share of the limit: a bucket holds at least one token.
+        # The limit is divided among three buckets: one for each of the two zones and
+        # one for the whole fleet. Each bucket holds at least one token, so up to three
+        # more requests may be granted.
         self.assertLessEqual(statuses.count(200), 4 + took_s + 3)
--- a/tests/test_drain.py
+++ b/tests/test_drain.py
@@ -25,11 +25,12 @@
         return server.state
 
     def test_a_drain_holds_through_a_pause_of_the_announcements(self):
-        """A drain is lost when the announcements of the backend server pause.
+        """Guards against a drain that is lost when announcements pause.
 
-        The node itself may have been suspended. It removes the backend server, or marks
-        it as silent while requests run there. If the next announcement of the same boot
-        ended the drain, the operator's shutdown would cut requests in flight.
+        Announcements pause, for example, while the node is suspended. The node then
+        removes the backend server, or marks it as silent if requests run there. If the
+        next announcement of the same boot ended the drain, the backend server would get
+        requests again, which are cut when the operator shuts it down.
         """
         for in_flight in (0, 1):
             for server in self.servers.all():
--- a/tests/test_ejection.py
+++ b/tests/test_ejection.py
@@ -10,12 +10,12 @@
 
 
 class FloorTests(FleetUnderLoad):
-    def test_sick_backend_servers_are_left_out_until_the_floor_binds(self):
+    def test_sick_backend_servers_are_ejected_until_the_floor_binds(self):
         """Three of five backend servers fail in turn: by errors, hangs and resets.
 
-        Each gate suspects its own backend server and tells the other nodes. Each
-        picker leaves out two and keeps the third because of the floor, also
-        without the platform.
+        Each gate suspects its own backend server and notifies the other nodes. Each
+        node ejects two backend servers. The floor does not allow it to eject the
+        third. The platform is not needed for this.
         """
         faults = ({"mode": "error"}, {"mode": "hang"}, {"mode": "close"})
         for number, fault in enumerate(faults):
@@ -30,7 +30,7 @@
         for node in self.nodes:
             wait_until(
                 lambda node=node: "cause=floor_binds" in node.log_path.read_text(),
-                "the log tells that the floor keeps one",
+                "the log reports that the floor binds",
             )
         explanation = self.explain(self.nodes[0])
         self.assertIn("floor", explanation["cause"])
@@ -42,16 +42,16 @@
     hold_out_s = 2.0
 
     def test_a_backend_server_that_recovers_is_readmitted_by_a_trial(self):
-        """A backend server fails, is left out and recovers; trials detect that."""
+        """A backend server fails, is ejected and recovers; a trial detects this."""
         node = self.nodes[2]
         self.servers[1].set_fault(mode="error")
         wait_until(
-            lambda: "contract-1" in self.excluded_servers(node), "it is left out"
+            lambda: "contract-1" in self.excluded_servers(node), "contract-1 is ejected"
         )
         self.servers[1].set_fault(mode="none")
         wait_until(
             lambda: not self.excluded_servers(node) and not self.suspicions(node),
-            "it takes work as before",
+            "contract-1 is no longer ejected or suspected",
         )
         for event in ("suspected", "on_trial", "readmitted"):
             wait_until(
@@ -59,16 +59,16 @@
                     f"event=backend_server_{event} "
                     in self.nodes[1].log_path.read_text()
                 ),
-                f"the log tells that it was {event}",
+                f"the log reports that the backend server was {event}",
             )
 
 
 class CutLinkTests(FleetUnderLoad):
     def test_a_cut_link_causes_no_suspicion(self):
-        """Requests to one node's gate are lost, and after that its replies.
+        """The link to one node's gate loses first the requests, then the replies.
 
-        Attempts there fail, and other backend servers answer. The gate has seen
-        no attempt fail, so no backend server may be suspected.
+        Attempts at this gate fail, and other backend servers answer the requests.
+        No attempt failed at a backend server, so no backend server may be suspected.
         """
         for direction in ("forward", "backward"):
             setattr(self.relay, direction, Flow.DROP)
--- a/tests/test_ending_gates.py
+++ b/tests/test_ending_gates.py
@@ -1,4 +1,4 @@
-"""Idempotent requests at leaving gates are tried elsewhere before they are cut."""
+"""Idempotent requests at leaving gates are tried at other gates before they are cut."""
 
 import threading
 import time
@@ -30,18 +30,18 @@
 
 
 def ending(dispatch) -> tuple[float, bytes]:
-    """Return a gate's notice that its node may end before an attempt does."""
+    """Return a notice, delay 0, that the gate's node may end before the attempt."""
     return 0.0, encode(GateEnding(dispatch.attempt_id))
 
 
 def cut(dispatch, delay_s: float) -> tuple[float, bytes]:
-    """Return the reply to an attempt whose run the leaving node cut."""
+    """Return the delay and the reply to an attempt whose run the leaving node cut."""
     reply = Reply(dispatch.attempt_id, Outcome.UNKNOWN, Reason.CANCELLED)
     return delay_s, encode(reply)
 
 
 def damaged(dispatch, delay_s: float, status: int) -> tuple[float, bytes]:
-    """Return an answer whose body was damaged in transit."""
+    """Return the delay and an answer whose body does not match its checksum."""
     reply = Reply(
         dispatch.attempt_id,
         Outcome.ANSWERED,
@@ -60,11 +60,12 @@
 class EndingGateCase(TwoGateCase):
     def setUp(self):
         super().setUp()
-        # Slow greetings on a busy machine must not affect these tests.
+        # On a busy machine the greeting of a link may be slow. It must not time out
+        # here.
         self.patch(links, "CONNECT_TIMEOUT_S", PATIENCE_S)
 
     def _request_at(self, name: str, **changes) -> Reply:
-        """Send requests until one is sent to a gate; return its reply."""
+        """Send requests until gate `name` gets one; return the reply to that one."""
         while True:
             seen = len(self.gates[name].dispatches)
             reply = self._request(**changes)
@@ -74,17 +75,18 @@
 
 class EndingGateTests(EndingGateCase):
     # An idempotent request runs at a backend server whose node is leaving. The node
-    # cuts the run when its own time is over. An ingress that tries another gate only
-    # then has lost seconds, and may be leaving itself by that time.
+    # cuts the run when its shutdown timeout ends. If the ingress tried another gate
+    # only after the cut, seconds would be lost, and the ingress might be leaving itself
+    # by then.
 
-    def test_a_read_is_tried_elsewhere_before_its_gate_ends(self):
+    def test_a_read_is_sent_to_another_gate_before_its_gate_ends(self):
         self.answers["a"] = lambda dispatch: [ending(dispatch)]
         reply = self._request_at("a")
         self.assertEqual((Outcome.ANSWERED, BODY), (reply.outcome, reply.body))
-        # The cancellation frees the slot at the leaving gate for its last requests.
+        # The cancellation frees a slot at the leaving gate for the last requests there.
         wait_until(lambda: self.gates["a"].cancels, "the first attempt is cancelled")
 
-    def test_the_parked_run_is_used_if_it_ends_in_time(self):
+    def test_the_answer_of_a_parked_run_is_used_if_it_ends_in_time(self):
         # The second gate refuses, so only the parked attempt can still be answered.
         self.answers = {
             "a": lambda dispatch: [
@@ -98,8 +100,8 @@
         self.assertEqual([], self.gates["a"].cancels)
 
     def test_a_parked_run_that_is_cut_is_retried_elsewhere(self):
-        # The other gate is busy when the first one announces its end, but no longer
-        # when the run is cut.
+        # The other gate refuses the request when the first gate announces its end. It
+        # answers the request when it is sent again after the cut.
         self.answers = {
             "a": lambda dispatch: [ending(dispatch), cut(dispatch, 0.5)],
             "b": refusal,
@@ -110,7 +112,8 @@
 
     def test_a_cut_during_a_parallel_attempt_is_retried_elsewhere(self):
         # The first run is cut while the request is queued at another gate, which then
-        # refuses it. By then no attempt is open, and there are free slots again.
+        # refuses it. After the refusal no attempt is open, and the other gate has free
+        # slots, so the request must be sent there again.
         attempts = []
 
         def refuses_once(dispatch):
@@ -126,9 +129,9 @@
         reply = self._request_at("a")
         self.assertEqual((Outcome.ANSWERED, BODY), (reply.outcome, reply.body))
 
-    def test_a_run_that_was_lost_counts_once(self):
-        # The route allows two attempts. A run that was parked and then cut counts as
-        # one of them, not as both.
+    def test_a_parked_run_that_is_cut_counts_as_one_attempt(self):
+        # The route allows two attempts. A run that is parked and then cut is one
+        # attempt. If it counted as two, the request would not be sent again.
         self.answers = {
             "a": lambda dispatch: [ending(dispatch), cut(dispatch, 0.5)],
             "b": refusal,
@@ -137,12 +140,12 @@
         reply = self._request_at("a", attempts_max=2)
         self.assertEqual((Outcome.ANSWERED, BODY), (reply.outcome, reply.body))
 
-    def test_a_refusal_for_a_leaving_ingress_is_retried_elsewhere(self):
-        def too_slow(dispatch):
+    def test_a_request_refused_because_a_node_is_leaving_is_retried_elsewhere(self):
+        def refuse_as_stopping(dispatch):
             reply = Reply(dispatch.attempt_id, Outcome.NOT_RUN, Reason.NODE_STOPPING)
             return [(0.0, encode(reply))]
 
-        self.answers["a"] = too_slow
+        self.answers["a"] = refuse_as_stopping
         reply = self._request_at("a")
         self.assertEqual((Outcome.ANSWERED, BODY), (reply.outcome, reply.body))
 
@@ -155,7 +158,8 @@
 
     def test_runs_cut_by_a_leaving_gate_use_no_retry_budget(self):
         # More requests run at a leaving gate than the service's retry budget covers.
-        # The budget is only for requests that failed.
+        # The budget is only for requests that failed, so all of them must be sent to
+        # other gates.
         budget = RetryBudget(fraction=0.0, per_s_min=0.0)
         self.forwarder._retries = RetryPolicy(lambda service: budget)
         self.answers["a"] = lambda dispatch: [ending(dispatch), cut(dispatch, 0.3)]
@@ -185,8 +189,9 @@
 
     def test_a_cut_does_not_end_the_parallel_run(self):
         # Guards against an error for the caller while its request runs elsewhere and
-        # will be answered. The reply of the cut run must not be taken for the reply of
-        # the second attempt when that one is silent for a third of the time.
+        # will be answered. The second run is silent for a third of the time. The reply
+        # of the cut run, which arrives meanwhile, must not be taken for the reply of
+        # the second run.
         self.answers = {
             "a": lambda dispatch: [ending(dispatch), cut(dispatch, 0.2)],
             "b": lambda dispatch: [(1.6, frame) for _, frame in answer(dispatch)],
@@ -196,8 +201,8 @@
         self.assertEqual((Outcome.ANSWERED, BODY), (reply.outcome, reply.body))
 
     def test_an_error_of_the_first_run_does_not_end_the_second(self):
-        # Guards against the first run's error for the caller while its request runs
-        # elsewhere and will be answered.
+        # Guards against a caller that gets the error of the first run although its
+        # request runs at another gate and will be answered.
         self.answers = {
             "a": lambda dispatch: [
                 ending(dispatch),
@@ -240,8 +245,8 @@
         self.assertEqual((Outcome.ANSWERED, BODY), (reply.outcome, reply.body))
 
     def test_an_error_that_is_not_retried_is_returned(self):
-        # An error that is not retried goes to the caller. A parallel run that was cut
-        # is no reason for a third run.
+        # The second run ends with an error that is not retried, so the caller must get
+        # this error. The first run, which was cut, is no reason for a third run.
         attempts = []
 
         def act(dispatch):
@@ -258,16 +263,17 @@
         self.assertEqual(2, len(attempts))
 
     def test_the_parked_runs_latency_is_recorded_in_full(self):
-        # Second attempts start after a time that depends on the latency of answers.
-        # The first run takes a second. Its answer arrives a fifth of a second after
-        # the second attempt was sent, which must not be recorded as the latency.
+        # The recorded latencies determine when second attempts start. The first run
+        # takes a second. Its answer arrives a fifth of a second after the second
+        # attempt was sent. The whole second must be recorded as the latency, not the
+        # fifth.
         latencies_s, attempts = [], []
         policy = self.forwarder._retries
-        note = policy.record_answer
+        record_original = policy.record_answer
 
         def record_latency(service, latency_s, *rest):
             latencies_s.append(latency_s)
-            note(service, latency_s, *rest)
+            record_original(service, latency_s, *rest)
 
         def slow_first(dispatch):
             attempts.append(dispatch)
@@ -284,8 +290,8 @@
         )
 
     def test_an_attempt_at_a_second_ending_gate_is_parked_too(self):
-        # Nodes are restarted one after the other: when the first run has been cut, the
-        # gate of the second one announces its end, too.
+        # Nodes are restarted one after the other. After the first run was cut, the gate
+        # of the second run announces its end, too.
         self.answers = {
             "a": lambda dispatch: [ending(dispatch), cut(dispatch, 0.2)],
         }
@@ -294,7 +300,7 @@
         self.assertEqual((Outcome.ANSWERED, BODY), (reply.outcome, reply.body))
 
     def _let_second_attempt_answer(self, *names: str) -> None:
-        """Let the first attempt at these gates get a notice, the second an answer."""
+        """Make the gates announce their end at the first attempt, answer later ones."""
         attempts = []
 
         def second_answers(dispatch):
@@ -311,9 +317,10 @@
 
     def test_an_answer_that_arrives_during_a_run_at_the_own_gate_is_used(self):
         # Guards against a caller that waits on or gets an error although its request
-        # was answered. The run at the leaving gate ends in time, while the request
-        # also runs at the ingress's own gate and hangs there. If the answer is not
-        # read, it is dropped with the connection when the leaving node ends.
+        # was answered. The run at the leaving gate ends in time. Meanwhile the request
+        # also runs at the ingress's own gate and hangs there. If the ingress does not
+        # read the answer of the leaving gate during this time, the answer is lost when
+        # the leaving node ends and closes its connection.
         server = RawServer(lambda number: (None, False))
         self.addCleanup(server.close)
         self.servers.announce(
@@ -332,15 +339,15 @@
         reply = self._request()
         self.assertEqual((Outcome.ANSWERED, BODY), (reply.outcome, reply.body))
         self.assertEqual(1, len(server.requests))
-        wait_until(lambda: server.closed_s, "the other run is cancelled")
+        wait_until(lambda: server.closed_s, "the run at the own gate is cancelled")
 
 
-class GivenUpTests(TwoGateCase):
-    def test_nothing_is_sent_after_the_node_gave_up(self):
-        # Guards against a caller's connection that closes without an answer. All
-        # gates refuse the request, and the node gives up its requests during the
-        # pause before the next search. If the request is sent again after that, the
-        # node closes its callers' connections before the reply arrives.
+class GivenUpRequestTests(TwoGateCase):
+    def test_no_attempt_is_sent_after_the_node_gave_up_its_requests(self):
+        # Guards against a caller's connection that closes without an answer. All gates
+        # refuse the request, and the ingress waits before it searches again. During
+        # this wait the node gives up its requests. If the request were sent again, the
+        # node would close the caller's connection before the reply arrives.
         def suspected(dispatch):
             reply = Reply(dispatch.attempt_id, Outcome.NOT_RUN, Reason.SUSPECTED)
             return [(0.0, encode(reply))]
@@ -350,14 +357,16 @@
             request = executor.submit(
                 self._request, execution=Execution.NON_IDEMPOTENT, timeout_s=200.0
             )
-            wait_until(lambda: self._dispatches() >= 2, "both gates refused it")
+            wait_until(
+                lambda: self._dispatches() >= 2, "both gates have refused the request"
+            )
             self.forwarder.abort_attempts()
             sent = self._dispatches()
             reply = request.result(PATIENCE_S)
         self.assertEqual(Outcome.NOT_RUN, reply.outcome)
         self.assertEqual(sent, self._dispatches())
 
-    def test_nothing_is_sent_over_a_link_opened_while_the_node_gave_up(self):
+    def test_no_attempt_is_sent_over_a_link_opened_while_the_node_gave_up(self):
         acquire = self.links.acquire
 
         def give_up_meanwhile(*arguments):
--- a/tests/test_ending_ingresses.py
+++ b/tests/test_ending_ingresses.py
@@ -40,9 +40,10 @@
 
 
 class EndingIngressTests(TestCase):
-    # A request waits in a gate's queue while the node that received it is leaving. If
-    # it gets a slot at the last moment, it runs and is cut when that node gives up.
-    # Its caller is told `unknown`, although `not_run` was true until the slot came.
+    # Guards against a request that gets a slot in a gate's queue just before the node
+    # that received it ends. The run would be cut when that node gives up, and the
+    # caller would get `unknown`. If the gate refuses the request instead, the caller
+    # gets `not_run`.
 
     def setUp(self):
         super().setUp()
@@ -72,10 +73,10 @@
             self.assertEqual(Reason.NODE_STOPPING, waiting.result(5).reason)
         self.admission.release(running, WorkEnd.ANSWERED)
 
-    def test_a_read_starts_only_if_it_is_likely_to_finish(self):
-        # About half of all reads take longer than the mean. The caller of a read that
-        # is cut gets an error when the node ends. After a refusal there is still time
-        # to try again.
+    def test_a_read_starts_only_if_it_is_likely_to_finish_before_its_ingress_ends(self):
+        # About half of all reads take longer than the mean. If a read is cut when its
+        # ingress ends, its caller gets an error. If the gate refuses the read, there is
+        # still time to send it to another gate.
         token = CancelToken()
         token.set_ingress_end(time.monotonic() + 2.5 * USUAL_S)
         admitted = self._admit(token, Execution.IDEMPOTENT)
@@ -105,7 +106,7 @@
 
 
 class LinkCase(TestCase):
-    """Helpers for the ingress's end of links to one gate."""
+    """Sends attempts to one gate and receives the replies, as an ingress does."""
 
     def setUp(self):
         super().setUp()
@@ -159,7 +160,7 @@
 
     def test_a_leaving_gate_sends_notice_of_runs_that_it_may_not_answer(self):
         link, attempt_id = self._send(1)
-        wait_until(lambda: self.backend.requests, "it runs")
+        wait_until(lambda: self.backend.requests, "the first attempt runs")
         self.gate.set_end_time(time.monotonic() + 60.0)
         self.assertEqual([], self.gate.outlasting_attempts(time.monotonic()))
         self.gate.set_end_time(time.monotonic() + 1.5 * USUAL_S)
@@ -171,9 +172,9 @@
 
     def test_waiting_attempts_of_a_leaving_ingress_are_refused(self):
         first, _ = self._send(1)
-        wait_until(lambda: self.backend.requests, "it runs")
+        wait_until(lambda: self.backend.requests, "the first attempt runs")
         link, attempt_id = self._send(2)
-        wait_until(self.gate._admission.waiting, "it waits")
+        wait_until(self.gate._admission.waiting, "the second attempt waits")
         ends_s = math.inf
 
         def leaves() -> float:
@@ -193,8 +194,8 @@
         link.close()
 
     def test_an_ending_notice_is_kept_until_its_attempt_starts(self):
-        # All threads of the gate are busy, so the attempt has not started when the
-        # notice of its ingress's end arrives.
+        # All threads of the gate are busy. An attempt has arrived, but has not started
+        # when the notice arrives that its ingress will end.
         busy = threading.Event()
         self.addCleanup(busy.set)
         for _ in range(2):
@@ -210,8 +211,9 @@
         self.assertEqual([], self.backend.requests)
 
     def test_an_ending_notice_is_kept_after_the_ingress_ended(self):
-        # All threads of the gate are busy until after the ingress's end. An attempt
-        # started then would be cut at once, although `not_run` was true before.
+        # All threads of the gate are busy until after the ingress has ended. If the
+        # attempt started then, it would be cut at once, and its outcome would change
+        # from `not_run` to `unknown`.
         busy = threading.Event()
         self.addCleanup(busy.set)
         for _ in range(2):
@@ -229,9 +231,9 @@
 
 class StoppingNodeTests(LinkCase):
     def test_an_attempt_that_arrives_as_the_node_stops_is_not_run(self):
-        # Guards against `unknown` for the caller of a non-idempotent request. When an
-        # attempt arrives after the gate's threads have ended but before its link is
-        # closed, the node must still refuse it and not fail with an error.
+        # Guards against `unknown` for the caller of a non-idempotent request that did
+        # not run. An attempt arrives after the gate's threads have ended and before its
+        # link is closed. The node must reply `not_run` and not fail with an error.
         backend = RawServer(lambda number: (None, False))
         self.addCleanup(backend.close)
         self.address = free_address()
@@ -252,7 +254,7 @@
             for task in gate_parts.tasks():
                 executor.submit(task)
             first = self._send(1)
-            wait_until(lambda: backend.requests, "it runs")
+            wait_until(lambda: backend.requests, "the first attempt runs")
             gate_parts.gate.refuse_new_attempts()
             gate_parts.stop()
             reply = self._wait(*self._send(2)).reply
--- a/tests/test_event_log.py
+++ b/tests/test_event_log.py
@@ -52,8 +52,8 @@
 
     def test_a_flood_of_one_event_is_limited_and_counted_and_suppresses_no_other(self):
         # Each request writes lines. Under overload, writing all of them would take
-        # processor time from the requests. Left-out lines are counted, so that their
-        # absence isn't mistaken for an idle node.
+        # processor time from the requests. The lines that are left out are counted,
+        # because a log without lines could be mistaken for that of an idle node.
         budget = LineBudget(3)
         written = [budget.try_spend("sent", 10.0 + n / 100) for n in range(8)]
         self.assertEqual([True] * 3 + [False] * 5, written)
--- a/tests/test_floor.py
+++ b/tests/test_floor.py
@@ -104,7 +104,7 @@
     )
 
 
-def test_the_most_suspected_are_left_out_first_until_the_floor_binds():
+def test_the_most_suspected_are_ejected_first_until_the_floor_binds():
     view = [placement(number) for number in range(4)]
     view += [placement(number, suspicion=float(number)) for number in range(4, 9)]
     decision = decide_floor(view, 0.6)
@@ -127,7 +127,7 @@
 
 
 def test_a_backend_server_on_trial_is_used_in_full_when_the_floor_needs_it():
-    """With four of ten unhealthy, leaving out one on trial would break the floor."""
+    """Four of ten are ejected. Ejecting one on trial, too, would break the floor."""
     view = [placement(number, SICK) for number in range(4)]
     view += [placement(4, ON_TRIAL), *(placement(number) for number in range(5, 10))]
     decision = decide_floor(view, 0.6)
--- a/tests/test_gate.py
+++ b/tests/test_gate.py
@@ -107,15 +107,15 @@
     def _hang(self):
         self.server.answer = lambda number: (None, False)
 
-    def _seen(self, number):
-        wait_until(lambda: len(self.server.requests) >= number, "it is sent")
+    def _wait_until_sent(self, number):
+        wait_until(lambda: len(self.server.requests) >= number, "the attempt is sent")
 
     def test_a_second_message_of_an_attempt_has_no_effect_and_no_reply(self):
         self.assertEqual(Outcome.ANSWERED, self._handle(self._dispatch()).outcome)
         self.assertIsNone(self._handle(self._dispatch()))
         self.assertEqual(1, len(self.server.requests))
 
-    def test_a_granted_repeat_that_is_refused_leaves_its_grant_to_the_next(self):
+    def test_the_grant_of_a_repeat_that_is_refused_is_used_for_the_next_repeat(self):
         # The budget allows one more repeat. The gate grants it but then refuses the
         # attempt for another reason, so the next repeat must still be granted.
         budget = RetryBudget(fraction=0.0, fleet_per_s_min=0.1)
@@ -140,7 +140,7 @@
         self.assertIsNone(self._handle(self._dispatch(2)))
         self.assertEqual([], self.server.requests)
 
-    def test_a_cancellation_that_overtakes_its_attempt_holds(self):
+    def test_an_attempt_whose_cancellation_arrived_first_is_not_run(self):
         self.gate.cancel(self._dispatch().attempt_id)
         self.assertEqual(
             (Outcome.NOT_RUN, Reason.CANCELLED), self._ended(self._dispatch())
@@ -156,7 +156,7 @@
             running = executor.submit(
                 self._handle, self._dispatch(1, remaining_ms=60_000.0)
             )
-            self._seen(1)
+            self._wait_until_sent(1)
             waiting = executor.submit(self._handle, self._dispatch(2))
             self.gate.cancel(AttemptId("ingress", 1, 2))
             self.assertEqual(Outcome.NOT_RUN, waiting.result().outcome)
@@ -183,7 +183,7 @@
             for sequence, end in enumerate(ends.values(), 1):
                 dispatch = self._dispatch(sequence, remaining_ms=60_000.0)
                 running = executor.submit(self._handle, dispatch)
-                self._seen(sequence)
+                self._wait_until_sent(sequence)
                 time.sleep(RAN_MS_MIN / 1000)
                 end(dispatch.attempt_id)
                 self.assertEqual(Outcome.UNKNOWN, running.result().outcome)
@@ -208,14 +208,14 @@
         self.assertEqual({}, self.log.metrics.report().cuts)
 
     def test_attempts_that_a_leaving_node_cancels_are_logged_as_such(self):
-        # The time for the node's orderly end is over. One attempt holds the only slot
-        # and another one waits for it; each must get an event in the log.
+        # The node's shutdown timeout is over. One attempt holds the only slot and
+        # another one waits for it. Each must get an event in the log.
         self._hang()
         with ThreadPoolExecutor(2) as executor:
             executor.submit(self._handle, self._dispatch(1, remaining_ms=60_000.0))
-            self._seen(1)
+            self._wait_until_sent(1)
             executor.submit(self._handle, self._dispatch(2, remaining_ms=60_000.0))
-            wait_until(self.gate.waiting, "one waits")
+            wait_until(self.gate.waiting, "one attempt waits")
             self.gate.cancel_all()
         names = ("attempt_ended", "attempt_refused")
         logged = [self._logged(name) for name in names]
@@ -223,10 +223,10 @@
         cuts = [event["cut_by"] for events in logged for event in events]
         self.assertEqual(["node_leaving"] * 2, cuts)
 
-    def test_a_message_that_waited_while_the_gate_was_stopped_is_too_late(self):
-        # The remaining duration counts from when the message is read, so it looks
-        # sufficient. The deadline on the gate's clock has passed, and the caller was
-        # told so.
+    def test_an_attempt_that_is_read_after_its_deadline_is_not_run(self):
+        # The gate's process was suspended, so the message is read late. Its remaining
+        # time counts from when it is read and looks sufficient. But the deadline on the
+        # gate's clock has passed, and the caller has already been notified of that.
         late = self._dispatch(gate_deadline_s=time.monotonic() - 0.01)
         self.assertEqual((Outcome.NOT_RUN, Reason.DEADLINE), self._ended(late))
         self.assertEqual([], self.server.requests)
@@ -268,7 +268,7 @@
         self._hang()
         with ThreadPoolExecutor(1) as executor:
             first = executor.submit(self._handle, self._keyed(1, remaining_ms=500.0))
-            self._seen(1)
+            self._wait_until_sent(1)
             expected = (Outcome.UNKNOWN, Reason.DUPLICATE)
             self.assertEqual(expected, self._ended(self._keyed(2)))
             self.assertEqual(Outcome.UNKNOWN, first.result().outcome)
@@ -313,11 +313,11 @@
             Outcome.ANSWERED, self._handle(self._keyed(3, version=2)).outcome
         )
 
-    def test_a_claim_older_than_the_ledgers_memory_is_unknown(self):
+    def test_the_outcome_of_a_claim_older_than_the_key_retention_is_unknown(self):
         old = self._keyed(1, age_s=ledger.KEY_RETENTION_S + 1)
         self.assertEqual((Outcome.UNKNOWN, Reason.DUPLICATE), self._ended(old))
 
-    def test_a_full_ledger_forgets_answers_but_no_key(self):
+    def test_a_full_ledger_discards_answers_but_no_key(self):
         self.patch(ledger, "ANSWERS_MAX_BYTES", 1)
         self.patch(ledger, "KEYS_MAX", 2)
         for sequence, key in enumerate("ab"):
--- a/tests/test_gauges.py
+++ b/tests/test_gauges.py
@@ -29,7 +29,7 @@
 
         wait_until(
             lambda: "balsamspindle_retries_left{" in read_metrics(),
-            "the metrics include a service",
+            "the metrics include the service's retry budget",
         )
         for line in (
             "balsamspindle_settings_revision 2.0",
@@ -42,7 +42,7 @@
         ):
             self.assertIn(line, read_metrics())
 
-    def test_a_long_delay_is_reported_for_a_while(self):
+    def test_the_longest_recent_delay_is_reported(self):
         lag = RecentMax(10.0)
         lag.record(0.5, 1.0)
         lag.record(0.1, 9.0)
--- a/tests/test_health.py
+++ b/tests/test_health.py
@@ -28,7 +28,9 @@
         ({"latency_ms": 150.0}, 3),
     ],
 )
-def test_failing_or_slow_work_ejects_in_a_few_requests(work, requests_max):
+def test_a_failing_or_slow_backend_server_is_ejected_after_a_few_requests(
+    work, requests_max
+):
     driver = HealthDriver()
     driver.run_requests(times=150)
     assert driver.health.suspicion() == 0
@@ -36,7 +38,7 @@
     assert driver.health.suspicion() >= 1
 
 
-def test_two_hanging_requests_eject_before_they_end_but_one_does_not():
+def test_two_requests_that_still_hang_eject_but_one_does_not():
     """A hang must be detected although no attempt ends.
 
     A single hanging request may be an outlier. Two are evidence of sickness.
@@ -65,8 +67,8 @@
 
 
 @pytest.mark.parametrize("known", [15, 40])
-def test_attempts_at_the_own_node_outlast_the_slow_limit_of_a_small_sample(known):
-    """An ingress must wait for the node's own backend server until it is slow.
+def test_attempts_at_the_own_node_last_until_they_count_as_slow(known):
+    """An ingress must wait for its own node's backend server until that is slow.
 
     Guards against a gate that reports no percentile for its first 100 requests: the
     ingress then ends the attempt after 40 ms, too soon for it to count as slow.
@@ -90,15 +92,15 @@
 
 
 def test_a_standstill_ejects_even_with_a_high_threshold():
-    """Two requests hang, and none succeeds for longer than a pause."""
-    careful = HealthDriver(Detection(threshold=14.0))
-    careful.run_requests(times=150)
-    careful.start_request()
-    careful.start_request()
-    careful.advance(0.4)
-    assert careful.health.phase is HealthPhase.SERVING
-    careful.advance(0.2)
-    assert careful.health.phase is HealthPhase.HELD_OUT
+    """Two requests hang, and no request succeeds for longer than a pause may last."""
+    high_threshold = HealthDriver(Detection(threshold=14.0))
+    high_threshold.run_requests(times=150)
+    high_threshold.start_request()
+    high_threshold.start_request()
+    high_threshold.advance(0.4)
+    assert high_threshold.health.phase is HealthPhase.SERVING
+    high_threshold.advance(0.2)
+    assert high_threshold.health.phase is HealthPhase.HELD_OUT
     working = HealthDriver(Detection(threshold=14.0))
     working.run_requests(times=150)
     working.start_request()
@@ -115,7 +117,7 @@
 
 
 def test_callers_with_tiny_timeouts_eject_no_backend_server():
-    """Each caller times out after 5 ms, so the gate sees silence every time."""
+    """Callers time out after 5 ms. A silence of 5 ms is not evidence of sickness."""
     driver = HealthDriver()
     driver.run_requests(times=150)
     assert (
@@ -128,7 +130,7 @@
 
 
 def test_slowness_shared_with_most_peers_never_ejects():
-    """In an overload all are slow, and each ejection adds load to the others."""
+    """In an overload all servers are slow. Each ejection adds load to the others."""
     overloaded = HealthDriver(
         peers=PeerEvidence(judged_count=5, bad_count=4, median_p99_ms=40.0)
     )
@@ -141,7 +143,7 @@
 
 
 def test_an_ejection_by_an_overload_is_undone_when_the_peers_turn_slow():
-    """The first slow requests end before the peers' slowness is known."""
+    """An overload ejects a backend server before its peers are known to be slow."""
     driver = HealthDriver()
     driver.run_requests(times=150)
     driver.requests_until(HealthPhase.HELD_OUT, latency_ms=150.0)
@@ -191,7 +193,8 @@
     driver = HealthDriver(peers=PeerEvidence())
     driver.run_requests(times=150)
     assert driver.requests_until(HealthPhase.HELD_OUT, latency_ms=300.0) <= 4
-    # If the floor keeps it in use, its latencies must not become the normal ones.
+    # The floor may keep a slow backend server in use. Guards against a slow limit that
+    # rises with the latencies of the slow backend server.
     driver.run_requests(latency_ms=300.0, times=200)
     assert driver.health.slow_ms() < 150
 
@@ -219,8 +222,8 @@
     assert driver.health.phase is HealthPhase.ON_TRIAL
 
 
-def stand_still(driver: HealthDriver) -> list[AttemptId]:
-    """Let two requests hang for longer than a pause, so that the server is held out."""
+def hold_out_by_standstill(driver: HealthDriver) -> list[AttemptId]:
+    """Let two requests hang until the backend server is held out; return their ids."""
     hanging = [driver.start_request() for _ in range(2)]
     driver.advance(0.6)
     assert driver.health.phase is HealthPhase.HELD_OUT
@@ -229,9 +232,10 @@
 
 
 def test_an_ejection_by_a_standstill_is_undone_when_peers_are_as_slow():
-    # Guards against a suspicion that stays after all peers have become slow, too.
+    # Guards against a backend server that stays suspected although all of its peers
+    # have become as slow.
     driver = HealthDriver()
-    for attempt_id in stand_still(driver):
+    for attempt_id in hold_out_by_standstill(driver):
         driver.health.record_end(attempt_id, ANSWERED, driver.now_s)
     driver.advance(5.5)
     assert driver.health.phase is HealthPhase.ON_TRIAL
@@ -240,10 +244,11 @@
     assert driver.health.phase is HealthPhase.SERVING
 
 
-def test_an_ejection_by_a_standstill_that_goes_on_stays_when_peers_are_slow():
-    # Guards against readmitting a backend server that hangs while others are slow.
+def test_a_backend_server_that_still_hangs_stays_ejected_when_peers_are_slow():
+    # The peers of a backend server that hangs have become slow. Guards against
+    # readmitting the backend server for this reason although its requests still hang.
     driver = HealthDriver()
-    stand_still(driver)
+    hold_out_by_standstill(driver)
     driver.advance(5.5)
     driver.peers = PeerEvidence(judged_count=5, bad_count=0, median_p99_ms=600.0)
     driver.run_requests(latency_ms=600.0)
@@ -251,9 +256,9 @@
 
 
 def test_a_flapping_backend_server_costs_few_failures_an_hour():
-    """The backend server is well on trial, and sick as soon as it serves again.
+    """The backend server answers in trials and fails as soon as it serves again.
 
-    Every trial succeeds, so only the growth of the hold-out bounds the cost.
+    Every trial succeeds, so only longer hold-outs bound the number of failures.
     """
     failures = 0
     driver = HealthDriver()
--- a/tests/test_health_monitor.py
+++ b/tests/test_health_monitor.py
@@ -51,12 +51,13 @@
         return self.servers.records()[0].suspicion
 
 
-def test_mixed_work_changes_the_published_record_rarely():
-    """Each change of a record is sent to all nodes of the fleet.
+def test_the_published_record_changes_rarely():
+    """Guards against many messages: each change of a record is sent to all nodes.
 
-    A backend server that only fails has hold-outs of 5 s and 10 s within these 21 s.
-    Each changes the record three times at most: held out, strongly suspected, on
-    trial.
+    A few errors among many answers must not change the record. After that the backend
+    server only fails, for 21 s. In this time it is held out for 5 s, for 10 s, and once
+    more. Each hold-out changes the record at most three times: when the backend server
+    is held out, when it is strongly suspected, and when it is on trial.
     """
     node = Node()
     version = node.servers.version
@@ -71,9 +72,10 @@
 
 
 def test_a_backend_server_that_restarts_while_held_out_is_on_trial_at_once():
-    """A restart may have cured it, but its new record carries no suspicion.
+    """The restart may have removed the fault, so the backend server gets a trial.
 
-    So the suspicion of a trial must be published again.
+    Its new record contains no suspicion at first. The node must publish the suspicion
+    of a backend server on trial in it.
     """
     node = Node()
     node.work(ERROR, 4)
@@ -83,11 +85,14 @@
     node.work(ERROR)
     assert node.suspicion >= 1
     node.wait(5.1)
-    assert node.suspicion >= 1, "the restart has not taken the doubling back"
+    assert node.suspicion >= 1, "the hold-out is still doubled after the restart"
 
 
-def test_a_held_out_backend_server_learns_of_an_overload_from_its_neighbour():
-    """A held-out server gets no dispatches, so no summaries of its peers."""
+def test_a_held_out_backend_server_is_readmitted_in_an_overload():
+    """A held-out backend server gets no dispatches, and so no summaries of its peers.
+
+    Summaries that arrive for another backend server of the node must count for both.
+    """
     node = Node()
     neighbour = Announcement(SERVICE, "127.0.0.1:9", 6, "1")
     node.servers.announce("contract-1", neighbour, node.now_s)
@@ -101,11 +106,12 @@
 
 
 def test_own_failures_do_not_count_as_failures_of_peers():
-    """One of two backend servers beside a node fails, and is held out.
+    """One of a node's two backend servers fails and is held out.
 
-    Summaries with the other's requests count one bad peer, which is the held-out
-    server. Guards against counting it as its own peer: its failures would seem to
-    have a shared cause, and it would be on trial again after 50 ms.
+    The other one gets requests with summaries that count one bad peer: the held-out
+    server. Guards against a held-out server that is counted as its own peer. Its
+    failures would seem to have a cause shared with peers, and it would be on trial
+    again after 50 ms.
     """
     node = Node()
     announcement = Announcement(SERVICE, "127.0.0.1:8", 6, "1")
@@ -120,7 +126,7 @@
     assert node.suspicion >= 1
 
 
-def test_a_backend_server_that_was_long_absent_is_discarded():
+def test_the_health_of_a_long_absent_backend_server_is_discarded():
     node = Node()
     node.work(ERROR, 4)
     assert node.servers.remove_silent(node.now_s + 100) == [SERVER]
@@ -151,12 +157,12 @@
     assert "cause=error:" in lines[0].replace('"', "")
 
 
-def test_a_backend_server_that_a_request_crashed_serves_when_it_is_back():
+def test_a_backend_server_that_a_request_crashed_serves_after_its_restart():
     """One request crashes a backend server again and again.
 
-    Guards against hold-outs that keep the backend server from all other callers, for
-    longer with each crash. The request may be quarantined before or after the backend
-    server is back.
+    Guards against hold-outs that double with each of these crashes, during which other
+    callers can't use the backend server. The request may be quarantined before or after
+    the restart of the backend server.
     """
     for is_late in (False, True):
         node, blamed = Node(), set()
--- a/tests/test_health_pauses.py
+++ b/tests/test_health_pauses.py
@@ -24,8 +24,8 @@
     assert driver.health.report(driver.now_s).score == 0
 
 
-def _slow_pair(second_begins_ms: float, good_ends_ms: float) -> HealthDriver:
-    """Run a slow request of 80 ms, a good one, and a slow one that ends 60 ms later."""
+def _run_slow_pair(second_begins_ms: float, good_ends_ms: float) -> HealthDriver:
+    """Run a request from 0 to 80 ms, one that ends at 140 ms, and a good 2 ms one."""
     driver = HealthDriver(
         peers=PeerEvidence(judged_count=5, bad_count=0, median_p99_ms=13.0)
     )
@@ -46,24 +46,27 @@
 @pytest.mark.parametrize(
     ("second_begins_ms", "good_ends_ms"),
     [
-        # Both begin together, and a newer good request ends before them.
+        # Both slow requests begin almost together. A good one begins later and ends at
+        # 35 ms, before them.
         (2.0, 35.0),
-        # The second begins after a good request that ends together with the first.
+        # The second slow request begins after a good one that ends shortly after the
+        # first slow one.
         (83.0, 82.0),
     ],
 )
 def test_a_pause_that_ends_at_different_times_per_thread_counts_once(
     second_begins_ms, good_ends_ms
 ):
-    # Guards against suspecting a healthy server whose threads wait for a processor.
-    driver = _slow_pair(second_begins_ms, good_ends_ms)
+    # Guards against suspecting a healthy backend server whose threads wait for a
+    # processor.
+    driver = _run_slow_pair(second_begins_ms, good_ends_ms)
     assert driver.health.phase is HealthPhase.SERVING
     driver.run_requests(latency_ms=2.0, times=50)
     assert driver.health.report(driver.now_s).score == 0
 
 
-def test_slow_work_that_newer_work_overtook_counts_separately():
-    driver = _slow_pair(second_begins_ms=82.0, good_ends_ms=10.0)
+def test_slow_requests_that_a_newer_good_request_overtook_count_separately():
+    driver = _run_slow_pair(second_begins_ms=82.0, good_ends_ms=10.0)
     once = driver.health.report(driver.now_s).score
-    apart = _slow_pair(second_begins_ms=60.0, good_ends_ms=78.0)
+    apart = _run_slow_pair(second_begins_ms=60.0, good_ends_ms=78.0)
     assert apart.health.report(apart.now_s).score > once
--- a/tests/test_independent_errors.py
+++ b/tests/test_independent_errors.py
@@ -61,7 +61,9 @@
 
 
 class OneErrorTests(TestCase):
-    def test_one_error_keeps_non_idempotent_work_away_until_a_trial_went_well(self):
+    def test_after_an_error_only_idempotent_requests_run_until_a_trial_succeeds(
+        self,
+    ):
         # A sick backend server answers errors within a millisecond, so it looks
         # idle and would attract all requests. A non-idempotent request that gets
         # an error is lost, so none is sent there after the first error, until an
@@ -78,7 +80,9 @@
         self.assertTrue(server.admits(Execution.NON_IDEMPOTENT))
 
     def test_a_request_that_cannot_be_retried_is_not_used_for_a_trial(self):
-        # Guards against losing a request in a trial while other servers are free.
+        # Guards against a request that fails in a trial on its last attempt while other
+        # backend servers are free. It is used for a trial only after `TRIAL_WAIT_S`, in
+        # which no other request was available.
         server = _TimedServer()
         server.run(WorkResult.ERROR)
         server.now_s += DETECTION.hold_out_s + 0.01
@@ -87,10 +91,10 @@
         server.now_s += TRIAL_WAIT_S
         self.assertTrue(server.admits(last=True))
 
-    def test_a_trial_that_outlasts_errors_is_passed_before_its_end(self):
-        # Errors come within a millisecond, so an attempt that runs for 20 ms is
-        # not one of them. Guards against leaving the other slots empty for the
-        # 300 ms of the trial.
+    def test_a_trial_succeeds_once_it_has_run_longer_than_errors_take(self):
+        # All errors come within a millisecond, so an attempt that has run for 20 ms is
+        # no such error, and the trial succeeds. Guards against leaving the other slots
+        # empty until the attempt ends after 300 ms.
         server = _TimedServer()
         server.run(WorkResult.ERROR)
         server.now_s += DETECTION.hold_out_s + 0.01
@@ -100,12 +104,14 @@
         self.assertFalse(server.admits())
         server.now_s += 0.02
         self.assertTrue(server.admits(Execution.NON_IDEMPOTENT))
-        # The trial's attempt fails in the end, and one error ejects again.
+        # If the trial's attempt fails in the end, this single error ejects the backend
+        # server again.
         server.end(trial, WorkResult.ERROR)
         self.assertFalse(server.admits())
 
-    def test_a_trial_must_end_if_errors_take_as_long_as_work(self):
-        # Errors come at the end of the work, so a running trial shows nothing.
+    def test_a_trial_succeeds_only_at_its_end_if_errors_take_as_long_as_work(self):
+        # Errors come at the end of the work, so a trial that is still running is no
+        # evidence that the backend server has recovered.
         server = _TimedServer()
         failing = server.start()
         server.now_s += 0.3
@@ -117,8 +123,9 @@
         self.assertFalse(server.admits())
 
     def test_the_evidence_is_reported_with_the_hold_out(self):
-        # An ingress without other choice prefers a backend server with a single
-        # error to one that keeps failing.
+        # If all backend servers are held out, an ingress prefers one with a single
+        # error to one that keeps failing. It needs the number of errors in a row for
+        # this.
         server = _TimedServer()
         server.run(WorkResult.ANSWERED)
         for bad_in_a_row in (1, 2, 3):
@@ -149,10 +156,11 @@
         self.assertTrue(server.admits())
 
     def test_the_first_error_after_good_service_gives_a_short_hold_out(self):
-        # A healthy backend server with fifteen requests a second has an error
-        # every few seconds. If each cost a hold-out of half a second, it would be
-        # missing for a tenth of the time. With four others sick, no healthy one
-        # would then be left for a moment, and all requests would go to sick ones.
+        # A healthy backend server with fifteen requests a second has an error every few
+        # seconds. If each error caused a hold-out of half a second, the server would be
+        # held out for a tenth of the time. While four other servers are sick, there
+        # would be moments in which the healthy one is held out, too, and all requests
+        # would be sent to sick ones.
         server = _TimedServer(
             msgspec.structs.replace(DETECTION, hold_out_s=0.05, hold_out_growth=8.0)
         )
@@ -188,7 +196,7 @@
         server.now_s += LIGHTEST_WAIT_S
         self.assertTrue(server.admits(weight=HEAVY))
 
-    def test_slow_answers_alone_need_more_than_one(self):
+    def test_a_single_slow_answer_does_not_eject(self):
         server = _TimedServer()
         attempt_id = server.start()
         server.now_s += 3.0
@@ -248,8 +256,8 @@
         self.assertIs(Outcome.ANSWERED, reply.outcome)
 
     def test_an_error_is_scored_before_its_slot_is_freed(self):
-        # All slots are taken and requests wait. The first error frees a slot. If
-        # that happened before the error is scored, the next request in the queue
+        # All slots are taken and requests wait. The first error frees a slot. If the
+        # slot were freed before the error is scored, the next request in the queue
         # would start and fail as well, and then the one after it.
         self.announce(ERROR_500)
         order = []
@@ -264,10 +272,13 @@
         self.handle(time.monotonic())
         self.assertEqual(["judged", "free"], order)
 
-    def test_an_error_after_a_failed_call_is_no_evidence_against_the_caller(self):
-        # A signing service calls the records service, whose answer fails, and
-        # answers its own request with a 500 at once. If that counted, one sick
-        # service would get healthy backend servers of other services ejected.
+    def test_an_error_after_a_failed_call_is_no_evidence_against_the_calling_server(
+        self,
+    ):
+        # A signing service calls the records service. The call fails, so the signing
+        # service answers its own request with a 500 at once. If this 500 counted as an
+        # error, one sick service would get healthy backend servers of other services
+        # ejected.
         self.announce(ERROR_500)
         self.handle(time.monotonic())
         self.failed_calls.record(time.monotonic())
@@ -282,7 +293,7 @@
 
 
 class _RecordingResults(list):
-    """A list of results that also records the order of judging and release."""
+    """A list of results that adds "judged" to `order` for each result."""
 
     def __init__(self, order) -> None:
         super().__init__()
--- a/tests/test_join_at_size.py
+++ b/tests/test_join_at_size.py
@@ -10,10 +10,11 @@
 
 
 class JoinAtSizeTests(TestCase):
-    def test_comparisons_do_not_starve_the_pulls_of_a_joiner(self):
-        # Guards against a joining node whose comparisons with several peers use up
-        # its byte budget: it pulls no records, compares again, and for ten minutes
-        # refuses requests for services that it does not know yet with not_run.
+    def test_comparisons_leave_a_joining_node_enough_bytes_to_pull_records(self):
+        # Guards against a joining node that spends its byte budget on comparisons with
+        # several peers. It then has no bytes left to pull records, and compares again.
+        # For ten minutes it refuses requests with `not_run`, because it does not know
+        # their services yet.
         join = JoinSimulation(LONG_RUN.scaled(NODES))
         self.assertLess(join.run(), JOIN_MAX_S)
         counts = join.joiner.channel.counts
--- a/tests/test_key_proofs.py
+++ b/tests/test_key_proofs.py
@@ -34,13 +34,13 @@
         self.assertFalse(self.freshness.is_fresh(7, 0.0))
 
     def test_a_proof_counts_from_the_start_of_its_read(self):
-        # Guards against revoked keys that a slow read lets a node use for longer.
+        # Guards against a slow read that lets a node use a revoked key for longer.
         self.freshness.record(Proof(10.0, 7), 7)
         self.assertTrue(self.freshness.is_fresh(7, 14.9))
         self.assertFalse(self.freshness.is_fresh(7, 15.0))
 
     def test_a_proof_of_a_newer_revision_counts_once_it_is_in_force(self):
-        # Guards against a key that is revoked by a revision not yet in force here.
+        # Guards against the use of a key that a revision not yet in force here revokes.
         self.freshness.record(Proof(10.0, 7), 7)
         self.freshness.record(Proof(14.0, 8), 7)
         self.assertFalse(self.freshness.is_fresh(7, 15.0))
@@ -56,7 +56,7 @@
 
 
 class Fleet:
-    """Nodes that ask each other over a simulated network, on a simulated clock."""
+    """Nodes that request proofs from each other over a simulated network."""
 
     def __init__(self, count: int, zones: int = 3) -> None:
         self.now_s = 100.0
@@ -180,12 +180,12 @@
                 fleet.now_s - node.freshness.usable_proof(1).began_s
                 for node in fleet.nodes.values()
             ]
-            # Leaves almost half of the maximum age for faults.
+            # Almost half of the maximum age remains for faults.
             self.assertLess(max(ages), 0.6 * AGE_MAX_S)
         self.assertLess(fleet.reads / 20, 6)
 
     def test_nodes_that_the_store_refuses_stay_fresh_through_their_peers(self):
-        # Guards against a third of the fleet that refuses all keys for seconds.
+        # Guards against refusals of all keys by a third of the fleet, for seconds.
         fleet = Fleet(93)
         fleet.run(4)
         refused = {node.address for node in list(fleet.nodes.values())[::3]}
@@ -197,7 +197,7 @@
         self.assertEqual(0, stale)
 
     def test_no_node_uses_keys_while_the_store_is_unavailable(self):
-        # Guards against nodes that keep renewing each other's old proofs.
+        # Guards against nodes that confirm each other's old settings as current.
         fleet = Fleet(30)
         fleet.run(4)
         fleet.store_answers = lambda node: False
@@ -234,7 +234,7 @@
 
 
 def latest_use_s(seed: int) -> float:
-    """Return how long after its revocation a key was used, with faults by the seed."""
+    """Return for how many seconds a revoked key was still used, with random faults."""
     fleet = Fleet(6, zones=2)
     rng = fleet.random = random.Random(seed)
     fleet.delays_s = (0.001, rng.choice((0.01, 0.5, 3.0)))
@@ -260,7 +260,7 @@
 
 
 class RevocationTests(TestCase):
-    """No node uses a key later than the maximum age of a proof after its revocation."""
+    """After its revocation a key is used no longer than a proof's maximum age."""
 
     def test_the_delay_of_an_answer_counts_as_age(self):
         # Guards against a proof that seems new because its receiver was paused.
@@ -348,7 +348,8 @@
         return WholeSettings(value, {})
 
     def test_the_age_of_a_proof_counts_from_the_start_of_the_read(self):
-        # Guards against a revision that was accepted during the read.
+        # Guards against a proof that hides a revision written while the read was
+        # running.
         began_s = time.monotonic()
         self.watcher.renew_proof()
         (proof,) = self.proofs
@@ -368,7 +369,7 @@
         self.assertEqual([1], [proof.revision for proof in self.proofs])
 
     def test_a_row_that_cant_be_decoded_proves_nothing(self):
-        # Guards against keys that the unreadable revision revokes.
+        # Guards against the use of keys that the unreadable revision revokes.
         self.watcher.renew_proof()
         self.tables.row = Row("config", 2, "garbage")
         self.watcher.renew_proof()
@@ -382,7 +383,7 @@
 
 
 class QuestionTests(TestCase):
-    def test_no_peer_is_asked_while_the_proof_is_new(self):
+    def test_no_peer_is_queried_while_the_proof_is_new(self):
         fleet = Fleet(4, zones=1)
         node = list(fleet.nodes.values())[0]
         node.refresher.record_read(fleet.now_s, 1)
--- a/tests/test_latency_bench.py
+++ b/tests/test_latency_bench.py
@@ -13,7 +13,7 @@
         self.assertEqual([], regressions(baseline["ratios"], baseline))
         self.assertEqual(set(baseline["ratios"]), set(baseline["bounds"]))
 
-    def test_a_ratio_over_its_bound_is_named(self):
+    def test_a_ratio_over_its_bound_is_reported(self):
         baseline = {
             "ratios": {"p50": 2.0, "cpu": 1.0},
             "bounds": {"p50": 1.5, "cpu": 2},
--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -56,12 +56,12 @@
 
 
 class RollingRestartTests(TestCase):
-    # A caller's connection is reset, or its answer never arrives, when a node stops.
-    # The node gets SIGTERM while requests arrive on kept-alive connections, connections
-    # wait in the listener's backlog, and attempts of peers run at its gate. Closing the
-    # listener resets the connections in its backlog, a request can be in transit when
-    # its idle connection is closed, and a reply that is still queued is lost when its
-    # link closes.
+    # Guards against connections that are reset, and answers that never arrive, when a
+    # node stops. The node gets SIGTERM while requests arrive on kept-alive connections,
+    # connections wait in the listener's backlog, and attempts of peers run at its gate.
+    # Closing the listener resets the connections in its backlog. A request can be in
+    # transit when its idle connection is closed. A reply that is still queued is lost
+    # when its link closes.
 
     def setUp(self):
         super().setUp()
@@ -88,7 +88,7 @@
                 addresses[number % 3 :] + addresses[: number % 3],
                 "POST" if number % 2 else "GET",
                 pause_s=1.3 if number >= 12 else 0.01,
-                fresh=6 <= number < 12,
+                reconnects=6 <= number < 12,
             )
             for number in range(15)
         ]
@@ -118,7 +118,8 @@
         faults = [fault for caller in self.callers for fault in caller.faults]
         self.assertEqual([], faults)
         self.assertGreater(len(calls), 300)
-        # 408 ends an idle connection; a request may have been sent at the same time.
+        # The node closes an idle connection with 408. A caller may have sent a request
+        # on the connection just before, which gets this 408 and is not run.
         others = [
             call
             for call in calls
@@ -238,9 +239,9 @@
         self.assertEqual(0, after.count("attempt_dispatched"))
 
     def test_a_suspended_backend_server_does_not_delay_the_shutdown(self):
-        # The backend server is suspended with a running request that may take a minute.
-        # The shutdown of the node waits for its timeout, answers the caller that it is
-        # unknown whether the request ran, and ends.
+        # The backend server is suspended while it runs two requests that may take a
+        # minute. The node must wait no longer than its shutdown timeout. It then sends
+        # the callers the outcome `unknown` and ends.
         self._start(work_ms=100, slots=4)
         answers = []
         callers = [
@@ -269,7 +270,7 @@
             caller.join()
         self.assertEqual(["unknown"] * 2, [answer.outcome for answer in answers])
 
-    def test_events_show_a_run_that_leaving_nodes_cut_up_to_its_answer(self):
+    def test_events_show_which_leaving_nodes_cut_the_runs_of_a_request(self):
         # The caller gets 'unknown' after two cuts. Its request runs at another node's
         # backend server when that node gets SIGTERM, so the ingress also starts it at
         # its own backend server. The first node cuts its run after its shutdown
@@ -304,8 +305,8 @@
         self.assertEqual(sorted(times), times)
 
     def test_the_gate_logs_that_a_leaving_ingress_cut_a_run(self):
-        # The ingress leaves and stops waiting for the reply. The gate's node stays; it
-        # cuts the run and logs that the ingress is the reason.
+        # The ingress leaves and stops waiting for the reply. The gate's node stays in
+        # the fleet. The gate cuts the run and logs that the ingress is the reason.
         ingress, gate = self._start_nodes(["contract-1"])
         with ThreadPoolExecutor(1) as executor:
             answer = executor.submit(
@@ -357,9 +358,9 @@
         self.assertEqual(dispatched["request"], cut["request"])
 
     def test_an_idle_connection_ends_with_408_and_does_not_delay_the_shutdown(self):
-        # The caller keeps a connection open and sends nothing. It must learn that a
-        # request sent just before the connection ended was not run, and the node must
-        # not wait for the idle timeout of one minute.
+        # The caller keeps a connection open and sends nothing. When the node closes the
+        # connection, it must report `not_run` for a request that the caller may have
+        # just sent. The node must not wait for the idle timeout of one minute.
         self._start(work_ms=0, slots=4)
         host, _, port = self.nodes[0].caller_address.partition(":")
         caller = http.client.HTTPConnection(host, int(port), timeout=20)
--- a/tests/test_leaving_in_doubt.py
+++ b/tests/test_leaving_in_doubt.py
@@ -12,10 +12,12 @@
 
 SERVICE = "crew/contracts"
 SHUTDOWN_TIMEOUT_S = 3.0
-# Callers that send continuously; two slots serve a sixth of them at once.
-OTHERS = 12
-# As translated from the platform's configuration, with timeouts that let each test
-# control the order of events. Answers within `slow_ms_min` never count as slow.
+# Number of callers that keep the far gate busy. Its two slots serve a sixth of them at
+# once.
+BUSY_CALLERS = 12
+# These are the settings that result from the platform's configuration, except for the
+# timeouts, which let each test control the order of events. Answers within
+# `slow_ms_min` never count as slow.
 SETTINGS = {
     "crew/services/contracts": {
         "detection": {
@@ -117,12 +119,12 @@
         sent = events_at(self.ingress, "attempt_sent")
         return sum(event["sought"] == "queue" for event in sent)
 
-    def test_a_read_cut_by_one_restart_is_answered_before_the_next(self):
-        # A caller gets 504 and 'unknown' for a repeatable read although another backend
-        # server is free all the time. The gate that runs the read gets SIGTERM and cuts
-        # it after its shutdown timeout. An ingress that sends the second attempt only
-        # then, and not when it learns that the gate is leaving, may be leaving as well
-        # by then, and it ends before the second attempt does.
+    def test_a_read_cut_by_one_restart_is_answered_before_the_next_restart(self):
+        # Guards against 504 and 'unknown' for a read that could be repeated, because
+        # another backend server is free all the time. The gate that runs the read gets
+        # SIGTERM and cuts the run after its shutdown timeout. The ingress must send the
+        # second attempt as soon as it learns that the gate is leaving. If it waited for
+        # the cut, it might be leaving as well and end before the second attempt does.
         far = self._start_node("far", "zone-1")
         self.fleet.start_backend("contract-near", SERVICE, self.near, work_ms=15000)
         server = self.fleet.start_backend("contract-far", SERVICE, far, work_ms=2500)
@@ -145,12 +147,12 @@
         self.assertEqual(0, self.ingress.process.wait(10))
 
     def test_requests_queued_elsewhere_do_not_start_as_their_ingress_ends(self):
-        # The callers of two requests that must not run twice get 504 and 'unknown'. The
-        # requests wait for the only slot at another node's gate when their ingress gets
-        # SIGTERM. The slot becomes free half a second before the ingress ends, too late
-        # for a run of 1.5 seconds. If the gate starts one of the requests then, its
-        # ingress gives it up. The other one never runs, but its ingress must not answer
-        # its caller before the gate has replied that it did not run.
+        # Guards against 504 and 'unknown' for two requests that must not run twice.
+        # They wait for the only slot at another node's gate when their ingress gets
+        # SIGTERM. The slot becomes free half a second before the ingress ends. This is
+        # too late for a run of 1.5 seconds: the ingress would give up the request
+        # before its answer, so the gate must not start it. The ingress must wait for
+        # the gate's reply that neither request ran before it answers the callers.
         slow_s, work_s = 2.0, 1.5
         server = self.fleet.start_backend(
             "contract-near", SERVICE, self.near, work_ms=work_s * 1000, slots=1
@@ -168,7 +170,9 @@
             Caller(self.ingress, f"waiting-{number}", "/signatures/3", "POST")
             for number in range(2)
         ]
-        wait_until(lambda: self._queued_elsewhere() == 2, "both wait at the gate")
+        wait_until(
+            lambda: self._queued_elsewhere() == 2, "both requests wait at the gate"
+        )
         time.sleep(max(0.0, ends_s + 0.5 - SHUTDOWN_TIMEOUT_S - time.monotonic()))
         self.ingress.signal(signal.SIGTERM)
         answers = [caller.answer() for caller in waiting]
@@ -184,12 +188,12 @@
         self.assertEqual(0, self.ingress.process.wait(10))
 
     def test_a_read_whose_run_was_lost_is_answered_under_steady_load(self):
-        # A caller gets 502 and 'unknown' for a repeatable read that is cut, with more
-        # than half of its timeout left. A second attempt was sent while the run was
-        # silent, and the only other gate refused it because of its queue. Since then
-        # that gate counts as tried, so the ingress does not send to it after the cut.
-        # Sending to it again is not enough: the read is late by then, and if the gate
-        # served newer requests first, the read would wait for longer than it may.
+        # Guards against 502 and 'unknown' for a repeatable read that is cut while more
+        # than half of its timeout remains. A second attempt was sent while the run was
+        # silent, and the only other gate refused it because of its queue. Although that
+        # gate counts as tried, the ingress must send to it again after the cut. The
+        # gate must also serve the read before newer requests. Otherwise the read, which
+        # is late by then, would wait for longer than its timeout.
         far = self._start_node("far", "zone-1")
         self.fleet.start_backend(
             "contract-near", SERVICE, self.near, work_ms=15000, slots=1
@@ -204,12 +208,13 @@
             SteadyCaller(
                 f"other-{number}", [far.caller_address], target="/contracts/search"
             )
-            for number in range(OTHERS)
+            for number in range(BUSY_CALLERS)
         ]
         for other in others:
             other.start()
             self.addCleanup(other.stop)
-        # Ends the callers' pending requests; otherwise each would wait for its answer.
+        # Ends the pending requests of the other callers when the test is over.
+        # Otherwise each of them would wait for its answer.
         self.addCleanup(far.kill)
         wait_until(
             lambda: sum(other.outcomes()["answered"] for other in others) >= 4,
--- a/tests/test_lifetimes.py
+++ b/tests/test_lifetimes.py
@@ -38,10 +38,10 @@
     def states(self):
         return {server.backend_server_id: server.state for server in self.servers.all()}
 
-    def test_a_late_ready_does_not_undo_a_drain(self):
-        # A delayed announcement that says "ready" arrives after the one that says
-        # "draining". If it counted, the backend server would get new requests, which
-        # are cut when it ends.
+    def test_a_late_ready_announcement_does_not_undo_a_drain(self):
+        # A delayed announcement that reports "ready" arrives after one that reports
+        # "draining". If the node accepted the late one, the backend server would get
+        # new requests, which are cut when it ends.
         self.announce("one", 1, 0.0)
         self.announce("one", 3, 1.0, draining=True)
         self.announce("one", 2, 1.1)
@@ -49,39 +49,46 @@
         self.announce("one", 4, 2.0)
         self.assertEqual({"one": BackendServerState.DRAINING}, self.states())
 
-    def test_an_earlier_start_does_not_take_its_address_back(self):
-        # The last announcement of a crashed backend server arrives after the first
-        # one of its successor, which has the address now and may run another service.
+    def test_a_late_announcement_does_not_take_an_address_from_a_successor(self):
+        # A backend server crashes, and a successor uses its address. The last
+        # announcement of the crashed one arrives after the first one of the successor.
+        # Guards against requests for the crashed backend server that are sent to the
+        # successor, which may run another service.
         self.announce("old", 5, 0.0)
         self.announce("new", 1, 1.0, service="t/b")
         self.announce("old", 6, 1.5)
         self.assertEqual(BackendServerState.READY, self.states()["new"])
         self.assertEqual(BackendServerState.DRAINING, self.states()["old"])
 
-    def test_the_running_start_wins_when_a_late_announcement_arrives_last(self):
-        # The node has just started, so the late announcement of a backend server that
-        # has ended looks like a new start. Only the running one keeps announcing.
+    def test_the_running_server_stays_in_use_after_a_late_announcement(self):
+        # The node has just started, so a late announcement of a backend server that has
+        # ended looks like a new start at the same address. The running backend server
+        # must be in use again, because only that one keeps announcing itself.
         self.announce("new", 1, 0.0)
         self.announce("old", 9, 0.1)
         self.announce("new", 2, 1.5)
         self.announce("new", 3, REPLACED_SILENT_S + 0.2)
         self.assertEqual(BackendServerState.READY, self.states()["new"])
 
-    def test_a_start_that_left_gets_no_work_again(self):
+    def test_a_backend_server_that_left_gets_no_work_again(self):
         self.announce("one", 1, 0.0)
         self.lifetimes.record_leave("one")
         self.announce("one", 2, 1.1)
         self.assertEqual({"one": BackendServerState.DRAINING}, self.states())
 
-    def test_a_start_that_left_before_it_was_announced_gets_no_work(self):
-        # The node restarts before a backend server reports that it leaves. The node's
-        # first announcement of it is a late one, which arrives after the report.
+    def test_a_backend_server_that_left_before_its_announcement_gets_no_work(self):
+        # The node restarts, and the backend server reports that it leaves before the
+        # restarted node has received an announcement of it. A late announcement then
+        # arrives. Guards against requests that are sent to a backend server that has
+        # left.
         self.lifetimes.record_leave("one")
         self.announce("one", 7, 0.1)
         self.assertEqual({}, self.states())
 
-    def test_a_start_whose_address_belongs_to_another_gets_no_work(self):
-        # A request for it was refused by the backend server that has its address now.
+    def test_a_backend_server_whose_address_another_one_uses_gets_no_work(self):
+        # A request for backend server "one" was refused by another backend server,
+        # which has the address of "one" now. No more requests may be sent to "one",
+        # although it is still announced.
         self.announce("one", 1, 0.0)
         self.lifetimes.record_misdirected("one")
         self.announce("one", 2, 0.5)
@@ -89,40 +96,41 @@
 
     def test_an_announcement_that_arrives_twice_counts_once(self):
         # A delayed copy of an announcement arrives after the backend server turned
-        # silent. If it counted, the backend server would stay in service.
+        # silent. If the copy counted as a new announcement, the silent backend server
+        # would stay in service.
         self.announce("one", 3, 0.0)
         self.announce("one", 3, 20.0)
         self.assertEqual(["one"], self.servers.remove_silent(31.0))
 
-    def test_a_new_start_under_the_same_id_begins_anew(self):
+    def test_a_restart_under_the_same_id_ends_a_drain(self):
         # A backend server drains, crashes and restarts under the same id. After the
-        # restart its announcements count from 1 again and no longer report that it
-        # drains, so it has to get work.
+        # restart its announcements count from 1 again and no longer report "draining".
+        # They must be accepted, so that the backend server gets work.
         self.announce("one", 7, 0.0, draining=True, start_unix_ms=1000)
         self.announce("one", 1, 1.0, start_unix_ms=2000)
         self.assertEqual({"one": BackendServerState.READY}, self.states())
 
-    def test_a_new_start_after_a_leave_takes_work(self):
-        # The backend server left and was started again; the leave does not apply to
-        # the new start.
+    def test_a_restart_after_a_leave_gets_work(self):
+        # The backend server left and was started again. The leave of the earlier start
+        # does not apply to the new one.
         self.announce("one", 7, 0.0, start_unix_ms=1000)
         self.lifetimes.record_leave("one")
         self.announce("one", 1, 1.0, start_unix_ms=2000)
         self.assertEqual({"one": BackendServerState.READY}, self.states())
 
     def test_late_messages_of_an_earlier_start_are_ignored(self):
-        # The "draining" and the leave of the first start are delayed by a network
-        # failure and arrive when the second one serves. If they counted, healthy
-        # capacity would be lost for good.
+        # A network failure delays the announcement of the drain and the leave of the
+        # first start. They arrive while the second start serves. If they counted for
+        # the second start, healthy capacity would be lost permanently.
         self.announce("one", 1, 0.0, start_unix_ms=2000)
         self.announce("one", 9, 0.5, draining=True, start_unix_ms=1000)
         self.lifetimes.record_leave("one", start_unix_ms=1000)
         self.assertEqual({"one": BackendServerState.READY}, self.states())
 
-    def test_a_start_whose_clock_was_set_back_gets_work_after_a_while(self):
-        # The clock of a backend server is set back by seconds, and it restarts: it
-        # reports an earlier start time than before. By the time alone all its
-        # announcements would be ignored as late.
+    def test_a_restart_after_the_clock_was_set_back_gets_work_after_a_while(self):
+        # The clock of a backend server is set back by seconds, and then the backend
+        # server restarts. It reports an earlier start time than before. If starts were
+        # ordered by this time alone, all its announcements would be ignored as late.
         self.announce("one", 5, 0.0, start_unix_ms=9000)
         self.announce("one", 1, 1.0, start_unix_ms=7000)
         self.announce("one", 2, 2.5, start_unix_ms=7000)
@@ -140,8 +148,9 @@
         self.assertEqual({"one": BackendServerState.DRAINING}, self.states())
 
     def test_attempts_at_an_earlier_start_are_cancelled(self):
-        # A backend server loses power without resetting its connections, and is back a
-        # second later. An answer from the first start can no longer arrive.
+        # A backend server loses power without resetting its connections and restarts
+        # within a second. An answer from the first start can no longer arrive, so
+        # waiting for it would only occupy a slot.
         self.announce("one", 1, 0.0, start_unix_ms=1000)
         (server,) = self.servers.all()
         token = CancelToken()
--- a/tests/test_link_server_bound.py
+++ b/tests/test_link_server_bound.py
@@ -26,7 +26,7 @@
 
 
 class HangingGate(Gate):
-    """Runs each attempt until `finish` is set."""
+    """A gate that answers all attempts only when `finish` is set."""
 
     def __init__(self, *args) -> None:
         super().__init__(*args)
@@ -47,8 +47,9 @@
 class LinkServerBoundTests(TestCase):
     def test_an_attempt_without_a_thread_is_refused_and_not_queued(self):
         # The backend servers of a node hang, and all worker threads of its gate wait
-        # for them. One more attempt would wait in the executor's queue, which is
-        # unbounded and ignores deadlines, and its caller would get no answer.
+        # for them. One more attempt must be refused. If it waited in the executor's
+        # queue, which is unbounded and ignores deadlines, its caller would get no
+        # answer.
         self.patch(link_server, "PENDING_MAX", THREADS)
         events = EventLog("gate", 1, HybridClock(), io.StringIO())
         gate = HangingGate(LocalBackendServers(), BackendServerClient(1000), events)
--- a/tests/test_links.py
+++ b/tests/test_links.py
@@ -27,8 +27,8 @@
 from tests.utils import free_address, wait_until
 
 SEED = 20_261
-# Steps of one call that does not release the interpreter lock.
-STALL_STEPS = 20_000_000
+# Count of numbers that one call adds up while it holds the interpreter lock.
+STALL_NUMBERS = 20_000_000
 
 
 class EarlierCancel(msgspec.Struct, array_like=True, tag="cancel", frozen=True):
@@ -40,9 +40,9 @@
 
 
 class CancelCauseTests(TestCase):
-    # During a roll-out two releases exchange messages. A cancellation that one of
-    # them cannot decode is dropped, and the backend server keeps working on a
-    # request whose answer is not used.
+    # During a roll-out, nodes of two releases exchange messages. Guards against a
+    # cancellation that one release cannot decode and therefore drops. The backend
+    # server would keep working on a request whose answer is not used.
 
     def setUp(self):
         super().setUp()
@@ -68,7 +68,7 @@
 
 def _stall_process() -> None:
     """Block all other threads of this process for about half a second."""
-    sum(range(STALL_STEPS))
+    sum(range(STALL_NUMBERS))
 
 
 class LinkTests(TestCase):
@@ -148,9 +148,9 @@
         reply = self._ingress(address).request()
         self.assertEqual(Outcome.UNKNOWN, reply.outcome)
 
-    def test_a_gate_that_dies_with_the_request_leaves_it_unknown_at_once(self):
-        # The gate's process ends after it received the request. The request may or
-        # may not have run; the caller is told so long before the deadline.
+    def test_a_request_at_a_gate_whose_process_ends_is_unknown_at_once(self):
+        # The gate's process ends after it received the request, which may or may not
+        # have run. The caller must get `unknown` long before the deadline.
         gate, address = self._gate(lambda dispatch: [])
         ingress = self._ingress(address)
         with ThreadPoolExecutor(1) as executor:
@@ -161,9 +161,9 @@
         self.assertEqual(1, len(gate.dispatches))
 
     def test_no_request_is_queued_for_an_absent_gate(self):
-        # No process listens at the address: the caller is told `not_run` and may
-        # send the request again. A queued message would be delivered to the next
-        # process that listens there, and the request would run a second time.
+        # No process listens at the address. The caller gets `not_run` and may send the
+        # request again. Guards against a request that is queued and delivered to the
+        # next process that listens there: it would run a second time.
         address = free_address()
         ingress = self._ingress(address)
         reply = ingress.request()
@@ -187,35 +187,36 @@
         self.assertEqual(Outcome.ANSWERED, ingress.request(b"new").outcome)
         self.assertEqual([b"new"], [d.body for d in replacement.dispatches])
 
-    def test_nothing_is_sent_after_a_one_way_cut(self):
-        # One direction is cut while a link is idle, and its connection stays open.
-        # Requests or their answers would be lost, with the outcome `unknown`. The
-        # link is checked before the request is sent, so the outcome is `not_run`.
+    def test_no_request_is_sent_over_a_link_that_is_cut_in_one_direction(self):
+        # One direction of a link is cut while the link is idle, and its connection
+        # stays open. A request sent over it, or its answer, would be lost, with the
+        # outcome `unknown`. The ingress must check the link before it sends the
+        # request. The outcome is then `not_run`.
         self.patch(links, "CHECK_VALID_S", dict.fromkeys(Execution, 0.0))
         for direction in ("forward", "backward"):
             gate, relay, ingress = self._relayed()
             self.assertEqual(Outcome.ANSWERED, ingress.request().outcome)
             setattr(relay, direction, Flow.DROP)
-            # Over the idle link, then over a new one.
+            # The first request finds the idle link, the second one needs a new link.
             for _ in range(2):
                 reply = ingress.request()
                 self.assertEqual(Outcome.NOT_RUN, reply.outcome, direction)
             self.assertEqual(1, len(gate.dispatches))
 
-    def test_a_cut_during_a_request_gives_unknown(self):
+    def test_a_request_is_unknown_if_its_link_is_cut_in_one_direction(self):
         for direction in ("forward", "backward"):
             gate, relay, ingress = self._relayed()
             self.assertEqual(Outcome.ANSWERED, ingress.request().outcome)
-            # The link is not checked again right after a reply.
+            # A link is not checked again right after a reply, so this request is sent.
             setattr(relay, direction, Flow.DROP)
             reply = ingress.request(timeout_s=0.3)
             self.assertEqual(Outcome.UNKNOWN, reply.outcome, direction)
             ran = 1 if direction == "forward" else 2
             self.assertEqual(ran, len(gate.dispatches))
 
-    def test_a_link_gets_its_full_timeout_after_a_process_pause(self):
-        # Guards against `not_run` when the gate answered in time, but a pause of this
-        # process delayed the reading of its answer.
+    def test_a_link_gets_its_full_timeout_despite_a_pause_of_the_process(self):
+        # Guards against `not_run` although the gate greeted the new link in time. A
+        # pause of this process delays the reading of the greeting.
         gate, _, ingress = self._relayed()
         stall = threading.Thread(target=_stall_process)
         stall.start()
@@ -245,9 +246,9 @@
         self.assertEqual(dispatch.attempt_id, cancel.attempt_id)
         self.assertEqual(dispatch.gate_deadline_s, cancel.gate_deadline_s)
 
-    def test_a_cancellation_tells_why_the_request_was_given_up(self):
-        # The gate cuts the run in each case. Without the cause in the message, the
-        # gate's log would not distinguish a caller that left from a leaving node.
+    def test_a_cancellation_contains_why_the_request_was_given_up(self):
+        # The gate cuts the run in each case. If the message did not contain the cause,
+        # the gate's log would not distinguish a caller that left from a leaving node.
         gate, address = self._gate(lambda dispatch: [])
         causes = [
             (CancelCause.CALLER_LEFT, self._leave),
@@ -294,8 +295,9 @@
 
     def test_a_request_whose_run_was_lost_records_why_it_was_not_retried(self):
         # The run is cut long before the deadline, and the caller gets `unknown` at
-        # once: the route allows one attempt, or there is no other backend server, or
-        # the request must not run twice.
+        # once. The request is not retried for one of three reasons: the route allows
+        # one attempt, there is no other backend server, or the request must not run
+        # twice.
         cut = {"outcome": Outcome.UNKNOWN, "reason": Reason.CANCELLED}
         gate, address = self._gate(
             lambda dispatch: [(0, answer_frame(dispatch, **cut))]
@@ -314,7 +316,8 @@
 
     def test_not_run_after_an_attempt_that_may_have_run_is_unknown(self):
         # An idempotent request is lost at one backend server and refused at the next.
-        # The `not_run` of the last reply is true of the last attempt only.
+        # The `not_run` of the second reply applies to the second attempt only, so the
+        # request's outcome is `unknown`.
         ends = [Outcome.UNKNOWN, Outcome.NOT_RUN]
 
         def answer(dispatch):
@@ -327,7 +330,7 @@
         self.assertEqual(2, len(gate.dispatches))
         self.assertEqual(Outcome.UNKNOWN, reply.outcome)
 
-    def test_a_deadline_on_the_gates_clock_is_never_late(self):
+    def test_a_deadline_converted_to_the_gates_clock_is_never_late(self):
         # The gate's clock has an offset and a drift, and messages are delayed, all at
         # random from a seed. A deadline converted to the gate's clock is never later
         # than the true one.
--- a/tests/test_load.py
+++ b/tests/test_load.py
@@ -45,16 +45,16 @@
 
 class AuditTests(TestCase):
     def test_a_run_of_a_request_with_outcome_not_run_is_found(self):
-        # The caller gets the outcome not_run and sends its request elsewhere, although
-        # a backend server had run it.
+        # The caller gets the outcome not_run and may send its request elsewhere,
+        # although a backend server has run it. The audit must report this.
         found = audit([result("a", "not_run"), result("b", "unknown")], {"s": {"a": 1}})
         self.assertEqual(["a"], found.not_run_but_ran)
         self.assertFalse(found.all_guarantees_hold)
 
     def test_a_non_idempotent_request_that_ran_at_two_servers_is_found(self):
-        # A contract is signed twice, because the first server hung after it had run
-        # the request and the request was sent to a second one. Only the sum of the
-        # counts of all servers shows it.
+        # A contract is signed twice: the first server hangs after it has run the
+        # request, and the request is sent to a second server. Each server counts one
+        # run, so only the sum of the counts of all servers shows the fault.
         results = [result("a", arrival=SIGN), result("b", arrival=READ)]
         runs = {"s": {"a": 1, "b": 1}, "t": {"a": 1, "b": 1}}
         self.assertEqual(["a"], audit(results, runs).non_idempotent_ran_twice)
@@ -64,8 +64,9 @@
         self.assertEqual(["a: not its own: run_key"], found.wrong_answers)
 
     def test_detection_ends_with_the_last_request_before_the_quiet_period(self):
-        # A hanging server receives requests for another 1.5 s and then none. A much
-        # later trial must not count as slow detection.
+        # A hanging server receives requests for another 1.5 s and then none until a
+        # trial much later. The time of the trial must not count as the time of the
+        # detection.
         fault = FaultPeriod("s", {"mode": "hang"}, start_s=10.0, end_s=30.0)
         times = {"a": 9.0, "b": 10.5, "c": 11.5, "trial": 20.0}
         results = [result(key, sent_s=sent_s) for key, sent_s in times.items()]
@@ -92,7 +93,7 @@
 
 
 class ScheduleTests(TestCase):
-    def test_the_same_seed_gives_the_same_run_within_its_bounds(self):
+    def test_the_same_seed_gives_the_same_schedule_within_its_bounds(self):
         plan = LoadPlan(
             {"node-0": "127.0.0.1:1", "node-1": "127.0.0.1:2"}, [READ, SIGN], 30.0, 3
         )
@@ -194,10 +195,10 @@
 
 class NoAnswerTests(TestCase):
     def test_no_answer_on_a_reused_connection_is_not_reported_as_not_connected(self):
-        # The second request is sent on the connection of the first one and read, but
-        # never answered. libcurl then reports no connect time, as if there had been no
-        # connection. If the caller concluded that nothing was sent, the audit would
-        # report the request's run as a fault of the fleet.
+        # The second request is sent on the connection of the first one. The server
+        # reads it but never answers. libcurl then reports no connect time, as if there
+        # had been no connection. If the caller concluded that nothing was sent, the
+        # audit would report the request's run as a fault of the fleet.
         server = RawServer(
             lambda number: (answer_with_length(b"{}") if number == 1 else None, True)
         )
--- a/tests/test_member_processes.py
+++ b/tests/test_member_processes.py
@@ -60,7 +60,8 @@
         return [line for line in lines if f" event={event} " in line + " "]
 
     def test_an_invalid_address_is_rejected(self):
-        # Members and requests would try an impossible address again and again.
+        # Guards against an impossible address in a member's record, to which nodes
+        # would try to connect again and again.
         for address in ("999.1.1.1:80", "1.2.3.4:99999", "nonsense", "1.2.3.4:80\n"):
             with self.assertRaises(msgspec.ValidationError):
                 msgspec.convert(["node", 1, address], Sender)
@@ -82,10 +83,11 @@
             self.wait_until_lists(node, nodes[:3])
 
     def test_a_node_that_no_peer_can_connect_to_does_not_flap(self):
-        # Frames of others to node-0 are lost on connections that stay open;
-        # connections that node-0 opens work both ways. The others declare it
-        # dead once each. It must not declare any of them dead, and must not
-        # refute its own death while no peer reaches its address.
+        # All frames that others send to node-0's address are lost, while their
+        # connections stay open. Connections that node-0 opens work in both directions.
+        # Each of the others declares node-0 dead once. node-0 must not declare any of
+        # them dead, and must not refute its own death while no peer reaches its
+        # address.
         nodes = self.start_nodes(4, relayed={0})
         self.relays[0].forward = Flow.DROP
         time.sleep(20)
@@ -99,9 +101,9 @@
             self.wait_until_lists(node, nodes)
 
     def test_a_resumed_process_declares_no_node_dead(self):
-        # node-0 is suspended by SIGSTOP for longer than all time-outs, and the
-        # others declare it dead. After SIGCONT all its timers have expired; it
-        # must discard them, refute its own death and declare no other node dead.
+        # node-0 is suspended by SIGSTOP for longer than all time-outs, and the others
+        # declare it dead. After SIGCONT all timers of node-0 have expired. node-0 must
+        # discard them, refute its own death and declare no other node dead.
         nodes = self.start_nodes(4)
         nodes[0].signal(signal.SIGSTOP)
         for node in nodes[1:]:
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -84,8 +84,8 @@
         self.assertIn(b.node_id, a.alive())
 
     def test_a_node_that_receives_nothing_declares_no_node_dead(self):
-        # B can send but receives nothing. It must not declare the others dead;
-        # each of the others declares B dead exactly once.
+        # B can send but receives nothing. B must not declare the others dead. Each of
+        # the others declares B dead exactly once.
         b, *others = self.start(8)
         self.network.delivers = lambda source, target: target is not b
         self.network.run(120)
@@ -98,10 +98,10 @@
         self.assertFalse(b.member.isolated)
 
     def test_a_node_that_no_peer_can_connect_to_does_not_flap(self):
-        # No node can open a connection to B, so no request reaches its gate.
-        # B's own connections work both ways, so it learns that it was declared
-        # dead. If it refuted that, the other nodes would see it alternate
-        # between dead and alive.
+        # No node can open a connection to B, so no request reaches B's gate. B's own
+        # connections work both ways, so B learns that it was declared dead. If B
+        # refuted its death, the other nodes would see it alternate between dead and
+        # alive.
         b, *others = self.start(8)
         self.network.allows_connection = lambda source, target: target is not b
         self.network.run(180)
@@ -111,8 +111,8 @@
         self.assert_all_alive(30)
 
     def test_a_node_whose_messages_are_lost_returns_when_the_link_heals(self):
-        # B receives, but all that it sends is lost: it learns that it is
-        # suspected and cannot refute it. The others declare it dead only once.
+        # B receives, but all that it sends is lost. B learns that it is suspected and
+        # cannot refute the suspicion. The others declare B dead only once.
         b, *others = self.start(8)
         self.network.delivers = lambda source, target: source is not b
         self.network.run(120)
@@ -123,7 +123,7 @@
 
     def test_two_halves_that_declared_each_other_dead_reunite(self):
         # No node has seed addresses, and dead nodes are not probed regularly. The
-        # halves find each other only because dead nodes are pinged now and then.
+        # halves find each other only because each node occasionally pings dead nodes.
         self.network = MemberNetwork()
         self.nodes = [self.network.add(number) for number in range(8)]
         self.network.introduce(self.nodes)
@@ -138,9 +138,8 @@
         self.assert_all_alive(30)
 
     def test_the_smaller_side_of_a_partition_declares_at_most_half_dead(self):
-        # Three of nine nodes are cut off. If they confirmed each other's
-        # suspicions of the other six, they would be left without most of the
-        # backend servers.
+        # Three of nine nodes are cut off. If they declared all of the other six dead,
+        # they would lose most of the backend servers.
         nodes = self.start(9)
         minority = nodes[:3]
         self.network.delivers = lambda source, target: (
@@ -155,10 +154,10 @@
         self.assert_all_alive(90)
 
     def test_a_resumed_node_declares_no_node_dead_and_rejoins(self):
-        # A process is suspended for longer than all time-outs while it has
-        # unanswered probes and a suspicion. When it resumes, all its timers have
-        # expired, the others have declared it dead, and one backend server is
-        # gone.
+        # A process is suspended for longer than all time-outs while it has unanswered
+        # probes and a suspicion. When it resumes, all its timers have expired, and the
+        # others have declared it dead. Meanwhile another node has removed one backend
+        # server.
         suspended, changed, *others = self.start(8)
         changed.set_servers(2)
         self.network.run(10)
@@ -184,9 +183,8 @@
         self.assertEqual(1, len(records[changed.node_id].backend_servers))
 
     def test_a_failed_probe_does_not_count_against_a_later_epoch(self):
-        # A probe is sent while B is down and times out after B is back. If it
-        # counted against B's new epoch, each node that returns would be
-        # suspected.
+        # A probe is sent while B is down and times out after B is back. If the time-out
+        # counted against B's new epoch, each node that returns would be suspected.
         a, b, *_ = self.start(4)
         past_record = a.directory.view(b.node_id).record
         b.member.state.announce_alive(self.network.now_s)
@@ -194,10 +192,11 @@
         a.member.state.record_failed_probe(past_record, self.network.now_s)
         self.assertEqual(0, a.events.counts["node_suspected"])
 
-    def test_a_replaced_node_raises_a_lower_incarnation(self):
-        # A replaced VM has a wall clock that is behind, so its process starts with
-        # a lower incarnation than the previous one. Unless it raises it, peers
-        # ignore its records and route requests to servers that no longer exist.
+    def test_a_replaced_node_raises_its_incarnation_above_the_previous_one(self):
+        # The wall clock of a replaced VM is behind, so its process starts with a lower
+        # incarnation than the previous process had. Unless the new process raises its
+        # incarnation, peers ignore its records and route requests to servers that no
+        # longer exist.
         old, *others = self.start(5)
         old.set_servers(3, boot_id="old")
         self.network.run(10)
@@ -214,10 +213,10 @@
             self.assertEqual(1, len(record.backend_servers))
 
     def test_disconnected_regions_do_not_declare_each_other_dead(self):
-        # Two regions are disconnected for an hour, and no node of one answers
-        # probes of the other. To declare them dead would remove half of the
-        # fleet from each directory. One node does crash meanwhile: only the
-        # nodes of its own region may declare it dead.
+        # Two regions are disconnected for an hour, so probes between them fail. If
+        # nodes declared the other region's nodes dead, they would lose half of the
+        # fleet. One node crashes meanwhile. Only the nodes of its own region may
+        # declare it dead.
         self.network = MemberNetwork()
         east = [self.network.add(n, "e", "east") for n in range(1)]
         seeds = east[:1]
@@ -244,9 +243,9 @@
 
     def test_a_zone_that_returns_at_once_stays_within_the_byte_cap(self):
         # A third of the nodes come back at the same moment with all their backend
-        # servers. No node may exceed its byte cap. Answers to probes must still
-        # be sent, so that no live node is declared dead or has to refute a
-        # suspicion; in the end every node knows every server.
+        # servers. No node may exceed its byte cap. Answers to probes must still be
+        # sent, so that no live node is declared dead or has to refute a suspicion. In
+        # the end every node knows every server.
         cap_bytes_per_s = 1500.0
         nodes = self.start(24, member_bytes_per_s=cap_bytes_per_s)
         zone = nodes[16:]
@@ -296,8 +295,8 @@
         self.assertLess(delta * 10, whole)
 
     def test_malformed_frames_are_dropped(self):
-        # Random, truncated and unknown frames reach the member socket. An
-        # exception would end the member task, and with it the node.
+        # Random, truncated and unknown frames reach the member socket. If one of them
+        # raised an exception, the member task would end, and with it the node.
         node, other = self.start(2)
         rng = random.Random(7)
         good = encode_member("ping", other.member._sender(), [0, "", []])
@@ -333,9 +332,9 @@
         record = BackendServerRecord(f"server-{number}", "team/a", "1", 6, state)
         return NodeNews("node-1", 1, servers=[ServerEntry(number + 1, record)])
 
-    def test_urgent_news_goes_before_a_backlog(self):
+    def test_urgent_news_is_sent_before_a_backlog(self):
         # A burst of restarts fills the queue. If news of a draining server waited
-        # behind it, the server would receive new work until the queue is sent.
+        # behind the burst, the server would receive new work until the burst is sent.
         queue = NewsQueue()
         for number in range(1000):
             queue.add(self.entry(number), Priority.NORMAL, 100)
@@ -355,8 +354,8 @@
 
 class SuspicionsTests(TestCase):
     def test_a_death_needs_several_suspecters_and_more_shorten_the_timeout(self):
-        # A node with a broken link or a slow task receives no answer from any
-        # other node.
+        # A node with a broken link or a slow task receives no answer from any other
+        # node and suspects all of them. Its suspicions alone must not cause deaths.
         suspicions = Suspicions()
         epoch = Epoch(1, 0)
         suspicions.add("lonely", epoch, "node-1", 0.0)
@@ -370,7 +369,7 @@
 
 
 class IncarnationTests(TestCase):
-    def test_an_incarnation_that_cannot_be_outbid_is_refused(self):
+    def test_an_incarnation_too_high_to_be_exceeded_is_rejected(self):
         with self.assertRaises(msgspec.ValidationError):
             msgspec.convert(["n", "node-1", 2**60], NodeNews)
         msgspec.convert(["n", "node-1", 2**50], NodeNews)
--- a/tests/test_membership_cost.py
+++ b/tests/test_membership_cost.py
@@ -1,11 +1,11 @@
-"""Bounds on the bytes and the delay of membership; independent of the machine."""
+"""Bounds on the bytes and the delay of membership news, in simulated time."""
 
 from testtools import TestCase
 
 from bench.membership import churn, measure_news_delay, measure_rate, start_fleet
 
 NODES = 30
-# 10 % above the expected 305 B/s when idle and 1,020 B/s with changes.
+# Each bound is 10 % above the expected rate: 305 B/s when idle, 1,020 B/s with changes.
 IDLE_MAX_BYTES_PER_S = 336
 CHURN_MAX_BYTES_PER_S = 1122
 NEWS_MAX_S = 2.0
--- a/tests/test_metrics.py
+++ b/tests/test_metrics.py
@@ -1,4 +1,4 @@
-"""Latencies of hops and counts, as a node reports them."""
+"""Counts and latencies of hops, as a node reports them."""
 
 import re
 
@@ -40,7 +40,7 @@
 
 
 class NodeMetricsTests(TestCase):
-    def test_a_request_through_two_nodes_is_seen_at_each_hop(self):
+    def test_a_request_through_two_nodes_is_counted_at_each_hop(self):
         fleet = start_fleet(self, SETTINGS)
         ingress, gate = (fleet.start_node(f"node-{n}", f"zone-{n}") for n in range(2))
         fleet.start_backend("contract-1", "crew/contracts", gate)
--- a/tests/test_node_trust.py
+++ b/tests/test_node_trust.py
@@ -53,7 +53,8 @@
     def foreign_sockets(self):
         """Return one socket without keys and one with a key that is not allowed."""
         context = zmq.Context()
-        # Also set for sockets that are garbage-collected before the context ends.
+        # Set on the context, so that it also applies to sockets that are
+        # garbage-collected before the context is destroyed.
         context.linger = 0
         self.addCleanup(context.destroy, 0)
         plain = context.socket(zmq.DEALER)
@@ -94,9 +95,10 @@
         self.assertEqual(0, self.nodes[1].stop())
 
     def test_a_foreign_hosts_messages_are_ignored(self):
-        # A foreign host that reaches the nodes' addresses announces a node of its
-        # own and sends a dispatch directly to a gate. If they were accepted, the
-        # host would receive callers' requests and run work at backend servers.
+        # A foreign host that reaches the nodes' addresses announces a node of its own
+        # and sends a dispatch directly to a gate. If the nodes accepted these messages,
+        # the foreign host would receive callers' requests and run work at backend
+        # servers.
         settings = self.nodes[0].settings
         for socket in self.foreign_sockets():
             for address, frame in (
--- a/tests/test_crash_keeper.py
+++ b/tests/test_quarantine_store.py
@@ -1,4 +1,4 @@
-"""Quarantines in the store, for restarts of the whole fleet."""
+"""Quarantines in the store, which all nodes read after a restart of the fleet."""
 
 import io
 
@@ -41,11 +41,11 @@
         history.merge(CrashUpdate([crash]), NOW_S)
 
 
-def test_a_quarantine_holds_after_a_restart_of_the_whole_fleet():
-    """A request that crashed backend servers is refused after all nodes lost power.
+def test_a_quarantine_is_in_force_after_a_restart_of_the_whole_fleet():
+    """Guards against a quarantine that ends when all nodes lose power.
 
-    No node has it in memory. Without the stored row it would crash three more backend
-    servers.
+    After the restart, no node has the quarantine in memory. Without the stored row, the
+    request would crash three more backend servers.
     """
     platform = PlatformInProcess()
     try:
@@ -55,8 +55,8 @@
         quarantine_store, history = make_store(platform.address)
         assert not history.status_of(CONTENT, NOW_S).blocked_ms
         assert quarantine_store.read(NOW_S, NOW_UNIX_S + 60)
-        left_ms = history.status_of(CONTENT, NOW_S).blocked_ms
-        assert abs(left_ms - (BLOCKED_S - 60) * 1000) < 10
+        remaining_ms = history.status_of(CONTENT, NOW_S).blocked_ms
+        assert abs(remaining_ms - (BLOCKED_S - 60) * 1000) < 10
         history.record_answer(CONTENT, NOW_S)
         assert quarantine_store.write()
         quarantine_store, history = make_store(platform.address)
@@ -84,7 +84,7 @@
 
 
 def test_a_row_with_a_later_term_is_not_overwritten():
-    """Two nodes write; the later quarantine wins in whatever order they write."""
+    """Guards against a quarantine that is overwritten by an older one."""
     platform = PlatformInProcess()
     try:
         tables = HttpTableService(platform.address)
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -2,8 +2,7 @@
 
 from tests.soak import REGRESSION_SEEDS, run_seed
 
-# The faults of this seed overlap, and six faults take little enough time for each run
-# of the tests.
+# A seed with overlapping faults, and few enough of them for each run of the tests.
 SHORT_SEED, SHORT_FAULT_COUNT = 7, 6
 
 
@@ -18,5 +17,5 @@
 
 
 def test_seeds_that_failed_once():
-    """`REGRESSION_SEEDS` maps each seed to the fault that it once found."""
+    """`REGRESSION_SEEDS` names the fault that each guards against."""
     assert [failure for seed in REGRESSION_SEEDS if (failure := run_seed(seed))] == []
--- a/tests/utils.py
+++ b/tests/utils.py
@@ -44,7 +44,7 @@
             _ports = iter(_reserve_block())
             continue
         with socket.socket() as probe:
-            if _binds(probe, port):
+            if _try_bind(probe, port):
                 return port
 
 
@@ -53,15 +53,15 @@
     firsts = list(range(FIRST_PORT, LAST_PORT, BLOCK_PORTS))
     start = os.getpid() % len(firsts)
     for first in firsts[start:] + firsts[:start]:
-        holder = socket.socket()
-        if _binds(holder, first):
-            _reserved_blocks.append(holder)
+        reservation = socket.socket()
+        if _try_bind(reservation, first):
+            _reserved_blocks.append(reservation)
             return range(first + 1, first + BLOCK_PORTS)
-        holder.close()
+        reservation.close()
     raise AssertionError("other test processes have reserved all ports")
 
 
-def _binds(probe: socket.socket, port: int) -> bool:
+def _try_bind(probe: socket.socket, port: int) -> bool:
     try:
         probe.bind(("127.0.0.1", port))
     except OSError:
@@ -238,12 +238,12 @@
             arguments += [f"--{option.replace('_', '-')}", str(value)]
         super().__init__("standin_backend", arguments, folder / f"{name}.log")
 
-    def set_fault(self, **switch) -> None:
+    def set_fault(self, **fields) -> None:
         """Set how the backend server fails callers' requests.
 
         Takes the fields of the `/faults` request; ``mode="none"`` ends the fault.
         """
-        call(self.address, "/faults", "POST", json.dumps(switch).encode())
+        call(self.address, "/faults", "POST", json.dumps(fields).encode())
 
     def runs(self) -> dict[str, int]:
         """Return how often each run key ran."""
@@ -357,12 +357,12 @@
         )
         threading.Thread(target=self._server.serve_forever, daemon=True).start()
 
-    def set_fault(self, **switch) -> None:
+    def set_fault(self, **fields) -> None:
         """Set how the platform fails calls.
 
         Takes the fields of the `/faults` request; ``mode="none"`` ends the fault.
         """
-        call(self.address, "/faults", "POST", json.dumps(switch).encode())
+        call(self.address, "/faults", "POST", json.dumps(fields).encode())
 
     def stop(self) -> None:
         """Stop serving."""
