--- a/tests/test_overload.py
+++ b/tests/test_overload.py
@@ -1,4 +1,4 @@
-"""When requests are refused by a service at 150 % of its capacity."""
+"""How soon a gate at 150 % of its capacity refuses what it can't serve."""
 
 import random
 import statistics
@@ -16,7 +16,7 @@
 WORK_S = 0.35
 TIME_S, TARGET_S = 5.0, 1.0
 FILING, LOOKUP = WorkKind(0.5, 1), WorkKind(0.33, 2)
-# Requests per second; three slots serve some 8.6.
+# Requests per second. All three slots together serve about 8.6 per second.
 ARRIVALS = ((FILING, 7.0), (LOOKUP, 6.0))
 
 
@@ -35,9 +35,9 @@
 class _Gate:
     """The queue and the slots of one gate, in simulated time."""
 
-    def __init__(self, seed: int, wait_part: float | None) -> None:
+    def __init__(self, seed: int, wait_fraction: float | None) -> None:
         self._random = random.Random(seed)
-        self._wait_part = wait_part
+        self._wait_fraction = wait_fraction
         self._queue = SlotQueue(64)
         self._account = SlotAccount()
         self._waiting: list[_Request] = []
@@ -51,9 +51,9 @@
             self._end_work(now_s)
             for kind, per_s in ARRIVALS:
                 if self._random.random() < per_s * STEP_S:
-                    self._waiting.append(self._arrived(kind, now_s))
+                    self._waiting.append(self._new_request(kind, now_s))
             for request in list(self._waiting):
-                self._ask(request, now_s)
+                self._request_slot(request, now_s)
             now_s += STEP_S
         return self
 
@@ -64,13 +64,13 @@
     def served(self) -> int:
         return sum(one.was_served for one in self.requests)
 
-    def _arrived(self, kind: WorkKind, now_s: float) -> _Request:
-        part = self._wait_part
+    def _new_request(self, kind: WorkKind, now_s: float) -> _Request:
+        fraction = self._wait_fraction
         ticket = Ticket(
             "s",
             kind.weight,
             now_s + TIME_S,
-            wait_max_s=None if part is None else part * TIME_S,
+            wait_max_s=None if fraction is None else fraction * TIME_S,
             target_s=now_s + TARGET_S,
             route_time_s=WORK_S,
         )
@@ -78,10 +78,10 @@
         self.requests.append(request)
         return request
 
-    def _ask(self, request: _Request, now_s: float) -> None:
+    def _request_slot(self, request: _Request, now_s: float) -> None:
         account, weight = self._account, request.kind.weight
         effective_slots = account.effective_slots(weight, SLOTS, now_s)
-        if self._wait_part is None:
+        if self._wait_fraction is None:
             effective_slots = SLOTS
         free = account.free(SLOTS, now_s)
         decision = self._queue.request_slot(
@@ -106,17 +106,21 @@
 
 class OverloadTests(TestCase):
     def test_unserved_requests_are_refused_in_time_for_a_retry(self):
-        # Heavy requests go first and use most of three slots; more light requests
-        # arrive than the rest can serve. With no maximum wait, an unserved light
-        # request is refused shortly before its deadline (median 3.5 s of 5 s), too late
-        # for a retry. With a maximum of half of its time it is refused at once in the
-        # median and after 3.3 s at most, and as many requests are served.
-        before = [_Gate(seed, None).run() for seed in range(2)]
-        after = [_Gate(seed, QUEUE_WAIT_FRACTION).run() for seed in range(2)]
-        waited_s = statistics.median(sum((one.refusal_times_s() for one in before), []))
-        self.assertGreater(waited_s, 0.6 * TIME_S)
-        waits_s = sum((one.refusal_times_s() for one in after), [])
-        self.assertLess(statistics.median(waits_s), QUEUE_WAIT_FRACTION * TIME_S)
-        self.assertLess(max(waits_s), 0.7 * TIME_S)
-        served = [sum(one.served() for one in gates) for gates in (before, after)]
+        # Filings are heavier than lookups, so they go first and use most of the three
+        # slots. More lookups arrive than the other slots can serve. If the wait in the
+        # queue is not limited, a lookup that can't be served is refused shortly before
+        # its deadline (median 3.5 s of 5 s), too late for a retry. If the wait is
+        # limited to half of the time until the deadline, at least half of the refusals
+        # are immediate, and all come within 3.3 s. The limit does not reduce the number
+        # of requests served.
+        unlimited = [_Gate(seed, None).run() for seed in range(2)]
+        limited = [_Gate(seed, QUEUE_WAIT_FRACTION).run() for seed in range(2)]
+        unlimited_median_s = statistics.median(
+            sum((one.refusal_times_s() for one in unlimited), [])
+        )
+        self.assertGreater(unlimited_median_s, 0.6 * TIME_S)
+        limited_s = sum((one.refusal_times_s() for one in limited), [])
+        self.assertLess(statistics.median(limited_s), QUEUE_WAIT_FRACTION * TIME_S)
+        self.assertLess(max(limited_s), 0.7 * TIME_S)
+        served = [sum(one.served() for one in gates) for gates in (unlimited, limited)]
         self.assertGreater(served[1], 0.98 * served[0])
--- a/tests/test_pages.py
+++ b/tests/test_pages.py
@@ -41,7 +41,8 @@
 def events_of_row(row: str) -> set[str]:
     """Return the events that a table row names.
 
-    A name such as `_b` takes its prefix from the first one: `a_a` gives `a_b`.
+    A name that begins with `_` replaces the last word of the row's first name: after
+    `link_opened`, `_closed` stands for `link_closed`.
     """
     first, events = "", set()
     for name in re.findall(r"`([a-z_]+)`", row):
@@ -70,7 +71,7 @@
             for name in field_names(kind):
                 self.assertIn(f"`{name}`", OPERATORS, kind)
 
-    def test_words_in_code_type_exist(self):
+    def test_identifiers_in_the_operators_page_exist_in_the_code(self):
         source = "".join(
             path.read_text() for path in (ROOT / "balsamspindle").rglob("*.py")
         )
@@ -86,8 +87,9 @@
             self.assertIn(f"| `{hop}` |", OPERATORS)
 
     def test_each_event_is_described(self):
-        # Operators look up events in this page. The stand-ins and the load tool
-        # have no event log.
+        # Operators look up the events of the nodes' event logs in OPERATIONS.md. The
+        # stand-ins and the load tool have no event log, so only the package is
+        # searched.
         described = set()
         for row in re.findall(r"^\| (`[^|]+)\|", OPERATIONS, re.MULTILINE):
             described |= events_of_row(row)
@@ -135,7 +137,7 @@
             if word.startswith("--"):
                 self.assertIn(word.rstrip(".,;"), options)
 
-    def test_links_between_pages_lead_somewhere(self):
+    def test_links_between_pages_have_targets(self):
         for page in PAGES:
             for target in re.findall(r"\]\(([^)#]+)(?:#[^)]*)?\)", page.read_text()):
                 if "://" not in target:
--- a/tests/test_peer_evidence.py
+++ b/tests/test_peer_evidence.py
@@ -27,7 +27,10 @@
 
 
 def test_missing_and_expired_judgements_are_no_evidence():
-    """A failed link or shed work must not look like an unhealthy peer."""
+    """An attempt without a judgement must not count as evidence of a bad peer.
+
+    Shed work and failed links have no judgement.
+    """
     tracker = tracker_with({"a": True, "b": None, "c": True})
     tracker.record_start(SERVICE, "c", 2.0)
     tracker.record_end(SERVICE, "c", 2.0, None, 2.5)
@@ -37,14 +40,14 @@
     )
 
 
-def test_a_peer_whose_request_hangs_counts_before_it_ends():
+def test_a_hanging_request_counts_as_bad_before_it_ends():
     tracker = tracker_with({"a": False, "b": False, "c": False})
     tracker.record_start(SERVICE, "b", 2.0)
     assert tracker.summarize(SERVICE, "a", 2.1).bad_count == 0
     assert tracker.summarize(SERVICE, "a", 2.2).bad_count == 1
 
 
-def test_one_slow_peer_does_not_set_the_limit():
+def test_one_slow_peer_does_not_change_the_median_latency():
     tracker = tracker_with({"a": False, "b": False, "c": False})
     tracker.record_end(SERVICE, "c", 1.0, reply_with(True, 9000.0), 1.0)
     assert tracker.summarize(SERVICE, "x", 1.0).median_p99_ms == 80.0
--- a/tests/test_peer_timeout.py
+++ b/tests/test_peer_timeout.py
@@ -4,15 +4,19 @@
 
 
 class Clock:
-    """A clock that each poll advances, by the longer of its step and a pause."""
+    """A simulated clock, and a peer whose message arrives at a set time.
 
-    def __init__(self, pauses_s: list[float], comes_s: float = 1e9) -> None:
+    Each poll advances the clock by the poll's step, or by the next pause if that is
+    longer. `poll` returns whether the message has arrived.
+    """
+
+    def __init__(self, pauses_s: list[float], arrives_after_s: float = 1e9) -> None:
         self.now_s = 100.0
         self._pauses_s = pauses_s
-        self._comes_s = 100.0 + comes_s
+        self._arrival_s = 100.0 + arrives_after_s
 
     def poll(self, step_s: float) -> bool:
-        if self.now_s >= self._comes_s:
+        if self.now_s >= self._arrival_s:
             return True
         self.now_s += max(step_s, self._pauses_s.pop(0) if self._pauses_s else 0.0)
         return False
@@ -23,23 +27,24 @@
 
 
 def test_a_stall_of_the_own_process_does_not_count_against_the_peer():
-    # Without this, a peer is given up because this process was stalled.
-    assert Clock([2.0], comes_s=2.1).wait(0.25)
+    # Guards against a peer that is taken for silent because this process did not run
+    # for 2 s. The peer's message arrives 0.1 s after that pause.
+    assert Clock([2.0], arrives_after_s=2.1).wait(0.25)
 
 
-def test_a_silent_peer_is_given_up_after_the_timeout():
+def test_a_silent_peer_times_out():
     clock = Clock([])
     assert not clock.wait(0.25)
     assert abs(clock.now_s - 100.25) < 1e-9
 
 
-def test_the_deadline_holds_despite_stalls():
+def test_stalls_do_not_extend_the_deadline():
     clock = Clock([0.4] * 100)
     assert not clock.wait(0.25, time_s=1.0)
     assert clock.now_s <= 101.0 + 0.4
 
 
-def test_a_timeout_below_one_step_takes_a_shorter_step():
+def test_a_timeout_shorter_than_one_step_is_not_exceeded():
     clock = Clock([])
     assert not clock.wait(POLL_STEP_S / 2)
     assert abs(clock.now_s - 100.0 - POLL_STEP_S / 2) < 1e-9
--- a/tests/test_picker.py
+++ b/tests/test_picker.py
@@ -82,7 +82,7 @@
     assert queued == 0
 
 
-def test_a_backend_server_that_is_left_out_or_excluded_gets_no_request():
+def test_a_backend_server_that_is_held_out_or_excluded_gets_no_request():
     view = [placement(0, SICK), *(placement(number) for number in range(1, 6))]
     assert "server-0" not in pick_many(make_picker(view), all_free)
     excluded = {f"server-{number}" for number in range(2, 6)}
@@ -113,8 +113,12 @@
     assert len(picker.view(SERVICE).placements) == 8
 
 
-def test_a_backend_server_that_was_busy_once_does_not_starve():
-    """Reports expire: without requests, no reply would ever replace an old report."""
+def test_a_report_of_no_free_slots_expires():
+    """Guards against a busy backend server that never gets a request again.
+
+    Without requests, no reply would replace its report of no free slots, so reports
+    expire.
+    """
     busy = placement(0)
     estimates = FreeSlotEstimates()
     estimates.record("server-0", 0, now_s=10.0)
@@ -124,8 +128,11 @@
     assert list(estimates._reports) == ["server-1"]
 
 
-def test_subsets_are_bounded_even_and_move_little():
-    """Removing one backend server changes at most one entry of each node's subset."""
+def test_subsets_have_a_fixed_size_are_even_and_change_little():
+    """All backend servers are in about equally many subsets.
+
+    Removing one backend server changes at most one entry of each node's subset.
+    """
     view = [placement(number) for number in range(200)]
     nodes = [placement(number).node for number in range(1000, 1600)]
     subsets = [choose_subset(view, own) for own in nodes]
--- a/tests/test_placement_at_size.py
+++ b/tests/test_placement_at_size.py
@@ -76,10 +76,11 @@
 
 class PlacingAtSizeTests(TestCase):
     def test_a_large_fleet_serves_its_callers_in_their_own_zone(self):
-        # 90 backend servers in five zones, a third of them unhealthy, at a load of two
-        # thirds. If a node's subset holds only three backend servers of its zone, two
-        # are healthy, and a third of all answers crosses zones, at a cost, although 16
-        # others of the zone have free slots.
+        # 90 backend servers are in five zones, a third of them is unhealthy, and the
+        # load is two thirds of the capacity. Guards against subsets that are too small.
+        # If a node's subset held only three backend servers of its own zone, two of
+        # them healthy, a third of all answers would come from other zones and cost
+        # traffic, although 16 other backend servers of the own zone have free slots.
         for seed in range(3):
             simulation = Simulation(seed)
             simulation.run()
--- a/tests/test_platform_store.py
+++ b/tests/test_platform_store.py
@@ -83,8 +83,9 @@
         self.assertEqual(Changes([], changes.version), nothing)
 
     def test_a_wait_at_the_store_ends_when_the_node_ends(self):
-        # A leaving node is killed after some seconds. A wait for changes can last 25 s
-        # and would keep the process from ending before that.
+        # A node that is leaving is killed if it has not ended after some seconds. A
+        # wait for changes can last 25 s, so a wait that is not interrupted would get
+        # the node killed.
         start = self.tables.snapshot("t").ok
         timer = threading.Timer(0.3, self.tables.end_waits)
         timer.start()
@@ -105,9 +106,9 @@
         self.assertEqual(["a"], [row.key for row in self.tables.snapshot("t").ok.rows])
 
     def test_only_a_refusal_proves_that_nothing_was_written(self):
-        # 503 (down) and 429 (busy) prove that nothing was written. A connection that
-        # ends without an answer proves nothing: the write may have taken effect, or do
-        # so seconds later.
+        # After a 503 (down) or a 429 (busy) nothing was written. After a connection
+        # that ends without an answer, the write may have taken effect already, or may
+        # take effect seconds later.
         error_types = {
             FaultMode.DOWN: Unreachable,
             FaultMode.BUSY: Unreachable,
--- a/tests/test_platform_translation.py
+++ b/tests/test_platform_translation.py
@@ -124,7 +124,7 @@
             )
             self.assertNotEqual("", str(error), name)
 
-    def test_durations_and_versions(self):
+    def test_durations_and_versions_are_parsed_or_refused(self):
         self.assertEqual(1500, parse_duration_ms("1500ms"))
         self.assertEqual(2500, parse_duration_ms("2.5s"))
         self.assertEqual(12, parse_version("0000000c"))
--- a/tests/test_problem_responses.py
+++ b/tests/test_problem_responses.py
@@ -12,8 +12,9 @@
 
 class ProblemTests(TestCase):
     def test_a_request_that_did_not_run_gets_a_not_run_status(self):
-        # The deadline of a non-idempotent request passed before the request was sent.
-        # After a 504 it may have run, so its caller could not send it again.
+        # The deadline passed before the request was sent to a backend server. A 504
+        # would mean that the request may have run, so the caller of a non-idempotent
+        # request could not send it again.
         for reason in (Reason.DEADLINE, Reason.SILENCE, Reason.DAMAGED):
             self.assertEqual(503, status_of(reason, Outcome.NOT_RUN))
         self.assertEqual(404, status_of(Reason.NO_ROUTE, Outcome.NOT_RUN))
--- a/tests/test_queue.py
+++ b/tests/test_queue.py
@@ -14,7 +14,10 @@
 
 
 class GateModel:
-    """A slot queue with two backend servers; tickets ask again after each change."""
+    """A slot queue with two backend servers.
+
+    Waiting tickets request a slot again after each change.
+    """
 
     def __init__(self, order=Order.FIFO, queue_max=QUEUE_MAX, slots=SLOTS):
         self.queue = SlotQueue(queue_max, order)
@@ -27,8 +30,8 @@
         self.now_s = 0.0
 
     def arrive(self, ticket: Ticket) -> QueueDecision:
-        decision = self._ask(ticket)
-        self._wake()
+        decision = self._request_slot(ticket)
+        self._retry_waiting()
         return decision
 
     def end(self, ticket: Ticket, is_answered: bool) -> None:
@@ -36,21 +39,21 @@
         account = self.accounts[ticket.backend_server_id]
         end = WorkEnd.ANSWERED if is_answered else WorkEnd.IN_DOUBT
         account.release(end, SERVICE_TIME_S, self.now_s)
-        self._wake()
+        self._retry_waiting()
 
     def pass_time(self, duration_s: float) -> None:
         self.now_s += duration_s
-        self._wake()
+        self._retry_waiting()
 
     def free(self, server: str) -> int:
         return self.accounts[server].free(self.slots, self.now_s)
 
-    def _wake(self) -> None:
+    def _retry_waiting(self) -> None:
         waiting, self.waiting = self.waiting, []
         for ticket in waiting:
-            self._ask(ticket)
+            self._request_slot(ticket)
 
-    def _ask(self, ticket: Ticket) -> QueueDecision:
+    def _request_slot(self, ticket: Ticket) -> QueueDecision:
         server = ticket.backend_server_id
         account = self.accounts[server]
         decision = self.queue.request_slot(
@@ -140,7 +143,7 @@
         model.accounts["a"].service_time_s = 3600.0
         self.assertIs(QueueDecision.START, model.arrive(Ticket("a", 1.0, 2.0)))
 
-    def test_a_slot_is_held_for_as_long_again_after_a_time_out(self):
+    def test_after_a_time_out_a_slot_stays_in_use_for_the_run_time_again(self):
         account = SlotAccount()
         account.acquire()
         account.release(WorkEnd.IN_DOUBT, ran_s=2.0, now_s=10.0)
@@ -148,7 +151,7 @@
         self.assertEqual(12.0, account.next_delayed_release_s())
         self.assertEqual(1, account.free(1, 12.0))
 
-    def test_a_cold_backend_server_gets_its_slots_step_by_step(self):
+    def test_a_new_backend_server_gets_its_slots_gradually(self):
         ages_s = (0, 5, 10, 15, 20, 60)
         self.assertEqual(
             [1, 1, 3, 4, 6, 6], [ramped_slots(6, age_s, 20.0) for age_s in ages_s]
@@ -157,8 +160,9 @@
 
 
 class OverloadTests(TestCase):
-    # Twice the load that a backend server can handle. An unlimited queue processes
-    # requests whose callers have stopped waiting, and answers few in time.
+    # The load is twice what a backend server can handle. Guards against an unlimited
+    # queue, which runs requests after their callers have stopped waiting, and answers
+    # few requests in time.
 
     def test_the_heaviest_requests_are_answered_and_little_work_is_wasted(self):
         limited = run_overload(PLANS["fifo"], seed=0)
@@ -170,8 +174,8 @@
         self.assertLessEqual(unlimited.weighted, 0.2)
 
 
-class CustomersTurnsTests(TestCase):
-    """One customer with many requests and others with few, at a busy gate."""
+class CustomerFairnessTests(TestCase):
+    """Customers with many requests and customers with few share a busy gate."""
 
     def _next_customers(self, model, count):
         names = []
@@ -181,9 +185,9 @@
             names.append(model.running[-1].customer)
         return names
 
-    def test_a_customer_with_many_requests_waits_behind_itself(self):
-        # Guards against a common queue, where a customer that sends ten times as many
-        # requests gets all slots.
+    def test_customers_start_equal_numbers_of_requests(self):
+        # Guards against one queue for all customers, in which a customer that sends ten
+        # times as many requests as the others gets all slots.
         model = GateModel(slots=1, queue_max=40)
         model.arrive(Ticket("a", 1.0, 1e6))
         for number in range(20):
@@ -205,8 +209,8 @@
         self.assertEqual(["a", "b", "c"], self._next_customers(model, 3))
 
     def test_a_full_queue_sheds_a_request_of_the_customer_with_most_in_it(self):
-        # Guards against one customer keeping the queue full, so that the requests of
-        # all others are shed.
+        # Guards against a customer that fills the queue, so that the requests of all
+        # other customers are shed.
         model = GateModel(slots=1, queue_max=3)
         model.arrive(Ticket("a", 1.0, 1e6))
         for name in ("hot", "hot", "hot"):
--- a/tests/test_recent_answers.py
+++ b/tests/test_recent_answers.py
@@ -19,7 +19,7 @@
     assert answers.answered_s(2) == 100.0 + 3.0 * ANSWER_VALID_S
 
 
-def test_no_more_answers_are_kept_than_two_tables_hold():
+def test_the_number_of_remembered_answers_is_limited():
     answers = RecentAnswers()
     for content_hash in range(5 * ANSWERS_MAX):
         answers.record(content_hash, 100.0)
--- a/tests/test_refused_on_head.py
+++ b/tests/test_refused_on_head.py
@@ -107,7 +107,8 @@
         self.assertEqual((200, "abc"), (answer.status, answer.json()["body"]))
 
     def test_the_answer_is_not_lost_when_the_body_arrives_anyway(self):
-        # Guards against a reset that discards the refusal.
+        # Guards against a connection reset that discards the refusal because the body
+        # arrives after it.
         body = b"x" * 90_000
         caller = self.fixture.caller().send(head(f"Content-Length: {len(body)}"))
         caller.send(body)
@@ -135,14 +136,15 @@
         self.assertEqual([200, 200, 429, 429, 429], statuses)
         self.assertEqual(2, len(self.fixture.forwarder.forwarded))
 
-    def test_a_whole_request_is_counted_once(self):
+    def test_a_complete_request_is_counted_once(self):
         data = head("Content-Length: 3", f"X-Key: {LIMITED_KEY}")
         caller = self.fixture.caller().send(data)
         self.assertEqual(200, caller.send(b"abc").read().status)
         self.assertEqual(1, self.limiter.tokens)
 
-    def test_a_request_whose_key_ends_during_the_body_does_not_run(self):
-        # Guards against a decision on the head that still applies after its key ended.
+    def test_a_request_whose_key_is_removed_during_the_body_does_not_run(self):
+        # Guards against a request that runs because its key was valid when the head
+        # arrived, although the key was removed before the body was complete.
         data = head("Content-Length: 3", f"X-Key: {LIMITED_KEY}", EXPECT)
         caller = self.fixture.caller().send(data)
         self.assertEqual(100, caller.read().status)
--- a/tests/test_registry.py
+++ b/tests/test_registry.py
@@ -71,8 +71,9 @@
         )
         self.assertTrue(connected)
 
-    def test_a_fleet_that_starts_at_once_writes_few_rows(self):
-        # Guards against each starting node writing all rows of its zone.
+    def test_nodes_that_start_together_write_few_rows(self):
+        # Guards against too many writes, as when each starting node writes all rows of
+        # its zone.
         nodes = self.add_nodes(60, zones=3)
         registries = [self.build_registry(node) for node in nodes]
         for registry in registries:
@@ -91,7 +92,8 @@
         self.assertLessEqual(self.tables.writes, 3 + 3 * SLOTS_PER_ZONE)
 
     def test_a_node_writes_rows_when_the_peers_in_the_table_do_not_answer(self):
-        # Guards against rows of nodes that no longer exist and are never replaced.
+        # Guards against rows that are never replaced although their nodes no longer
+        # exist.
         nodes = self.add_nodes(2, zones=1)
         self.build_registry(nodes[0]).update_rows()
         isolated = self.build_registry(nodes[1])
@@ -102,8 +104,8 @@
         self.assertEqual(2, self.tables.writes)
 
     def test_rows_and_writes_are_bounded_by_zones_not_nodes(self):
-        # With a heartbeat row for each node a large fleet would exceed the writes
-        # that the platform allows.
+        # Guards against a heartbeat row for each node: a large fleet would write more
+        # rows than the platform allows.
         nodes = self.add_nodes(60, zones=3)
         self.network.introduce(nodes)
         for _ in range(3):
--- a/tests/test_retries.py
+++ b/tests/test_retries.py
@@ -70,9 +70,11 @@
 
 
 class MayRetryTests(TestCase):
-    def _may_retry(self, execution, *replies, left_s=1.0):
+    def _may_retry(self, execution, *replies, remaining_s=1.0):
         policy = RetryPolicy(lambda service: BUDGET)
-        return bool(policy.may_retry(SERVICE, execution, list(replies), left_s, 0.0))
+        return bool(
+            policy.may_retry(SERVICE, execution, list(replies), remaining_s, 0.0)
+        )
 
     def test_which_replies_are_retried(self):
         def reply(outcome, reason=None, status=0):
@@ -84,7 +86,8 @@
         silent = reply(Outcome.UNKNOWN, Reason.SILENCE)
         shed = reply(Outcome.ANSWERED, status=503)
         failed = reply(Outcome.ANSWERED, status=500)
-        # Reply: idempotent, non-idempotent.
+        # Each case: the reply, whether an idempotent request is retried after it, and
+        # whether a non-idempotent request is.
         cases = [
             (drained, True, True),
             (busy, True, True),
@@ -96,7 +99,9 @@
         for case, idempotent, non_idempotent in cases:
             may = [self._may_retry(execution, case) for execution in Execution]
             self.assertEqual([idempotent, non_idempotent], may, case)
-        self.assertFalse(self._may_retry(Execution.IDEMPOTENT, drained, left_s=0.0))
+        self.assertFalse(
+            self._may_retry(Execution.IDEMPOTENT, drained, remaining_s=0.0)
+        )
         self.assertFalse(self._may_retry(Execution.IDEMPOTENT, *[drained] * 5))
 
     def test_no_attempt_begins_that_could_not_end_in_time(self):
@@ -107,9 +112,10 @@
         self.assertFalse(policy.may_retry(*arguments, 0.4, 0.0))
         self.assertTrue(policy.may_retry(*arguments, 0.6, 0.0))
 
-    def test_an_attempt_at_the_own_gate_outlasts_its_limit_for_a_slow_answer(self):
-        # An attempt at the own gate is ended after this time. If it ended sooner, a
-        # backend server that hangs would give no evidence and never be detected.
+    def test_the_own_gates_hedge_delay_exceeds_its_limit_for_a_slow_answer(self):
+        # An attempt at the own gate is ended after the hedge delay. If the delay were
+        # shorter than the gate's limit for a slow answer, a backend server that hangs
+        # would give the gate no evidence and would never be detected.
         policy = RetryPolicy(lambda service: BUDGET)
         policy.record_answer(SERVICE, 0.01, p99_ms=30.0)
         near_s, far_s = (
@@ -117,16 +123,18 @@
         )
         self.assertGreaterEqual(near_s, 0.09)
         self.assertLess(far_s, 0.09)
-        # A second attempt would not end in time: the first has all of the time.
+        # A second attempt would not end before the deadline, so the first attempt may
+        # use all of the remaining time.
         self.assertEqual(0.1, policy.hedge_delay_s(SERVICE, True, 0.1, 0.0))
         while policy.may_hedge(SERVICE, 0.0):
             pass
         self.assertEqual(2.0, policy.hedge_delay_s(SERVICE, False, 2.0, 0.0))
 
-    def test_a_retry_paid_for_in_advance_is_made_or_given_back(self):
-        # A silent attempt at the own gate is ended, to be retried elsewhere. If other
-        # requests took the last token meanwhile, the caller would get `unknown`
-        # although an answer was about to come.
+    def test_a_retry_paid_for_in_advance_is_made_or_refunded(self):
+        # A silent attempt at the own gate is ended, and the request is retried at
+        # another gate. The token for the retry is taken first. If other requests could
+        # take the last token after the attempt has ended, the caller would get
+        # `unknown` although an answer was about to come.
         policy = RetryPolicy(lambda service: BUDGET)
         self.assertTrue(policy.may_hedge(SERVICE, 0.0))
         while policy.may_hedge(SERVICE, 0.0):
@@ -140,9 +148,10 @@
         self.assertFalse(policy.may_retry(*arguments, is_paid=True))
         self.assertTrue(policy.may_hedge(SERVICE, 0.0))
 
-    def test_where_gates_grant_retries_few_of_them_are_asked(self):
-        # Each gate with no budget left refuses the retry. Without a limit, all gates
-        # of a large service would be asked one after the other for each error.
+    def test_a_retry_is_requested_from_a_limited_number_of_gates(self):
+        # A gate without budget refuses a retry. Without a limit, an ingress would
+        # request the retry from all gates of a large service, one after the other, for
+        # each error.
         budget = RetryBudget(fraction=0.0, fleet_per_s_min=1.0, on_errors=True)
         policy = RetryPolicy(lambda service: budget)
         error = Reply(ATTEMPT, Outcome.ANSWERED, status=500)
@@ -151,7 +160,8 @@
         while policy.may_retry(SERVICE, Execution.IDEMPOTENT, replies, 100.0, 0.0):
             replies.append(denial)
         self.assertEqual(1 + DENIALS_MAX, len(replies))
-        # An attempt at the own gate isn't ended for a retry that may be denied.
+        # An attempt at the own gate is not ended early here, because the gates may deny
+        # the retry.
         self.assertEqual(2.0, policy.hedge_delay_s(SERVICE, True, 2.0, 0.0))
         self.assertLess(policy.hedge_delay_s(SERVICE, False, 2.0, 0.0), 2.0)
 
@@ -164,10 +174,11 @@
         self.assertTrue(0.5 < estimate.mean_s < 2.0, estimate.mean_s)
 
 
-class ReturnTimeTests(TestCase):
+class RetryAfterTests(TestCase):
     def test_retry_times_are_spread_over_the_time_needed_to_serve_all_callers(self):
-        # A service that answers 20 requests per second gives up 400 at once. If all
-        # callers were told the same time, all of them would retry at once again.
+        # A service answers 20 requests per second and refuses 400 at once. If all
+        # refused callers got the same retry time, they would all retry at the same
+        # moment.
         times, rng = RetryAfterEstimator(), random.Random(3)
         for number in range(200):
             times.record(True, number * 0.05)
@@ -207,7 +218,7 @@
         self.assertEqual(2, estimates.free_slots(self.placement, 0.0))
         self.assertEqual(6, estimates.free_slots(self.placement, 60.0))
 
-    def test_a_link_that_fails_is_avoided_longer_each_time(self):
+    def test_a_link_that_fails_again_is_held_out_longer(self):
         holds = HoldOuts(first_s=0.5, max_s=4.0)
         now_s, lengths_s = 0.0, []
         for _ in range(5):
@@ -218,8 +229,9 @@
                 now_s += 0.125
             lengths_s.append(now_s - start_s)
         self.assertEqual([0.5, 1.0, 2.0, 4.0, 4.0], lengths_s)
-        # The first caller of `is_held_out` may try the link; the others wait for the
-        # result.
+        # When the hold-out has passed, `is_held_out` returns False to its first caller,
+        # which may try the link. It returns True to all others until the result of that
+        # try is recorded.
         self.assertTrue(holds.is_held_out("gate", now_s))
         holds.record_success("gate")
         self.assertFalse(holds.is_held_out("gate", now_s))
--- a/tests/test_retry_grants.py
+++ b/tests/test_retry_grants.py
@@ -25,15 +25,15 @@
 
 class RetryGrantsTests(TestCase):
     def test_lighter_requests_leave_retries_to_heavier_ones(self):
-        # Light lookups and heavier calls that signatures wait for share a service's
-        # repeats. When its backend servers shed half of all work, lookups must not use
-        # up all repeats, or signatures fail because their calls do.
+        # Light lookups and heavier calls use the repeats of one service, and signatures
+        # wait for the calls. If lookups used up all repeats while backend servers shed
+        # half of all work, the calls would fail, and the signatures with them.
         grants = RetryGrants(lambda *_: BUDGET)
         for weight in (0.3, 0.5):
             grants.record_first_attempt(SERVICE, weight, 0.0)
         self.assertEqual(5, count_grants(grants, 0.3))
         self.assertEqual(5, count_grants(grants, 0.5))
-        # Without heavier requests nothing is reserved for them.
+        # If no heavier requests arrive, nothing is reserved for them.
         grants = RetryGrants(lambda *_: BUDGET)
         grants.record_first_attempt(SERVICE, 0.3, 0.0)
         self.assertEqual(10, count_grants(grants, 0.3))
@@ -57,9 +57,10 @@
         self.assertEqual(5, granted)
         self.assertEqual(5, count_grants(grants, 0.3))
 
-    def test_what_is_kept_for_heavier_ones_is_there_for_a_run_that_was_lost(self):
-        # A read's run was cut because its node left. It may use the five of ten repeats
-        # that are reserved for heavier requests, which failed at backend servers.
+    def test_a_lost_run_may_use_repeats_reserved_for_heavier_requests(self):
+        # Five of ten repeats are reserved for heavier requests that fail at backend
+        # servers. A read whose run was cut, because its node left, may use these
+        # repeats, too.
         grants = RetryGrants(lambda *_: BUDGET)
         for weight in (0.3, 0.5):
             grants.record_first_attempt(SERVICE, weight, 0.0)
@@ -70,23 +71,25 @@
         self.assertEqual([True] * 5 + [False], granted)
 
     def test_the_grant_of_a_repeat_that_did_not_run_can_be_used_again(self):
-        # In an overload every granted repeat finds all slots occupied. If it still
-        # counted, the budget would be used up without a single repeated run.
+        # In an overload all slots are occupied when a granted repeat arrives at its
+        # gate. If a grant counted although its repeat did not run, the budget would be
+        # used up without a single repeated run.
         grants = RetryGrants(lambda *_: BUDGET)
         self.assertEqual(10, count_grants(grants, 0.3))
         grants.return_grant(SERVICE)
         self.assertEqual(1, count_grants(grants, 0.3))
 
-    def test_calls_of_repeated_runs_are_counted_as_expected(self):
-        # Half of the runs at the callers' node are repeats, so half of their calls are
-        # repeats, too. Twenty such calls count as ten repeats.
+    def test_calls_of_repeated_runs_count_as_repeats(self):
+        # Half of the runs at the callers' node are repeats, so on average half of the
+        # calls that these runs make are repeats. Twenty calls count as ten repeats,
+        # which is the whole budget.
         callers, called = (RetryGrants(lambda *_: BUDGET) for _ in range(2))
         callers.record_run_start(is_repeat=True)
         callers.record_run_start(is_repeat=False)
-        part = callers.repeat_fraction()
-        self.assertEqual(0.5, part)
+        fraction = callers.repeat_fraction()
+        self.assertEqual(0.5, fraction)
         for _ in range(20):
-            called.record_first_attempt(SERVICE, 0.5, 0.0, repeat_fraction=part)
+            called.record_first_attempt(SERVICE, 0.5, 0.0, repeat_fraction=fraction)
         self.assertEqual(0, count_grants(called, 0.5))
         callers.record_run_end(is_repeat=True)
         self.assertEqual(0.0, callers.repeat_fraction())
@@ -102,19 +105,20 @@
         record = NodeRecord(f"n{number}", 1, 1, "r", "z", "", "", ALIVE, (server,))
         directory.update(record, 0.0)
 
-    def test_gates_share_what_the_fleet_may_spend(self):
-        # One of three gates is lost and may have granted its share in this window. The
-        # other gates must not take over that share before the window has passed.
+    def test_the_fleets_retry_budget_is_divided_among_gates(self):
+        # One of three gates is lost. It may have granted its third of the budget in
+        # this window, so the other gates must not grant that third before the window
+        # has passed.
         directory = Directory()
         budgets = GateBudgets(
             directory, lambda service: ServiceDocument(retry_budget=BUDGET)
         )
         for number in range(3):
             self._add_gate(directory, number)
-        part = budgets.retry_budget(SERVICE, 0.0).fleet_per_s_min
-        self.assertAlmostEqual(PER_S / 3, part)
+        fraction = budgets.retry_budget(SERVICE, 0.0).fleet_per_s_min
+        self.assertAlmostEqual(PER_S / 3, fraction)
         directory.declare_dead("n2", (1, 1), 1.0)
-        part = budgets.retry_budget(SERVICE, WINDOW_S - 1).fleet_per_s_min
-        self.assertAlmostEqual(PER_S / 3, part)
-        part = budgets.retry_budget(SERVICE, 3 * WINDOW_S).fleet_per_s_min
-        self.assertAlmostEqual(PER_S / 2, part)
+        fraction = budgets.retry_budget(SERVICE, WINDOW_S - 1).fleet_per_s_min
+        self.assertAlmostEqual(PER_S / 3, fraction)
+        fraction = budgets.retry_budget(SERVICE, 3 * WINDOW_S).fleet_per_s_min
+        self.assertAlmostEqual(PER_S / 2, fraction)
--- a/tests/test_retry_waits.py
+++ b/tests/test_retry_waits.py
@@ -24,6 +24,6 @@
     assert len(set(waits_s)) == len(waits_s)
 
 
-def test_a_request_with_little_time_left_waits_for_a_part_of_it():
+def test_a_request_with_little_time_remaining_waits_for_a_fraction_of_it():
     assert retry_wait_s(SUSPECT, 0.2, RNG) <= 0.2 * WAIT_FRACTION_MAX
     assert retry_wait_s(SUSPECT, -1.0, RNG) == 0.0
--- a/tests/test_run_ends.py
+++ b/tests/test_run_ends.py
@@ -1,4 +1,4 @@
-"""Tests of the counts of run ends by the health that the gates assumed."""
+"""Counts of how runs end, by the health that the gate assumed at their start."""
 
 from testtools import TestCase
 
@@ -49,9 +49,9 @@
         self.assertEqual(0, ends.left_out)
 
     def test_runs_without_all_events_in_the_log_are_left_out_and_counted(self):
-        # If a node died, its log starts or ends in the middle of a run, and the log of
-        # another version may lack fields. The counts leave out such runs, as their
-        # service or the assumed health is unknown.
+        # If a node died, its log starts or ends in the middle of a run. The log of
+        # another version may lack fields. In both cases the service or the assumed
+        # health of a run is unknown, so the run is left out of the counts.
         events = [*run(0, "a", status="200"), *run(5, "b", status="x", ran_ms="?")]
         ends = count_run_ends(events[1:-1])
         self.assertEqual({}, ends.counts)
--- a/tests/test_settings_gossip.py
+++ b/tests/test_settings_gossip.py
@@ -36,10 +36,10 @@
 
 
 class ConfigurationTests(TestCase):
-    def test_a_node_never_goes_back_and_never_skips_a_change(self):
-        # Guards against routing by replaced settings, or by a mix of two revisions
-        # that nobody accepted: an older snapshot arrives late from a slow peer, or
-        # changes arrive out of order.
+    def test_a_node_never_returns_to_an_older_revision_or_skips_a_change(self):
+        # Guards against a slow peer's older snapshot that replaces newer settings.
+        # Guards also against changes that arrive out of order and leave a mix of two
+        # revisions that nobody accepted.
         history, current = History(), CurrentConfiguration()
         first, second, third = (
             history.change({f"t/services/s{n}": b"{}"}) for n in range(3)
@@ -54,8 +54,9 @@
         self.assertEqual(3, len(current.get().services))
 
     def test_a_slow_older_source_does_not_replace_a_newer_one(self):
-        # A change comes in force while a peer's whole settings of revision 0 are
-        # being decoded. The source that finishes last must not replace a newer one.
+        # A change comes in force while the node decodes a peer's whole settings of
+        # revision 0. When the decoding is done, these older settings must not replace
+        # the newer ones.
         history, current = History(), CurrentConfiguration()
         newer = history.change({"t/services/a": b"{}"})
 
@@ -75,8 +76,8 @@
         self.assertEqual(1, current.revision)
 
     def test_a_change_of_another_history_is_refused(self):
-        # A platform restored from a backup assigns the same revisions again to
-        # other changes.
+        # A platform that was restored from a backup assigns the same revisions again,
+        # but to other changes.
         history, restored = History(), History()
         current = CurrentConfiguration()
         current.offer(0, {})
@@ -87,7 +88,7 @@
         self.assertEqual(ApplyResult.DIVERGED, current.apply([next_there]))
         self.assertEqual(["t/services/a"], list(current.get().documents))
 
-    def test_changes_one_by_one_give_what_a_whole_load_gives(self):
+    def test_single_changes_give_the_same_settings_as_a_full_load(self):
         draw = random.Random(11)
         history, current = History(), CurrentConfiguration()
         current.offer(0, {})
@@ -113,10 +114,10 @@
                 lookup = ("any", f"/p{prefix}/x", "GET")
                 self.assertEqual(whole.routes.find(*lookup), step.routes.find(*lookup))
 
-    def test_one_unreadable_document_does_not_hold_the_others_back(self):
+    def test_an_unreadable_document_does_not_block_other_documents(self):
         # A newer release wrote a document that this node can't decode. If the node
-        # refused the whole change, it would keep old settings for ever, and nothing
-        # would tell the caller.
+        # refused the whole change, it would route by old settings for ever, and its
+        # callers would get no error.
         history, current = History(), CurrentConfiguration()
         current.offer(0, {"t/services/a": b'{"queue_max": 3}'})
         current.apply(
@@ -129,8 +130,8 @@
 
 class PollTests(TestCase):
     def test_the_fleets_polls_are_bounded_whatever_its_size(self):
-        # 5,600 nodes that each poll once a second send almost three times the reads
-        # that the platform allows, so that operators' writes would fail, too.
+        # 5,600 nodes that each poll once a second would send almost three times the
+        # reads that the platform allows. Operators' writes would then fail, too.
         records = [node_record(number) for number in range(FLEET_NODES)]
         by_zone = [records[zone::ZONES] for zone in range(ZONES)]
         readers = [
@@ -139,7 +140,7 @@
         self.assertEqual(2 * ZONES, len(readers))
         self.assertLess(self._reads_per_s(records, records), 400)
 
-    def test_nodes_that_lost_sight_of_each_other_stay_within_the_reads(self):
+    def test_polls_of_partitioned_nodes_stay_within_the_platforms_limit(self):
         # A partitioned node knows only itself and selects itself as reader, so the
         # whole fleet would poll the platform in the middle of a failure.
         records = [node_record(number) for number in range(FLEET_NODES)]
@@ -158,7 +159,7 @@
             reads_per_s += len(waits_s) / sum(waits_s)
         return reads_per_s * len(records) / len(sample)
 
-    def test_a_platform_that_is_down_is_tried_seldom(self):
+    def test_calls_to_an_unavailable_platform_are_limited(self):
         # Each call that hangs takes its full timeout. Without a pause between calls a
         # node would do nothing else, and an overloaded platform would not recover.
         now_s = [0.0]
@@ -188,7 +189,7 @@
         change = history.change({"t/services/s": b" " * 1000 + b"{}"})
         network.configurations[0].apply([change])
         network.run(20)
-        # A node that missed all notices learns the revision from a peer's next member
+        # A node that missed all notices receives the revision with a peer's next member
         # message.
         for number, node in enumerate(network.nodes):
             node.receive_revision(f"n{(number + 1) % 250}", 1)
@@ -196,12 +197,14 @@
                 node.handle(node._inbox.get(), network.now_s)
         network.run(10)
         self.assertEqual({1}, network.revisions())
-        # The change itself is received once; the rest is notices and pulls.
+        # Each node receives the change of 1,000 bytes once. The other bytes are notices
+        # and pulls.
         self.assertLess(sum(network.received_bytes) / 250, 1_800)
 
-    def test_a_joining_node_takes_the_highest_of_several(self):
-        # The first peer to answer was cut off and has old settings. A node that
-        # started from them would route by older settings than before its restart.
+    def test_a_joining_node_starts_from_the_highest_revision_of_its_peers(self):
+        # The first peer to answer was isolated and still has old settings. If the
+        # joining node started from them, it would route by older settings than before
+        # its restart.
         network, history = Network(4, zones=1), History()
         changes = [history.change({f"t/services/{n}": b"{}"}) for n in range(3)]
         for number in (1, 2, 3):
@@ -218,7 +221,7 @@
         self.assertEqual([3], in_force)
         self.assertEqual(3, len(network.configurations[0].get().services))
 
-    def test_a_joining_node_goes_to_another_peer_when_one_falls_silent(self):
+    def test_a_joining_node_queries_another_peer_if_one_does_not_answer(self):
         network = Network(3, zones=1)
         for number in (1, 2):
             network.configurations[number].offer(number, {"t/services/s": b"{}"})
@@ -228,13 +231,13 @@
         network.run(40)
         self.assertEqual(1, network.configurations[0].revision)
 
-    def test_a_node_without_any_source_says_so(self):
+    def test_a_node_without_a_source_of_settings_emits_an_event(self):
         network = Network(1)
         network.run(50)
         self.assertIn("settings_no_source", network.events[0].names)
         self.assertEqual(-1, network.configurations[0].revision)
 
-    def test_many_peers_send_the_pages_of_one_revision(self):
+    def test_a_joining_node_pulls_the_pages_from_many_peers(self):
         # Each peer sends within its own byte cap. A single peer would take minutes for
         # the megabyte of settings of a full-size fleet, and until then the joining
         # node refuses callers.
@@ -258,8 +261,9 @@
         self.assertEqual(page_count, pulls.total())
         self.assertGreater(len(pulls), 4)
 
-    def test_a_page_that_is_lost_is_asked_for_again(self):
-        # A peer at its byte cap drops a page. It must not be discarded after one.
+    def test_a_joining_node_requests_a_lost_page_again(self):
+        # A peer at its byte cap drops a page. The joining node must request the page
+        # again, and must not discard the peer as a source after one lost page.
         network = Network(2, zones=1)
         network.configurations[1].offer(7, {"t/services/s": b"{}"})
         lost = []
@@ -276,10 +280,10 @@
         self.assertEqual(1, len(lost))
         self.assertEqual(7, network.configurations[0].revision)
 
-    def test_a_lost_page_is_asked_for_again_by_a_node_that_has_settings(self):
+    def test_a_node_that_has_settings_requests_a_lost_page_again(self):
         # The two nodes have no revision in common, so all pages have to be sent, and
-        # one is lost. Without a repeated request the node would route by old settings
-        # until the next change.
+        # one of them is lost. If the node did not request this page again, it would
+        # route by old settings until the next change.
         network = Network(2, zones=1)
         documents = {
             f"t/routes/{n}": route("t/s", f"/{n}", host=f"h{n}") for n in range(2_000)
@@ -301,7 +305,7 @@
         self.assertEqual({7}, network.revisions())
         self.assertEqual(documents, network.configurations[0].get().documents)
 
-    def test_pages_hold_all_settings_and_damage_is_refused(self):
+    def test_pages_contain_all_settings_and_a_damaged_page_is_refused(self):
         network = Network(2, zones=1)
         documents = {
             f"t/routes/{n}": route("t/s", f"/{n}", host=f"h{n}") for n in range(12_000)
@@ -316,7 +320,7 @@
         network.run(10)
         self.assertEqual(documents, network.configurations[0].get().documents)
 
-    def test_a_cut_off_node_catches_up_by_what_it_lacks(self):
+    def test_an_isolated_node_gets_all_changes_that_it_lacks(self):
         network, history = Network(2, zones=1), History()
         for configuration in network.configurations:
             configuration.offer(0, {})
--- a/tests/test_settings_growth.py
+++ b/tests/test_settings_growth.py
@@ -14,8 +14,8 @@
 # The readers read the store; the other nodes receive changes from them.
 READERS_PER_ZONE = 8
 STEP_S = 0.02
-# Half of the time promised to callers: the other half is for the store's answer and
-# for processors that are busy with requests.
+# Half of the time that callers are promised. The other half allows for the store's
+# answer and for processors that are busy with requests.
 IN_FORCE_MAX_S = 1.5
 
 
@@ -105,10 +105,10 @@
         ]
 
     def test_a_large_change_is_in_force_everywhere_in_time(self):
-        # An operator adds 2,000 routes. Nodes that don't read the store answer 404 to
-        # callers of the new routes until they have them. If whole settings were sent
-        # page by page, they would exceed the byte caps of the readers, and all other
-        # nodes would wait until the caps allow more bytes.
+        # An operator adds 2,000 routes. A node that doesn't read the store answers 404
+        # to callers of the new routes until a peer has sent it the change. If readers
+        # sent their whole settings page by page, they would reach their byte caps, and
+        # the other nodes would have to wait until the caps allow more bytes.
         for node in self.readers:
             node.configuration.offer(10, self.routes)
         self.run_for(IN_FORCE_MAX_S)
@@ -116,10 +116,11 @@
         for node in self.nodes:
             self.assertEqual(self.routes, node.configuration.get().documents)
 
-    def test_readers_that_saw_other_changes_serve_the_same_peers(self):
-        # Changes come faster than readers read them: some readers read revisions 10
-        # and 14, others only 14. A node at revision 10 gets the missing changes from
-        # both, though readers that went from 4 to 14 never had 10 in force.
+    def test_readers_that_skipped_a_revision_serve_nodes_at_that_revision(self):
+        # Changes are made faster than readers read them. Some readers read revisions 10
+        # and 14, others go from 4 to 14 directly. A node at revision 10 must get the
+        # missing changes from readers of both kinds, although some of them never had
+        # revision 10 in force.
         middle = dict(list(self.routes.items())[:2_001])
         for number, node in enumerate(self.readers):
             if number % 2:
@@ -132,9 +133,9 @@
         for node in self.nodes:
             self.assertEqual(self.routes, node.configuration.get().documents)
 
-    def test_a_change_crosses_zones_no_more_often_than_it_must(self):
-        # Traffic between availability zones costs the most. Where a zone has nodes
-        # with the new settings, the zone's other nodes pull from these.
+    def test_nodes_pull_a_change_within_their_own_zone(self):
+        # Traffic between availability zones costs the most. If some nodes of a zone
+        # have the new settings, the zone's other nodes must pull the change from them.
         crossed_bytes = 0
         post = self.network.post
 
@@ -153,5 +154,6 @@
             node.configuration.offer(10, self.routes)
         self.run_for(IN_FORCE_MAX_S)
         self.assertEqual([], self.nodes_behind(10))
-        # The remaining bytes are notices of the revision and membership messages.
+        # The limit allows for notices of the revision and membership messages, which
+        # cross zones as well.
         self.assertLess(crossed_bytes, 400_000)
--- a/tests/test_settings_growth_processes.py
+++ b/tests/test_settings_growth_processes.py
@@ -8,7 +8,8 @@
 from tests.platform_fleet import PlatformFleet
 from tests.utils import wait_until
 
-# Eight nodes of a zone read the store; the other four get the change only from them.
+# Eight nodes of a zone read the store. The other four nodes get changes only from those
+# eight.
 NODES = 12
 ROUTES_BEFORE, ROUTES_ADDED = 600, 2_000
 # Time that the users' platform allows from the store's answer until the change is in
@@ -42,9 +43,10 @@
 
 class GrowingSettingsProcessTests(TestCase):
     def test_callers_of_new_routes_are_served_by_all_nodes_in_time(self):
-        # An operator adds 2,000 routes to 600. Nodes that don't read the store would
-        # answer 404 to callers of the new routes until they have all pages of all
-        # settings, which their peers' byte caps delay.
+        # An operator adds 2,000 routes to 600. Nodes that don't read the store get the
+        # change from peers. If they needed all pages of all settings, the peers' byte
+        # caps would delay the pages, and until then the nodes would answer 404 to
+        # callers of the new routes.
         fleet = PlatformFleet()
         self.addCleanup(fleet.__exit__)
         fleet.put_configuration(configuration(4, ROUTES_BEFORE))
@@ -59,8 +61,9 @@
                 lambda node=node: node.revision() == 4,
                 "the node has the first settings",
             )
-        # All nodes wait at the store since before they knew each other. A change there
-        # ends the waits, and the nodes that are not readers don't wait again.
+        # Each node began to wait for changes at the store before it knew the other
+        # nodes. A change in the store ends all of these waits, and then only the
+        # readers wait again.
         fleet.put_configuration({}, name="other")
         time.sleep(3.0)
         after = configuration(9, ROUTES_BEFORE + ROUTES_ADDED)
@@ -73,5 +76,5 @@
         took_s = time.monotonic() - acknowledged_s
         self.assertLess(took_s, IN_FORCE_MAX_S)
         last = after["routes"][-1]["prefix"]
-        # The route is known, but has no backend server.
+        # The nodes know the new route, which has no backend server, so they answer 503.
         self.assertEqual({503}, {node.status_of(HOST, last) for node in nodes})
--- a/tests/test_settings_outage.py
+++ b/tests/test_settings_outage.py
@@ -55,13 +55,13 @@
         answer = call(node.caller_address, target)
         self.assertEqual(("answered", 200), (answer.outcome, answer.status))
 
-    def test_nothing_reverts_when_the_platform_comes_back_older(self):
-        # Guards against routing callers by routes that were replaced hours ago.
-        # Order: the platform dies; nodes continue to serve, a backend server starts
-        # and a node is added; the platform is restored from a backup that lacks the
-        # latest changes; one more node is replaced while the platform is up.
-        # No node goes back to a lower revision, a new node asks its peers, and each
-        # node reports that the platform is older.
+    def test_settings_do_not_revert_when_the_platform_is_restored(self):
+        # Guards against routing callers by routes that were replaced hours ago. The
+        # platform dies. Nodes continue to serve, and a backend server and a node are
+        # started. The platform is restored from a backup that lacks the latest changes,
+        # and one more node is replaced. No node may return to a lower revision, each
+        # new node must get its settings from peers, and each node must report that the
+        # platform is older.
         backup = None
         nodes = self.start(2)
         backup = call(self.fleet.platform_address, "/v1/backup").body
@@ -89,8 +89,9 @@
             self.assertEqual(revision, node.revision())
             self.wait_event(node, "event=settings_platform state=older")
         self.assert_served(nodes[-1], "/late")
-        # An edit would now get a revision that the nodes already have. Only an
-        # operator can put the backup's settings in force.
+        # An edit in the restored platform would get a revision number that the nodes
+        # already have. The backup's settings come in force only if an operator restarts
+        # the history.
         tables = HttpTableService(self.fleet.platform_address)
         restarted = restart_history(tables, revision, Credentials(), time.time())
         for node in nodes[1:]:
@@ -101,9 +102,9 @@
             self.assert_served(node)
             self.assertEqual(404, call(node.caller_address, "/late").status)
 
-    def test_a_node_without_any_source_refuses_and_says_why(self):
-        # The caller learns at once that the request was not run, and the operator
-        # finds the cause in the events.
+    def test_a_node_without_settings_refuses_requests_with_the_reason(self):
+        # The caller is informed at once that the request was not run, and the operator
+        # finds the reason in the events.
         self.platform.kill()
         node = self.fleet.start_node("node-0", "zone-0", **NO_SEEDS)
         wait_until(
@@ -115,10 +116,10 @@
         self.wait_event(node, "event=settings_no_source")
         self.assertEqual("unreachable", self.platform_state(node))
 
-    def test_a_hanging_platform_hangs_nothing_else(self):
-        # A stopped process accepts connections and never answers, so a call ends only
-        # by its timeout. No other task may wait for the call, and a change accepted
-        # after the platform resumes comes in force.
+    def test_a_hanging_platform_does_not_block_nodes(self):
+        # A suspended platform accepts connections but never answers, so each call to it
+        # lasts until its timeout. No other task of a node may wait for the call. A
+        # change that is accepted after the platform resumes must come in force.
         nodes = self.start(2)
         self.platform.signal(signal.SIGSTOP)
         self.addCleanup(self.platform.signal, signal.SIGCONT)
--- a/tests/test_settings_pages.py
+++ b/tests/test_settings_pages.py
@@ -43,10 +43,10 @@
 
 
 class SettingsMessageSizeTests(TestCase):
-    # The platform is down and a replaced node asks a peer for all settings. The
-    # peer's byte cap refuses a page that is larger than its token bucket. The node
-    # requests the page again, the peer refuses again, and the node serves no request
-    # until the platform is back, though every peer has the settings.
+    # The platform is down, and a replaced node requests all settings from a peer. If a
+    # page is larger than the token bucket of the peer's byte cap, the peer refuses to
+    # send it each time that the node requests it. The node then serves no request until
+    # the platform is available again, although every peer has the settings.
     def assert_is_sent(self, kind, message):
         budget = ByteBudget(CAP_BYTES_PER_S, now_s=0.0)
         frame = encode_member(kind, Sender("node-0", 1, ADDRESS), message)
--- a/tests/test_settings_races.py
+++ b/tests/test_settings_races.py
@@ -85,8 +85,8 @@
         for edit in range(EDITS_EACH):
             path = f"{choice.choice(TEAMS)}/services/s{number}-{edit}"
             operation_id = new_operation_id()
-            # The first call already has an operation id, as with a tool that
-            # stores the id before it sends the edit.
+            # The first call already passes an operation id, like a tool that stores the
+            # id before it sends the edit.
             result = store.put(path, {}, operation_id=operation_id)
             while result.is_error() and isinstance(result.error, NotKnown):
                 result = store.settle(operation_id)
@@ -94,13 +94,13 @@
         return reported
 
     def test_no_edit_is_lost_or_made_twice_while_the_platform_fails(self):
-        # Failure: an edit that was reported as accepted is missing or is in the
-        # log twice, or one that was reported as not accepted is in the log.
-        # A write takes effect and its reply is lost, or it is delayed and takes
-        # effect later. The tool retries or settles it while others change the same
-        # subtree and the fleet's revision. Unless the operation is checked, a retry
-        # is a second edit; and finding no effect proves nothing while the write may
-        # still arrive.
+        # Failure: an edit that was reported as accepted is missing from the log or is
+        # in it twice, or an edit that was reported as not accepted is in the log. A
+        # write may take effect although its reply is lost, or may take effect late. The
+        # tool retries or settles the edit while others change the same subtree and the
+        # fleet's revision. If the store did not check the operation id, a retry would
+        # be a second edit. If the tool finds no effect, that proves nothing while the
+        # write may still arrive.
         self.platform.standin.set_faults(*FAULTS)
         with ThreadPoolExecutor(WRITERS) as executor:
             reported = [
@@ -142,9 +142,9 @@
             self.assertEqual(chain, change.chain)
 
     def test_two_teams_that_edit_at_once_both_succeed(self):
-        # Failure: a team's edit is refused although nobody else edited its subtree.
-        # All edits write the row of the fleet's revision, so one of two concurrent
-        # edits conflicts in that row; the store must retry it.
+        # Failure: a team's edit is refused although nobody else edited its subtree. All
+        # edits write the row of the fleet's revision, so one of two concurrent edits
+        # conflicts in that row. The store must retry the edit.
         def edit(team):
             store = SettingsStore(self.platform.tables())
             return [store.put(f"{team}/services/s{n}", {}) for n in range(8)]
@@ -157,9 +157,9 @@
         self.assertEqual(48, self.store.revision().ok)
 
     def test_a_write_that_takes_effect_after_it_was_settled_is_refused(self):
-        # Failure: an edit is reported as not accepted and is later in force.
-        # The write is delayed beyond the tool's time-out. The tool checks, finds no
-        # effect and reports so; then the write arrives.
+        # Failure: an edit is reported as not accepted and is later in force. The write
+        # is delayed beyond the tool's time-out. The tool checks the log, finds no
+        # effect and reports the edit as not accepted; then the write arrives.
         tables = DelayedWriteTables(self.platform.tables())
         store = SettingsStore(tables, sleep=lambda pause_s: None)
         unanswered = store.put("crew/services/board", {}).error
@@ -170,7 +170,9 @@
         self.assertEqual(0, self.store.revision().ok)
 
     def test_a_lost_reply_is_settled_by_the_log(self):
-        # The write takes effect; its reply and all later calls are lost.
+        # Failure: an edit in force is reported as not accepted, or its retry is a
+        # second edit. The write takes effect, but its reply and the calls after it are
+        # lost.
         tables = DelayedWriteTables(self.platform.tables())
         store = SettingsStore(tables, sleep=lambda pause_s: None)
         unanswered = store.put("crew/services/board", {}).error
@@ -347,9 +349,9 @@
         self.assertEqual("crew/routes/q", refused.faults[0].path)
 
     def test_a_team_can_remove_a_service_that_another_teams_route_uses(self):
-        # Otherwise a team could keep another team from removing a service by routing
-        # to it. The team whose route uses a removed service must still be able to
-        # edit its other documents.
+        # If such a removal were refused, a team could block the removal of another
+        # team's service by a route to that service. After the removal, the team of the
+        # route must still be able to edit its other documents.
         self.accept("medical/services/fit", {})
         self.accept("crew/services/own", {})
         route = {"service": "medical/fit", "execution": "idempotent"}
--- a/tests/test_shared_slowness.py
+++ b/tests/test_shared_slowness.py
@@ -5,7 +5,8 @@
 from tests.ejection_utils import SERVERS, FleetUnderLoad
 from tests.utils import wait_until
 
-# Enough for each gate to estimate the latencies of its backend server.
+# Requests of all callers before the slowness, enough for each gate to estimate the
+# latencies of its backend server.
 CALLS = 200 * SERVERS
 SLOW_S = 4.0
 
@@ -13,19 +14,20 @@
 class SharedSlownessTests(FleetUnderLoad):
     hold_out_s = 5.0
 
-    def test_no_backend_server_stays_suspected_when_all_turn_slow(self):
+    def test_no_backend_server_stays_suspected_when_all_become_slow(self):
         """All backend servers answer 0.4 s late from one moment on.
 
-        The first late answers cause suspicions. The gates take them back when
-        summaries show that the others are late, too. Guards against hold-outs that
-        are repeated: the first suspects would leave their load to the others.
+        The first late answers cause suspicions. The gates withdraw them when summaries
+        show that the other backend servers are late, too. Guards against repeated
+        hold-outs, which would move the load of the first suspects to the others.
         """
-        wait_until(lambda: self.calls >= CALLS, "slow limits are learned", 40)
+        wait_until(lambda: self.calls >= CALLS, "the callers made enough requests", 40)
         for server in self.servers:
             server.set_fault(mode="slow", delay_s=0.4)
         time.sleep(SLOW_S)
         for node in self.nodes:
             wait_until(
-                lambda node=node: not self.suspicions(node), "nobody is suspected"
+                lambda node=node: not self.suspicions(node),
+                "no backend server is suspected",
             )
             self.assertEqual(set(), self.excluded_servers(node))
--- a/tests/test_shared_slowness_simulated.py
+++ b/tests/test_shared_slowness_simulated.py
@@ -1,6 +1,6 @@
 """Slowness of all backend servers at once, in simulated time.
 
-Checks for how long any of them is suspected.
+Checks how long the suspicions last.
 """
 
 import heapq
@@ -31,7 +31,7 @@
 
 
 class Simulation:
-    """Callers of five backend servers, which all turn slow at one moment."""
+    """Callers of five backend servers, which all become slow at one moment."""
 
     def __init__(self, seed: int) -> None:
         self._random = random.Random(seed)
@@ -100,9 +100,11 @@
 
 class SharedSlownessSimulationTests(TestCase):
     def test_a_held_out_backend_server_adapts_to_shared_slowness_in_its_trial(self):
-        # All turn slow together. Two late answers get one held out before the others
-        # are known to be late. It gets no summaries of them, and meanwhile their
-        # percentiles adapt. Guards against a long trial with few requests: the first
-        # summary of the trial must be enough to readmit it.
+        # All backend servers become slow together. After two late answers, one of them
+        # is held out before the others are known to be late. Meanwhile the latency
+        # percentiles of the others adapt, but the held-out backend server gets no
+        # requests, and no summaries of the others. Guards against a long trial with few
+        # requests: the first summary in the trial must be enough to readmit the backend
+        # server.
         lasted_s = [Simulation(seed).suspicion_duration_s() for seed in range(60)]
         self.assertLess(max(lasted_s), 3 * HOLD_OUT_S)
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -2,7 +2,8 @@
 
 from tests.soak import REGRESSION_SEEDS, run_seed
 
-# A seed with overlapping faults, and few enough of them for each run of the tests.
+# The faults of this seed overlap, and six faults take little enough time for each run
+# of the tests.
 SHORT_SEED, SHORT_FAULT_COUNT = 7, 6
 
 
@@ -17,5 +18,5 @@
 
 
 def test_seeds_that_failed_once():
-    """`REGRESSION_SEEDS` names the fault that each guards against."""
+    """`REGRESSION_SEEDS` maps each seed to the fault that it once found."""
     assert [failure for seed in REGRESSION_SEEDS if (failure := run_seed(seed))] == []
--- a/tests/test_soak_crashes.py
+++ b/tests/test_soak_crashes.py
@@ -8,16 +8,16 @@
 
 
 def test_a_short_soak_of_crashes_keeps_the_promises():
-    """Guards against quarantines of the wrong request, or none, among other faults.
+    """Guards against a quarantine of a harmless request, or a missing quarantine.
 
-    Nodes are killed and paused, the store is unavailable, and backend servers crash
-    for other reasons. Requests that crash backend servers must soon be refused, and
-    harmless requests must not.
+    Requests that crash backend servers must soon be refused. Harmless requests must
+    not be refused, although backend servers also crash for other reasons, nodes are
+    killed and paused, and the store is unavailable.
     """
     assert run_seed(SHORT_SEED, SHORT_S) is None
 
 
 @pytest.mark.parametrize("seed", REGRESSION_SEEDS)
 def test_a_seed_of_crashes_that_failed_once(seed):
-    """`REGRESSION_SEEDS` names the fault that each guards against."""
+    """`REGRESSION_SEEDS` maps each seed to the fault that it once found."""
     assert run_seed(seed) is None
--- a/tests/test_start_at_size.py
+++ b/tests/test_start_at_size.py
@@ -5,22 +5,23 @@
 from tests.member_network import MemberNetwork
 
 NODES, ZONES = 233, 5
-# Nodes in the platform's table of first peers, four of each zone.
+# The platform's table of first peers lists this many nodes, four of each zone.
 FIRST_PEERS = 20
 BYTES_PER_S = 9_000.0
 START_MAX_S = 7.0
-# Each of 233 nodes has to learn 100 bytes of each other node, most of it from peers
-# of its own zone.
+# Each of 233 nodes has to receive 100 bytes about each other node, most of them from
+# peers of its own zone.
 CROSS_ZONE_MAX_BYTES = 5_000_000
 
 
 class StartAtSizeTests(TestCase):
     def test_nodes_that_start_together_soon_know_each_other(self):
         # A node refuses callers until it knows the backend servers of their services,
-        # so nodes that lost power together have to learn of each other quickly.
-        # Guards against pulls of a single bucket, which has less than one node on
-        # average: they spend the byte caps, some nodes know only half of the fleet
-        # after 12 s, and four of five bytes go to other zones.
+        # so nodes that lost power together have to learn of each other quickly. Guards
+        # against pulls that each request a single bucket of members, which has less
+        # than one node on average. These pulls would use up the byte caps: some nodes
+        # would know only half of the fleet after 12 s, and four of five bytes would go
+        # to other zones.
         network = MemberNetwork()
         nodes = [
             network.add(
--- a/tests/test_store_came_back.py
+++ b/tests/test_store_restored.py
@@ -35,12 +35,12 @@
         super().setUp()
         self.store = PlatformInProcess()
         self.addCleanup(self.store.stop)
-        self.eras, self.odd_eras = [], []
-        self.known = StoreEras(self.eras.append, self.odd_eras.append)
+        self.eras, self.unexpected_eras = [], []
+        self.known = StoreEras(self.eras.append, self.unexpected_eras.append)
         self.tables = HttpTableService(self.store.address, self.known)
 
     def _other_process(self) -> HttpTableService:
-        """Return the store as seen by another process, which knows of no era yet."""
+        """Return a client as in another process, which has not received any era yet."""
         return HttpTableService(self.store.address)
 
     def _put(self, key: str, value, tables=None) -> int:
@@ -59,9 +59,10 @@
 
 class RestoredTableTests(RestoredStoreCase):
     def test_a_version_assigned_again_is_not_taken_for_the_earlier_one(self):
-        # One operator reads a row, the store is restored from an older copy, and a
-        # second operator writes the row, which gets the same number again. The write
-        # of the first must not overwrite a value that it has never read.
+        # One operator reads a row. The store is restored from an older copy, and a
+        # second operator writes the row, which gets the version number that the first
+        # one read. The first operator's write must not overwrite the second's value,
+        # which the first operator has never read.
         self._copy()
         read = self._put("row", "lost")
         self._restore()
@@ -93,8 +94,9 @@
 
     def test_a_wait_on_a_version_assigned_again_reports_lost_history(self):
         # A node waits for changes after a version. The store is restored from an older
-        # copy, and others write until its number has passed that version. The node
-        # would never receive the change made in between.
+        # copy, and others write until the store's version number has passed the node's
+        # version. Without an error, the node would never receive the changes that were
+        # made up to its version.
         self._copy()
         version = self._put("a", 1)
         self._restore()
@@ -111,15 +113,15 @@
         self.known.record_answer("7")
         result = self.tables.read("test", ["row"])
         self.assertIsInstance(result.error, Unknown)
-        self.assertIn("is of era 1, after 7", self.odd_eras[-1])
+        self.assertIn("is of era 1, after 7", self.unexpected_eras[-1])
 
     def test_an_unreadable_era_is_reported_and_ignored(self):
         self.assertEqual(0, self.known.record_answer(None))
-        self.assertEqual([], self.odd_eras)
+        self.assertEqual([], self.unexpected_eras)
         self.assertEqual(3, self.known.record_answer("3"))
         self.assertIsNone(self.known.record_answer("three"))
         self.assertEqual(3, self.known.record_answer(None))
-        self.assertEqual(2, len(self.odd_eras))
+        self.assertEqual(2, len(self.unexpected_eras))
         self.assertEqual(3, self.known.newest)
 
 
@@ -137,9 +139,10 @@
         call(self.store.address, "/op/config", "PUT", encode({"revision": revision}))
 
     def test_settings_written_again_under_a_known_version_take_effect(self):
-        # Guards against a node that keeps replaced routes: it waits for changes after a
-        # version that the store has assigned again, and the change that it lacks has a
-        # lower one.
+        # Guards against a node that routes by replaced settings for ever. The node
+        # waits for changes after a version that the restored store has assigned again.
+        # The change that the node lacks has a lower version, so the wait would not
+        # return it.
         watcher, configuration = self._watcher()
         self._operate(3)
         self._copy()
@@ -200,9 +203,9 @@
         )
 
     def test_a_key_whose_gate_replied_not_run_runs_after_a_restore(self):
-        # The gate replied 'not run' and from then on refuses the claim's version. If
-        # the restored store assigned that version again, each resend would be refused
-        # as moved for as long as the gate remembers the key.
+        # The gate replied `not_run` and from then on refuses the claim's version. If
+        # the restored store assigned that version again, the gate would refuse each
+        # resend of the request as moved for as long as it remembers the key.
         ledger = RunLedger(*HERE)
         self._copy()
         for number in range(3):
@@ -214,16 +217,16 @@
         refusal = Reply(dispatch.attempt_id, Outcome.NOT_RUN, Reason.SHED)
         ledger.end(dispatch, refusal, 1.0)
         self._restore()
-        # The era is settled: a key without a claim is unclaimed.
+        # In a settled era, a key without a claim counts as unclaimed.
         eras = ClaimEras()
         eras.settle(2)
         again = self._claimant(self._other_process(), eras).claim_for(HERE, 2.0)
         self.assertNotIsInstance(ledger.begin(self._dispatch(again), 3.0), KeyRefused)
 
     def test_a_key_whose_claim_was_lost_does_not_run_at_a_second_gate(self):
-        # Guards against a second run: the first request ran at one gate, the store has
-        # lost its claim in the restore, and the caller, which got no answer, resends
-        # the key to another node.
+        # Guards against a second run. The first request ran at one gate, but the store
+        # lost its claim in the restore. The caller got no answer and resends the key to
+        # another node.
         self._copy()
         self.assertEqual(HERE, self._claimant().claim_for(HERE, 0.0)[:2])
         self._restore()
--- a/tests/test_two_gates.py
+++ b/tests/test_two_gates.py
@@ -17,8 +17,8 @@
 
 class TwoGateTests(TwoGateCase):
     def test_a_second_attempt_answers_for_a_silent_backend_server(self):
-        # One backend server hangs. Without a second attempt in parallel its callers
-        # wait until their deadline and are told `unknown`.
+        # One backend server hangs. Without a second attempt in parallel, its callers
+        # would wait until their deadline and get `unknown`.
         self.answers["a"] = lambda dispatch: []
         replies = [self._request() for _ in range(6)]
         self.assertEqual([BODY] * 6, [reply.body for reply in replies])
@@ -29,8 +29,8 @@
         self.assertEqual([], silent.cancels)
 
     def test_a_second_attempt_counts_towards_attempts_max(self):
-        # The route allows two attempts. The first one hangs, and the second one in
-        # parallel fails. A third one would exceed the operator's limit.
+        # The route allows two attempts. The first one hangs, and the second one, made
+        # in parallel, fails. A third attempt would exceed the operator's limit.
         self.answers = {
             "a": lambda dispatch: [],
             "b": lambda dispatch: answer(dispatch, status=503),
@@ -46,7 +46,7 @@
     def test_a_repeat_is_marked_and_a_gate_may_refuse_it(self):
         # The first gate's backend server fails. The second gate has no retry left to
         # grant and refuses the repeat without running it. The caller gets the first
-        # error, because the refused attempt is not a run.
+        # error, because the refused repeat did not run.
         def denies(dispatch):
             denial = Reply(dispatch.attempt_id, Outcome.NOT_RUN, Reason.RETRY_BUDGET)
             if dispatch.is_repeat:
@@ -65,10 +65,10 @@
         ]
         self.assertEqual([False, True], sorted(repeats))
 
-    def test_two_refused_attempts_are_not_run(self):
-        # The first attempt waits at a gate, a second one is sent in parallel, and
-        # both gates refuse. Nothing ran. With `unknown` the caller of a non-idempotent
-        # request could not send it again.
+    def test_the_outcome_of_two_refused_attempts_is_not_run(self):
+        # The first attempt waits at a gate, a second one is sent in parallel, and both
+        # gates refuse, so nothing ran. If the caller of a non-idempotent request got
+        # `unknown`, it could not send the request again.
         def late_refusal(dispatch):
             refusal = Reply(dispatch.attempt_id, Outcome.NOT_RUN, Reason.CANCELLED)
             return [(1.2, encode(refusal))]
@@ -78,11 +78,12 @@
         self.assertIs(Outcome.NOT_RUN, reply.outcome)
         self.assertEqual(2, self._dispatches())
 
-    def test_a_suspected_backend_server_is_the_last_resort(self):
+    def test_a_request_waits_for_a_recovery_before_its_last_resort(self):
         # Both gates refuse because their backend servers are suspected. If the request
-        # were sent as a last resort at once, four of five such attempts would fail,
-        # and a non-idempotent request would be lost. A moment later one of the
-        # backend servers has recovered and takes the request.
+        # were sent as a last resort at once, four of five such attempts would fail, and
+        # a non-idempotent request would be lost. Instead, the ingress tries the gates
+        # again, and soon one of the backend servers has recovered and takes the
+        # request.
         last_resort_flags = []
 
         def recovers(dispatch):
@@ -98,13 +99,13 @@
         self.assertEqual([False] * 5, last_resort_flags)
 
     def test_a_backend_server_that_stays_suspected_takes_last_resorts(self):
-        def sick(dispatch):
+        def suspected(dispatch):
             if dispatch.is_last_resort:
                 return answer(dispatch)
             refusal = Reply(dispatch.attempt_id, Outcome.NOT_RUN, Reason.SUSPECTED)
             return [(0.0, encode(refusal))]
 
-        self.answers = {"a": sick, "b": sick}
+        self.answers = {"a": suspected, "b": suspected}
         for execution in Execution:
             reply = self._request(execution, timeout_s=1.5)
             self.assertIs(Outcome.ANSWERED, reply.outcome)
@@ -137,8 +138,9 @@
         self.assertEqual((Outcome.ANSWERED, 503), (reply.outcome, reply.status))
 
     def test_an_answer_is_kept_when_the_second_attempt_is_refused(self):
-        # The backend server ran the request and answered 503, and the other gate is
-        # busy. Its `not_run` must not replace the answer, as the request did run.
+        # The backend server ran the request and answered 503. The other gate is busy
+        # and replies `not_run`. This reply must not replace the answer, because the
+        # request did run.
         def busy(dispatch):
             refusal = Reply(dispatch.attempt_id, Outcome.NOT_RUN, Reason.NO_FREE_SLOT)
             return [(0.0, encode(refusal))]
