--- a/balsamspindle/backend_servers/admission.py
+++ b/balsamspindle/backend_servers/admission.py
@@ -26,7 +26,8 @@
 CAPACITY_STEPS = 4
 # Fraction of its slots that a backend server may use while it reports that it is cold.
 # A cold backend server takes about twice as long for each request, so it can answer
-# only half as many requests per second.
+# only half as many requests per second. Its usable slots, by which ingresses choose a
+# backend server, are reduced in the same ratio.
 COLD_SLOTS_FRACTION = 0.5
 # A waiting attempt requests a slot again at each notification of `changed`, and also
 # after this time, because no notification is sent when a cold server's slots increase.
@@ -35,7 +36,7 @@
 # An attempt, even a read, is started only if its gate and its ingress will run for at
 # least this many times its route's mean service time. Half of a route's requests take
 # longer than the mean, but few take longer than twice the mean. A refused attempt can
-# still be retried in time, but a run that is lost at a node's end may be lost too late.
+# be retried in time. If a node's end interrupts a run, it may be too late for a retry.
 LAST_START_FACTOR = 2.0
 
 
@@ -300,9 +301,8 @@
     def capacity(self, server: LocalBackendServer, now_s: float) -> float:
         """Return the fraction of its slots that a backend server may use now.
 
-        The fraction is rounded down to a multiple of 1/4, but is at least 1/4. Each
-        change of the fraction is sent to the whole fleet; due to the rounding, a cold
-        start causes few changes.
+        The fraction is rounded down to a multiple of 1/4, and at least 1/4. Each change
+        is sent to the whole fleet; due to rounding, a cold start causes few changes.
         """
         fraction = self._slots(server, now_s) / server.announcement.slots
         return max(1, int(fraction * CAPACITY_STEPS)) / CAPACITY_STEPS
--- a/balsamspindle/backend_servers/failed_calls.py
+++ b/balsamspindle/backend_servers/failed_calls.py
@@ -1,10 +1,10 @@
-"""The latest failed call that a backend server made through this node.
+"""The latest failed call that a backend server may have made through this node.
 
 While a backend server works on a request, it may call other services through the node
-beside it. When such a call fails, the backend server answers its own request with an
-error. This error is no evidence against the backend server. If the error counted, one
-sick service would cause the ejection of healthy backend servers of every service that
-calls the sick one.
+beside it. When such a call fails, the backend server answers the request that it works
+on with an error. This error is no evidence against the backend server. If the error
+counted, one sick service would cause the ejection of healthy backend servers of every
+service that calls the sick one.
 """
 
 import threading
@@ -12,13 +12,18 @@
 __all__ = ["FailedCalls"]
 
 # An error that a backend server returns this soon after the failure of a call is
-# attributed to that call: both answers travel within one VM, and a backend server
-# stops working on its request as soon as its call fails.
+# attributed to that call. The node first reports the failure to the backend server,
+# which made the call. The backend server then stops working on its request at once, and
+# returns the error to the node. Both answers travel within one VM.
 ERROR_DELAY_MAX_S = 0.06
 
 
 class FailedCalls:
-    """The time at which this node last answered a caller with a failure."""
+    """The time at which this node last answered a caller with a failure.
+
+    The failed requests of all callers are recorded, not only those of the backend
+    server.
+    """
 
     def __init__(self) -> None:
         self._lock = threading.Lock()
--- a/balsamspindle/backend_servers/health.py
+++ b/balsamspindle/backend_servers/health.py
@@ -129,7 +129,7 @@
         return self._work.own_p99_ms
 
     def configure(self, detection: Detection) -> None:
-        """Apply changed settings; score, phase and evidence stay."""
+        """Apply changed settings without changing the score, phase or evidence."""
         self._work.detection = detection
         self._readmission.detection = detection
 
@@ -215,10 +215,14 @@
         a hold-out: the gate admits all attempts, and publishes its suspicion, so that
         ingresses prefer other backend servers. If an ingress also received the length
         of such a hold-out, it would send no requests until the planned end, even if a
-        restart or good requests ended the hold-out early. The ingress would also avoid
-        backend servers that have to stay in use: those on trial, which need requests to
-        pass it, and those without which the service's remaining capacity would be below
+        restart or good requests ended the hold-out early. It would also avoid a held
+        out backend server without which the service's remaining capacity would be below
         its floor.
+
+        For a backend server on trial, a gate that refuses attempts reports
+        `TRIAL_ESTIMATE_MS`. If the gates of all other services reported it too,
+        ingresses would avoid the backend server, which needs requests to pass the
+        trial.
         """
         refuses = self._work.detection.independent_errors
         if self.phase is HealthPhase.SERVING or not refuses:
--- a/balsamspindle/backend_servers/lifetimes.py
+++ b/balsamspindle/backend_servers/lifetimes.py
@@ -2,9 +2,9 @@
 
 Announcements may arrive seconds late and out of order. A late announcement must not
 make a backend server available again after it has left, and a late "ready" must not
-cancel a "draining". A backend server may restart under the same id. Each announcement
-contains the time of the start to which it belongs. A lifetime is the period that begins
-with one start.
+cancel a "draining". A backend server may restart under the same id. A lifetime is the
+period from one start of the backend server until it leaves or starts again. Each
+announcement contains the start time of the lifetime to which it belongs.
 """
 
 import threading
@@ -22,11 +22,11 @@
 # Maximum number of backend servers whose latest lifetime is stored. The limit is ample
 # because a node has one backend server at a time.
 LIFETIMES_MAX = 1000
-# The first announcement of a start replaces an earlier start of the same backend
-# server, and any other backend server at the same address. If no further announcement
-# of the new start arrives for this long, the first one was late, so announcements of
-# the replaced start or backend server are applied again. A live backend server sends an
-# announcement every second or two.
+# The first announcement of a lifetime replaces the stored lifetime of the same backend
+# server, and any other backend server at the same address. A live backend server sends
+# an announcement every second or two. If the first announcement is not followed by
+# another of its lifetime for this long, it was late. Announcements of the replaced
+# lifetime or of the replaced backend server are then applied again.
 REPLACED_SILENT_S = 4.0
 _EARLIER_START = "a later start of the backend server is known"
 
@@ -37,12 +37,12 @@
     Attributes
     ----------
     sequence : int
-        Number of the announcement; increases until the next start.
+        Number of the announcement; increases during a lifetime.
     cold_s : float
-        Remaining time for which the backend server is slow because of its start.
+        Remaining time for which the backend server is slow because it has just started.
     start_unix_ms : int
-        Unix time of the backend server's start by its own clock, in milliseconds; 0 if
-        not reported.
+        Unix time at which the lifetime began, by the backend server's own clock, in
+        milliseconds; 0 if not reported.
     """
 
     sequence: int
@@ -53,7 +53,7 @@
 
 @dataclass
 class _Lifetime:
-    """One start of a backend server, with its last announced state."""
+    """One lifetime of a backend server, with its last announced state."""
 
     start_unix_ms: int
     sequence: int
@@ -61,14 +61,15 @@
     has_left: bool = False
     is_draining: bool = False
 
-    def blocks_earlier_starts(self, now_s: float) -> bool:
+    def blocks_earlier_lifetimes(self, now_s: float) -> bool:
         """Return whether announcements with an earlier start time are ignored as late.
 
-        If the clock of a backend server is set back before a restart, the new start has
-        an earlier start time than the old start, but must still get work. Announcements
-        with an earlier start time are therefore accepted once the old start has not
-        been announced for `REPLACED_SILENT_S`. After the old start has left or begun to
-        drain, they are always ignored.
+        If the clock of a backend server is set back before a restart, its new lifetime
+        has an earlier start time than this one, but the backend server must still get
+        work. Announcements with an earlier start time are therefore accepted once no
+        announcement of this lifetime has arrived for `REPLACED_SILENT_S`. If the
+        backend server has left or begun to drain in this lifetime, announcements with
+        an earlier start time are always ignored.
         """
         is_silent = now_s - self.announced_s >= REPLACED_SILENT_S
         return self.has_left or self.is_draining or not is_silent
@@ -107,12 +108,14 @@
     def record_leave(
         self, server_id: str, cause: str | None = None, start_unix_ms: int = 0
     ) -> None:
-        """Drain a leaving backend server, and ignore its start's later announcements.
+        """Drain a leaving backend server; ignore its lifetime's later announcements.
+
+        If a later lifetime of the backend server is known, nothing is drained.
 
         Parameters
         ----------
         start_unix_ms : int
-            Start time of the lifetime that ends; 0 for the latest known start.
+            Start time of the lifetime that ends; 0 for the latest known lifetime.
         """
         with self._lock:
             lifetime = self._lifetimes.get(server_id)
@@ -141,7 +144,7 @@
         if lifetime is None:
             return None
         if status.start_unix_ms < lifetime.start_unix_ms:
-            return _EARLIER_START if lifetime.blocks_earlier_starts(now_s) else None
+            return _EARLIER_START if lifetime.blocks_earlier_lifetimes(now_s) else None
         if status.start_unix_ms > lifetime.start_unix_ms:
             return None
         if lifetime.has_left:
@@ -176,9 +179,10 @@
         self._ids_by_address[announcement.address] = server_id
         lifetime.sequence, lifetime.announced_s = status.sequence, now_s
         if replaced not in (None, server_id) and not lifetime.is_draining:
-            # A late announcement of the replaced backend server may have been applied
-            # before. It made that backend server the user of the address and drained
-            # this one. Undo this drain, because this one has not announced a drain.
+            # A late announcement of the replaced backend server may already have been
+            # applied. It then assigned the address to the replaced backend server, and
+            # drained `server_id`. Undo this drain, because `server_id` has not
+            # announced that it drains.
             self._servers.undrain(server_id)
         announcement = msgspec.structs.replace(
             announcement, boot_id=_boot_id(server_id, status.start_unix_ms)
--- a/balsamspindle/backend_servers/queue.py
+++ b/balsamspindle/backend_servers/queue.py
@@ -18,8 +18,8 @@
 
 
 # An attempt is expected to meet its latency target if the time until the target is at
-# least this many times the mean service time. The factor is above 1 because service
-# times vary.
+# least this many times its route's mean service time. The factor is above 1 because
+# service times vary.
 IN_TIME_FACTOR = 1.5
 # Mean service time that is assumed until the backend server has answered once.
 DEFAULT_SERVICE_TIME_S = 0.1
@@ -41,8 +41,8 @@
 
     START = "start"
     WAIT = "wait"
-    # The queue is full, and the waiting attempts take precedence or another attempt has
-    # displaced this one.
+    # The queue is full. Either all waiting attempts take precedence over this one, or
+    # this one was waiting and another attempt has taken its place.
     SHED = "shed"
     # The attempt would end after its deadline.
     TOO_LATE = "too_late"
@@ -308,11 +308,14 @@
 
         Only the waiting attempts with the lowest weight are considered. The customer
         with the most of them is selected, and the newest of its attempts is the
-        candidate. A candidate that is lighter than the ticket is shed, and a heavier
-        one is not. If both have the same weight, each customer's attempts of this
-        weight are counted, the ticket included. The candidate is shed if its customer
-        has more of them than the ticket's customer. It is not shed if its request or
-        the ticket's has no customer.
+        candidate. If none of these attempts has a customer, the newest of them is the
+        candidate.
+
+        A candidate that is lighter than the ticket is always shed, and a heavier one
+        never, whether the two have customers or not. A candidate of the ticket's weight
+        is shed only if both have customers, and the candidate's customer has more
+        attempts of this weight than the ticket's customer. The ticket is included in
+        this count.
 
         Returns
         -------
@@ -342,7 +345,7 @@
 def _current_order(
     ticket: Ticket, key: OrderKey, now_s: float
 ) -> tuple[float, bool, int, float, int]:
-    """Return a ticket's present sort key; late tickets of a weight come last.
+    """Return a ticket's present sort key; late tickets sort last in their weight.
 
     If the attempt with the earliest target always started first, each answer would be
     slightly too late under overload. For example, if only three quarters of the needed
@@ -357,7 +360,7 @@
 def _is_late(ticket: Ticket, now_s: float) -> bool:
     # If an earlier run of the request was lost, the attempt is late because of the
     # loss, and the request has already waited for a slot once. If the attempt started
-    # after all new attempts, it would never start.
+    # after all new attempts, it would never start while new ones keep arriving.
     if ticket.target_s is None or ticket.run_was_lost:
         return False
     # Attempts with the same rank are calls that a backend server makes for one request.
--- a/balsamspindle/cli/queried_nodes.py
+++ b/balsamspindle/cli/queried_nodes.py
@@ -42,7 +42,10 @@
 
 
 def newest_records(queried: list[QueriedNode]) -> list[NodeRecord]:
-    """Return each known node's newest record among those of the queried nodes."""
+    """Return the newest record of each node that any queried node knows.
+
+    Each queried node has reported records of all nodes that it knows.
+    """
     newest: dict[str, NodeRecord] = {}
     for node in queried:
         for record in node.status.nodes:
--- a/balsamspindle/load/caller.py
+++ b/balsamspindle/load/caller.py
@@ -144,6 +144,10 @@
 def answer_fault(call: ScheduledCall, target: str, body: bytes) -> str | None:
     """Return what is wrong with a stand-in's answer; None if it is correct.
 
+    A correct answer repeats values of its request. The returned text is ``fragment`` if
+    the answer is not JSON. Otherwise it lists the names of the values that differ from
+    those of the request.
+
     Parameters
     ----------
     target : str
@@ -160,4 +164,4 @@
         "body": call_body(call).decode(),
     }
     wrong = [name for name, value in expected.items() if answer.get(name) != value]
-    return f"not its own: {', '.join(wrong)}" if wrong else None
+    return f"differs from the request: {', '.join(wrong)}" if wrong else None
--- a/balsamspindle/metrics/exposition.py
+++ b/balsamspindle/metrics/exposition.py
@@ -74,6 +74,8 @@
         for event, count in self._report.events.items():
             events.add_metric((event,), count)
         yield events
+        # An attempt is counted if it was interrupted while a backend server ran it. The
+        # label `cause` is a `CancelCause`.
         cuts = CounterMetricFamily(
             "balsamspindle_attempts_cut",
             "Attempts cut at backend servers by cause.",
--- a/balsamspindle/metrics/recorder.py
+++ b/balsamspindle/metrics/recorder.py
@@ -27,7 +27,8 @@
     ----------
     INGRESS
         From when the ingress has read the request until its answer is ready to send.
-        If a request is refused by its headers, the time starts after the headers.
+        If the ingress refuses a request before it reads the body, the time starts when
+        the headers have been read.
     LINK
         From when an attempt is sent to another node until its reply arrives.
     QUEUE
@@ -93,7 +94,11 @@
         self._cuts: Counter[str] = Counter()
 
     def record(self, hop: Hop, duration_s: float) -> None:
-        """Record the duration of a hop; `LATENCY_MAX_US` is the largest value."""
+        """Record the duration of a hop.
+
+        A duration longer than `LATENCY_MAX_US` is recorded as `LATENCY_MAX_US`, and one
+        shorter than 1 microsecond as 1 microsecond.
+        """
         duration_us = max(1, min(int(duration_s * 1_000_000), LATENCY_MAX_US))
         with self._lock:
             self._histograms[hop].record_value(duration_us)
--- a/balsamspindle/node/graceful_shutdown.py
+++ b/balsamspindle/node/graceful_shutdown.py
@@ -17,8 +17,8 @@
 # callers are closed, but for at most this long.
 GATE_OPEN_MAX_S = 2.0
 # How long the node still refuses late attempts after all work has ended. If less of the
-# shutdown timeout remains, the node does so for the remaining time, but at least for
-# the minimum.
+# shutdown timeout remains, the node refuses them for the remaining time, but at least
+# for `LATE_REFUSALS_MIN_S`.
 LATE_REFUSALS_S, LATE_REFUSALS_MIN_S = 0.5, 0.1
 LAST_ANSWERS_TIMEOUT_S = 0.4
 POLL_INTERVAL_S = 0.02
@@ -49,9 +49,9 @@
         """Shut down; return when no work is in flight, or after the shutdown timeout.
 
         Peers and callers are notified first, so that they use other nodes while this
-        one still serves. The gate closes only after this node's own callers have
-        their answers: if all nodes of the fleet leave at once, each ingress still
-        needs the gates for its last requests.
+        node still serves. The gate refuses new attempts only after this node's own
+        callers have their answers, or after `GATE_OPEN_MAX_S`. If all nodes of the
+        fleet leave at once, each ingress still needs the gates for its last requests.
         """
         self._report_leaving()
         timeout_end_s = time.monotonic() + self._settings.shutdown_timeout_s
--- a/balsamspindle/node/process.py
+++ b/balsamspindle/node/process.py
@@ -267,7 +267,11 @@
         )
 
     def _report_floor(self, service: str, decision: FloorDecision) -> None:
-        """Emit which suspects get no usual requests, and which ones the floor keeps."""
+        """Emit which suspected backend servers are left out, and which stay in use.
+
+        A backend server that is left out gets a request only as a trial, or if a claim
+        names its gate. One that stays in use gets requests as if it were not suspected.
+        """
         self.events.emit(
             "floor_decided",
             service=service,
@@ -344,7 +348,7 @@
         self.events.emit("settings_file_taken", caller_service=settings.caller_service)
 
     def _service_document(self, service: str) -> ServiceDocument:
-        """Return a service's settings; defaults if none in force define it."""
+        """Return a service's settings; defaults if no settings in force define it."""
         configuration = self._configuration.get()
         if configuration is None:
             return _DEFAULT_SERVICE
--- a/balsamspindle/platform/configuration.py
+++ b/balsamspindle/platform/configuration.py
@@ -50,8 +50,9 @@
 HOLD_OUT_GROWTH = 4.0
 TRIAL_SUCCESSES = 1
 # Each second in service without an ejection undoes one multiplication of the next
-# hold-out by `HOLD_OUT_GROWTH`. A backend server that keeps failing fails one trial
-# after the other, so an error after such a second may well be a single failure.
+# hold-out by `HOLD_OUT_GROWTH`. A backend server that keeps failing does not stay in
+# service for a second: it fails one trial after the other. So if a backend server fails
+# after a second without an ejection, the error may well be a single failure.
 HOLD_OUT_DECAY_S = 1.0
 # Attempts that may wait at one gate. They are refused earlier if they can't end before
 # their deadline, so this only bounds memory.
@@ -131,7 +132,7 @@
     tenants: list[_Tenant] | None = None
 
 
-# By kind of route. Requests of kinds that are not listed may run at most once.
+# Execution by kind of route. Requests of other kinds may run at most once.
 _EXECUTIONS = {
     "safe": Execution.IDEMPOTENT,
     "unsafe": Execution.NON_IDEMPOTENT,
--- a/balsamspindle/platform/store_calls.py
+++ b/balsamspindle/platform/store_calls.py
@@ -19,7 +19,7 @@
 # slower.
 CALL_TIMEOUT_MS = 2000
 # TCP keep-alive detects a connection that was lost without a reset: probes start after
-# 1 s of silence, and the connection fails after two without an answer.
+# 1 s of silence, and the connection fails after two probes without an answer.
 KEEP_ALIVE_IDLE_S = 1
 KEEP_ALIVE_INTERVAL_S = 1
 KEEP_ALIVE_PROBES = 2
@@ -68,13 +68,18 @@
             if self._ended:
                 return pycurl.SOCKET_BAD
             opened = _open_socket(_purpose, address)
-            # Keep a duplicate, because libcurl closes its own descriptor, whose number
-            # may then be reused for another file.
+            # Store a duplicate, because libcurl closes its own descriptor. The number
+            # of that descriptor may then be reused for another file, which
+            # `shut_down_all` must not shut down.
             self._open.add(opened.dup())
             return opened
 
     def close_finished(self) -> None:
-        """Close all duplicates after a call; only one call waits at a time."""
+        """Close the stored duplicates of the sockets of a call that has ended.
+
+        All stored duplicates belong to this call, because only one call waits for
+        changes at a time.
+        """
         with self._lock:
             while self._open:
                 self._open.pop().close()
--- a/balsamspindle/protocol/outcomes.py
+++ b/balsamspindle/protocol/outcomes.py
@@ -180,6 +180,7 @@
     Reason.BAD_TIMEOUT: Problem(
         400, "The header X-Request-Timeout-Ms is not a time.", None
     ),
+    # The value of the request's Expect header is not 100-continue.
     Reason.EXPECTATION: Problem(417, "The request expects what is not done.", None),
     Reason.HTTP_VERSION: Problem(505, "The HTTP version is not taken here.", None),
     Reason.REQUEST_TIMEOUT: Problem(
@@ -199,6 +200,7 @@
     Reason.NODE_STOPPING: Problem(
         503, "The node is leaving and takes no new requests.", 1
     ),
+    # The node was leaving, and the backend server's answer did not reach the ingress.
     Reason.GATE_ENDING: Problem(
         504, "The node beside the backend server left before it answered.", 1
     ),
@@ -236,6 +238,9 @@
     Reason.CLAIM_MOVED: Problem(
         503, "The Idempotency-Key is being taken by another node.", 1
     ),
+    # The claims can't be read or written now, so this node can't find out whether an
+    # earlier request with the same Idempotency-Key was started. The caller should send
+    # the request again later, with the same key.
     Reason.CLAIMS_UNAVAILABLE: Problem(
         503,
         "This request was not started, but it can't be told now whether an "
--- a/balsamspindle/timeline/line_budget.py
+++ b/balsamspindle/timeline/line_budget.py
@@ -12,8 +12,9 @@
 __all__ = ["LINES_PER_S", "LineBudget"]
 
 # A line costs about 20 us of processor time, so this limit is one hundredth of a core
-# for each event name. A fully loaded node serves about 300 requests per second with
-# four lines each.
+# for each event name. A fully loaded node serves about 300 requests per second. Each
+# request usually writes four lines with four event names, so the node writes about 300
+# lines per second for each of these event names, which is below the limit.
 LINES_PER_S = 500
 
 
--- a/tests/test_load.py
+++ b/tests/test_load.py
@@ -60,8 +60,8 @@
         self.assertEqual(["a"], audit(results, runs).non_idempotent_ran_twice)
 
     def test_an_answer_to_another_request_is_found(self):
-        found = audit([result("a", fault="not its own: run_key")], {})
-        self.assertEqual(["a: not its own: run_key"], found.wrong_answers)
+        found = audit([result("a", fault="differs from the request: run_key")], {})
+        self.assertEqual(["a: differs from the request: run_key"], found.wrong_answers)
 
     def test_detection_ends_with_the_last_request_before_the_quiet_period(self):
         # A hanging server receives requests for another 1.5 s and then none until a
