--- a/balsamspindle/backend_servers/health.py
+++ b/balsamspindle/backend_servers/health.py
@@ -28,7 +28,7 @@
 TRIAL_ESTIMATE_MS = 100.0
 # During this first part of a trial, only idempotent requests that can be retried are
 # accepted. If each backend server gets a few requests per second, some idempotent ones
-# arrive in that time.
+# arrive in that time, and no other request is needed for the trial.
 TRIAL_WAIT_S = 3.0
 # During this first part of a trial, only the lightest of the idempotent requests are
 # accepted.
@@ -51,6 +51,8 @@
 
     Attributes
     ----------
+    since_s : float
+        When the phase began, on the monotonic clock.
     score, threshold : float
         The backend server's score, and the score at which it is ejected.
     slow_ms : float
--- a/balsamspindle/platform/store_calls.py
+++ b/balsamspindle/platform/store_calls.py
@@ -92,7 +92,8 @@
                 try:
                     opened.shutdown(socket.SHUT_RDWR)
                 except OSError:
-                    # The socket is not connected, so the call ends without a shutdown.
+                    # The socket is not connected. Its call fails without a shutdown, at
+                    # the latest after `CONNECT_TIMEOUT_MS`.
                     pass
 
 
