--- a/balsamspindle/crashes/quarantine_store.py
+++ b/balsamspindle/crashes/quarantine_store.py
@@ -103,7 +103,11 @@
             self._changed.notify_all()
 
     def record(self, quarantine: Quarantine, now_unix_s: float) -> None:
-        """Queue a new or lifted quarantine for writing if this node writes it."""
+        """Queue a new or lifted quarantine for writing, if this node is a writer of it.
+
+        A hash of the request's content hash and the node id selects the `WRITERS` nodes
+        that write a quarantine.
+        """
         if not self._is_writer(quarantine.content_hash):
             return
         until_unix_s = now_unix_s + quarantine.left_ms / 1000
--- a/balsamspindle/crashes/verdicts.py
+++ b/balsamspindle/crashes/verdicts.py
@@ -45,8 +45,9 @@
 CAUSE_LEAD_FACTOR = 10.0
 # Two run times count as equal if their difference is smaller than this.
 EQUAL_RUN_TIME_S = 0.01
-# The probability that run times are similar by coincidence counts as at least this:
-# similar run times alone are no proof, since timeouts also end runs after equal times.
+# The probability that run times are similar by coincidence counts as at least this.
+# Similar run times alone are no proof that a request causes crashes: runs that a
+# time-out ends also have equal run times.
 SIMILAR_TIMES_PROBABILITY_MIN = 1e-3
 # Run times shorter than this are raised to this, since a busy VM may read its clock
 # late, and a run time may then seem too short.
@@ -206,11 +207,11 @@
     """
     if expected >= count:
         return 1.0
-    # This approximates the probability of `count` or more crashes by that of exactly
-    # `count`. If `expected` is less than half of `count`, the probability of each
-    # larger count is less than half of the one before, so the result is more than half
-    # of the probability of `count` or more crashes. The larger `expected` is, the
-    # smaller is the fraction that the result includes.
+    # The result approximates the probability of `count` or more crashes by that of
+    # exactly `count`. If `expected` is less than half of `count`, the probability of
+    # each larger count is less than half of that of the count before. So the result is
+    # more than half of the probability of `count` or more crashes. As `expected` rises
+    # towards `count`, the result becomes a smaller fraction of that probability.
     return expected**count * math.exp(-expected) / math.factorial(count)
 
 
--- a/balsamspindle/customers/buckets.py
+++ b/balsamspindle/customers/buckets.py
@@ -76,8 +76,8 @@
     def __init__(self, now_s: float) -> None:
         self._lock = threading.Lock()
         # Since this time, this node has granted nothing to customers without a bucket.
-        # So a new bucket also gets the tokens that its refill rate yields from this
-        # time until now.
+        # So a new bucket gets INITIAL_TOKENS and the tokens that its refill rate yields
+        # from this time until the bucket is created.
         self._ungranted_since_s = now_s
         self._buckets: OrderedDict[str, _Bucket] = OrderedDict()
 
--- a/balsamspindle/requests/admission_queries.py
+++ b/balsamspindle/requests/admission_queries.py
@@ -1,17 +1,18 @@
 """Queries whether a gate would admit an attempt, before the attempt is sent.
 
-Queries save traffic between zones, which is paid for by the byte. Gates in other zones
-refuse two of three attempts that look for a free slot. An attempt carries its complete
-request, at least 0.7 KB, while a query and its answer have 0.2 KB together. A query
-costs one round trip. The gate does not reserve a slot when it answers a query: if other
-attempts occupy all slots before the attempt arrives, the gate refuses the attempt.
+Traffic between zones is paid for by the byte, and queries save some of this traffic.
+Gates in other zones refuse two of three attempts that look for a free slot. An attempt
+carries its complete request, at least 0.7 KB, while a query and its answer have 0.2 KB
+together. A query costs one round trip. The gate does not reserve a slot when it answers
+a query: if other attempts occupy all slots before the attempt arrives, the gate refuses
+the attempt.
 
 Before an attempt with a large body is sent, its gate is queried even if the gate is in
-the own zone. Gates of a busy service refuse three of four attempts. With bodies of
-60 KB on 10 Mbit/s links, the refused attempts would fill a quarter of each gate's link.
-They would delay queries and short requests by a quarter of a second. An ingress waits
-only that long for the answer to a query (`QUERY_TIMEOUT_S`), so it would consider the
-gate unreachable.
+the own zone. Gates of a busy service refuse three of four attempts. Without queries,
+refused attempts with bodies of 60 KB would fill a quarter of each gate's link of
+10 Mbit/s. These attempts would delay queries and short requests by a quarter of a
+second. This is as long as an ingress waits for the answer to a query
+(`QUERY_TIMEOUT_S`). The ingress would then consider the gate unreachable.
 """
 
 import itertools
@@ -52,8 +53,8 @@
     reason : Reason
         Why the gate would refuse the attempt; ``UNREACHABLE`` if it did not answer.
     wait_ms : float
-        Expected wait for a slot or, if the request crashes backend servers, how long
-        it stays blocked; 0 with other reasons.
+        Expected wait for a slot. If the request crashes backend servers, the time for
+        which the request stays blocked. 0 with other reasons.
     held_out : HoldOut
         The hold-out of the backend server, as the gate reported it.
     """
--- a/balsamspindle/requests/admissions.py
+++ b/balsamspindle/requests/admissions.py
@@ -31,8 +31,8 @@
     def admit(self, request: CallerRequest, now_s: float) -> Admitted | Refused:
         """Admit a request and count it against its customer's limit, or refuse it.
 
-        The request's route and customer are determined first. May block for a moment
-        to request a grant from another node.
+        The request's route and customer are determined first. This method may block for
+        a moment while it requests a grant from another node.
         """
         match self._route(request):
             case RouteDocument() as route:
--- a/balsamspindle/requests/attempt_outcomes.py
+++ b/balsamspindle/requests/attempt_outcomes.py
@@ -51,7 +51,9 @@
         """Return the reply that ended the wait for a request's attempts.
 
         If `waited` is None, no attempt got a reply: each attempt is logged, and the
-        returned reply has the outcome `unknown` and the reason `silence`.
+        returned reply has the outcome `unknown` and the reason `silence`. Otherwise,
+        the reply is recorded for the request's claim. `forwarded.may_have_run` is set
+        if any other attempt may have run.
         """
         if waited is None:
             for sent in attempts:
--- a/balsamspindle/requests/attempts.py
+++ b/balsamspindle/requests/attempts.py
@@ -88,7 +88,11 @@
         return AttemptId(self._own.node_id, self._own.incarnation, next(self._sequence))
 
     def set_end_time(self, ends_s: float) -> None:
-        """Set this node's stop time; gates then start no run for it that ends later."""
+        """Set the time at which this node stops.
+
+        From then on, gates refuse those of this node's attempts whose runs would end
+        after the node's stop.
+        """
         self._link_attempts.set_end_time(ends_s)
 
     def abort_attempts(self) -> None:
@@ -116,8 +120,8 @@
         Parameters
         ----------
         has_answer : bool
-            Whether another attempt was answered. If so, the gate is sent this as the
-            cause of the cancellation.
+            Whether another attempt was answered. If so, the gate gets the cancellation
+            with the cause `ANSWERED_ELSEWHERE`.
         """
         self._link_attempts.cancel_parked(forwarded, has_answer)
 
@@ -132,7 +136,11 @@
         wait_max_ms: float | None = None,
         hedge: Hedge | None = None,
     ) -> Reply:
-        """Make an attempt, and a second one in parallel if the first gets no reply.
+        """Make an attempt, hedged if `hedge` is given; return the reply.
+
+        If an attempt over a link gets no reply in time, a second attempt is made in
+        parallel. An attempt at the own gate is ended instead, and the calling code may
+        then make a second attempt.
 
         Parameters
         ----------
@@ -205,9 +213,9 @@
         )
 
     def _send_to_own_gate(self, forwarded, placement, hedge: Hedge | None) -> Reply:
-        # This thread makes the call to the backend server itself, so it cannot start a
-        # second attempt in parallel. If a second attempt is planned, the first attempt
-        # is ended after `hedge_delay_s`, before the second attempt starts.
+        # This thread makes the call to the backend server itself, so this thread cannot
+        # start a second attempt in parallel. If a second attempt is planned, the first
+        # attempt is ended after `hedge_delay_s`, before the second attempt starts.
         deadline_s = forwarded.deadline_s
         if hedge is not None:
             deadline_s = min(deadline_s, self._clock() + hedge.hedge_delay_s)
--- a/balsamspindle/requests/caller_protocol.py
+++ b/balsamspindle/requests/caller_protocol.py
@@ -38,8 +38,8 @@
     def limits(self) -> HttpLimits:
         """Return the limits for callers' connections.
 
-        Limits in the fleet's settings replace this process's own limits. The limit of
-        a request's body is the lower of the two.
+        Limits in the fleet's settings replace this process's own limits. Only for
+        request bodies, the lower of the fleet's and this process's limit applies.
         """
         settings, configuration = self._settings, self._configuration.get()
         limits = HttpLimits(
--- a/balsamspindle/requests/claim_eras.py
+++ b/balsamspindle/requests/claim_eras.py
@@ -5,8 +5,9 @@
 claimed before the restore. The era is settled when every process that may know lost
 claims has written its claims again and has confirmed in the store that it wrote them.
 In a settled era, a key without a claim counts as unclaimed. If one of these processes
-ended before it confirmed, the era is settled only when callers can no longer resend the
-keys of the lost claims. Until then, requests whose keys have no claim are not run.
+ended before it wrote this confirmation, the era is settled only when callers can no
+longer resend the keys of the lost claims. Until the era is settled, requests whose keys
+have no claim are not run.
 """
 
 import threading
@@ -33,12 +34,13 @@
 # Time after its start by which a process knows all other processes of the fleet.
 FLEET_KNOWN_AFTER_S = 5.0
 # An era is settled (a key without a claim counts as unclaimed) no earlier than this
-# time after its start. A process that reaches the store but not its peers may be
-# unknown to them, and then they don't wait for its confirmation. This time is long
+# time after the era's start. If a process reaches the store but not its peers, the
+# peers may not know this process and not wait for its confirmation. This time is long
 # enough for such a process to write its claims again.
 RESTORE_MIN_S = 1.0
 # Until this time after an era's start, requests that claim a key wait for the era to be
-# settled. Later they don't wait, and while the era isn't settled, no key is claimed.
+# settled. After this time, requests don't wait. If the era is still not settled, their
+# keys are not claimed, and the requests are not run.
 RESTORE_WAIT_S = 2.0
 
 
@@ -73,8 +75,8 @@
     Parameters
     ----------
     resend_max_s : float
-        Time for which callers may resend a key. If a process ended before it confirmed
-        an era, the era is settled only this time after its start.
+        Time for which callers may resend a key. If a process ended before it wrote its
+        `Confirmation` of an era, the era is settled only this time after the era began.
     on_request : callable
         Called with an era when a request waits for the era to be settled.
     """
@@ -92,8 +94,8 @@
         self._era = 0
         self._era_began_s = 0.0
         self._newest_settled_era = FIRST_ERA
-        # Processes that have to confirm the current era; None if this process doesn't
-        # know all of them.
+        # Processes that have to write a `Confirmation` of the current era; None if this
+        # process doesn't know all of these processes.
         self._required: set[ClaimHolder] | None = set()
 
     def record_holders(
@@ -152,9 +154,10 @@
     def wait_until_settled(self, era: int, now_s: float, deadline_s: float) -> bool:
         """Wait for an era to be settled; return whether it is.
 
-        The wait ends at `deadline_s`, but no later than `RESTORE_WAIT_S` after the
-        current era began. Calls after that time return at once, because a process that
-        has not confirmed the era by then may have ended and may never confirm it.
+        Calls `on_request` first. The wait ends at `deadline_s`, or `RESTORE_WAIT_S`
+        after the current era began if that is sooner. Calls after `RESTORE_WAIT_S`
+        return at once: a process that has not written its `Confirmation` by then may
+        have ended and may never write it.
         """
         self._on_request(era)
         with self._changed:
@@ -166,9 +169,9 @@
     def missing_holders(
         self, confirmed: Mapping[str, Confirmation]
     ) -> set[ClaimHolder] | None:
-        """Return the processes that still have to confirm the current era.
+        """Return the processes whose `Confirmation` of the current era is missing.
 
-        Returns None if this process doesn't know all processes that have to confirm.
+        Returns None if this process doesn't know all processes that have to write one.
 
         Parameters
         ----------
@@ -187,9 +190,9 @@
     def can_settle(self, missing: set[ClaimHolder] | None, now_s: float) -> bool:
         """Return whether this process can declare the current era settled.
 
-        If all processes have confirmed the era, the result is True from `RESTORE_MIN_S`
-        after the start of the era. Otherwise it is True only when callers can no longer
-        resend the keys of lost claims.
+        If no confirmation is missing, the result is True from `RESTORE_MIN_S` after the
+        era began. Otherwise, the result is True from `resend_max_s` after the era
+        began, when callers can no longer resend the keys of lost claims.
 
         Parameters
         ----------
@@ -201,10 +204,10 @@
         return now_s - self._era_began_s >= self._resend_max_s
 
     def _holders_before(self, now_s: float) -> set[ClaimHolder] | None:
-        """Return the processes that have to confirm an era that begins now.
+        """Return the processes that must write a `Confirmation` of an era begun now.
 
         The store may have lost claims that these processes know. Returns None if this
-        process may not know all of the processes.
+        process may not know all of these processes.
         """
         if self._era == 0 or self._first_seen_s is None:
             return None
@@ -218,12 +221,12 @@
 def _confirms(confirmation: Confirmation | None, holder: ClaimHolder, era: int) -> bool:
     """Return whether a node's confirmation of an era is from the given process.
 
-    The confirmation may also be from a process that started later on the same node.
-    Such a process has a higher incarnation than `holder` ever had. A confirmation by
-    `holder` itself contains the incarnation that the process had when it started. The
-    incarnation in `holder` is the same or higher, because a process raises its
-    incarnation to refute outdated reports about itself. So the confirmation is from
-    `holder` exactly if its incarnation is not higher than the one in `holder`.
+    The confirmation may be from a process that started after `holder` on the same node.
+    That process has a higher incarnation than `holder` ever had. A confirmation by
+    `holder` itself contains the incarnation with which `holder` started. Then
+    `holder.incarnation` is equal or higher, because a process raises its incarnation to
+    refute outdated reports about itself. So the confirmation is from `holder` if its
+    incarnation is at most `holder.incarnation`.
     """
     if confirmation is None or confirmation.era < era:
         return False
--- a/balsamspindle/requests/claim_restorer.py
+++ b/balsamspindle/requests/claim_restorer.py
@@ -1,14 +1,15 @@
 """Writes this process's claims again after the store was restored from an older copy.
 
-A process knows the keys that its gate ran and the claims that its ingress wrote. It
-writes claims for these keys, and the claims of its ingress, to the store again. Then it
-confirms in its node's row of `CLAIM_ERAS_TABLE` that it wrote them. When all processes
-have confirmed, one of them marks the store's new era as settled: a key without a claim
-then counts as unclaimed (see `balsamspindle.requests.claim_eras`).
-
-A process that has no claims to write does not confirm the era until a request with a
-key waits, at any node, for the era to be settled. So a fleet whose callers send no keys
-makes no calls to the store.
+A process knows the keys of the requests that its gate ran, and the claims that its
+ingress wrote. The process writes claims for these keys, and the claims of its ingress,
+to the store again. Then it writes a `Confirmation` into its node's row of
+`CLAIM_ERAS_TABLE`. When all processes have written their confirmations, one of them
+marks the store's new era as settled: a key without a claim then counts as unclaimed
+(see `balsamspindle.requests.claim_eras`).
+
+A process without claims writes its `Confirmation` only when a request with a key waits,
+at any node, for the era to be settled. If the callers of a fleet send no keys, its
+processes thus make no calls to the store.
 """
 
 import math
@@ -53,7 +54,7 @@
 IDLE_INTERVAL_S = 1.0
 RETRY_DELAY_MIN_S, RETRY_DELAY_MAX_S = 0.1, 10.0
 # Incarnation that no process has. If the claim of a key has this incarnation, no gate
-# runs the key; gates reply that the key may have run.
+# runs a request with the key. Gates reply that such a request may have run.
 NO_INCARNATION = 0
 
 
@@ -64,7 +65,7 @@
     ----------
     overrides : bool
         Whether this claim replaces a different claim that the store has for the key.
-        True if the key ran at this process's gate.
+        True if a request with the key ran, or may have run, at this process's gate.
     """
 
     key: str
@@ -156,9 +157,8 @@
         Returns
         -------
         bool
-            False if the step has to be repeated. True if nothing is left to do for now:
-            the next step is due when a new era begins, or when a request waits for the
-            current era to be settled.
+            False if the step has to be repeated. True if the next step is due only when
+            a new era begins, or when a request waits for the current era to be settled.
         """
         era = self._tables.era
         self._update_era(era, now_s)
@@ -217,7 +217,10 @@
         return list({claim.key: claim for claim in claims}.values())
 
     def _write_and_confirm(self, claims: list[_ClaimRewrite], era: int) -> bool:
-        """Write claims to the store, confirm the era; return whether both succeeded."""
+        """Write claims to the store, and then this process's `Confirmation`.
+
+        Returns True if both writes succeeded in this era of the store.
+        """
         for first in range(0, len(claims), CLAIMS_PER_BATCH):
             if not self._write_batch(claims[first : first + CLAIMS_PER_BATCH], era):
                 return False
@@ -235,11 +238,12 @@
         )
 
     def _write_batch(self, claims: list[_ClaimRewrite], era: int) -> bool:
-        """Write a batch of claims; return False if the store fails or changes its era.
+        """Write a batch of claims; return whether the store has them in this era.
 
         If the store has no claim of a key, the key's claim is written. If the store has
-        one, it is replaced only by a claim with `overrides`, and only if the two claims
-        name different gate processes.
+        one, `_must_write` decides whether the new claim replaces the stored claim.
+        Returns False if the store fails or changes its era, or after
+        `BATCH_ATTEMPTS_MAX` tries.
         """
         versions = dict.fromkeys((claim.key for claim in claims), 0)
         for _ in range(BATCH_ATTEMPTS_MAX):
@@ -274,10 +278,9 @@
     def _try_settle(self, era: int, now_s: float) -> bool:
         """Mark the era as settled if allowed; return whether it is settled.
 
-        Adopts the mark that another process wrote into the store. If there is none,
-        this process writes the mark, but only if `ClaimEras.can_settle` is True: if all
-        processes have confirmed the era, or callers can no longer resend the keys of
-        lost claims.
+        If another process has written the mark into the store, only `ClaimEras` is
+        updated. Otherwise, this process writes the mark if `ClaimEras.can_settle`
+        returns True. If not, it reports the processes without a `Confirmation`.
         """
         match self._tables.scan(CLAIM_ERAS_TABLE):
             case Result(tag="ok", ok=rows):
@@ -323,21 +326,24 @@
 
 
 def _rewrite_without_run(written_claim: WrittenClaim) -> _ClaimRewrite:
-    """Return a claim of this node's ingress, changed so that no gate runs its key.
-
-    The original claim is not written again. The gate that it names may have replied
-    'not run' after the claim was written; then another gate may have claimed and run
-    the key. If the original claim were written again, it would get a new version, with
-    which the gate that it names could run the key a second time. The process of this
-    gate may also have ended. If a gate ran the key, its process replaces the changed
-    claim with a claim that names this process.
+    """Return a claim of this node's ingress, changed so that no gate runs the request.
+
+    The original claim is not written again. After that claim was written, its gate may
+    have replied 'not run', and another gate may have run the request. Written again,
+    the original claim would get a new version, with which its gate could run the
+    request a second time. The process of its gate may also have ended. If a gate ran
+    the request, that gate's process replaces the changed claim (`_rewrite_after_run`).
     """
     stored = msgspec.structs.replace(written_claim.stored, incarnation=NO_INCARNATION)
     return _ClaimRewrite(written_claim.key, stored, False)
 
 
 def _must_write(claim: _ClaimRewrite, row: Row) -> bool:
-    """Return whether to write a claim in place of the present row of its key."""
+    """Return whether to write a claim in place of the present row of its key.
+
+    Only a claim with `overrides` replaces a stored claim, and only if the two claims
+    name different gate processes.
+    """
     if row.value is None:
         return True
     present = msgspec.convert(row.value, StoredClaim)
@@ -350,7 +356,7 @@
 
 
 def _confirmation(row: Row) -> Confirmation | None:
-    """Decode a row of the store; None if it holds no valid confirmation."""
+    """Decode a row of `CLAIM_ERAS_TABLE`; return None if its value is malformed."""
     try:
         return msgspec.convert(row.value, Confirmation)
     except msgspec.ValidationError:
--- a/balsamspindle/requests/claims.py
+++ b/balsamspindle/requests/claims.py
@@ -1,14 +1,14 @@
-"""Claims, which bind each Idempotency-Key to the one gate that may run it.
-
-A gate records the keys that it ran and does not run them again. But a caller may resend
-a request through another ingress, which may see other nodes and choose another gate.
-Therefore the ingress claims a key before the first attempt with it: it writes a row
-into the platform's table service. The claim names the only gate that may run the key,
-and the incarnation of that gate's process. A claim is written only if the key has no
-claim yet. After the gate replied 'not run', the claim may be moved to another gate, but
-only if its row still has the version that the gate got with the attempt. The gate never
-runs the key under that version again. Claims depend on no lease or clock, so a claim
-does not expire while its gate is paused.
+"""Claims, which name the only gate that may run requests with an Idempotency-Key.
+
+A gate runs at most one request with a key. But a caller may resend a request through
+another ingress, which may see other nodes and choose another gate. Therefore an ingress
+claims a key before its first attempt with the key: the ingress writes a row into the
+platform's table service. The claim names the gate and the incarnation of the gate's
+process. A claim is written only if the key has no claim yet. After the gate replied
+'not run', the claim may be moved to another gate, but only if its row still has the
+version that the gate got with the attempt. The gate never runs a request with the key
+under that version again. Claims depend on no lease or clock, so a claim does not expire
+while its gate is paused.
 """
 
 import threading
@@ -156,19 +156,18 @@
         claim = self._call_store(deadline_s, lambda: self._write(key, version, value))
         # The store may have been restored from an older copy during the call and may
         # have lost a claim of this key. Then the write found no conflict, but another
-        # gate may run the key. So the new claim is used only if the era is settled.
+        # gate may run the request. So the new claim is used only in a settled era.
         return claim if self._is_settled() else None
 
     def read(self, key: str, deadline_s: float) -> Result[Claim | None, None]:
         """Read a key's claim.
 
-        Returns `Ok` with the claim, or with None if the key has no claim; `Error` if
-        the platform did not answer or may have lost the claim.
+        Returns `Error` if the platform did not answer. In a settled era of the store,
+        returns `Ok` with the claim, or with None if the key has no claim.
 
-        While the store's era is not settled, the store may have lost claims, and a
-        claim in the store may have been written in place of a lost claim. Each claim is
-        then returned with `REPEAT_ONLY_VERSION`: the gate that it names may repeat an
-        earlier answer, but starts no run.
+        In any other era, the store may have lost claims. Returns `Error` if the key has
+        no claim. If it has one, that claim may have been written in place of a lost
+        claim. So the claim is returned with `REPEAT_ONLY_VERSION`.
         """
         answer = self._call_store(
             deadline_s, lambda: self._tables.read(CLAIMS_TABLE, [key])
@@ -286,8 +285,8 @@
     def look_up(self) -> None:
         """Read the key's claim, unless it is known or an earlier read got no answer.
 
-        The claim is needed even if no backend server can run the request now: the gate
-        that it names can still report whether it ran the key.
+        The claim is needed even if no backend server can run the request now: the
+        claim's gate can still report whether a request with the key ran.
         """
         if self._claim is not None or self._unavailable:
             return
@@ -298,7 +297,7 @@
                 self._unavailable = True
 
     def owner_id(self) -> str | None:
-        """Return the id of the only node that may run the key; None if not known."""
+        """Return the id of the only node that may run the request; None if unknown."""
         if self._claim is None or self._is_void:
             return None
         return self._claim.node_id
@@ -333,14 +332,15 @@
             self._is_void = True
 
     def final_reply(self, reply: Reply) -> Reply:
-        """Return the reply for the caller, with 'not run' only if the key did not run.
-
-        'Not run' applies to the key, not only to this request. If an earlier request
-        with the key had the outcome 'unknown', a caller that now receives 'not run'
-        would send the request with a new key, and the request could run twice. Even if
-        the claim's gate replied 'not run', the caller may have resent the request, and
-        the resent request may have moved the claim to another gate and may be running
-        there. So the claim is read once more.
+        """Return the reply for the caller.
+
+        The caller gets 'not run' only if no request with the key ran. Suppose that an
+        earlier request with the key had the outcome 'unknown'. After 'not run', the
+        caller would send the request with a new key, and the request could run twice.
+
+        Even if the claim's gate replied 'not run', a request that the caller resent may
+        have moved the claim to another gate and may be running there. So the claim is
+        read once more.
         """
         if reply.outcome is not Outcome.NOT_RUN or reply.reason is Reason.KEY_REUSED:
             return reply
@@ -373,7 +373,7 @@
     gate: GateIdentity,
     gate_time_s: float,
 ) -> Dispatch | Reply:
-    """Add the claim of the request's key to a dispatch.
+    """Claim the request's key for a gate; return the dispatch with the claim.
 
     Returns a 'not run' reply instead if the dispatch must not be sent.
 
--- a/balsamspindle/requests/connection_refuser.py
+++ b/balsamspindle/requests/connection_refuser.py
@@ -48,7 +48,7 @@
             connection.close()
 
     def shutdown(self) -> None:
-        """Accept no more connections; don't wait until refused ones are closed."""
+        """End the threads when no connection waits for an answer; return at once."""
         self._executor.shutdown(wait=False)
 
     def _answer_and_close(self, connection: socket.socket) -> None:
--- a/balsamspindle/requests/forwarded.py
+++ b/balsamspindle/requests/forwarded.py
@@ -120,9 +120,9 @@
         Name of the service whose backend server runs on this node's VM and sent the
         request; backend servers get the name in a header.
     sends : int
-        Attempts that reached, or may have reached, a backend server.
+        Number of attempts that reached, or may have reached, a backend server.
     attempts : int
-        All attempts, including those that a gate refused.
+        Number of all attempts, including those that a gate refused.
     refused_as_suspect : set of str
         Ids of the backend servers whose gates refused the request because the backend
         servers are suspected.
@@ -149,15 +149,15 @@
     parked_replies : list of Reply
         Unsuccessful replies to parked attempts that arrived during later attempts.
     run_was_lost : bool
-        Whether a run of the request was lost, or is about to be lost, for one of these
-        reasons: its gate cancelled it, announced that its node stops, or did not reply;
-        or the backend server crashed.
+        Whether a run of the request was lost or is about to be lost. Either the run's
+        gate cancelled the run, announced that its node stops, or did not reply; or the
+        backend server crashed.
     run_lost_s : float or None
         Arrival time of the first reply with which a gate reported that it cancelled
         a run, or that a run ended without a complete answer; None before such a reply.
     rank_ms : float
-        Time that gates add to the request's target time when they sort their queues;
-        see `balsamspindle.requests.siblings`.
+        Time that gates add to `target_s` when they sort their queues; see
+        `balsamspindle.requests.siblings`.
     content_hash : int
         Hash that is the same for all repeats of the request, from
         `balsamspindle.requests.content`; 0 when it is not known.
@@ -241,12 +241,11 @@
         retry budget. Returns the placement, or None if there is none or if the budget
         is exhausted.
     is_paid : bool
-        Whether a retry token was already spent on the second attempt. It is spent in
-        advance if the first attempt runs at the own gate, because such an attempt is
-        ended after `hedge_delay_s`, before the second attempt starts. Suppose that the
-        token were spent only after the first attempt was ended, and that no token
-        remained by then. Then no second attempt could be made, although the first
-        attempt, if it had not been ended, might still have been answered.
+        Whether a retry token was already spent on the second attempt. The token is
+        spent in advance if the first attempt runs at the own gate. Such an attempt is
+        ended after `hedge_delay_s`, before the second attempt starts. If the token were
+        spent only after the end of the first attempt, no token might remain by then.
+        The first attempt, which might still have been answered, would be ended in vain.
     """
 
     hedge_delay_s: float
--- a/balsamspindle/requests/forwarding.py
+++ b/balsamspindle/requests/forwarding.py
@@ -42,12 +42,13 @@
 
 # A request that all gates refused is sent to them again every SEARCH_AGAIN_S (half of
 # gate_links.HOLD_OUT_S), for a fraction of its remaining time, SEARCH_AGAIN_FRACTIONS.
-# Then it may be sent to a suspected backend server. An idempotent request doesn't wait:
-# after a wait, the queues of all unsuspected backend servers would be full.
+# After that time, it may be sent to a suspected backend server. Idempotent requests
+# don't wait: after a wait, the queues of all unsuspected ones would be full.
 SEARCH_AGAIN_S = 0.25
 SEARCH_AGAIN_FRACTIONS = {Execution.IDEMPOTENT: 0.0, Execution.NON_IDEMPOTENT: 0.1}
-# Reasons in replies to attempts that their gate cancelled, may not end before its node
-# stops, or did not answer. Gates that refused the request before may then get it again.
+# The gate of an attempt sent notice that its node may stop before the run ends, or it
+# cancelled the attempt, or it did not reply. After a reply with one of these reasons,
+# the request may be sent again to gates that refused it (`restart_search`).
 _GATE_FAILURES = frozenset({Reason.GATE_ENDING, Reason.CANCELLED, Reason.SILENCE})
 
 
@@ -111,7 +112,7 @@
         return self._sender.held_out_servers
 
     def set_end_time(self, ends_s: float) -> None:
-        """Set this node's stop time; gates then start no run for it that ends later."""
+        """Set the time at which this node stops; see `AttemptSender.set_end_time`."""
         self._sender.set_end_time(ends_s)
 
     def abort_attempts(self) -> None:
@@ -187,8 +188,8 @@
                     continue
                 forwarded.stopped_by = StopReason.NO_PLACE
                 break
-            # If an attempt is parked, an answer may be the reply to the parked attempt,
-            # which started long ago. So the latency is not recorded in this case.
+            # While an attempt is parked, the reply may be the parked attempt's, which
+            # started earlier. So the latency is not recorded in this case.
             is_only_attempt = not forwarded.parked
             started_s = self._clock()
             hedge = self._hedge_planner.plan(forwarded, selected, started_s)
@@ -256,8 +257,8 @@
         if not is_refusal(reply):
             forwarded.failed.add(server_id)
         if reply.reason is Reason.SERVER_CRASHED:
-            # An answer was likely without the crash, so the request isn't blamed, and
-            # it may use retries that are reserved for routes of a higher weight.
+            # Without the crash, the request would probably have been answered. So it
+            # may use retries that are reserved for routes of a higher weight.
             forwarded.run_was_lost = True
 
     def _may_retry(
@@ -306,11 +307,11 @@
     def _widen_search(self, forwarded: ForwardedRequest) -> bool:
         """Prepare a new search after all gates refused; return False to end the search.
 
-        A non-idempotent request is sent to all gates every `SEARCH_AGAIN_S`, for a
-        fraction of its remaining time. Meanwhile, a suspected backend server gets a
-        trial within a second, may pass it and serve the request. After that time, or at
-        once if idempotent, a request may be sent to a suspected one as a last resort.
-        So some requests are answered even if all servers are suspected or busy.
+        Every `SEARCH_AGAIN_S`, a non-idempotent request is sent to the gates again, one
+        by one. Within a second, a suspected backend server gets a trial, and may serve
+        the request if it passes. After a fraction of its remaining time, the request
+        may be sent to suspected ones as a last resort; an idempotent request at once.
+        So some requests are answered even if all are suspected or busy.
         """
         now_s = self._clock()
         if forwarded.is_last_resort or not forwarded.may_send():
@@ -324,8 +325,7 @@
             remaining_s = forwarded.deadline_s - now_s
             forwarded.search_until_s = now_s + fraction * remaining_s
         if now_s + SEARCH_AGAIN_S < forwarded.search_until_s:
-            # After `abort_attempts`, send no attempt: this node is about to close its
-            # callers' connections.
+            # This node is about to close its callers' connections: send no attempt.
             if self._aborted.wait(SEARCH_AGAIN_S):
                 return False
             return not forwarded.caller.caller_left()
@@ -362,7 +362,7 @@
         return None if placement is None else Selection(placement)
 
     def _stop_or_restart(self, forwarded: ForwardedRequest, reply: Reply) -> bool:
-        """Return True to end attempts; else search from `NEAR` after a failed run."""
+        """Return whether to stop attempts; restart the search after a failed run."""
         if not is_refusal(reply):
             if not forwarded.may_send():
                 return True
--- a/balsamspindle/services/floor.py
+++ b/balsamspindle/services/floor.py
@@ -137,8 +137,9 @@
     Returns
     -------
     FloorDecision
-        Its `in_use_slots` is at least `floor_slots`. If `ready_slots` alone is less
-        than `floor_slots`, nothing is left out and `in_use_slots` equals `ready_slots`.
+        If `ready_slots` is at least `floor_slots`, `in_use_slots` is at least
+        `floor_slots` too. If `ready_slots` is less than `floor_slots`, no backend
+        server is left out, and `in_use_slots` equals `ready_slots`.
     """
     ready = [placement for placement in placements if is_ready(placement)]
     suspects = _suspects(ready)
--- a/balsamspindle/services/peer_evidence.py
+++ b/balsamspindle/services/peer_evidence.py
@@ -107,7 +107,8 @@
                 if hangs or evidence.is_recent(now_s):
                     judged_count += 1
                     bad_count += hangs or evidence.bad
-        # A single 99th percentile is not used: its backend server may be unhealthy.
+        # If the 99th percentile of only one backend server is known, it is not used:
+        # that backend server may be unhealthy.
         median_p99_ms = statistics.median(p99s_ms) if len(p99s_ms) > 1 else 0.0
         return PeerEvidence(judged_count, bad_count, median_p99_ms)
 
--- a/balsamspindle/services/view.py
+++ b/balsamspindle/services/view.py
@@ -39,8 +39,10 @@
     decision : FloorDecision
         Made for all placements, not only for those in `tiers` and `trials`.
     tiers : tuple of tuple of Placement
-        The usable backend servers of the node's subset, in four tiers: on the own VM,
-        others in the own availability zone, others in the own region, and all of them.
+        The usable backend servers of the node's subset, in four tiers: those on the own
+        VM, those on other VMs of the own availability zone, and those in other zones of
+        the own region. The fourth tier has all usable backend servers of the subset,
+        including those of the first three tiers.
     trials : tuple of Placement
         Backend servers on trial, except those that the floor keeps in use: those are in
         `tiers`.
