--- a/balsamspindle/backend_servers/health_latency.py
+++ b/balsamspindle/backend_servers/health_latency.py
@@ -11,8 +11,8 @@
 # to start the running estimate from.
 SETTLING_REQUESTS = 100
 # The estimate is reported to ingresses once this many requests were seen. At that point
-# it is the largest latency seen times `SETTLING_REQUESTS` / `REPORTABLE_REQUESTS`: ten
-# times that latency.
+# the estimate is `SETTLING_REQUESTS` / `REPORTABLE_REQUESTS` (ten) times the largest
+# latency seen.
 REPORTABLE_REQUESTS = 10
 # Step by which the estimate's logarithm changes. An estimate that is twice the correct
 # value is corrected within about 350 requests, and one outlier raises the estimate by a
@@ -27,12 +27,12 @@
     so far times `SETTLING_REQUESTS` / requests seen, but at most `INITIAL_P99_MS`. This
     formula extrapolates from few requests to the 99th percentile, for latencies with a
     tail as heavy as that of a Pareto distribution of index 1. At a few requests per
-    second it takes half a minute to see `SETTLING_REQUESTS`. If the estimate were a
-    fixed value until then, a hang shorter than this value would not be detected.
+    second, `SETTLING_REQUESTS` requests take half a minute. If the estimate were fixed
+    during that time, hangs shorter than the estimate would not be detected.
 
-    After that the estimate is a stochastic approximation of the quantile: each
-    request that takes longer than the estimate raises it by a step, and each faster
-    request lowers it by about a hundredth of a step.
+    After `SETTLING_REQUESTS` requests, the estimate is a stochastic approximation of
+    the quantile. Each request that takes longer than the estimate raises the estimate
+    by a step. Each faster request lowers the estimate by about a hundredth of a step.
 
     Attributes
     ----------
--- a/balsamspindle/backend_servers/health_monitor.py
+++ b/balsamspindle/backend_servers/health_monitor.py
@@ -27,7 +27,8 @@
 
 TICK_S = 0.05
 # How long a backend server's health is stored after its announcements have stopped. If
-# they start again within this time, the length of the next hold-out is not reset.
+# the announcements resume within this time, the length of the next hold-out is not
+# reset.
 ABSENT_EXPIRY_S = 900.0
 
 
@@ -55,7 +56,10 @@
         self.previous_start_id: int | None = None
 
     def needs_peer_evidence_from(self, other: "_MonitoredServer") -> bool:
-        """Return whether this server needs the peer summaries sent for `other`, too."""
+        """Return whether to record peer summaries for `other` for this server, too.
+
+        True if this server is held out and belongs to the service of `other`.
+        """
         held_out = self.health.phase is HealthPhase.HELD_OUT
         return held_out and self.service == other.service
 
@@ -69,7 +73,9 @@
 
 
 class HealthMonitor:
-    """Collects the evidence of attempts and probes; see `HealthObserver`.
+    """Collects evidence from attempts and probes, and publishes suspicion.
+
+    `HealthObserver` describes the methods that a gate calls.
 
     Parameters
     ----------
@@ -161,11 +167,11 @@
                 return
             monitored.health.record_peer_evidence(evidence, now_s)
             # A backend server that is held out gets no dispatch, and therefore no
-            # summary of its peers. Without a summary, it would stay held out in an
-            # overload that affects all peers. So it also gets the summaries for the
-            # other backend servers of its service on this node. Each of these summaries
-            # counts the held-out server as a bad peer. Subtract it from the count, or
-            # the server's own failures would look like failures of its peers.
+            # summary of its peers. Without a summary, the server would stay held out in
+            # an overload that affects all peers. Therefore this summary is also
+            # recorded for each held-out server of the same service on this node. The
+            # summary counts that server as a bad peer, so one bad peer is subtracted.
+            # Otherwise the server's own failures would look like failures of its peers.
             others = evidence._replace(
                 judged_count=max(0, evidence.judged_count - 1),
                 bad_count=max(0, evidence.bad_count - 1),
@@ -242,9 +248,9 @@
         """Undo the ejection of a backend server that a request has crashed.
 
         Called at each tick, because the crash may be attributed to the request before
-        or after the backend server has restarted. If the ejection were not undone, no
-        other caller could use the healthy backend server for some time after each such
-        crash, and for a longer time after each further crash.
+        or after the backend server has restarted. If the ejection were not undone, the
+        healthy backend server would be held out from all callers after each such crash,
+        and the hold-outs would become longer from crash to crash.
         """
         if monitored.previous_start_id is None:
             return
@@ -262,12 +268,13 @@
             del self._monitored[backend_server_id]
 
     def _publish(self, server: LocalBackendServer) -> None:
-        """Publish the suspicion to all nodes, unless the gate refuses attempts instead.
+        """Publish a backend server's suspicion to all nodes.
 
-        The gate refuses attempts for a service with `independent_errors`, because its
-        backend servers become sick and recover every few seconds. Published changes
-        would arrive too late and use more bytes than all other messages. A refusal by
-        the gate costs one round trip and is never out of date.
+        Nothing is published for a service with `independent_errors`. The backend
+        servers of such a service become sick and recover every few seconds. Published
+        changes would arrive too late and use more bytes than all other messages.
+        Instead, the gate refuses attempts: a refusal costs one round trip and is never
+        out of date.
         """
         if self._detection(server.announcement.service).independent_errors:
             return
--- a/balsamspindle/backend_servers/health_peers.py
+++ b/balsamspindle/backend_servers/health_peers.py
@@ -56,11 +56,11 @@
         """Let the next summary with a higher percentile replace the average.
 
         A backend server that is held out gets no dispatches, and therefore few
-        summaries of its peers: the average is stale when the hold-out ends. If all
-        peers have become slow during the hold-out, each summary would move the average
-        toward their present percentile by only a tenth of the difference. A backend
-        server that is as slow as its peers would be held out again after its first
-        answer, for twice as long.
+        summaries of its peers. If all peers become slow during the hold-out, the
+        average is too low when the hold-out ends, and each summary would correct only a
+        tenth of the difference. A backend server that is as slow as its peers would
+        then count as slow after its first answer, and be held out for twice as long as
+        before.
         """
         self._is_p99_stale = True
 
--- a/balsamspindle/backend_servers/health_readmission.py
+++ b/balsamspindle/backend_servers/health_readmission.py
@@ -8,9 +8,9 @@
 
 On trial a backend server gets idempotent requests, one at a time. Each ejection
 multiplies the length of the next hold-out, up to a bound, and each period of `calm_s`
-in the serving phase undoes one multiplication. This rule bounds the failed requests per
-hour of a backend server that fails again and again, while a backend server that failed
-once soon serves again.
+in the serving phase undoes one multiplication. As a result, a backend server that fails
+again and again fails only a limited number of requests per hour. A backend server that
+failed once soon serves again.
 """
 
 from enum import StrEnum
@@ -62,8 +62,9 @@
     def eject(self, now_s: float) -> None:
         """Begin a hold-out, and increase the length of the next one.
 
-        The length grows with each ejection, up to `hold_out_max_s`, and is reduced by
-        one step for each `calm_s` that the serving phase has lasted.
+        Each ejection multiplies the length of the next hold-out by `hold_out_growth`,
+        up to `hold_out_max_s`. Each `calm_s` that the serving phase has lasted before
+        an ejection undoes one multiplication.
         """
         self._reduce_growth(now_s)
         grown_s = (
@@ -88,7 +89,11 @@
         self._enter(HealthPhase.ON_TRIAL, now_s)
 
     def record_work(self, good: bool) -> bool:
-        """Count an ended request, and return whether the trial is now passed."""
+        """Count an ended request, and return whether it completes a passed trial.
+
+        A bad request also resets the number of probes passed in a row. The result is
+        False if the backend server is not on trial.
+        """
         if not good:
             self._probes_passed = 0
         if self.phase is not HealthPhase.ON_TRIAL:
@@ -97,7 +102,10 @@
         return self._good_in_a_row >= self.detection.trial_successes
 
     def record_probe_result(self, passed: bool) -> None:
-        """Count the probes passed in a row, which may shorten a hold-out."""
+        """Count a passed probe, or reset the count of probes passed in a row.
+
+        `PROBES_TO_SHORTEN` passed probes in a row shorten a hold-out.
+        """
         self._probes_passed = self._probes_passed + 1 if passed else 0
 
     def probes_end_trial(self, last_verdict_s: float, now_s: float) -> bool:
@@ -116,7 +124,7 @@
         )
 
     def readmit(self, now_s: float) -> None:
-        """Enter the serving phase; a new period of good service begins now."""
+        """Enter the serving phase; its periods of `calm_s` are counted from now on."""
         self._good_service_since_s = now_s
         self._enter(HealthPhase.SERVING, now_s)
 
--- a/balsamspindle/backend_servers/health_work.py
+++ b/balsamspindle/backend_servers/health_work.py
@@ -26,9 +26,9 @@
 # Without `independent_errors`, one attempt adds at most this fraction of the threshold
 # to the score, so that ejection takes at least two bad attempts.
 ATTEMPT_SCORE_MAX = 0.6
-# A standstill is detected if at least `STANDSTILL_REQUESTS_MIN` requests hang, but not
-# while the fraction of bad peers is `STANDSTILL_PEERS_BAD_MAX` or more, because the
-# load may be the cause.
+# A standstill is detected if at least `STANDSTILL_REQUESTS_MIN` requests hang. None is
+# detected while the fraction of bad peers is `STANDSTILL_PEERS_BAD_MAX` or more: the
+# load may be why the requests hang.
 STANDSTILL_REQUESTS_MIN = 2
 STANDSTILL_PEERS_BAD_MAX = 0.1
 # Times that differ by less than this count as the same moment.
@@ -116,8 +116,8 @@
         """Return whether any attempt in flight has run longer than errors usually take.
 
         Only attempts begun at or after `since_s` count. A sick backend server returns
-        errors within a millisecond, so a longer attempt will probably succeed. A trial
-        that waited for its answer would leave the other slots unused until then.
+        errors within a millisecond, so a longer attempt will probably succeed. If the
+        trial waited for its answer, the other slots would stay unused until the answer.
         """
         lasts_s = max(OUTLASTED_MIN_S, OUTLASTED_FACTOR * self._error_duration_s)
         return any(
@@ -158,10 +158,10 @@
         """Return whether the latency that was counted as slow is normal for the peers.
 
         If so, the ejection can be undone without a full trial of five requests. When
-        all servers are slow, the one on trial gets about 4 of 100 requests of the
-        service; at 4 requests a second, a trial would take half a minute. The fraction
-        of bad peers does not show the slowness: when a trial begins, their percentiles
-        have adapted to the higher latency, and they no longer count as bad.
+        all servers are slow, the server on trial gets about 4 of 100 requests. At 4
+        requests a second in the service, a full trial would take half a minute. The
+        fraction of bad peers does not show the slowness: the peers' percentiles have
+        adapted to the higher latency by then, so slow peers no longer count as bad.
         """
         if not self._slowest_counted_ms or self.evidence.keys() - SLOW_EVIDENCE:
             return False
@@ -230,7 +230,7 @@
         self._add_to_score(max(0.0, min(increment, limit)))
 
     def lower_for_trial(self, now_s: float) -> None:
-        """Lower the score for a trial, so that one more error ends the trial."""
+        """Lower the score so that one error ends a trial; mark the peers' p99 stale."""
         self._peers.mark_p99_stale()
         if self.detection.independent_errors:
             # One error adds the whole threshold, so it ends the trial even at score 0.
@@ -328,13 +328,13 @@
     def _is_outside_last_pause(self, attempt: _InFlight, now_s: float) -> bool:
         """Return whether an attempt was slow for a reason other than the last pause.
 
-        There are two such cases. A good request ended after the pause and before the
-        attempt began, so the pause was over. Or a good request began later than the
-        attempt but ended earlier: a pause would have delayed both. Ends at the same
-        moment prove nothing, as all requests end together at the end of a pause. An
-        attempt that began at the same moment as the last counted one was delayed by the
-        same pause, even if it ends later: threads that wait for a processor are delayed
-        for different times.
+        The pause delayed any attempt that began at the same moment as the last counted
+        one. The two may end at different times, because threads wait differently long
+        for a processor. For other attempts, there are two cases of another reason:
+        a good request ended after the pause and before the attempt began, or a good
+        request began after the attempt and ended before it. In the second case, a pause
+        would have delayed both. Ends at the same moment prove nothing, because all
+        requests end together at the end of a pause.
         """
         if abs(attempt.started_s - self._last_slow_start_s) < SAME_MOMENT_S:
             return False
@@ -349,9 +349,9 @@
     def _detect_standstill(self, now_s: float) -> None:
         """Add the threshold to the score if all work has stopped.
 
-        Two hanging requests are enough evidence if the older one began more than
-        `pause_ms` ago (the longest pause of a healthy server) and no request has
-        succeeded since then. Waiting for more would only make more requests fail.
+        Two hanging requests suffice if the older one began more than `pause_ms` ago
+        (the longest pause of a healthy server) and no request has succeeded since it
+        began. Waiting for more hanging requests would only make more requests fail.
         """
         slow_ms = self.slow_ms()
         hanging_s = [
--- a/balsamspindle/backend_servers/hold_outs.py
+++ b/balsamspindle/backend_servers/hold_outs.py
@@ -3,9 +3,9 @@
 Only services with the setting `independent_errors` get longer hold-outs: their backend
 servers are often sick for some seconds, several of them at a time. A trial usually
 fails if it begins while the backend server is still sick, and each failed trial costs a
-caller one retry. Longer hold-outs avoid such trials. But a backend server that is held
-out leaves its zone with fewer slots. In a zone with few other backend servers, requests
-would have to go to other zones, so hold-outs are not made longer there.
+caller one retry. Longer hold-outs avoid such trials. However, a zone has fewer slots
+while a backend server is held out. In a zone with few backend servers of the service,
+requests would then have to go to other zones. Hold-outs are not made longer there.
 """
 
 from collections.abc import Callable
--- a/balsamspindle/backend_servers/ledger.py
+++ b/balsamspindle/backend_servers/ledger.py
@@ -1,4 +1,7 @@
-"""Ledger of the requests with an Idempotency-Key that ran or may have run at a gate."""
+"""Ledger of the keyed requests that ran, or may have run, at a gate.
+
+A keyed request has an Idempotency-Key.
+"""
 
 import heapq
 import threading
@@ -13,8 +16,8 @@
 
 # How long a key's entry remains in the ledger after the key's request has ended.
 KEY_RETENTION_S = 1800.0
-# Enough for 28 keyed requests a second at each gate if each key is kept for
-# `KEY_RETENTION_S`.
+# Maximum number of entries and released versions together. This is enough for 28 keyed
+# requests a second at each gate if each of them is stored for `KEY_RETENTION_S`.
 KEYS_MAX = 50_000
 ANSWERS_MAX_BYTES = 16 * 1024 * 1024
 
@@ -56,7 +59,7 @@
 
     fingerprint: tuple[str, str, int]
     claimed_s: float
-    # Time of the last write of the claim into the store, or a moment earlier.
+    # When the claim was last written into the store, or a moment before that write.
     stored_s: float
     reply: Reply | None = None
 
@@ -116,13 +119,14 @@
     def begin_era(
         self, version_min: int, after_s: float, now_s: float
     ) -> list[ClaimedKey]:
-        """Return the keys whose claims the store may have lost.
+        """Return the keys whose claims the store may have lost; refuse old claims.
 
         The code that calls this method writes the claims of the returned keys into the
-        store again. From now on `begin` refuses each attempt whose claim has a version
-        below `version_min`. If `begin` registered such an attempt later, its key would
-        not be in the returned list. The claim would not be written again, and another
-        gate could claim the key.
+        store again; this method records `now_s` as the time of these writes. From now
+        on, `begin` refuses each attempt whose claim has a version below `version_min`.
+        If `begin` accepted such an attempt, nothing would write its claim again,
+        because its key is not in the returned list. Another gate could then claim the
+        key and run the request a second time.
 
         Parameters
         ----------
--- a/balsamspindle/backend_servers/lifetimes.py
+++ b/balsamspindle/backend_servers/lifetimes.py
@@ -24,9 +24,9 @@
 LIFETIMES_MAX = 1000
 # The first announcement of a lifetime replaces the stored lifetime of the same backend
 # server, and any other backend server at the same address. A live backend server sends
-# an announcement every second or two. If the first announcement is not followed by
-# another of its lifetime for this long, it was late. Announcements of the replaced
-# lifetime or of the replaced backend server are then applied again.
+# an announcement every second or two. If no other announcement of the lifetime
+# follows for this long, the first announcement was late. Announcements of the replaced
+# lifetime or of the replaced backend server are then no longer ignored.
 REPLACED_SILENT_S = 4.0
 _EARLIER_START = "a later start of the backend server is known"
 
--- a/balsamspindle/backend_servers/link_server.py
+++ b/balsamspindle/backend_servers/link_server.py
@@ -72,13 +72,12 @@
         # Number of attempts whose reply `run` has not received from the executor's
         # threads yet. Only the thread that executes `run` changes this number.
         self._pending = 0
-        # The peer that sent each pending attempt. An entry is removed at the end of its
-        # attempt, or when its peer is notified that this node may end before the
-        # attempt.
+        # The peer that sent each pending attempt. The entry of an attempt is removed
+        # when the attempt ends, or when the peer is notified that this node may end
+        # before the attempt does.
         self._peers: dict[AttemptId, bytes] = {}
         self._replied_s = 0.0
-        # When the ingress of an attempt ends, for attempts that are unknown to the
-        # gate.
+        # For each attempt that the gate does not know yet: when its ingress ends.
         self._ingress_ends_s: dict[AttemptId, float] = {}
         self._router = context.socket(zmq.ROUTER)
         # After the socket is closed, queued replies are still sent for this long.
@@ -92,7 +91,9 @@
     def register(
         self, handlers: dict[type, Callable[[Any], LinkMessage | None]]
     ) -> None:
-        """Register handlers of other message types; call it before `run`.
+        """Register handlers of message types that this class does not handle itself.
+
+        This method must be called before `run`.
 
         Handlers run in the thread that executes `run`, so they must not block. A
         handler returns the answer to send, or None.
@@ -136,8 +137,8 @@
     def _send_replies(self) -> None:
         for frames in _receive_ready(self._replies):
             self._pending -= 1
-            # A message without a second frame carries no reply to send, because the
-            # attempt was a duplicate, or handling it raised an exception.
+            # A message without a second frame only reports that an attempt has ended
+            # without a reply: the attempt was a duplicate, or raised an exception.
             if len(frames) > 1:
                 self._router.send_multipart(frames, copy=False)
                 self._replied_s = time.monotonic()
@@ -145,9 +146,9 @@
     def _notify_node_ending(self, now_s: float) -> None:
         """Notify ingresses of attempts that may not finish before this node ends.
 
-        If an ingress were notified only when the run is interrupted, it would look for
-        another backend server after most of the caller's time has elapsed. By then, the
-        node of the ingress might be about to leave as well.
+        If an ingress were notified only when this node interrupts the run, most of the
+        caller's time would have elapsed before the ingress looks for another backend
+        server. By then, the node of the ingress might be about to end as well.
         """
         for attempt_id in self._gate.outlasting_attempts(now_s):
             peer = self._peers.pop(attempt_id, None)
@@ -241,8 +242,8 @@
             if reply is not None:
                 frames.append(_encode_now(reply))
         except Exception as error:
-            # The ingress gets no reply, so it reports the outcome 'unknown', which is
-            # correct: the request may have run.
+            # Without a reply, the ingress reports the outcome 'unknown' to the caller.
+            # This outcome is correct because the request may have run.
             self._events.emit("attempt_failed", cause=repr(error))
             raise
         finally:
--- a/balsamspindle/backend_servers/queue.py
+++ b/balsamspindle/backend_servers/queue.py
@@ -99,9 +99,9 @@
     route_time_s : float
         Mean service time of its route; 0 when unknown.
     run_was_lost : bool
-        Whether an earlier run of the request was lost, or is about to be lost: its
-        gate cancelled it, announced that its node stops, or did not reply; or the
-        backend server crashed.
+        Whether an earlier run of the request was lost or is about to be lost. A run is
+        lost if its gate cancelled the run, announced that its node stops, or did not
+        reply, or if the backend server crashed.
     rank_s : float
         Time that is added to `target_s` when tickets are sorted. The calls that a
         backend server makes at the same time to handle one request share one rank, so
@@ -202,7 +202,7 @@
         service_time_s: float,
         now_s: float,
     ) -> QueueDecision:
-        """Return the decision that `request_slot` would give now to a ticket.
+        """Return the decision that `request_slot` would make now for a ticket.
 
         Unlike `request_slot`, this method does not change the queue. If the queue is
         full, it returns ``SHED`` even if `request_slot` would shed another attempt
@@ -311,11 +311,11 @@
         candidate. If none of these attempts has a customer, the newest of them is the
         candidate.
 
-        A candidate that is lighter than the ticket is always shed, and a heavier one
-        never, whether the two have customers or not. A candidate of the ticket's weight
-        is shed only if both have customers, and the candidate's customer has more
-        attempts of this weight than the ticket's customer. The ticket is included in
-        this count.
+        A candidate that is lighter than the ticket is always shed. A candidate that is
+        heavier than the ticket is never shed. A candidate of the ticket's weight is
+        shed only if candidate and ticket have customers, and the candidate's customer
+        has more attempts of this weight than the ticket's customer. The ticket counts
+        as an attempt of its customer.
 
         Returns
         -------
@@ -358,15 +358,17 @@
 
 
 def _is_late(ticket: Ticket, now_s: float) -> bool:
-    # If an earlier run of the request was lost, the attempt is late because of the
-    # loss, and the request has already waited for a slot once. If the attempt started
-    # after all new attempts, it would never start while new ones keep arriving.
+    # An attempt never counts as late if an earlier run of its request was lost. The
+    # loss has made the attempt late, and the request has already waited for a slot
+    # once. If the attempt started after all new attempts, it would never start while
+    # new attempts keep arriving.
     if ticket.target_s is None or ticket.run_was_lost:
         return False
-    # Attempts with the same rank are calls that a backend server makes for one request.
-    # The request needs all of their answers, even late ones. The calls may wait at
-    # different gates. If late calls started after new attempts, one gate could delay
-    # some calls of a request while another gate answers the rest in vain.
+    # An attempt with a rank never counts as late. Attempts with the same rank are calls
+    # that a backend server makes for one request. The request needs the answers to all
+    # of these calls, even late ones, and the calls may wait at different gates. If late
+    # calls started after new attempts, one gate could delay some calls of a request
+    # while another gate answers the rest in vain.
     if ticket.rank_s:
         return False
     return now_s + IN_TIME_FACTOR * ticket.route_time_s > ticket.target_s
@@ -389,6 +391,6 @@
         return False
     if ticket.key is None:
         return ticket.expected_wait_s > ticket.wait_max_s
-    # The wait takes longer than was estimated when the ticket was enqueued. The ticket
-    # is refused, because another gate may be faster.
+    # A ticket that waits much longer than was estimated when it was enqueued is
+    # refused, because another gate may be faster.
     return now_s - ticket.enqueued_s > WAIT_OVERRUN_FACTOR * ticket.wait_max_s
--- a/balsamspindle/backend_servers/refusals.py
+++ b/balsamspindle/backend_servers/refusals.py
@@ -39,7 +39,8 @@
 def is_unproven_refusal(answer: BackendAnswer, names: HeaderNames) -> bool:
     """Return whether the status suggests "not run", but the answer does not prove it.
 
-    Call this function only if `proves_not_run` is false for the answer.
+    False if the deployment has no header for this proof. Call this function only if
+    `proves_not_run` is false for the answer.
     """
     return bool(names.not_run) and answer.status in _NOT_RUN_STATUSES
 
@@ -47,10 +48,12 @@
 def classify_result(
     result: BackendAnswer | BackendFailure, has_restarted: bool, names: HeaderNames
 ) -> BackendAnswer | BackendFailure:
-    """Return a call's result, changed to a failure if the request was refused.
+    """Return a call's result, with a refusal changed to a failure.
 
-    A cancelled call gets the reason `BROKEN_ANSWER` if the backend server was restarted
-    during the call. All other results are returned unchanged.
+    A refusal is an answer for which `is_misdirected`, `proves_not_run` or
+    `is_unproven_refusal` is true. A cancelled call gets the reason `BROKEN_ANSWER` if
+    the backend server was restarted during the call. All other results are returned
+    unchanged.
 
     Parameters
     ----------
--- a/balsamspindle/backend_servers/retry_grants.py
+++ b/balsamspindle/backend_servers/retry_grants.py
@@ -68,11 +68,11 @@
         Parameters
         ----------
         may_repeat : bool
-            Whether the request may be repeated. If so, and if its weight is the
-            greatest of recent requests, half of the service's repeats are reserved for
-            requests of this weight. If repeats were also reserved for requests that are
-            never repeated, half of all grants could stay unused while repeats of
-            lighter requests are refused, for example 67 refusals within 15 s.
+            Whether the request may be repeated. Half of the service's repeats are
+            reserved for the greatest weight among the recent requests that may be
+            repeated. If requests that are never repeated counted as well, half of all
+            grants could stay unused while repeats of lighter requests are refused, for
+            example 67 refusals within 15 s.
         repeat_fraction : float
             Probability that the request was sent by a run that is a repeat.
         """
@@ -120,12 +120,10 @@
             runs there fail, while the same repeats could succeed at healthy backend
             servers. Half of all repeats are therefore reserved for other attempts.
         run_was_lost : bool
-            Whether an earlier run of the request was lost, or is about to be lost: its
-            gate cancelled it, announced that its node stops, or did not reply; or the
-            backend server crashed. Such a request may use the repeats reserved for
-            heavier requests: heavier requests are repeated because they failed at their
-            backend servers, while this request would have been answered if its run had
-            not been lost.
+            Whether an earlier run of the request was lost or is about to be lost; see
+            `Ticket`. Such a request may use the repeats reserved for heavier requests.
+            The heavier requests are repeated because they failed at their backend
+            servers. This request would have been answered if its run had not been lost.
         """
         budget = self._budget(service, now_s)
         if not budget.fleet_per_s_min:
@@ -145,10 +143,11 @@
             return state.window.try_spend(budget, now_s, reserved_fraction)
 
     def return_grant(self, service: str) -> None:
-        """Return the grant of a repeat that did not run to the retry budget.
+        """Add a grant back to the retry budget because its repeat did not run.
 
-        A gate without a free slot refuses repeats that were granted. If these grants
-        counted, an overload would use up the budget without a single run.
+        A gate without a free slot refuses repeats for which it has spent a grant. If
+        these grants stayed spent, an overload would use up the budget without a single
+        run.
         """
         with self._lock:
             self._state(service).window.refund()
--- a/balsamspindle/backend_servers/runner.py
+++ b/balsamspindle/backend_servers/runner.py
@@ -67,7 +67,7 @@
         deadline_s: float,
         received_s: float,
     ) -> Reply:
-        """Call the backend server, classify the result, and free the slot."""
+        """Call the backend server, free the slot, and return the reply."""
         server = admitted.server
         self._events.emit(
             "attempt_dispatched",
@@ -129,7 +129,8 @@
     ) -> BackendAnswer | BackendFailure:
         """Return a call's result as `classify_result` does.
 
-        Also reports the backend server if its address now belongs to another one.
+        If the answer shows that a different backend server has the address now, this
+        method also calls `on_misdirected` with the id of the intended backend server.
         """
         if isinstance(result, BackendAnswer) and is_misdirected(result, self._names):
             self._on_misdirected(server.backend_server_id)
--- a/balsamspindle/backend_servers/servers.py
+++ b/balsamspindle/backend_servers/servers.py
@@ -129,8 +129,7 @@
     version : int
         Rises with each change that must be sent to the other nodes.
     on_replaced : callable
-        Called with a backend server and the present time when another backend server
-        has begun to use its address.
+        Called with a replaced backend server and the present time; see `mark_replaced`.
     """
 
     def __init__(self, announcement_ttl_s: float = ANNOUNCEMENT_TTL_S) -> None:
@@ -183,7 +182,11 @@
             return self._set_state(backend_server_id, BackendServerState.DRAINING)
 
     def mark_replaced(self, backend_server_id: str, now_s: float) -> None:
-        """Drain a backend server because another one uses its address now."""
+        """Drain a backend server because another one uses its address now.
+
+        Also calls `on_replaced`, unless the backend server is unknown, was already
+        draining, or has been marked before.
+        """
         with self.changed:
             server = self._servers.get(backend_server_id)
             is_unexpected = (
@@ -215,12 +218,13 @@
             return True
 
     def remove_silent(self, now_s: float) -> list[str]:
-        """Remove backend servers whose announcements stopped.
+        """Mark backend servers as silent, or remove them, if announcements stopped.
 
-        A silent backend server with running requests gets no new requests, and is
-        removed once the running ones have ended. If it still got new requests, a
-        backend server that left without notice would keep getting them for as long as
-        at least one request is running there.
+        A silent backend server with running requests gets no new requests. A later call
+        removes this backend server once the running requests have ended. If a silent
+        backend server got new requests, it would not be removed while any of them is
+        running. A backend server that left without notice could thus get requests for
+        an unlimited time.
 
         Returns
         -------
--- a/balsamspindle/backend_servers/slots.py
+++ b/balsamspindle/backend_servers/slots.py
@@ -128,8 +128,8 @@
         If no slots were reserved, long light requests could occupy all of them. Short
         heavy requests, on whose answers other requests depend, would then be too late
         although they are first in the queue, because no slot becomes free before a long
-        request ends. So the slots that heavier requests occupy on average are reserved
-        for heavier requests, up to half of all slots.
+        request ends. Therefore the slots that heavier requests occupy on average are
+        reserved for heavier requests, up to half of all slots.
         """
         reserved = int(self._loads.heavier_than(weight, now_s) + LOAD_ROUNDING)
         running = sum(
@@ -141,10 +141,10 @@
         """Return the average number of slots not occupied by heavier requests.
 
         A request is heavier if its weight is above `weight`. The result is used to
-        estimate how long a request of this weight waits. Heavier requests that arrive
-        later also start before it. An estimate from the present queue alone would
-        ignore them, and a light request would wait until its deadline at a gate whose
-        slots are always occupied by heavier requests.
+        estimate how long a light request, one of this weight, waits. Heavier requests
+        that arrive after the light request also start before it. An estimate from the
+        present queue alone would ignore these heavier requests. If they always occupy
+        all slots of a gate, the light request would wait there until its deadline.
         """
         return max(EFFECTIVE_SLOTS_MIN, slots - self._loads.heavier_than(weight, now_s))
 
--- a/balsamspindle/backend_servers/suspect_runs.py
+++ b/balsamspindle/backend_servers/suspect_runs.py
@@ -1,8 +1,8 @@
 """Prevents different suspected requests from running together at a backend server.
 
 If two requests are always lost in the same crashes, it is unknown which of them causes
-the crashes. When they run at different times or backend servers, the next crash
-identifies the cause, and the other request is answered.
+the crashes. If the two requests run at different times, or at different backend
+servers, the next crash identifies the cause, and the other request is answered.
 """
 
 import threading
@@ -19,9 +19,10 @@
         self._running: dict[str, Counter[int]] = {}
 
     def begin(self, backend_server_id: str, content_hash: int) -> bool:
-        """Register a run, unless another suspected request runs at the server.
+        """Register a run, unless a different suspected request runs at the server.
 
-        Return False if the run was not registered; in this case it must not start.
+        Requests with different content hashes are different. Return False if the run
+        was not registered. In this case, the run must not start.
         """
         with self._lock:
             running = self._running.setdefault(backend_server_id, Counter())
