--- a/balsamspindle/requests/gate_links.py
+++ b/balsamspindle/requests/gate_links.py
@@ -8,8 +8,8 @@
 
 __all__ = ["GateLinks"]
 
-# How long no attempts are sent to a gate that could not be reached: HOLD_OUT_S after
-# the first failure, twice as long after each further one, up to HOLD_OUT_MAX_S.
+# A gate that could not be reached gets no attempts for HOLD_OUT_S. Each further
+# hold-out of the gate is twice as long as the one before, up to HOLD_OUT_MAX_S.
 HOLD_OUT_S, HOLD_OUT_MAX_S = 0.5, 30.0
 
 
@@ -34,7 +34,11 @@
         deadline_s: float,
         now_s: float,
     ) -> Link | None:
-        """Return a working link for exclusive use; None if the gate is unreachable."""
+        """Return a working link for exclusive use; None if the gate is unreachable.
+
+        Starts a hold-out if the gate is unreachable; ends any hold-out if the gate is
+        reachable.
+        """
         link = self._links.acquire(placement.node.link_address, deadline_s, execution)
         if link is None:
             self.record_unreachable(placement, now_s)
--- a/balsamspindle/requests/heads.py
+++ b/balsamspindle/requests/heads.py
@@ -51,8 +51,8 @@
 _is_target = re.compile(r"/[!\"$-~]*").fullmatch
 _match_absolute_target = re.compile(r"https?://([^/?]*)(.*)", re.IGNORECASE).fullmatch
 # Finds '.' and '..' segments. The route of a request is selected by the path's prefix
-# and determines whether the request may run twice. For "/read/../sign" that is the
-# route of "/read", but a backend server that resolves the path would run "/sign".
+# and determines whether the request may run twice. For "/read/../sign", the route of
+# "/read" would be selected, but a backend server that resolves the path runs "/sign".
 _has_dot_segment = re.compile(
     r"/(\.|%2e){1,2}(?=[/\\?]|%2f|%5c|$)", re.IGNORECASE
 ).search
@@ -62,7 +62,7 @@
 
 
 class BadRequest(Exception):
-    """Raised to reject a request; its connection is closed after the answer."""
+    """Raised to reject a request; the caller gets an error and is disconnected."""
 
     def __init__(self, reason: Reason, detail: str) -> None:
         super().__init__(detail)
--- a/balsamspindle/requests/hedging.py
+++ b/balsamspindle/requests/hedging.py
@@ -52,7 +52,11 @@
     def plan(
         self, forwarded: ForwardedRequest, selected: Selection, now_s: float
     ) -> Hedge | None:
-        """Return when and where a second attempt may start; None if it may not."""
+        """Return when and where a second attempt may start; None if it may not.
+
+        A second attempt after one at the own gate may cost a retry token. This token is
+        spent here; `refund` returns it if the second attempt is not made.
+        """
         route, placement = forwarded.route, selected.placement
         if route.execution is not Execution.IDEMPOTENT:
             return None
@@ -81,7 +85,10 @@
         )
 
     def refund(self, forwarded: ForwardedRequest, hedge: Hedge | None) -> None:
-        """Refund the retry token paid for a second attempt that was not made."""
+        """Refund the retry token of a second attempt that was not made.
+
+        Does nothing if `plan` spent no token.
+        """
         if hedge is not None and hedge.is_paid:
             self._retries.refund(forwarded.route.service)
 
--- a/balsamspindle/requests/http.py
+++ b/balsamspindle/requests/http.py
@@ -112,7 +112,7 @@
         """Wait for the first byte of a request; return False if none arrives.
 
         The wait ends after the idle timeout, or when the connection is closed. This
-        node may close the connection during the wait: no request is lost then.
+        node may close the connection during the wait, as no request has been read.
         """
         if self._complete or self._parse_error or self._in_request:
             return True
@@ -279,7 +279,7 @@
         """Return a minimal request head that a new parser reads before an unread body.
 
         Without this head the new parser would read the body as the next request.
-        Empty if there is no unread body.
+        The result is empty if there is no unread body.
         """
         if self._upgrade_head is None:
             return b""
--- a/balsamspindle/requests/ingress.py
+++ b/balsamspindle/requests/ingress.py
@@ -39,10 +39,10 @@
 ERROR_STATUS_MIN = 500
 
 # Fraction of the shutdown timeout during which a leaving node still accepts requests.
-# Callers are directed to other nodes during the first half of the timeout (0.5).
-# Requests that arrive between 0.5 and this fraction were sent before their callers
-# switched. The time from this fraction to the end of the timeout is long enough for a
-# request that takes some seconds.
+# Callers are directed to other nodes during the first half of the timeout (0.5). Each
+# request that arrives between 0.5 and this fraction was sent before its caller switched
+# to another node. After this fraction, enough of the timeout remains for a request that
+# takes some seconds.
 LAST_REQUEST_FRACTION = 0.55
 
 
@@ -110,10 +110,10 @@
         ----------
         ready : callable, default=always
             Returns whether this node knows backend servers. Connections are refused
-            until it returns True, but for at most `start_wait_s`. A caller whose
+            until `ready` returns True, but for at most `start_wait_s`. A caller whose
             connection is refused can use another node. Without this wait, a node that
             has just started would accept connections and then reject their requests,
-            although other nodes can serve them.
+            although other nodes can serve the requests.
         """
         listen_by_s = time.monotonic() + self._settings.start_wait_s
         self._ready_wait_end_s = time.monotonic() + self._settings.start_hold_s
@@ -275,8 +275,8 @@
                 answer = self._forward(
                     caller, request, request_id, admitted, received_s, content_hash
                 )
-        # The duration, like the outcome, is recorded before the answer is sent, so that
-        # a caller that has received its answer finds its request counted.
+        # The duration and the outcome are recorded before the answer is sent. As soon
+        # as the caller has its answer, the metrics include the request.
         self._events.metrics.record(Hop.INGRESS, time.monotonic() - received_s)
         self._write(caller, request_id, answer)
         return request.keep_alive
@@ -328,11 +328,11 @@
         )
         reply = self._forwarder.forward(forwarded)
         if reply.outcome is not Outcome.ANSWERED or reply.status >= ERROR_STATUS_MIN:
-            # This request's failure is recorded before the answer is sent. The caller
-            # may be the backend server beside this node, which sent this request while
-            # it served another one. If the other request fails because this one did,
-            # this node's gate finds the record of this request's failure. The gate then
-            # does not count the other request's failure against the backend server.
+            # The caller may be the backend server beside this node: it sent this
+            # request A to serve a request B. If B fails because A failed, this node's
+            # gate must not count the failure of B against the backend server. The
+            # failure of A is therefore recorded before the backend server gets the
+            # answer.
             self._on_failure(time.monotonic())
         if reply.outcome is Outcome.NOT_RUN:
             self._admissions.refund(admitted)
--- a/balsamspindle/requests/latency_estimate.py
+++ b/balsamspindle/requests/latency_estimate.py
@@ -17,9 +17,9 @@
     p95_s : float or None
         Estimate of the 95th percentile; None before the first answer.
     p99_s : float
-        The 99th percentile of latency at one of the route's backend servers: the one
-        whose gate reported a percentile last. 0 before the first report. A gate counts
-        answers with a higher latency as slow.
+        The last 99th percentile of latency that a gate reported for one of the route's
+        backend servers; 0 before the first report. A gate counts answers with a higher
+        latency as slow.
     """
 
     STEP = 0.005
--- a/balsamspindle/requests/link_attempts.py
+++ b/balsamspindle/requests/link_attempts.py
@@ -29,9 +29,10 @@
 
 __all__ = ["LinkAttempts"]
 
-# A leaving node announces a stop time this much before its real one. Gates refuse
-# attempts that would end after the announced time, so refusals arrive before the real
-# one. If a refusal were lost, the caller would get `unknown` instead of `not_run`.
+# A leaving node announces a stop time this much before its actual stop. Gates refuse
+# attempts that would end after the announced time, at the latest at that time. Without
+# this reserve, a refusal could arrive after the node has stopped. The caller would then
+# get `unknown` instead of `not_run`.
 REPLY_RESERVE_S = 0.2
 
 
@@ -78,7 +79,7 @@
         self._outcomes = AttemptOutcomes(events, clock, lambda: self._aborted)
 
     def set_end_time(self, ends_s: float) -> None:
-        """Set this node's stop time; gates then start no run for it that ends later."""
+        """Set this node's stop time; gates refuse attempts that would end after it."""
         self._announced_end_s = ends_s - REPLY_RESERVE_S
 
     def time_to_stop_ms(self) -> float | None:
@@ -157,12 +158,11 @@
         )
 
     def _may_park(self, forwarded: ForwardedRequest) -> bool:
-        """Return whether to keep an attempt open while another gate gets the request.
+        """Return whether to park an attempt; a request has at most one parked attempt.
 
-        A leaving node cancels its runs when it stops. Without parking, a long-running
-        request would be sent to another gate only after that stop. The time until the
-        stop would be lost, and the ingress's own node might be leaving by then, too.
-        At most one attempt of a request is parked at a time.
+        A leaving node cancels its runs when it stops. Without parking, the ingress
+        would send a long-running request to another gate only after this stop. The time
+        until the stop would be lost, and the ingress's node might then also be leaving.
         """
         return (
             forwarded.route.execution is Execution.IDEMPOTENT
@@ -178,8 +178,8 @@
     ) -> SentAttempt | None:
         """Return the attempt to park; None if none has to be parked.
 
-        An attempt is parked if it is the only one without a reply, its gate has sent a
-        notice, no other attempt was answered, and another gate may get the request.
+        An attempt is parked if it is the only one without a reply, its gate reported
+        that it may stop first, no other attempt was answered, and `_may_park` is True.
         """
         replies = {} if waited is None else waited.replies
         unanswered = [sent for sent in attempts if sent.link not in replies]
@@ -269,7 +269,7 @@
         return [second]
 
     def _declined_reply(self, forwarded, placement, declined: DeclinedAttempt) -> Reply:
-        """Record an attempt that a query showed would be refused; return a refusal."""
+        """Record an attempt that was not sent because of a query; return a refusal."""
         forwarded.tried.add(placement.backend_server.backend_server_id)
         forwarded.attempts += 1
         reply = Reply(
@@ -287,7 +287,7 @@
     def _start(
         self, forwarded, placement, link: Link | None = None
     ) -> SentAttempt | Reply:
-        """Send an attempt over a link; return a reply with the reason if that fails."""
+        """Send an attempt over a link; return a reply with a reason if not sent."""
         node_id = placement.node.node_id
         dispatch = self._build_dispatch(forwarded, placement, forwarded.deadline_s)
         unreachable = Reply(dispatch.attempt_id, Outcome.NOT_RUN, Reason.UNREACHABLE)
@@ -300,7 +300,7 @@
         if self._aborted:
             return self._release_unused(forwarded, dispatch, link)
         # The idempotency key is claimed only once the gate is known to be alive: a
-        # claim for a dead gate would block the key for ever.
+        # claim for a dead gate would block all requests with the key for ever.
         gate_time_s = link.gate_clock.at(self._clock())
         claimed = with_claim(
             forwarded.claimant, dispatch, GateIdentity(*link.gate), gate_time_s
@@ -374,12 +374,11 @@
     ) -> None:
         """Release the links of attempts that got replies; end the other attempts.
 
-        If another attempt was answered, an attempt without a reply is not cancelled;
-        only its link is closed. The gate can then measure how long the run takes, and
-        detect a backend server that hangs. But while an attempt is parked, the answer
-        may be the parked attempt's. The attempt without a reply may then have started
-        much later. So it may be unanswered although its backend server is not slow, and
-        it is cancelled.
+        If no attempt is parked and one was answered, the link of an attempt without a
+        reply is closed, but the attempt is not cancelled. Its gate can then measure the
+        run and detect a backend server that hangs. Otherwise, the attempt is cancelled.
+        If one is parked, the attempt may just have started, long after the parked one:
+        its missing reply does not indicate a slow backend server.
         """
         replies = {} if waited is None else waited.replies
         may_continue = is_answered(waited) and not forwarded.parked
--- a/balsamspindle/requests/links.py
+++ b/balsamspindle/requests/links.py
@@ -196,7 +196,7 @@
         return self._send(message)
 
     def has_ending_notice(self, attempt_id: AttemptId) -> bool:
-        """Return whether the gate sent notice that the attempt may outlast the gate."""
+        """Return whether the gate reported that it may stop before the attempt ends."""
         return self._ending_attempt_id == attempt_id
 
     def notify_node_stop(self, attempt_id: AttemptId, remaining_s: float) -> None:
@@ -344,5 +344,5 @@
 
 
 def poll_timeout_ms(deadline_s: float) -> int:
-    """Return the time until a deadline, rounded up so that no poll ends too early."""
+    """Return the ms until a deadline, rounded up so that no poll ends too early."""
     return max(0, int((deadline_s - time.monotonic()) * 1000) + 1)
--- a/balsamspindle/requests/peer_timeout.py
+++ b/balsamspindle/requests/peer_timeout.py
@@ -1,7 +1,7 @@
 """Timeout for a peer's reply that excludes time in which this process was stalled.
 
 On a VM that is paused or short of CPU time, a timeout may pass before the process can
-read a reply that arrived in time. Such a peer must not be treated as unreachable.
+read a reply that arrived in time. The peer must then not be treated as unreachable.
 """
 
 from collections.abc import Callable
--- a/balsamspindle/requests/placement_selection.py
+++ b/balsamspindle/requests/placement_selection.py
@@ -25,9 +25,9 @@
 and may then wait a little longer than the gate reported (`QUEUE_MARGIN`).
 
 A short queue in the own zone is preferred to a free slot in another zone, because the
-traffic between zones costs more than the delay. A long queue is not preferred. If every
-queue is longer than a request may wait, the request is refused at once, so that its
-caller has time to retry.
+traffic between zones costs more than the delay. A free slot in another zone is
+preferred to a long queue. If every queue is longer than a request may wait, the request
+is refused at once, so that its caller has time to retry.
 """
 
 import random
@@ -50,7 +50,7 @@
 # target time, so an answer is in time even after the longest allowed wait. A megabyte
 # of traffic between zones costs as much as a hundred requests are worth. An answer of
 # 5 KB thus costs half of the value of its request; an answer of 400 bytes costs almost
-# nothing. For large answers, a longer wait in the own zone is therefore cheaper.
+# nothing. For large answers, a long wait in the own zone thus costs less than traffic.
 NEAR_WAIT_FRACTION_MIN, NEAR_WAIT_FRACTION_MAX = 0.1, 0.6
 LARGE_ANSWER_BYTES = 5000
 # Maximum number of gates in the own zone to which a request is sent in step NEAR. If
@@ -72,10 +72,10 @@
 # at the deadline, too late for their callers to retry. The time that remains after
 # this fraction is enough for a retry.
 QUEUE_WAIT_FRACTION = 0.5
-# A gate that refuses a request reports the wait in its queue. In step QUEUE, another
-# request may be sent to this queue if the reported wait is at most this fraction of the
-# time that the other request may still spend in queues. A longer wait indicates that
-# the service is overloaded; then a suspected backend server is the better choice.
+# Step QUEUE also uses waits that gates reported in replies to other requests. It uses
+# only waits up to this fraction of the time that the request may still spend in queues.
+# A longer wait indicates that the service is overloaded. A suspected backend server is
+# then a better choice than the queue.
 SHORT_QUEUE_FRACTION = 0.5
 
 
@@ -94,7 +94,7 @@
 
 
 def near_wait_ms(target_ms: float, answer_bytes: float) -> float:
-    """Return how many ms a request may wait in its own zone before it tries others.
+    """Return how many ms a request may wait in its zone before it is sent to others.
 
     Parameters
     ----------
@@ -204,9 +204,9 @@
         the gate, so the search sends it no attempt and gets no report from it. If all
         gates are excluded, the request would be sent to a suspected backend server,
         where 37 of 100 calls fail, although the wait for a healthy backend server is
-        only 0.2 s. So step QUEUE also uses a reported wait above `near_wait_ms` if it
-        is at most `SHORT_QUEUE_FRACTION` of `remaining_ms`, the time that the request
-        may still spend in queues.
+        only 0.2 s. Step QUEUE therefore also uses these reported waits, up to
+        `SHORT_QUEUE_FRACTION` of `remaining_ms`, the time that the request may still
+        spend in queues.
         """
         for place in places:
             server_id = place.backend_server.backend_server_id
@@ -234,7 +234,9 @@
         far: Iterable[Placement] = (),
         far_penalty_ms: float = 0.0,
     ) -> Selection | None:
-        """Return the placement with the shortest queue; None if all are too long.
+        """Select the placement with the shortest queue; None if all are too long.
+
+        Removes the selected queue from the waits that the search may use.
 
         Parameters
         ----------
@@ -242,8 +244,9 @@
             A queue is selected only if its reported wait is at most this long.
         far_penalty_ms : float
             Added to the waits of queues in other zones before all waits are compared. A
-            queue in another zone is thus selected only if its wait is shorter by this
-            much. With 0, the traffic between zones grows by a quarter under high load.
+            queue in another zone is thus selected only if its wait is shorter, by this
+            much, than each wait in the own zone. With 0, the traffic between zones
+            grows by a quarter under high load.
         """
         reported_ms = search.queue_wait_ms
         queues = [
@@ -296,8 +299,8 @@
 def _remaining_queue_wait_ms(forwarded: ForwardedRequest, now_s: float) -> float:
     """Return how many more ms a request may wait in the queues of step QUEUE.
 
-    When this function is first called for a request, it sets the end of the allowed
-    time, `QUEUE_WAIT_FRACTION` of the request's remaining time later.
+    The first call for a request sets the end of the allowed time: from then on, the
+    request may wait for `QUEUE_WAIT_FRACTION` of its remaining time.
     """
     if forwarded.queue_until_s is None:
         remaining_s = forwarded.deadline_s - now_s
--- a/balsamspindle/requests/reply_wait.py
+++ b/balsamspindle/requests/reply_wait.py
@@ -15,8 +15,8 @@
 
 __all__ = ["WaitOptions", "WaitResult", "wait_first"]
 
-# Interval at which a waiting task checks whether this node no longer waits for replies,
-# and whether the time at which the node stops has been set.
+# Interval at which a waiting task checks whether its node has aborted all waits, and
+# whether the time at which the node stops has been set.
 CHECK_INTERVAL_MS = 100
 
 
@@ -45,11 +45,11 @@
         Called each time a message is dropped because it is not a reply to the attempt.
         Gets a text that says what was wrong with the message.
     is_aborted : callable, default=never
-        Returns whether this node no longer waits for replies to any requests.
+        Returns whether this node has aborted all waits for replies.
     node_ends_s : callable, default=infinity
         Returns the monotonic time at which this node stops; infinity before the time is
-        set. Once set, the time is sent to the gates, which then start no run whose
-        reply would arrive after it.
+        set. Once set, the time is sent to the gates of the attempts. A gate then
+        refuses an attempt that would end after this time.
     ends_at_notice : callable, default=never
         Called when only one attempt has no reply, and its gate has sent notice that
         the gate's node may stop before the attempt ends. Returns whether the wait then
@@ -95,13 +95,19 @@
     Returns
     -------
     WaitResult or None
-        The reply that ended the wait: an answer of a backend server to one of
-        `attempts`, also an error, or a successful reply to a parked attempt. If there
-        was no such reply, the last reply to one of `attempts`, such as a gate's
-        refusal; None if there was no reply to any of them.
-        If no answer arrives, the wait ends at the deadline, when the links or the
-        caller's connection close, when this node no longer waits for any replies, or at
-        a gate's notice that its node may stop before the attempt ends.
+        The reply that ended the wait: a backend server's answer, also an error, to one
+        of `attempts`, or a successful reply to a parked attempt.
+        If no such reply arrived, the last reply to one of `attempts`, such as a gate's
+        refusal. None if none of `attempts` got a reply.
+
+    Without a reply that ends it, the wait ends in one of these cases:
+
+    - The deadline passes.
+    - Each of `attempts` has got a reply or lost its link.
+    - The caller closes its connection.
+    - This node aborts all waits.
+    - A gate reports that its node may stop before the last open attempt ends, and
+      `ends_at_notice` returns True.
     """
     waiting = {**wait.parked_attempts, **attempts}
     poller = zmq.Poller()
--- a/balsamspindle/requests/retries.py
+++ b/balsamspindle/requests/retries.py
@@ -28,8 +28,8 @@
 ROUTES_MAX = 1000
 SHED_STATUSES = frozenset({429, 503})
 # A request gets no further attempt after this many gates denied its retry because their
-# retry budgets were used up. If three of about ten gates have no retries left, the
-# others hardly have any.
+# retry budgets were used up. If three of about ten gates have no retries remaining, the
+# other gates hardly have any.
 DENIALS_MAX = 3
 
 
@@ -43,7 +43,8 @@
     FREE = "free"
     # The next attempt costs no token after a request's first reply with this reason,
     # and one token after each further reply with the same reason. The attempts did not
-    # run, but all gates may be busy.
+    # run. After the first reply, another gate may have a free slot. Further replies
+    # indicate that all gates are busy.
     FIRST_FREE = "first_free"
     # The next attempt costs one token.
     PAID = "paid"
@@ -68,11 +69,11 @@
 }
 
 
-# Costs of a retry after the gate of a leaving node has cancelled the run, or is about
-# to. The retry budget protects a failing service from additional load. In this case, no
-# backend server failed, and there are at most as many retries as the gate has slots. If
-# these retries cost tokens, they would use up the budget, and requests would fail
-# although they have time for a retry.
+# A retry is free after the gate of a leaving node has cancelled the run, or announced
+# that it may cancel the run. The retry budget protects a failing service from more
+# load, but here no backend server failed. There are at most as many of these retries as
+# the gate has slots. If they cost tokens, they would use up the budget, and requests
+# would fail although they have time for a retry.
 _LOST_RUN_COSTS = {Reason.GATE_ENDING: RetryCost.FREE, Reason.CANCELLED: RetryCost.FREE}
 
 _TRY_ELSEWHERE_REASONS = frozenset(
@@ -221,8 +222,8 @@
         weight : float
             Weight of the request's route; some tokens are reserved for heavier routes.
         run_was_lost : bool
-            See `ForwardedRequest.run_was_lost`. If True, the retry may be sent to more
-            gates even after `DENIALS_MAX` of them denied it.
+            See `ForwardedRequest.run_was_lost`. If True, the retry may be sent to
+            further gates after `DENIALS_MAX` gates have denied it.
         """
         denials_max = TRY_ELSEWHERE_MAX if run_was_lost else DENIALS_MAX
         with self._lock:
@@ -261,9 +262,10 @@
         return bool(self._budget(service).fleet_per_s_min)
 
     def may_hedge(self, service: str, now_s: float, weight: float = 1.0) -> bool:
-        """Return whether a hedge is allowed.
+        """Return whether a hedge is allowed; if so, spend the token that it costs.
 
-        Spends a token for the hedge, unless the gates limit the service's retries.
+        If the gates limit the service's retries, this ingress allows every hedge, and
+        no token is spent. Otherwise, a hedge costs one token.
         """
         if self.gates_limit_retries(service):
             return True
@@ -290,23 +292,25 @@
         now_s: float,
         route_id: int = 0,
     ) -> float:
-        """Return the time for which an idempotent request's first attempt runs alone.
+        """Return the delay between the first two attempts of an idempotent request.
 
         Parameters
         ----------
         is_own : bool
-            Whether the attempt is at this node's own gate, where it is ended after the
-            returned time. The returned time is then longer than the 99th percentile of
-            latency that the gate reported. If it were shorter, the gate would not count
-            the attempt as slow, and would not detect a backend server that hangs.
+            Whether the first attempt is at this node's own gate. Such an attempt is
+            ended after the returned time, before the second attempt starts. The gate
+            counts an attempt as slow only if it takes longer than the 99th percentile
+            of latency. The returned time is therefore longer than this percentile.
+            Otherwise, the gate would not detect a backend server that hangs.
         remaining_s : float
             Time until the request's deadline.
 
         Returns
         -------
         float
-            `remaining_s` if no token is available, or if a retry would not end before
-            the deadline.
+            Time in s. It is `remaining_s` if the first attempt may run until the
+            deadline: for example, if no token is available, or if a retry would not
+            end before the deadline.
         """
         with self._lock:
             state = self._state(service)
--- a/balsamspindle/requests/sent_attempts.py
+++ b/balsamspindle/requests/sent_attempts.py
@@ -37,7 +37,7 @@
         self.link.cancel(self.attempt_id, self.dispatch.hlc, cause)
 
     def has_ending_notice(self) -> bool:
-        """Return whether the gate sent notice that the attempt may outlast the gate."""
+        """Return whether the gate reported that it may stop before the attempt ends."""
         return self.link.has_ending_notice(self.attempt_id)
 
 
@@ -69,7 +69,7 @@
     def finish(
         self, replies: Mapping[Link, Reply], release: Callable[[Link], None]
     ) -> None:
-        """Remove the attempts that got replies, and release their links."""
+        """Remove and end the attempts that got replies, and release their links."""
         for sent in self.all():
             if sent.link in replies:
                 self._sent.remove(sent)
--- a/balsamspindle/requests/siblings.py
+++ b/balsamspindle/requests/siblings.py
@@ -32,21 +32,21 @@
 # for different requests.
 DEADLINE_TOLERANCE_S = 0.02
 # A route's requests get ranks if at least this fraction of them arrive together with
-# the route's previous request. If they are calls made in pairs, the fraction is a half;
-# if they are callers' independent requests at one node, it is almost 0. Independent
-# requests get no ranks: without ranks, gates serve them by target time, and fewer of
-# them are late than if random ranks changed their order.
+# the route's previous request. For calls made in pairs, the fraction is a half. For
+# independent requests of callers at one node, the fraction is almost 0. Independent
+# requests get no ranks, so gates serve them by target time. Random ranks would change
+# this order, and more requests would be late.
 GROUPED_FRACTION_MIN = 0.25
 # The fraction of requests that arrive together is an exponential moving average; this
 # is the weight of the newest request. If the true fraction of a route changes, the
 # average follows within about twenty requests.
 SMOOTHING_FACTOR = 0.1
 # Longest delay that a rank adds to a request's due time, as a multiple of the route's
-# target time. The due time is the end of the target time plus this delay; gates serve
+# target time. The due time is the end of the target time plus the delay; gates serve
 # requests by due time. If two requests of a route arrive further apart than the longest
-# delay, they are served in order of arrival, whatever their ranks. So the longest delay
-# is about the longest time that requests wait for a slot. With a shorter one, ranks
-# would have no effect between most of the requests in a long queue.
+# delay, they are served in order of arrival, whatever their ranks. The longest delay is
+# therefore about the longest time that requests wait for a slot. If the longest delay
+# were shorter, ranks would not change the order of most requests in a long queue.
 RANK_SPREAD = 1.0
 ROUTES_MAX = 1000
 
@@ -74,10 +74,10 @@
 
         The rank is a random number from 0 to 1. The request gets the rank of the
         route's previous request if both arrive within `GROUPING_WINDOW_S` with the same
-        deadline: both are then probably calls that a backend server made for one
-        request. Gates serve the requests in their queues by due time. The delay is 0 if
-        fewer than `GROUPED_FRACTION_MIN` of the route's requests arrive together with
-        the previous one.
+        deadline. These two requests are probably calls that a backend server made for
+        one request. The delay is 0 if fewer than `GROUPED_FRACTION_MIN` of the route's
+        requests arrive together with the previous one. `RANK_SPREAD` explains the due
+        time.
 
         Parameters
         ----------
--- a/balsamspindle/requests/zone_hints.py
+++ b/balsamspindle/requests/zone_hints.py
@@ -19,9 +19,9 @@
 __all__ = ["ZoneHints"]
 
 # Maximum number of nodes to which a hold-out is sent. In a small zone, these are all
-# other nodes. In a large zone, they are selected at random. Only nodes that would send
-# requests to the backend server need the hold-out: within a second, about as many nodes
-# as this, though not the same ones.
+# other nodes. In a large zone, they are selected at random. Within a second, about
+# PEERS_MAX nodes of the zone would send requests to the backend server. Only they need
+# the hold-out, but the selected nodes may be different ones.
 PEERS_MAX = 12
 # A hold-out is shared again only if it was extended by at least this much. Each further
 # reply from the gate extends the hold-out by a few ms; this is not worth a message.
@@ -63,7 +63,12 @@
         held_out: HoldOut,
         now_s: float,
     ) -> None:
-        """Share a hold-out of another zone's backend server with nodes of this zone."""
+        """Share a hold-out of another zone's backend server with nodes of this zone.
+
+        Does nothing if the backend server is not held out, or if its node `node` is in
+        this zone. Nor is a hold-out shared again that was extended by less than
+        `EXTENSION_MIN_MS`.
+        """
         held_out_ms = held_out.held_out_ms
         if not held_out_ms or node.availability_zone == self._own.availability_zone:
             return
