--- a/bench/membership.py
+++ b/bench/membership.py
@@ -281,7 +281,7 @@
     return {
         "nodes": nodes,
         "answering_nodes": ANSWERING_NODES,
-        "s_until_fraction": fraction_times_s,
+        "s_until_share": fraction_times_s,
         "received_bytes": joiner.transport.received_bytes,
         "sent_bytes": joiner.member.budget.spent_bytes,
     }
--- a/bench/settings.py
+++ b/bench/settings.py
@@ -183,7 +183,7 @@
         return {
             "each_node": _summarize_delays(all_delays_s),
             "nodes_that_poll": _summarize_delays(by_source["platform"]),
-            "learned_from_peers": _summarize_delays(by_source["peer"]),
+            "nodes_told_by_peers": _summarize_delays(by_source["peer"]),
             "last_node": _summarize_delays(last_node_delays_s),
         }
 
