--- a/bench/capacity/bad_day_rows.py
+++ b/bench/capacity/bad_day_rows.py
@@ -35,8 +35,8 @@
         Time until the node has received the data that it lacks because of the event,
         and has forwarded the news of the event to its peers.
     source : str
-        ``run`` if the costs come from a simulation, ``worked out`` if they are
-        calculated from other figures.
+        ``simulated``, or ``calculated`` if the costs are calculated from other
+        figures.
     """
 
     event: str
@@ -68,7 +68,7 @@
             figures[f"{name}_cpu_percent"],
             figures[f"{name}_sent_bytes_per_s"],
             figures[f"{name}_settled_s"],
-            "run",
+            "simulated",
             remark,
         )
 
@@ -77,26 +77,35 @@
     waiting_items = figures["burst_waiting_items"]
     return [
         simulated_row(
-            "rack_lost", "a rack lost", f"{rack} nodes' deaths", "urgent news"
+            "rack_lost",
+            "a rack lost",
+            f"{rack} nodes declared dead",
+            "urgent news first",
         ),
         simulated_row(
             "rack_back", "a rack back", f"{rack * per_node} backend servers", ""
         ),
         simulated_row(
-            "zone_lost", "a zone lost", f"{zone} nodes' deaths", "urgent news"
+            "zone_lost",
+            "a zone lost",
+            f"{zone} nodes declared dead",
+            "urgent news first",
         ),
         simulated_row(
             "zone_back",
-            "a zone back at once",
+            "a zone back, all nodes at once",
             f"{zone} nodes, {zone * per_node:,} backend servers",
-            "at the cap; the nodes' own joins come beside it, see below",
+            "the node sends at its byte cap; does not include sending records to the"
+            ' returning nodes, see "a zone\'s nodes join at once"',
         ),
         simulated_row(
             "burst",
             "45,000 replacements within an hour",
             f"{figures['burst_changes_per_s']:.0f} changes/s",
-            f"at the cap: after 5 minutes {waiting_items:,.0f} items wait at each node;"
-            " drains go first, the rest by digests; the time is after the burst's end",
+            "the node sends at its byte cap; after 5 minutes of the burst"
+            f" {waiting_items:,.0f} items of news are queued at each node; drains are"
+            " sent first, delayed changes also reach nodes by comparison of digests;"
+            " the settling time starts at the end of the burst",
         ),
     ]
 
@@ -108,13 +117,13 @@
     routine_bytes_per_s = ROUTINE_FRACTION * LIMITS.control_bytes_per_s
     return EventCost(
         "regions apart for an hour",
-        f"{changes:,.0f} changes of the others, {missed_bytes / 1000:,.0f} kB",
+        f"{changes:,.0f} changes of other regions, {missed_bytes / 1000:,.0f} kB",
         members["cpu_percent"],
         members["sent_bytes_per_s"],
         missed_bytes / routine_bytes_per_s,
-        "worked out",
-        "no region judges another's nodes while apart; then digests, each node"
-        " half of its bytes",
+        "calculated",
+        "while apart, no node declares a node of another region dead; afterwards each"
+        " node compares digests and sends missed records with half of its byte cap",
     )
 
 
@@ -134,46 +143,47 @@
             members["cpu_percent"],
             sent_bytes_per_s,
             joining["known_s"],
-            "run",
-            "it serves from its first page on, with the backend servers that it knows;"
-            " its peers have no byte cap in this run",
+            "simulated",
+            "the node serves requests from the first page of records on, with the"
+            " backend servers that it has received; its peers have no byte cap in this"
+            " simulation",
         ),
         EventCost(
             "a zone's nodes join at once",
-            f"{join_bytes / 1e6:,.0f} MB from all others",
+            f"{join_bytes / 1e6:,.0f} MB of records to all joining nodes together",
             members["cpu_percent"],
             LIMITS.control_bytes_per_s,
             max(joining["known_s"], peers_send_s),
-            "worked out",
-            "each other node gives half of its bytes",
+            "calculated",
+            "each node outside the zone sends them records with half of its byte cap",
         ),
         EventCost(
-            "platform away, a node replaced",
+            "one node replaced while the platform is down",
             f"{pages_bytes / 1000:,.0f} kB of settings from {OFFERS_WANTED} peers",
             members["cpu_percent"],
             LIMITS.control_bytes_per_s,
             pages_bytes / OFFERS_WANTED / LIMITS.control_bytes_per_s,
-            "worked out",
-            "refuses with not_run until then",
+            "calculated",
+            "until the node has settings, it refuses all requests with not_run",
         ),
         EventCost(
-            "platform away for hours",
-            "no settings, no claims",
+            "platform down for hours",
+            "no settings changes, no claims",
             members["cpu_percent"],
             members["sent_bytes_per_s"],
             0.0,
-            "worked out",
-            "nodes serve on; keyed requests are refused; when it is back nothing"
-            " is to be caught up, since nothing was accepted",
+            "calculated",
+            "nodes serve requests without keys and refuse those with keys; no settings"
+            " change is accepted, so none is missing when the platform is back",
         ),
         EventCost(
             "a region without the platform for an hour",
-            f"{missed_changes:,.0f} changes; {CHANGES_MAX} are kept for peers",
+            f"{missed_changes:,.0f} settings changes; peers store only {CHANGES_MAX}",
             members["cpu_percent"],
             LIMITS.control_bytes_per_s,
             pages_bytes / LIMITS.control_bytes_per_s,
-            "worked out",
-            "all settings anew, from peers within the cap or from the change log;"
-            " over the 3 s of a single change",
+            "calculated",
+            "nodes load all settings, from peers within the byte cap or from the"
+            " platform's change log; exceeds the 3 s allowed for a single change",
         ),
     ]
--- a/bench/capacity/joining.py
+++ b/bench/capacity/joining.py
@@ -133,8 +133,9 @@
     def _deliver_to_peer(self, address: str, frame: bytes) -> None:
         envelope = decode_member(frame).ok
         if envelope.kind == "ping":
-            # Most peers are not simulated, so the acks of all peers are created here.
-            # They contain no news, because the joiner receives the records in pages.
+            # Only one peer, the source, is simulated as a member. The ack to each ping
+            # is therefore created here, whichever peer the ping was sent to. An ack
+            # contains no news, because the joiner receives the records in pages.
             ack = Ack(_decode_ping(envelope.body).sequence)
             peer = self._peers[address]
             self._deliver_to_joiner(address, encode_member("ack", peer, ack))
--- a/bench/capacity/page.py
+++ b/bench/capacity/page.py
@@ -19,12 +19,12 @@
     "margin",
     "mechanism",
     "measured up to",
-    "breaks first, or next step",
+    "first bottleneck; next step",
 )
 
 _EVENT_TITLES = (
     "event",
-    "what comes to a node",
+    "received by a node",
     "processor, % of a core",
     "bytes/s sent",
     "settled after, s",
--- a/bench/capacity/rows.py
+++ b/bench/capacity/rows.py
@@ -111,13 +111,13 @@
     return [
         Row(
             "ingress and gate",
-            "latency added for 99 in 100",
+            "added latency, 99th percentile",
             "ms",
             LIMITS.added_latency_p99_ms,
             processes["added_p99_ms"],
-            "one link and one hand-over of a thread between caller and backend server",
-            measured + ", a shared machine",
-            "threads that wait for the interpreter lock; next: fewer hand-overs",
+            "one link and one hand-over between threads from caller to backend server",
+            measured + ", on a machine with other load",
+            "threads wait for the interpreter lock; next: fewer hand-overs",
         ),
         Row(
             "ingress and gate",
@@ -125,20 +125,20 @@
             "% of a core",
             REQUEST_CPU_MAX_PERCENT,
             ingress_percent + gate_percent,
-            "one task a connection; ingress and gate in one process",
+            "one thread per connection; ingress and gate in one process",
             measured,
-            "the interpreter lock: one core is all that a process has",
+            "the interpreter lock: a process can use one core at most",
         ),
         Row(
             "ingress",
             "route look-up and pick",
-            "us a request",
+            "us per request",
             LOOK_UP_MAX_US,
             look_up_us,
-            "one dictionary access a path segment; two draws from a ready view",
-            "49,000 routes; services of 22 and 500",
-            f"a service's view made anew: {look_ups['view_of_500_us']:.0f} us for 500"
-            " backend servers at each change of one of them",
+            "one dictionary access per path segment; two draws from a cached view",
+            "49,000 routes; services of 22 and of 500 backend servers",
+            f"rebuilding a service's view: {look_ups['view_of_500_us']:.0f} us for 500"
+            " backend servers, at each change of one of them",
         ),
     ]
 
@@ -149,7 +149,7 @@
     ordinary_mb = memory["whole_rss_peak_mb"] - memory["ledgers_mb"]
     per_server = f"{memory['backend_server_record_bytes']:.0f} bytes"
     per_route = f"{memory['settings_bytes_per_route']:.0f} bytes"
-    measured = f"{memory['measured_nodes']:.0f} nodes of state in one process"
+    measured = f"state of {memory['measured_nodes']:.0f} nodes in one process"
     return [
         Row(
             "node",
@@ -163,14 +163,14 @@
         ),
         Row(
             "node",
-            "the same with every ledger full",
+            "memory at a settings change, 400 connections, all ledgers full",
             "MB",
             LIMITS.memory_mb,
             memory["whole_rss_peak_mb"] + process_mb + connections_mb,
             "ledgers bounded by count, time and bytes",
             measured,
-            f"50,000 keys of one gate ({memory['ledgers_mb']:.0f} MB): 28 keyed"
-            " requests/s for half an hour; next: pack a key's entry",
+            f"50,000 idempotency keys ({memory['ledgers_mb']:.0f} MB): half an hour of"
+            " 28 requests/s with keys at one gate; next: a packed entry for each key",
         ),
         Row(
             "node",
@@ -178,9 +178,9 @@
             "files",
             OPEN_FILES_MAX,
             processes["connected_files"],
-            "bounds on connections, on member links (64) and on a gate's links (8)",
+            "limits: caller connections, 64 member connections, 8 idle links per gate",
             f"{processes['connections']:.0f} connections",
-            "links to the gates of many services: 24 gates a service, 8 links each",
+            "links to the gates of many services: 24 gates a service, 8 links to each",
         ),
     ]
 
@@ -191,14 +191,14 @@
     return [
         Row(
             "node",
-            "memory of 910,000 customers with two keys each, beside all else",
+            "memory of 910,000 customers with two keys each, without all other state",
             "MB",
             LIMITS.memory_mb,
             customers["memory_mb"],
-            "each node holds all customers' documents and key digests",
+            "each node stores the documents and key digests of all customers",
             measured,
-            f"each customer ({per_customer}); next: digests alone in one packed"
-            " table, documents read when a key is used",
+            f"each customer ({per_customer}); next: only digests, in a packed table;"
+            " a customer's document is read when one of its keys is used",
         ),
         Row(
             "node",
@@ -206,15 +206,15 @@
             "ms",
             CHANGED_KEY_MAX_MS,
             customers["change_cpu_ms"],
-            "the table of keys is shared, changes lie beside it",
+            "a revision shares the older table of keys and stores only changed keys",
             measured,
-            "the copy of the settings' dictionaries; 45,000 changes a day",
+            "each of 45,000 changes a day copies the dictionaries of all settings",
         ),
     ]
 
 
 def _member_rows(members, bad_days) -> list[Row]:
-    measured = f"{members['measured_nodes']:.0f} nodes of state, one member"
+    measured = f"one member with the records of {members['measured_nodes']:.0f} nodes"
     cap = LIMITS.control_bytes_per_s
     changes_per_s = (cap - members["sent_bytes_per_s_quiet"]) / members[
         "sent_bytes_per_change"
@@ -226,7 +226,7 @@
             "% of a core",
             LIMITS.control_cpu_percent,
             members["cpu_percent"],
-            "news of what changed; digests by bucket; services indexed when asked for",
+            "sends only changes; compares digests; caches the placements of services",
             measured,
             f"scans of all nodes: {members['cpu_percent_per_1000_nodes']:.2g}% for"
             " each 1,000 nodes",
@@ -237,10 +237,10 @@
             "bytes/s",
             cap,
             members["sent_bytes_per_s"],
-            "news passed on a number of times that grows with the logarithm; a cap",
+            "transmissions of an item by a node grow with log(nodes); byte cap",
             measured,
-            f"changes: {members['sent_bytes_per_change']:.0f} bytes each;"
-            f" the cap carries {changes_per_s:.1f} a second",
+            f"record changes: {members['sent_bytes_per_change']:.0f} bytes each; the"
+            f" byte cap allows {changes_per_s:.1f} changes/s",
         ),
         Row(
             "member",
@@ -248,19 +248,19 @@
             "% of a core",
             LIMITS.control_cpu_percent,
             bad_days["zone_lost_cpu_percent"],
-            "claims of death pass on before all else",
-            f"250 nodes lost, for {bad_days['zone_lost_settled_s']:.0f} s",
-            "each claim scans all nodes; next: count the nodes of a region once",
+            "verdicts on dead nodes are sent before routine news",
+            f"250 nodes lost, over {bad_days['zone_lost_settled_s']:.0f} s",
+            "each death rebuilds the list of all live nodes",
         ),
         Row(
             "member",
-            "bytes sent while a zone is back",
+            "bytes sent after a zone has returned",
             "bytes/s",
             cap,
             bad_days["zone_back_sent_bytes_per_s"],
-            "the cap; urgent news first",
+            "byte cap; urgent news is sent first",
             "250 nodes, 6,250 backend servers",
-            f"the time: {bad_days['zone_back_settled_s']:.0f} s until all is told",
+            f"the time until all news is sent: {bad_days['zone_back_settled_s']:.0f} s",
         ),
     ]
 
@@ -274,38 +274,38 @@
     return [
         Row(
             "settings reader",
-            "processor: 45,000 changes a day, and polls",
+            "processor for 45,000 changes a day and for polls",
             "% of a core",
             LIMITS.control_cpu_percent,
             cpu_percent + reader_percent,
-            "a change decodes its own documents and copies the dictionaries",
+            "decodes the changed documents; copies the dictionaries of all settings",
             measured,
-            f"the copies: {settings['change_cpu_ms_per_1000_routes']:.2g} ms a change"
-            " for each 1,000 routes",
+            f"copied dictionaries: {settings['change_cpu_ms_per_1000_routes']:.2g} ms"
+            " per change for each 1,000 routes",
         ),
         Row(
             "node",
-            "control in all: processor on an ordinary day",
+            "processor for membership and settings on an ordinary day",
             "% of a core",
             LIMITS.control_cpu_percent,
             processes["idle_cpu_percent"]
             + members["cpu_percent"]
             + cpu_percent
             + reader_percent,
-            "as member and settings reader, and the timers of an idle process",
+            "sum for the member, the settings reader and the timers of an idle process",
             measured,
-            f"an idle process's timers: {processes['idle_cpu_percent']:.2g}%",
+            f"timers of an idle process: {processes['idle_cpu_percent']:.2g}%",
         ),
         Row(
             "node",
-            "control in all: bytes sent on an ordinary day",
+            "bytes sent for membership and settings on an ordinary day",
             "bytes/s",
             LIMITS.control_bytes_per_s,
             members["sent_bytes_per_s"] + sent_bytes_per_s,
-            "one cap over both; a change travels to each node once",
-            "5,600 nodes of state; message sizes",
-            f"fresh connections: {settings['change_sent_bytes']:,.0f} bytes a change,"
-            " 400 for each of 7 connections; next: tell the member's neighbours",
+            "byte caps on member and settings messages; a node pulls a change once",
+            "member with the records of 5,600 nodes; sizes of settings messages",
+            f"new connections: {settings['change_sent_bytes']:,.0f} bytes a change, of"
+            " which 400 for each of 7 connections; next: notify connected peers",
         ),
     ]
 
@@ -315,30 +315,30 @@
     processes = in_force["processes"]
     measured = (
         f"{processes:.0f} processes (p99 of the last node"
-        f" {in_force[f'last_of_{processes:.0f}_p99_ms']:.0f} ms); spread tasks of"
-        f" {LONG_RUN.nodes:,} nodes in one process"
+        f" {in_force[f'last_of_{processes:.0f}_p99_ms']:.0f} ms); settings gossip of"
+        f" {LONG_RUN.nodes:,} nodes, simulated in one process"
     )
-    mechanism = "two readers a zone poll; each node tells five; members' messages too"
+    mechanism = "two readers per zone poll; notices to five peers; member messages"
     return [
         Row(
             "settings reader",
-            "in force everywhere, an ordinary day",
+            "time until a change is in force on all nodes, ordinary day",
             "s",
             LIMITS.in_force_s,
             poll_s + in_force["spread_to_all_5600_s"],
             mechanism,
             measured,
-            "nodes that all notices missed",
+            "nodes that no notice reached: they wait for a member message",
         ),
         Row(
             "settings reader",
-            "in force everywhere, a fleet without other news",
+            "time until a change is in force on all nodes, without membership news",
             "s",
             LIMITS.in_force_s,
             poll_s + in_force["spread_to_all_5600_quiet_s"],
             mechanism,
             measured,
-            "the same, hearing two messages a second; 99 in 100 have it after"
+            "nodes that no notice reached, at two member messages/s; 99% updated after"
             f" {poll_s + in_force['spread_to_99_percent_of_5600_s']:.1f} s; next: one"
             " more notice from each node",
         ),
@@ -359,19 +359,19 @@
             "reads/s",
             LIMITS.platform_reads_per_s,
             reader_reads_per_s + other_reads_per_s + edit_reads_per_s,
-            "two readers a zone; all others look once a minute",
+            "two readers per zone poll often; all other nodes poll once a minute",
             "by count from the intervals",
-            "nothing that grows with the nodes but one look a minute",
+            "only the polls once a minute grow with the number of nodes",
         ),
         Row(
             "platform tables",
-            "reads when each node believes itself alone",
+            "reads when each node sees no other live node",
             "reads/s",
             LIMITS.platform_reads_per_s,
             isolated_reads_per_s,
-            "a reader that sees fewer nodes polls as much more slowly, to 3 s",
+            "a reader that sees fewer nodes lengthens its poll interval, up to 3 s",
             "by count from the intervals",
-            "6,000 nodes: the bound of 3 s would have to grow",
+            "more than 6,000 nodes: they would need a poll interval of over 3 s",
         ),
         Row(
             "platform tables",
@@ -379,10 +379,10 @@
             "writes/s",
             LIMITS.platform_writes_per_s,
             SETTINGS_CHANGES_PER_S * WRITES_PER_EDIT,
-            "one transaction of four rows a change",
+            "each change writes four rows in one transaction",
             "by count",
-            f"a team's row ({row_bytes / 1000:.0f} kB) is written whole at each change;"
-            " all changes check the one row of the revision",
+            f"each change rewrites its team's whole row ({row_bytes / 1000:.0f} kB);"
+            " all changes check and write a single row, the fleet's revision",
         ),
         Row(
             "platform tables",
@@ -390,8 +390,8 @@
             "writes/s",
             LIMITS.platform_writes_per_s,
             LONG_RUN.requests_per_s * KEYED_REQUESTS_FRACTION,
-            "one row written for each key; beyond that refused with not_run",
+            "one row per key; a request whose row is not written gets not_run",
             "by count",
-            "next: a home gate for each key, and a row only where the home changes",
+            "writes; next: one gate for each key, and a row only if the gate changes",
         ),
     ]
--- a/bench/detection.py
+++ b/bench/detection.py
@@ -119,7 +119,7 @@
 
 
 def all_settings() -> list[Setting]:
-    """Return the points of all detectors' curves."""
+    """Return every detector with each of its parameter values to simulate."""
     return [
         *(Setting("sequential", (threshold,)) for threshold in THRESHOLDS),
         *(Setting("consecutive", (limit,)) for limit in CONSECUTIVE_LIMITS),
--- a/bench/health_cost.py
+++ b/bench/health_cost.py
@@ -36,7 +36,10 @@
 
 
 def main() -> None:
-    """Print the processor time of a request and of a tick, and of all at full load."""
+    """Print the processor times of a request and of a tick, and their sum at full load.
+
+    The sum is the fraction of one core that all requests and ticks of the node use.
+    """
     servers = LocalBackendServers()
     for number in range(SERVERS):
         servers.announce(
--- a/bench/latency.py
+++ b/bench/latency.py
@@ -206,7 +206,10 @@
 
 
 def main(
-    rounds: int = typer.Option(6, help="Measurements of 0.5 s for each way."),
+    rounds: int = typer.Option(
+        6,
+        help="Rounds, each with 0.5 s of calls directly, via one and via two nodes.",
+    ),
     rate_per_s: float = typer.Option(320.0, help="Requests per second."),
     as_json: bool = typer.Option(False, "--json", help="Print JSON."),
     check: bool = typer.Option(
--- a/examples/demo.py
+++ b/examples/demo.py
@@ -112,7 +112,8 @@
     else:
         raise DemoFailed(f"{faulty['name']} still receives requests")
     print_line(
-        f"  left out after {number + 1} requests; {failed} callers received its error"
+        f"  after {number + 1} requests to its service, the backend server is held out;"
+        f" {failed} of the requests returned an error to the caller"
     )
     show("ctl", "explain", faulty["service"], "--node", near_node["admin_address"])
     show(
