--- a/balsamspindle/backend_servers/health_monitor.py
+++ b/balsamspindle/backend_servers/health_monitor.py
@@ -56,7 +56,7 @@
         self.previous_start_id: int | None = None
 
     def needs_peer_evidence_from(self, other: "_MonitoredServer") -> bool:
-        """Return whether to record peer summaries for `other` for this server, too.
+        """Return whether peer summaries sent for `other` also apply to this server.
 
         True if this server is held out and belongs to the service of `other`.
         """
--- a/balsamspindle/backend_servers/health_readmission.py
+++ b/balsamspindle/backend_servers/health_readmission.py
@@ -20,11 +20,11 @@
 __all__ = ["HealthPhase", "Readmission"]
 
 GROWTH_EXPONENT_MAX = 20
-# This many passed probes in a row halve the length of a hold-out, or end a trial in
-# which no request arrived.
+# This many passed probes in a row halve the length of a hold-out, or end a trial as
+# described at `TRIAL_IDLE_MIN_S`.
 PROBES_TO_SHORTEN = 3
-# Passed probes end a trial only after it has lasted this long, and only if no request
-# has ended during it.
+# Passed probes end a trial only if the trial has lasted this long, and no request has
+# ended as good or bad during the trial.
 TRIAL_IDLE_MIN_S = 10.0
 
 
@@ -89,7 +89,7 @@
         self._enter(HealthPhase.ON_TRIAL, now_s)
 
     def record_work(self, good: bool) -> bool:
-        """Count an ended request, and return whether it completes a passed trial.
+        """Count an ended request, and return whether the trial is now passed.
 
         A bad request also resets the number of probes passed in a row. The result is
         False if the backend server is not on trial.
--- a/balsamspindle/backend_servers/health_work.py
+++ b/balsamspindle/backend_servers/health_work.py
@@ -41,8 +41,8 @@
 # needed because thread switches make the duration of errors vary.
 OUTLASTED_FACTOR = 4.0
 OUTLASTED_MIN_S = 0.02
-# After each error, the recorded duration is the error's own duration, or this fraction
-# of the duration recorded before, whichever is longer.
+# Each error sets the recorded duration of errors to its own duration, or to this
+# fraction of the previously recorded duration, whichever is longer.
 ERROR_DURATION_DECAY = 0.5
 # Keys of `WorkScore.evidence` that count slow or good requests, not errors.
 SLOW_EVIDENCE = {
@@ -116,8 +116,8 @@
         """Return whether any attempt in flight has run longer than errors usually take.
 
         Only attempts begun at or after `since_s` count. A sick backend server returns
-        errors within a millisecond, so a longer attempt will probably succeed. If the
-        trial waited for its answer, the other slots would stay unused until the answer.
+        errors within a millisecond, so a longer attempt will probably succeed. If a
+        trial waited for this attempt's answer, other slots would be unused until then.
         """
         lasts_s = max(OUTLASTED_MIN_S, OUTLASTED_FACTOR * self._error_duration_s)
         return any(
@@ -160,8 +160,8 @@
         If so, the ejection can be undone without a full trial of five requests. When
         all servers are slow, the server on trial gets about 4 of 100 requests. At 4
         requests a second in the service, a full trial would take half a minute. The
-        fraction of bad peers does not show the slowness: the peers' percentiles have
-        adapted to the higher latency by then, so slow peers no longer count as bad.
+        fraction of bad peers does not show the slowness: when a trial begins, the
+        peers' percentiles have adapted to it, so slow peers no longer count as bad.
         """
         if not self._slowest_counted_ms or self.evidence.keys() - SLOW_EVIDENCE:
             return False
@@ -234,7 +234,7 @@
         self._peers.mark_p99_stale()
         if self.detection.independent_errors:
             # One error adds the whole threshold, so it ends the trial even at score 0.
-            # At a higher score, one slow answer could also end the trial.
+            # If the score began above 0, one slow answer could end the trial, too.
             self._set_score(0.0)
             return
         increments = (
@@ -328,11 +328,11 @@
     def _is_outside_last_pause(self, attempt: _InFlight, now_s: float) -> bool:
         """Return whether an attempt was slow for a reason other than the last pause.
 
-        The pause delayed any attempt that began at the same moment as the last counted
-        one. The two may end at different times, because threads wait differently long
-        for a processor. For other attempts, there are two cases of another reason:
-        a good request ended after the pause and before the attempt began, or a good
-        request began after the attempt and ended before it. In the second case, a pause
+        If the attempt began at the same moment as the last attempt counted as slow, the
+        pause delayed both, even if they end at different times: threads wait for a
+        processor for different times. For any other attempt, a good request can prove
+        another reason in two ways. It ended after the pause and before the attempt
+        began. Or it began after the attempt and ended earlier than the attempt: a pause
         would have delayed both. Ends at the same moment prove nothing, because all
         requests end together at the end of a pause.
         """
--- a/balsamspindle/backend_servers/hold_outs.py
+++ b/balsamspindle/backend_servers/hold_outs.py
@@ -5,7 +5,8 @@
 fails if it begins while the backend server is still sick, and each failed trial costs a
 caller one retry. Longer hold-outs avoid such trials. However, a zone has fewer slots
 while a backend server is held out. In a zone with few backend servers of the service,
-requests would then have to go to other zones. Hold-outs are not made longer there.
+requests would then have to go to other zones. Therefore hold-outs are not made longer
+in such a zone.
 """
 
 from collections.abc import Callable
--- a/balsamspindle/backend_servers/ledger.py
+++ b/balsamspindle/backend_servers/ledger.py
@@ -68,10 +68,10 @@
     """Records the keys whose requests ran at this gate, and the answers.
 
     The claim of a key names the only gate, and the only incarnation of that gate, that
-    may run the key's request. If the claim is younger than `KEY_RETENTION_S` and the
-    ledger has no entry for the key, the request never ran, because its entry could not
-    have expired yet. If the claim is older, the request may have run, so its outcome is
-    `unknown`.
+    may run the key's request. If the ledger has no entry for the key and the claim is
+    younger than `KEY_RETENTION_S`, the request never ran: its entry could not have
+    expired yet. If the claim is older, the request may have run and its entry may have
+    expired, so the outcome is `unknown`.
 
     Parameters
     ----------
@@ -165,7 +165,7 @@
         claim = dispatch.claim
         if claim is None or claim[:2] != (self._node_id, self._incarnation):
             # The claim belongs to another gate, or to an earlier incarnation of this
-            # gate: the key may have run there.
+            # gate: the request may have run there.
             return KeyRefused(Outcome.UNKNOWN, Reason.DUPLICATE)
         if now_s - claim.gate_time_s >= KEY_RETENTION_S:
             return KeyRefused(Outcome.UNKNOWN, Reason.DUPLICATE)
--- a/balsamspindle/backend_servers/lifetimes.py
+++ b/balsamspindle/backend_servers/lifetimes.py
@@ -129,7 +129,7 @@
             self._emit("backend_server_leaving", server_id, cause)
 
     def record_misdirected(self, server_id: str) -> None:
-        """Record that a request for this backend server reached a different one."""
+        """Drain a backend server after a request for it reached a different one."""
         self.record_leave(server_id, "another backend server has its address")
 
     def _ignore_cause(
--- a/balsamspindle/backend_servers/link_server.py
+++ b/balsamspindle/backend_servers/link_server.py
@@ -37,8 +37,8 @@
 MESSAGES_PER_POLL_MAX = 1000
 STOP_TIMEOUT_S = 5.0
 LINGER_MS = 2000
-# How long the connections stay open after the last reply. A peer discards a reply that
-# it reads together with the end of the connection.
+# How long the connections stay open after the last reply. Otherwise this reply could be
+# lost: a peer discards a reply that it reads together with the end of the connection.
 LAST_REPLY_DELAY_S = 0.05
 # Maximum number of attempts handled at the same time, equal to the number of the
 # executor's threads. Further attempts would wait in the executor's queue, which is
--- a/balsamspindle/backend_servers/retry_grants.py
+++ b/balsamspindle/backend_servers/retry_grants.py
@@ -5,10 +5,10 @@
 A service's retry budget includes a fixed number of retries that does not depend on the
 request rate. This number is divided among the nodes that grant retries. If every node
 of a fleet of 35 granted retries, each node would get less than two of them. Nodes that
-need no retries would leave theirs unused while other nodes refuse retries. Therefore
-only gates grant repeats. A service has only a few gates, and every repeat arrives at
-one of them. A gate that has used up its retries refuses the repeat, which is then sent
-to the next gate.
+need no retries would leave their portion unused while other nodes refuse retries.
+Therefore only gates grant repeats. A service has only a few gates, and every repeat
+arrives at one of them. A gate that has used up its retries refuses the repeat, which is
+then sent to the next gate.
 
 When a backend server runs a repeat, it also makes its own calls to other services
 again. At those services the calls look like new requests. The calling backend server's
--- a/balsamspindle/backend_servers/servers.py
+++ b/balsamspindle/backend_servers/servers.py
@@ -85,7 +85,7 @@
         self.suspicion = 0.0
 
     def cancel_runs(self) -> None:
-        """Cancel all running attempts because the backend server has restarted.
+        """Mark the backend server as restarted, and cancel all running attempts.
 
         A backend server that loses power does not reset its connections, so attempts
         would wait until their deadline for an answer that cannot come. If the attempts
@@ -153,7 +153,8 @@
     ) -> bool:
         """Record an announcement; return True if it differs from the last one.
 
-        It differs at a start or restart, or when a field such as `slots` changed.
+        It differs at a start or restart, or when a field such as `slots` changed. At a
+        restart, the attempts that run at the backend server are also cancelled.
         """
         with self.changed:
             server = self._servers.get(backend_server_id)
--- a/balsamspindle/backend_servers/slots.py
+++ b/balsamspindle/backend_servers/slots.py
@@ -20,10 +20,11 @@
 # slot idle for 80% of the time while lighter requests are refused.
 LOAD_ROUNDING = 0.7
 # Heavier requests are assumed to leave at least this many slots to lighter requests.
-# The expected wait of lighter requests is inversely proportional to these slots. The
-# average load is accurate only to a few tenths of a slot. Without this minimum, the
-# expected wait would be far too long, infinite or negative when the average load is
-# close to the number of slots or above it.
+# The expected wait of a lighter request is inversely proportional to the number of
+# slots that the average load of heavier requests leaves. The average load is accurate
+# only to a few tenths of a slot. Without this minimum, the expected wait would be far
+# too long, infinite or negative if the average load is close to the number of slots or
+# above it.
 EFFECTIVE_SLOTS_MIN = 0.25
 # Bounds of the time for which a slot stays occupied after `WorkEnd.IN_DOUBT`.
 RELEASE_DELAY_MIN_S = 0.1
@@ -35,8 +36,8 @@
 
     # Finished with an answer; its duration counts as a service time.
     ANSWERED = "answered"
-    # The backend server does not work on the attempt any more, or never did: it refused
-    # the request, answered with an error, or the connection broke.
+    # The backend server does not work on the attempt any more, or never did. It refused
+    # the request or answered with an error, or the connection failed or broke.
     DONE = "done"
     # The backend server may still be working on the attempt.
     IN_DOUBT = "in_doubt"
@@ -92,11 +93,11 @@
 class SlotAccount:
     """Counts the slots of a backend server that are, or may still be, in use.
 
-    An attempt that ended without an answer (timed out, cancelled, broken) may still
-    run at the backend server. Its slot therefore stays occupied for as long again as
-    the attempt has run, within `RELEASE_DELAY_MIN_S` and `RELEASE_DELAY_MAX_S`. If the
-    slot were freed at once, a hanging backend server would get a new request for each
-    one that timed out, and soon run far more requests than it has slots. If the slot
+    An attempt that ended without an answer (timed out or cancelled) may still run at
+    the backend server. Its slot therefore stays occupied for as long again as the
+    attempt has run, within `RELEASE_DELAY_MIN_S` and `RELEASE_DELAY_MAX_S`. If the slot
+    were freed at once, a hanging backend server would get a new request for each one
+    that timed out, and soon run far more requests than it has slots. If the slot
     were never freed, the backend server would permanently lose a slot with each lost
     answer. A backend server that stops work on a cancelled or late request within this
     delay never runs more requests than it has slots.
