--- a/bench/deployments.py
+++ b/bench/deployments.py
@@ -9,10 +9,11 @@
 free ports of this machine. All processes run on this machine, so the figures contain no
 latency between availability zones.
 
-Each scenario injects its fault into a backend server of each service that had no fault
-in the earlier scenarios. A backend server that was ejected in an earlier scenario may
-still be held out, because hold-outs double with each ejection. Its ejection is not
-counted as a false ejection.
+If a scenario has a fault of backend servers, one backend server of each service has the
+fault. Each scenario uses a different backend server. A backend server that was ejected
+in an earlier scenario may still be held out at the start of a later scenario, because
+hold-outs double with each ejection. In the later scenario, its ejection is not counted
+as a false ejection.
 """
 
 import json
@@ -44,11 +45,13 @@
 DEPLOYMENTS = ("association", "kelvale")
 WORKERS = 200
 # A backend server counts as held out when it receives no request for HELD_OUT_GAP_S. At
-# 3 requests/s, a backend server in use is unlikely to receive none for so long. The
-# shortest hold-out (2.5 s, when probes shorten it) is longer, so none is overlooked.
+# 3 requests/s, a backend server in use is unlikely to receive none for so long. Even a
+# hold-out that probes have shortened lasts at least 2.5 s. This is longer than
+# HELD_OUT_GAP_S, so every hold-out is noticed.
 REQUESTS_PER_S_PER_BACKEND_SERVER = 3.0
 HELD_OUT_GAP_S = 2.0
-# Fraction of a service's requests that each route but the first receives.
+# Fraction of a service's requests that each of its routes receives, except the first
+# route. The first route receives the remaining requests.
 LATER_ROUTE_FRACTION = 0.3
 RUN_S = 20.0
 FAULT_START_S, FAULT_END_S = 4.0, 16.0
@@ -86,8 +89,8 @@
         Index of the faulty backend server within its service. It differs between
         scenarios, so that no backend server has a fault in two scenarios.
     flap_period_s : float or None
-        The fault is on for the first half of each such period and off for the second
-        half. None for a constant fault.
+        Length of the periods of a fault that is on for the first half of each period
+        and off for the second half. None for a constant fault.
     platform : dict or None
         Fault of the platform: the body of ``POST /faults`` to the stand-in platform.
         None for no fault.
@@ -316,7 +319,7 @@
 def _remove_earlier_ejections(report: Report, held_out_before: set[str]) -> Report:
     """Return the report without false ejections caused by an earlier scenario.
 
-    These are the ejections of the backend servers in `held_out_before`.
+    The backend servers in `held_out_before` were ejected in an earlier scenario.
     """
     false = [
         ejection
@@ -330,7 +333,7 @@
 def _format_markdown(name: str, reports: dict[str, Report]) -> str:
     titles = (
         "scenario | sent | answered, weighted | not_run | unknown | no answer"
-        " | worst kind's p99 ms | detected s | held out s | requests during fault"
+        " | highest p99 ms of a kind | detected s | held out s | requests during fault"
         " | false ejections | violated guarantees"
     )
     lines = [f"| {titles} |", "|" + " --- |" * (titles.count("|") + 1)]
--- a/bench/detection.py
+++ b/bench/detection.py
@@ -49,7 +49,11 @@
 
 
 class Setting(NamedTuple):
-    """A detector and its parameters: one point of the detector's curve."""
+    """A detector with one set of values for its parameters.
+
+    The detection times and false ejections that are measured with a setting are one
+    point of the detector's curve.
+    """
 
     detector: str
     parameters: tuple[float, ...]
@@ -229,9 +233,11 @@
 def _print_comparison(figures: list[Figures]) -> None:
     """Compare each setting of the baselines with the project's detector.
 
-    Prints two settings of the project's detector for each: the fastest of those that
-    have at most the baseline's rate of false ejections, and the one with the fewest
-    false ejections of those that detect faults at least as fast as the baseline.
+    For each setting of a baseline, prints two settings of the project's detector:
+
+    - the fastest setting with at most the baseline's rate of false ejections
+    - the setting with the fewest false ejections among the settings whose median
+      detection time is at most the baseline's
     """
     sequential = [point for point in figures if point.setting.detector == "sequential"]
     first_s = figures[0].first_request_s
--- a/bench/detection_traces.py
+++ b/bench/detection_traces.py
@@ -44,7 +44,8 @@
     weight : float
         Value of one answered request.
     idempotent_fraction : float
-        Fraction of the requests that are idempotent: a look-up is, a signature isn't.
+        Fraction of the requests that are idempotent. For example, look-ups are
+        idempotent and signatures are not.
     """
 
     name: str
--- a/bench/membership.py
+++ b/bench/membership.py
@@ -100,7 +100,7 @@
 def measure_news_delay(network, nodes) -> float:
     """Drain a backend server; return the seconds until all nodes know of the drain.
 
-    Infinite if a node does not know of it after 120 s.
+    Infinite if a node does not know of the drain after 120 s.
     """
     source = nodes[len(nodes) // 2]
     first, *others = source.servers
@@ -134,10 +134,10 @@
 
 
 def measure_join(network, nodes) -> dict:
-    """Return the seconds that a joining node takes to learn of all backend servers.
+    """Return the seconds until a joining node knows all backend servers.
 
-    Infinite if it takes over 240 s. Also returns the bytes that the joining node
-    receives for each backend server.
+    Infinite if the node does not know all of them after 240 s. Also returns the bytes
+    that the joining node receives for each backend server.
     """
     joiner = network.add(len(nodes) + 1, "zone-0", seeds=nodes[1:3])
     started_s = network.now_s
@@ -249,7 +249,11 @@
 
 
 def measure_join_at_size(nodes: int) -> dict:
-    """Return how fast a joining node learns of all nodes in a fleet of this size.
+    """Return the bytes and durations of a node's join to a fleet of this size.
+
+    The durations are the seconds until the joining node knows 50 %, 90 %, 99 % and all
+    of the nodes. A duration is infinite if the node takes over 600 s for its last step,
+    as from 50 % to 90 %. The bytes are those that the node receives and sends.
 
     `ANSWERING_NODES` members have all nodes of a synthetic fleet in their directories.
     Messages to any address of the fleet reach one of these members. Each answers within
--- a/bench/settings.py
+++ b/bench/settings.py
@@ -226,7 +226,12 @@
 
 
 def edits(teams: int, gap_s: float, edits_per_team: int) -> dict[str, Any]:
-    """Measure edits of several teams at once, which contend for one revision row."""
+    """Measure edits of several teams at the same time.
+
+    Each edit updates the row of the fleet's revision, so edits of different teams
+    conflict. The result includes the number of refused edits, the platform's reads and
+    writes per edit, and the durations of accepted edits.
+    """
     platform = PlatformServer(SEED)
 
     def edit(number: int) -> list[float | None]:
--- a/bench/settings_full_size.py
+++ b/bench/settings_full_size.py
@@ -64,11 +64,12 @@
 
 
 def measure_fan_out(count: int) -> dict[str, Any]:
-    """Count the messages of one change among this number of nodes, without sockets.
+    """Simulate how one change spreads among `count` nodes, without sockets.
 
-    Only notices and pulls are simulated and counted. In a real fleet, a node that no
-    notice reaches would learn the revision from the next message between members. Bytes
-    are those of the payload, without the envelope.
+    Returns the percentage of the nodes that notices reach, and the bytes and messages
+    that a node receives. Only notices and pulls are simulated and counted. In a real
+    fleet, a node that no notice reaches would learn the revision from the next message
+    between members. Bytes are those of the payload, without the envelope.
     """
     network = Network(count, zones=FLEET_ZONES)
     for configuration in network.configurations:
@@ -165,7 +166,8 @@
 def measure_change() -> dict[str, float]:
     """Measure one change and a rebuild of the whole configuration, at full size.
 
-    Processor times, resident memory and the size of the settings pages.
+    Returns processor times, the resident memory of the configuration, and the number
+    and sizes of the settings pages.
     """
     rng = random.Random(SEED)
     before_mb = _resident_mb()
