--- a/balsamspindle/requests/heads.py
+++ b/balsamspindle/requests/heads.py
@@ -194,7 +194,7 @@
             _add_control_header(lower, value, control_headers, rules.single)
         # A header is also removed if its name differs from a removed header's name only
         # by "_" in place of "-". Some frameworks treat "_" and "-" alike and would read
-        # the header as one of the fleet's.
+        # it as a header of the fleet.
         if lower.replace("_", "-") not in rules.removed:
             headers.append((name, value))
     if "connection" in control_headers:
--- a/balsamspindle/requests/ingress.py
+++ b/balsamspindle/requests/ingress.py
@@ -53,7 +53,9 @@
     ----------
     on_failure : callable
         Called after each failed request, with the current monotonic time.
-    customers : CustomerAdmission, default=no proofs needed, no limits enforced
+    customers : CustomerAdmission
+        Admits or refuses requests. By default, customers' keys need no proof, and
+        limits are not enforced.
 
     Attributes
     ----------
--- a/balsamspindle/requests/link_attempts.py
+++ b/balsamspindle/requests/link_attempts.py
@@ -178,8 +178,9 @@
     ) -> SentAttempt | None:
         """Return the attempt to park; None if none has to be parked.
 
-        An attempt is parked if it is the only one without a reply, its gate reported
-        that it may stop first, no other attempt was answered, and `_may_park` is True.
+        An attempt is parked if it is the only one without a reply, its gate has sent
+        the notice that the attempt may not finish, no other attempt was answered, and
+        `_may_park` returns True.
         """
         replies = {} if waited is None else waited.replies
         unanswered = [sent for sent in attempts if sent.link not in replies]
@@ -374,11 +375,11 @@
     ) -> None:
         """Release the links of attempts that got replies; end the other attempts.
 
-        If no attempt is parked and one was answered, the link of an attempt without a
+        If an attempt was answered and none is parked, the link of an attempt without a
         reply is closed, but the attempt is not cancelled. Its gate can then measure the
         run and detect a backend server that hangs. Otherwise, the attempt is cancelled.
-        If one is parked, the attempt may just have started, long after the parked one:
-        its missing reply does not indicate a slow backend server.
+        If one is parked, the unanswered attempt may just have started, long after the
+        parked one. Its missing reply does not indicate a slow backend server.
         """
         replies = {} if waited is None else waited.replies
         may_continue = is_answered(waited) and not forwarded.parked
--- a/balsamspindle/requests/links.py
+++ b/balsamspindle/requests/links.py
@@ -123,10 +123,10 @@
     ) -> bool:
         """Return whether the link works in both directions.
 
-        Exchanges a greeting with the gate, unless a message arrived within
-        `CHECK_VALID_S`. A broken link may still look open, and a request sent over it
-        would end as `unknown`. If this check fails, the request is not sent over the
-        link, so it did not run.
+        Exchanges a greeting with the gate if the gate's last message is older than
+        `CHECK_VALID_S`. Without this check, a request could be sent over a broken link
+        that still looks open, and the request's outcome would be `unknown`.
+        If the check fails, the request is not sent over the link and has not run.
         """
         if now_s - self._last_received_s < CHECK_VALID_S[execution]:
             return self.connected()
--- a/balsamspindle/requests/placement_selection.py
+++ b/balsamspindle/requests/placement_selection.py
@@ -170,9 +170,10 @@
                 search.near_tries += 1
                 return self._select_freest(near, excluded, 0.0, now_s)
             case Step.NEAR_QUEUE:
-                # The total wait in all queues of the own zone is limited. Without this
-                # limit, a request could spend half of its time in several queues in
-                # turn, all longer than reported, while other zones have free slots.
+                # The total wait in all queues of the own zone is limited. Waits may be
+                # longer than reported. Without this limit, a request could spend half
+                # of its time in several such queues in turn, while other zones have
+                # free slots.
                 near_ms = _remaining_near_wait_ms(search, wait_ms, now_s)
                 return self._select_shortest_queue(near, near_ms, search)
             case Step.FAR if search.far_tries < FAR_TRIES_MAX:
--- a/balsamspindle/requests/reply_wait.py
+++ b/balsamspindle/requests/reply_wait.py
@@ -30,7 +30,7 @@
 
 @dataclass(frozen=True)
 class WaitOptions:
-    """Conditions that end a wait for replies, and callbacks for events during it.
+    """Conditions that end a wait for replies, and callbacks for events in the wait.
 
     Attributes
     ----------
@@ -43,7 +43,7 @@
         Returns whether the caller closed its connection.
     on_dropped : callable
         Called each time a message is dropped because it is not a reply to the attempt.
-        Gets a text that says what was wrong with the message.
+        The argument is a text that states the fault of the message.
     is_aborted : callable, default=never
         Returns whether this node has aborted all waits for replies.
     node_ends_s : callable, default=infinity
--- a/balsamspindle/requests/request_log.py
+++ b/balsamspindle/requests/request_log.py
@@ -29,7 +29,7 @@
     def received(
         self, request_id: str, request: CallerRequest, content_hash: int
     ) -> None:
-        """Log a received request, and its content hash if its body was read."""
+        """Log a received request; include its content hash if its body was read."""
         self._events.emit(
             "request_received",
             request=request_id,
--- a/balsamspindle/requests/siblings.py
+++ b/balsamspindle/requests/siblings.py
@@ -52,7 +52,11 @@
 
 
 class _RouteState:
-    """A route's last request, and the fraction that arrive with the previous one."""
+    """A route's last request, and its fraction of requests that arrive together.
+
+    `grouped_fraction` is the average fraction of requests that got the rank of the
+    route's previous request; `SMOOTHING_FACTOR` explains the average.
+    """
 
     def __init__(self) -> None:
         self.arrived_s = float("-inf")
@@ -77,7 +81,7 @@
         deadline. These two requests are probably calls that a backend server made for
         one request. The delay is 0 if fewer than `GROUPED_FRACTION_MIN` of the route's
         requests arrive together with the previous one. `RANK_SPREAD` explains the due
-        time.
+        time. Each call updates the state of the route.
 
         Parameters
         ----------
--- a/balsamspindle/requests/zone_hints.py
+++ b/balsamspindle/requests/zone_hints.py
@@ -66,8 +66,8 @@
         """Share a hold-out of another zone's backend server with nodes of this zone.
 
         Does nothing if the backend server is not held out, or if its node `node` is in
-        this zone. Nor is a hold-out shared again that was extended by less than
-        `EXTENSION_MIN_MS`.
+        this zone. An extension of a hold-out by less than `EXTENSION_MIN_MS` is not
+        shared either.
         """
         held_out_ms = held_out.held_out_ms
         if not held_out_ms or node.availability_zone == self._own.availability_zone:
