--- a/balsamspindle/requests/admission_queries.py
+++ b/balsamspindle/requests/admission_queries.py
@@ -11,8 +11,8 @@
 the own zone. Gates of a busy service refuse three of four attempts. Without queries,
 refused attempts with bodies of 60 KB would fill a quarter of each gate's link of
 10 Mbit/s. These attempts would delay queries and short requests by a quarter of a
-second. This is as long as an ingress waits for the answer to a query
-(`QUERY_TIMEOUT_S`). The ingress would then consider the gate unreachable.
+second. An ingress waits only that long for the answer to a query (`QUERY_TIMEOUT_S`).
+Without an answer in that time, the ingress would consider the gate unreachable.
 """
 
 import itertools
@@ -36,9 +36,9 @@
 
 __all__ = ["DeclinedAttempt", "AdmissionQueries"]
 
-# A gate is always queried before a body of at least this size is sent to it. On a
-# 10 Mbit/s link a body of this size takes as long as a query and its answer within a
-# zone, including the processing at both ends.
+# A gate is always queried before a body of at least this size is sent to it. The
+# transfer of a body of this size over a 10 Mbit/s link takes as long as a query and its
+# answer within a zone, including the processing at both ends.
 LARGE_BODY_BYTES = 8 * 1024
 # How long an ingress waits for the answer to a query: enough for several round trips.
 # The gate itself needs almost no time to answer.
@@ -85,10 +85,11 @@
 
         Before an attempt with a large body, a query is always sent. Before other
         attempts, a query is sent only if the attempt looks for a free slot in another
-        zone and is not a last-resort attempt. All others are sent without a query, for
-        three reasons. Traffic within the own zone is free. Last-resort attempts are
-        rarely refused. An attempt that may wait in a gate's queue is refused only after
-        its wait, so the answer to a query would not predict the refusal.
+        zone and is not a last-resort attempt. All other attempts are sent without a
+        query, for three reasons. Traffic within the own zone is free. Last-resort
+        attempts are rarely refused. An attempt that may wait in a gate's queue is
+        refused only after its wait, so the answer to a query would not predict the
+        refusal.
         """
         if len(forwarded.request.body) >= LARGE_BODY_BYTES:
             return True
--- a/balsamspindle/requests/admissions.py
+++ b/balsamspindle/requests/admissions.py
@@ -41,12 +41,12 @@
                 return refused
 
     def refuse_on_head(self, request: CallerRequest, now_s: float) -> Refused | None:
-        """Return a request's refusal before its body is read; None if it is admitted.
+        """Return why a request is refused before its body is read; None if it is not.
 
-        This method does not count the request against its customer's limit; `admit` is
-        called again when the body has arrived. If requests were counted when their
-        heads arrive, many bodies could arrive later at the same time. The requests
-        would then run at the same time and together exceed the limit.
+        This method does not count the request against its customer's limit. The ingress
+        calls `admit` when the body has arrived. If requests were counted when their
+        heads arrive, the bodies of many counted requests could arrive at the same time.
+        These requests would then run at the same time and together exceed the limit.
         """
         match self.admit(request, now_s):
             case Refused() as refused:
--- a/balsamspindle/requests/answers.py
+++ b/balsamspindle/requests/answers.py
@@ -22,8 +22,8 @@
 # Sent instead of a status in NOT_RUN_STATUSES if an earlier attempt may have run.
 UNKNOWN_STATUS = 502
 # Sent instead of 502 or 504 if no attempt ran. From a 502 or 504, the caller would have
-# to conclude that the request may have run. It could then not resend a non-idempotent
-# request.
+# to conclude that the request may have run. The caller could then not resend a
+# non-idempotent request.
 NOT_RUN_STATUS = 503
 _AMBIGUOUS_STATUSES = frozenset({502, 504})
 
--- a/balsamspindle/requests/attempts.py
+++ b/balsamspindle/requests/attempts.py
@@ -40,8 +40,9 @@
     Parameters
     ----------
     on_hold_out : callable, optional
-        Called after each reply with the gate's node, the backend server's id, the
-        hold-out that the gate reported (0 ms if there is none) and the monotonic time.
+        Called after each reply with four arguments: the gate's node, the backend
+        server's id, the hold-out that the gate reported (0 ms if there is none), and
+        the monotonic time.
     """
 
     def __init__(
@@ -90,7 +91,7 @@
     def set_end_time(self, ends_s: float) -> None:
         """Set the time at which this node stops.
 
-        From then on, gates refuse those of this node's attempts whose runs would end
+        After this call, gates refuse those of this node's attempts whose runs would end
         after the node's stop.
         """
         self._link_attempts.set_end_time(ends_s)
--- a/balsamspindle/requests/claim_eras.py
+++ b/balsamspindle/requests/claim_eras.py
@@ -35,12 +35,12 @@
 FLEET_KNOWN_AFTER_S = 5.0
 # An era is settled (a key without a claim counts as unclaimed) no earlier than this
 # time after the era's start. If a process reaches the store but not its peers, the
-# peers may not know this process and not wait for its confirmation. This time is long
-# enough for such a process to write its claims again.
+# peers may not know this process, and may then not wait for its confirmation. This time
+# is long enough for such a process to write its claims again.
 RESTORE_MIN_S = 1.0
 # Until this time after an era's start, requests that claim a key wait for the era to be
-# settled. After this time, requests don't wait. If the era is still not settled, their
-# keys are not claimed, and the requests are not run.
+# settled. After this time, such requests don't wait. If the era is still not settled,
+# their keys are not claimed, and the requests are not run.
 RESTORE_WAIT_S = 2.0
 
 
@@ -105,7 +105,8 @@
 
         Removes the processes that ended more than `COPY_AGE_MAX_S` before the store's
         last answer. The store can only be restored from a copy that was made after
-        these processes ended. Such a copy contains all their claims.
+        these processes ended. Such a copy contains all their claims, so no confirmation
+        of these processes is required.
 
         Parameters
         ----------
@@ -155,9 +156,9 @@
         """Wait for an era to be settled; return whether it is.
 
         Calls `on_request` first. The wait ends at `deadline_s`, or `RESTORE_WAIT_S`
-        after the current era began if that is sooner. Calls after `RESTORE_WAIT_S`
-        return at once: a process that has not written its `Confirmation` by then may
-        have ended and may never write it.
+        after the current era began if that is sooner. Once `RESTORE_WAIT_S` has passed,
+        calls return at once: a process that has not written its `Confirmation` by then
+        may have ended and may never write it.
         """
         self._on_request(era)
         with self._changed:
@@ -225,8 +226,8 @@
     That process has a higher incarnation than `holder` ever had. A confirmation by
     `holder` itself contains the incarnation with which `holder` started. Then
     `holder.incarnation` is equal or higher, because a process raises its incarnation to
-    refute outdated reports about itself. So the confirmation is from `holder` if its
-    incarnation is at most `holder.incarnation`.
+    refute outdated reports about itself. So the confirmation is from `holder` if the
+    incarnation in the confirmation is at most `holder.incarnation`.
     """
     if confirmation is None or confirmation.era < era:
         return False
--- a/balsamspindle/requests/claim_restorer.py
+++ b/balsamspindle/requests/claim_restorer.py
@@ -179,10 +179,10 @@
         self._eras.begin(era, now_s)
         if era > self._era:
             # `_answered_s` is the time of the last answer that this process got from
-            # the store in the previous era. The store was restored after this time, and
-            # from a copy that was at most COPY_AGE_MAX_S old, so the copy was made no
-            # earlier than COPY_AGE_MAX_S before this time. Claims that were written
-            # after the copy was made may be lost.
+            # the store in the previous era. The store was restored after this
+            # time, from a copy that was at most COPY_AGE_MAX_S old. So the copy was
+            # made no earlier than COPY_AGE_MAX_S before this time. Claims that were
+            # written after the copy was made may be lost.
             oldest_s = self._answered_s - COPY_AGE_MAX_S
             self._lost_after_s = min(self._lost_after_s, oldest_s)
             self._era, self._to_rewrite = era, None
@@ -341,8 +341,8 @@
 def _must_write(claim: _ClaimRewrite, row: Row) -> bool:
     """Return whether to write a claim in place of the present row of its key.
 
-    Only a claim with `overrides` replaces a stored claim, and only if the two claims
-    name different gate processes.
+    The result is True if the row has no claim. Otherwise, it is True only for a claim
+    with `overrides`, and only if the two claims name different gate processes.
     """
     if row.value is None:
         return True
--- a/balsamspindle/requests/claims.py
+++ b/balsamspindle/requests/claims.py
@@ -74,7 +74,7 @@
     ----------
     gate_time_s : float
         Time of the claim on the gate's monotonic clock. The ingress estimates it with
-        `GateClock`, so it may be too early by the delay of one message from the gate.
+        `GateClock`. The estimate may be early by the delay of one message of the gate.
     claimed_wall_s : float
         Wall-clock time of the claim, only for the removal of old rows. No decision
         about a key depends on it.
@@ -214,7 +214,7 @@
         The platform may need longer for its answer than the request can wait. So this
         method returns None if the deadline passes before the call ends. It also returns
         None if the node has no platform. A write that takes effect after the deadline
-        is harmless: it leaves a valid claim of the key, which a resent request uses.
+        is harmless: if the caller resends the request, the written claim is used.
         """
         if self._tables is None:
             return None
@@ -305,6 +305,9 @@
     def claim_for(self, gate: GateIdentity, gate_time_s: float) -> Claim | Reason:
         """Return the claim for an attempt, or why the attempt must not be sent.
 
+        Claims the key for the gate if no claim is known, or if the gate that the known
+        claim names replied 'not run'.
+
         Parameters
         ----------
         gate_time_s : float
@@ -352,8 +355,8 @@
             return reply
         reason = reply.reason
         if reason is Reason.CLAIM_MOVED:
-            # No attempt was sent to the gate that the claim names, and this gate may
-            # have run the key.
+            # No attempt was sent to the gate that the claim names, and that gate may
+            # have run a request with the key.
             reason = Reason.DUPLICATE
         return msgspec.structs.replace(reply, outcome=Outcome.UNKNOWN, reason=reason)
 
--- a/balsamspindle/requests/connection_refuser.py
+++ b/balsamspindle/requests/connection_refuser.py
@@ -17,8 +17,8 @@
 class ConnectionRefuser:
     """Answers refused connections with the reason for the refusal, and closes them.
 
-    While `WAITING_MAX` connections wait for their answers, further ones are closed
-    without an answer.
+    While `WAITING_MAX` connections wait for their answers, further connections are
+    closed without an answer.
 
     Parameters
     ----------
--- a/balsamspindle/requests/forwarding.py
+++ b/balsamspindle/requests/forwarding.py
@@ -46,9 +46,9 @@
 # don't wait: after a wait, the queues of all unsuspected ones would be full.
 SEARCH_AGAIN_S = 0.25
 SEARCH_AGAIN_FRACTIONS = {Execution.IDEMPOTENT: 0.0, Execution.NON_IDEMPOTENT: 0.1}
-# The gate of an attempt sent notice that its node may stop before the run ends, or it
-# cancelled the attempt, or it did not reply. After a reply with one of these reasons,
-# the request may be sent again to gates that refused it (`restart_search`).
+# After a reply with one of these reasons, the request may be sent again to gates that
+# refused it (`restart_search`). The attempt's gate announced that its node may stop
+# before the run ends, or the gate cancelled the attempt, or the gate did not reply.
 _GATE_FAILURES = frozenset({Reason.GATE_ENDING, Reason.CANCELLED, Reason.SILENCE})
 
 
@@ -62,8 +62,7 @@
     clock : callable, default=time.monotonic
         Returns the present time on the monotonic clock, in s.
     on_hold_out : callable, optional
-        Called after each reply with the gate's node, the backend server's id, the
-        hold-out that the gate reported (0 ms if there is none) and the monotonic time.
+        See `AttemptSender`.
     crash_history : CrashHistory, default=an empty one
         Crashes of backend servers, and the requests quarantined because of them.
     """
@@ -380,7 +379,7 @@
         return StopReason.CALLER_LEFT
 
     def _with_retry_after(self, forwarded: ForwardedRequest, reply: Reply) -> Reply:
-        """Set the Retry-After time of a reply, unless every retry would be refused."""
+        """Record a request's end; set its reply's Retry-After time if one is needed."""
         if reply.reason is Reason.CRASHES_SERVERS:
             # Retries of this request are refused at any load of the service. So the
             # request does not count in the estimate of when other callers should retry.
