--- a/balsamspindle/backend_servers/health_monitor.py
+++ b/balsamspindle/backend_servers/health_monitor.py
@@ -248,9 +248,9 @@
         """Undo the ejection of a backend server that a request has crashed.
 
         Called at each tick, because the crash may be attributed to the request before
-        or after the backend server has restarted. If the ejection were not undone, the
-        healthy backend server would be held out from all callers after each such crash,
-        and the hold-outs would become longer from crash to crash.
+        or after the backend server has restarted. If the ejection were not undone, no
+        caller could use the healthy backend server for some time after each such crash.
+        Each hold-out would be longer than the one before.
         """
         if monitored.previous_start_id is None:
             return
--- a/balsamspindle/backend_servers/health_peers.py
+++ b/balsamspindle/backend_servers/health_peers.py
@@ -2,7 +2,7 @@
 
 A gate compares each backend server with its peers, but does not see the peers' answers.
 Ingresses see the answers of many backend servers, and add a summary of the peers to
-each dispatch, so that the comparison needs no messages of its own.
+each dispatch. The comparison therefore needs no messages of its own.
 """
 
 import math
@@ -57,10 +57,10 @@
 
         A backend server that is held out gets no dispatches, and therefore few
         summaries of its peers. If all peers become slow during the hold-out, the
-        average is too low when the hold-out ends, and each summary would correct only a
+        average is too low when the hold-out ends. Each summary would correct only a
         tenth of the difference. A backend server that is as slow as its peers would
-        then count as slow after its first answer, and be held out for twice as long as
-        before.
+        then count as slow after its first answer. Its next hold-out would be twice as
+        long.
         """
         self._is_p99_stale = True
 
--- a/balsamspindle/backend_servers/health_work.py
+++ b/balsamspindle/backend_servers/health_work.py
@@ -147,8 +147,8 @@
     def has_shared_cause(self, now_s: float) -> bool:
         """Return whether this backend server and its peers probably share a problem.
 
-        True if many peers are bad now, or if all peers have become slow, so that the
-        latencies counted as slow at this backend server are normal for its peers.
+        True if many peers are bad now, or if all peers have become slow. In the second
+        case, latencies counted as slow at this backend server are normal for its peers.
         """
         if self.peers_bad_fraction(now_s) >= SHARED_CAUSE_FRACTION:
             return True
--- a/balsamspindle/backend_servers/lifetimes.py
+++ b/balsamspindle/backend_servers/lifetimes.py
@@ -65,11 +65,11 @@
         """Return whether announcements with an earlier start time are ignored as late.
 
         If the clock of a backend server is set back before a restart, its new lifetime
-        has an earlier start time than this one, but the backend server must still get
-        work. Announcements with an earlier start time are therefore accepted once no
-        announcement of this lifetime has arrived for `REPLACED_SILENT_S`. If the
-        backend server has left or begun to drain in this lifetime, announcements with
-        an earlier start time are always ignored.
+        has an earlier start time than this one. The backend server must get work in the
+        new lifetime, too. Announcements with an earlier start time are therefore
+        accepted once no announcement of this lifetime has arrived for
+        `REPLACED_SILENT_S`. If the backend server has left or begun to drain in this
+        lifetime, announcements with an earlier start time are always ignored.
         """
         is_silent = now_s - self.announced_s >= REPLACED_SILENT_S
         return self.has_left or self.is_draining or not is_silent
--- a/balsamspindle/backend_servers/retry_grants.py
+++ b/balsamspindle/backend_servers/retry_grants.py
@@ -71,8 +71,8 @@
             Whether the request may be repeated. Half of the service's repeats are
             reserved for the greatest weight among the recent requests that may be
             repeated. If requests that are never repeated counted as well, half of all
-            grants could stay unused while repeats of lighter requests are refused, for
-            example 67 refusals within 15 s.
+            grants could stay unused while repeats of lighter requests are refused. An
+            example is 67 refusals within 15 s.
         repeat_fraction : float
             Probability that the request was sent by a run that is a repeat.
         """
--- a/balsamspindle/backend_servers/slots.py
+++ b/balsamspindle/backend_servers/slots.py
@@ -97,7 +97,7 @@
     the backend server. Its slot therefore stays occupied for as long again as the
     attempt has run, within `RELEASE_DELAY_MIN_S` and `RELEASE_DELAY_MAX_S`. If the slot
     were freed at once, a hanging backend server would get a new request for each one
-    that timed out, and soon run far more requests than it has slots. If the slot
+    that timed out. It would soon run far more requests than it has slots. If the slot
     were never freed, the backend server would permanently lose a slot with each lost
     answer. A backend server that stops work on a cancelled or late request within this
     delay never runs more requests than it has slots.
@@ -126,10 +126,10 @@
     def reserved_for_heavier(self, weight: float, slots: int, now_s: float) -> int:
         """Return how many free slots a request must leave to heavier requests.
 
-        If no slots were reserved, long light requests could occupy all of them. Short
-        heavy requests, on whose answers other requests depend, would then be too late
-        although they are first in the queue, because no slot becomes free before a long
-        request ends. Therefore the slots that heavier requests occupy on average are
+        If no slots were reserved, long light requests could occupy all of them. No slot
+        would become free before a long request ends. Short heavy requests would then be
+        too late although they are first in the queue, and other requests may depend on
+        their answers. Therefore the slots that heavier requests occupy on average are
         reserved for heavier requests, up to half of all slots.
         """
         reserved = int(self._loads.heavier_than(weight, now_s) + LOAD_ROUNDING)
