--- a/balsamspindle/standins/store_rows.py
+++ b/balsamspindle/standins/store_rows.py
@@ -106,4 +106,4 @@
 
 class _Forbidden(HTTPException):
     code = 403
-    description = "only the operator and the platform may write to this table"
+    description = "the system may not write to this table"
