--- a/balsamspindle/backend_servers/admission.py
+++ b/balsamspindle/backend_servers/admission.py
@@ -26,17 +26,17 @@
 CAPACITY_STEPS = 4
 # Fraction of its slots that a backend server may use while it reports that it is cold.
 # A cold backend server takes about twice as long for each request, so it can answer
-# only half as many requests per second. Its usable slots, by which ingresses choose a
-# backend server, are reduced in the same ratio.
+# only half as many requests per second. Ingresses choose a backend server by its usable
+# slots, so these are halved, too.
 COLD_SLOTS_FRACTION = 0.5
 # A waiting attempt requests a slot again at each notification of `changed`, and also
 # after this time, because no notification is sent when a cold server's slots increase.
 RECHECK_INTERVAL_S = 0.5
 RECHECK_MIN_S = 0.005
-# An attempt, even a read, is started only if its gate and its ingress will run for at
-# least this many times its route's mean service time. Half of a route's requests take
-# longer than the mean, but few take longer than twice the mean. A refused attempt can
-# be retried in time. If a node's end interrupts a run, it may be too late for a retry.
+# An attempt, even a read, starts only if its gate and its ingress will run for at least
+# this many times its route's mean service time. Half of a route's requests take longer
+# than the mean, but few take twice as long. A refused attempt can be retried in time.
+# After a run that a node's end interrupts, it may be too late for a retry.
 LAST_START_FACTOR = 2.0
 
 
@@ -53,7 +53,7 @@
 
 @dataclass(frozen=True)
 class Refused:
-    """The refusal of an attempt, which the gate has not dispatched and never will.
+    """A refusal: the gate has not dispatched the attempt and never will.
 
     Attributes
     ----------
@@ -97,7 +97,7 @@
             self._servers.changed.notify_all()
 
     def set_end_time(self, ends_s: float) -> None:
-        """Set the time at which this node ends; refuse attempts that may run longer.
+        """Set this node's end time; refuse attempts that may still be running then.
 
         Runs that are in progress when the node ends are interrupted, and their answers
         are lost. A refused attempt can be retried at another gate instead.
@@ -181,10 +181,10 @@
     def _recheck_wait_s(
         self, ticket: Ticket, latest_start_s: float, now_s: float
     ) -> float:
-        """Return how long an attempt waits for a notification before it tries again."""
+        """Return the longest time until a waiting attempt requests a slot again."""
         account = self._servers.get(ticket.backend_server_id).account
-        # An attempt that still waits at this time can wait one mean service time for a
-        # slot, run for one more mean service time, and just meet its deadline.
+        # Until this time, an attempt can still meet its deadline if it waits one mean
+        # service time for a slot and then runs for another one.
         last_chance_s = ticket.deadline_s - 2 * account.service_time_s
         until_s = min(
             last_chance_s, account.next_delayed_release_s(), now_s + RECHECK_INTERVAL_S
@@ -238,7 +238,7 @@
         return _refusal(decision, queue, ticket, availability)
 
     def preview(self, query: AdmissionQuery, deadline_s: float) -> Refused | None:
-        """Return why an attempt would be refused now, None if it would be accepted.
+        """Return why an attempt would be refused now, None if it would start or wait.
 
         The attempt is not enqueued, and no slot is reserved for it.
         """
--- a/balsamspindle/backend_servers/answers.py
+++ b/balsamspindle/backend_servers/answers.py
@@ -114,8 +114,8 @@
     def on_header(self, line: bytes) -> None:
         """Process one line of a head or of the trailers."""
         if line.startswith(b"HTTP/"):
-            # A head starts. If there was a head before, it belonged to an interim
-            # answer (1xx): discard its headers.
+            # A head starts. An earlier head belonged to an interim answer (1xx):
+            # discard the headers of the earlier head.
             self._headers = []
             self._head_done = False
         elif line in (b"\r\n", b"\n"):
@@ -127,7 +127,11 @@
         # Any other line is a trailer. Ignore it: it is not a header of the answer.
 
     def on_body(self, chunk: bytes) -> int | None:
-        """Add a part of the body; return 0 to end the call if the body is too large."""
+        """Add a part of the body.
+
+        If the body is too large, set `too_large` and return 0, so that libcurl aborts
+        the call. Otherwise return None.
+        """
         self._body_bytes += len(chunk)
         if self._body_bytes > self._body_max_bytes:
             self.too_large = True
@@ -154,8 +158,9 @@
         """Return why an answer does not belong to this request, None if it does.
 
         A backend server may send an answer twice. The next request on the same
-        connection then receives the second copy. If this copy were taken for the answer
-        to that request, a caller would get another caller's data.
+        connection then receives the second copy. If the copy were taken for the answer
+        to the next request, a caller would get another caller's data. Where backend
+        servers echo request ids, the copy is recognized by its id.
 
         If the deployment has a signature header, backend servers add it to each answer
         that they produced by running a request. A successful answer without this header
--- a/balsamspindle/backend_servers/attempts.py
+++ b/balsamspindle/backend_servers/attempts.py
@@ -17,13 +17,13 @@
 
 ATTEMPTS_MAX = 100_000
 # How long an attempt stays in the table after its deadline. A duplicate message that
-# arrives even later starts no second run: the gate refuses it because its deadline has
-# passed. The ingress no longer waits for a reply by then.
+# arrives after the attempt was removed starts no second run, because the gate refuses
+# attempts whose deadline has passed. The ingress no longer waits for a reply by then.
 ATTEMPT_RETENTION_S = 5.0
 
 
 class BeginResult(Enum):
-    """Whether an attempt that arrived may run, and if not, why."""
+    """Result of `AttemptTable.begin`: whether an attempt may run, and if not, why."""
 
     NEW = auto()
     CANCELLED = auto()
@@ -31,7 +31,7 @@
     NO_ROOM = auto()
 
 
-# The reason stated in the reply to a refused attempt. Duplicates get no reply.
+# The reason in the reply if an attempt may not run. Duplicate messages get no reply.
 REFUSAL_REASONS = {
     BeginResult.CANCELLED: Reason.CANCELLED,
     BeginResult.NO_ROOM: Reason.NO_FREE_SLOT,
@@ -41,13 +41,13 @@
 class AttemptTable:
     """Attempts by id. Not thread-safe: the gate holds its lock during each call.
 
-    An entry is removed `ATTEMPT_RETENTION_S` after the attempt's deadline, and never
-    earlier to make room: if an attempt were removed before its deadline, a duplicate of
-    its message could run it again.
+    An attempt is removed `ATTEMPT_RETENTION_S` after its deadline. A full table does
+    not remove attempts earlier. If an attempt were removed before its deadline, a
+    duplicate of its message could start a second run.
     """
 
     def __init__(self) -> None:
-        # Contains cancelled attempts, too, even if their message has not arrived yet.
+        # Also contains attempts that were cancelled before their message arrived.
         # `_begun` contains only attempts whose message has arrived.
         self._tokens: dict[AttemptId, CancelToken] = {}
         self._begun: set[AttemptId] = set()
@@ -58,14 +58,15 @@
     ) -> BeginResult:
         """Register an attempt whose message has arrived; return whether it may run.
 
-        It may run if this is its first message and it has not been cancelled before.
+        The attempt may run if this is its first message, if it has not been cancelled,
+        and if the table has room for it.
 
         Parameters
         ----------
         token : CancelToken
             Token by which the attempt can be cancelled from now on.
         deadline_s : float
-            On the gate's monotonic clock.
+            Deadline of the attempt on the gate's monotonic clock.
         """
         self._expire(now_s)
         if attempt_id in self._begun:
@@ -85,15 +86,19 @@
         now_s: float,
         cause: CancelCause = CancelCause.INGRESS_GAVE_UP,
     ) -> None:
-        """Cancel an attempt; if its message arrives later, the attempt will not run."""
+        """Cancel an attempt, even if its message has not arrived yet.
+
+        If the message arrives after this call, the attempt will not run, unless the
+        table is full.
+        """
         self._expire(now_s)
         token = self._tokens.get(attempt_id)
         if token is not None:
             token.cancel(cause)
         elif len(self._tokens) < ATTEMPTS_MAX:
-            # If the table is full, the cancellation is lost, and the attempt may still
-            # run once with nobody waiting for it. This run is safe: before the ingress
-            # cancelled the attempt, it sent the caller the outcome 'unknown'.
+            # If the table is full, the cancellation is lost. The attempt may then run
+            # once although nobody waits for the answer. This run is safe: the ingress
+            # sent the caller the outcome 'unknown' before it cancelled the attempt.
             self._add(attempt_id, CancelToken(), deadline_s)
 
     def set_ingress_end(self, attempt_id: AttemptId, ends_s: float) -> bool:
@@ -103,7 +108,7 @@
         -------
         bool
             False if the attempt is not in the table, for example because its message
-            has not arrived yet.
+            has not arrived yet. The end is not recorded in this case.
         """
         token = self._tokens.get(attempt_id)
         if token is not None:
--- a/balsamspindle/backend_servers/cancellation.py
+++ b/balsamspindle/backend_servers/cancellation.py
@@ -35,7 +35,7 @@
 
     @property
     def ingress_ends_s(self) -> float:
-        """When the call's ingress ends; infinity unless the ingress is leaving."""
+        """When the call's ingress ends (monotonic); infinity unless it is leaving."""
         return self._ingress_ends_s
 
     def set_ingress_end(self, ends_s: float) -> None:
@@ -43,7 +43,7 @@
         self._ingress_ends_s = ends_s
 
     def cancel(self, cause: CancelCause) -> None:
-        """Abort the call now, or as soon as it gets a connection if it has none."""
+        """Abort the call; a call without a connection is aborted when it gets one."""
         with self._lock:
             self.cause = self.cause or cause
             if self._socket is not None:
@@ -52,8 +52,9 @@
     def attach(self, connection: socket.socket | None) -> bool:
         """Set the socket that the call uses now; return False for a cancelled call.
 
-        `cancel` sets the cause under the same lock. Therefore, a later `cancel` shuts
-        this socket down, and after an earlier `cancel` this method returns False.
+        No cancellation is lost between this method and `cancel`, which uses the same
+        lock. If `cancel` runs after this method, it shuts this socket down. If `cancel`
+        ran before this method, this method returns False.
         """
         with self._lock:
             self._socket = connection
--- a/balsamspindle/backend_servers/client.py
+++ b/balsamspindle/backend_servers/client.py
@@ -24,9 +24,9 @@
 CONNECT_TIMEOUT_MS = 1000
 IDLE_HANDLES_MAX = 512
 
-# Headers that libcurl adds if the caller did not send them: for example, it declares a
-# body without a content type as a web form. A name without a value in the list of
-# headers prevents libcurl from adding that header.
+# Headers that libcurl adds if the caller did not send them. For example, libcurl
+# declares a body without a content type as a web form. A name without a value in the
+# list of headers prevents libcurl from adding the header of this name.
 _SUPPRESSED_HEADERS = (
     "Accept:",
     "Accept-Encoding:",
@@ -74,7 +74,10 @@
         token: CancelToken | None = None,
         request_id: str = "",
     ) -> BackendAnswer | BackendFailure:
-        """Make one call and wait for its result.
+        """Send a request to a backend server and wait for the result.
+
+        If a reused connection returns bytes that do not belong to this request, an
+        idempotent request is sent again.
 
         Parameters
         ----------
@@ -93,15 +96,15 @@
         handle = self._pool.acquire(address, execution)
         result = self._perform(handle, request, timeout_ms, token)
         if _is_foreign(result):
-            # Close the connection. Otherwise the next request on it would receive the
-            # answer to this request.
+            # Close the connection. Otherwise the next request on this connection would
+            # receive the answer to this request.
             handle.close()
             if execution is not Execution.IDEMPOTENT or not handle.was_reused():
                 return result
             # The reused connection contained a second copy of an earlier answer, or
-            # other stray bytes. This request must not fail because of them. The backend
-            # server may be working on the request already, but the request is
-            # idempotent, so send it again on a new connection.
+            # other stray bytes. This request must not fail because of these bytes. Send
+            # it again on a new connection. The backend server may be running it already
+            # and run it twice, but the request is idempotent.
             handle = _Handle(execution)
             remaining_ms = (deadline_s - time.monotonic()) * 1000
             result = self._perform(handle, request, remaining_ms, token)
@@ -161,11 +164,12 @@
         self.too_late = False
 
     def may_send(self, connection: socket.socket | None) -> bool:
-        """Return whether to send the request, now that the connection is open.
+        """Return whether the request may be sent now, and record the decision.
 
-        The process may have been suspended after the attempt was admitted, or while the
-        connection was opened. Without this second check of the deadline, the request
-        could run long after its caller received a timeout.
+        Called when the connection is open. The result is False if the call was
+        cancelled or its deadline has passed. The admission has checked the deadline
+        already, but the process may have been suspended since then. Without another
+        check here, the request could run long after its caller received a timeout.
         """
         if not self.token.attach(connection):
             return False
@@ -178,9 +182,9 @@
     def _timed_out_before_sending(self) -> bool:
         """Return whether the deadline passed before the request was sent.
 
-        Such a timeout is no evidence about the backend server. If the backend server
-        counted as unreachable, each request that arrives shortly before its deadline
-        would count against the backend server's health.
+        Such a timeout is no evidence about the backend server. If the timeout were
+        reported as `Reason.UNREACHABLE`, each request that arrives shortly before its
+        deadline would count against the backend server's health.
         """
         return not self.sent and time.monotonic() >= self.deadline_s
 
@@ -210,15 +214,15 @@
         self._call: _Call | None = None
         self._set_options()
         if execution is Execution.NON_IDEMPOTENT:
-            # When a reused connection turns out to be closed, libcurl sends the request
-            # again on a new connection by itself, and the backend server could run the
+            # When a reused connection turns out to be closed, libcurl itself sends the
+            # request again on a new connection. The backend server could then run the
             # request twice. libcurl never repeats a request that it sent on a new
             # connection, so use a new connection for each non-idempotent request.
             self.curl.setopt(pycurl.FRESH_CONNECT, 1)
             self.curl.setopt(pycurl.FORBID_REUSE, 1)
 
     def perform(self, call: _Call, method: str) -> BackendAnswer | BackendFailure:
-        """Make the call for which the handle's options are set."""
+        """Send the request that the handle's options describe; return the result."""
         self._call = call
         self.curl.setopt(pycurl.WRITEFUNCTION, call.reader.on_body)
         self.curl.setopt(pycurl.HEADERFUNCTION, call.reader.on_header)
@@ -265,7 +269,7 @@
 
     def _on_close(self, descriptor: int) -> int:
         # libcurl uses a duplicate of the descriptor in `_connection`. The backend
-        # server sees the end of the connection only after both are closed.
+        # server sees the end of the connection only after both descriptors are closed.
         os.close(descriptor)
         if self._connection is not None:
             self._connection.close()
@@ -333,8 +337,8 @@
 def _pool_key(address: str, execution: Execution) -> str:
     """Return the pool key of a handle.
 
-    Handles for non-idempotent requests close their connection after each call. They
-    can therefore be used for any address, and all have the same key.
+    A handle for non-idempotent requests closes its connection after each call, so it
+    can be used for any address. All such handles have the same key.
     """
     return address if execution is Execution.IDEMPOTENT else ""
 
--- a/balsamspindle/backend_servers/crash_watch.py
+++ b/balsamspindle/backend_servers/crash_watch.py
@@ -1,4 +1,4 @@
-"""Detects when a gate's backend server crashes, and which requests it was running."""
+"""Detects crashes of a gate's backend servers, and the requests lost in each crash."""
 
 import errno
 import socket
@@ -26,11 +26,11 @@
 __all__ = ["CrashWatch", "refuses_connections"]
 
 # A run that was lost at most this long before a crash was detected counts as lost in
-# that crash. A run can be lost before the detection for two reasons: its caller
-# disconnects, or the thread that handles the run notices the end of its connection
-# earlier than the thread that detects the crash.
+# that crash. A run can be lost before the crash is detected for two reasons. The run's
+# caller may disconnect. Or the thread that handles the run may notice the end of the
+# run's connection before another thread detects the crash.
 LOST_TOGETHER_S = 1.0
-# The longest time from the crash of a backend server until another one announces
+# The longest time from the crash of a backend server until its replacement announces
 # itself at the same address.
 REPLACED_WITHIN_S = 5.0
 CONNECT_TIMEOUT_S = 0.25
@@ -79,17 +79,19 @@
         return self.ended_s is not None
 
     def is_refuted_by_answer(self, run: _Run | None, now_s: float) -> bool:
-        """Return whether an answer received now shows that this process still runs.
+        """Return whether an answer received now shows that this process has not ended.
 
-        The answer shows this in two cases. First, the answered run began after the
-        supposed end of the process, because no run can begin at a process that has
-        ended. Second, the supposed end is more than `LATE_READ_S` ago, because an
-        answer that was sent before that end would have been read by now.
+        If no end was recorded, the result is False. Otherwise it is True in two cases:
+
+        - The answered run began after the recorded end. A process that has ended cannot
+          begin a run.
+        - The recorded end is more than `LATE_READ_S` ago. An answer that the process
+          sent before its end would have been read by now.
 
         Parameters
         ----------
         run : _Run or None
-            The answered run. If it is unknown, the answer shows nothing.
+            The answered run. If the run is unknown, the result is False.
         """
         if self.ended_s is None or run is None:
             return False
@@ -146,9 +148,10 @@
         end: RunEnd,
         now_s: float,
     ) -> bool:
-        """Record a run's end, and return whether the backend server's crash ended it.
+        """Record a run's end; return whether a crash of the backend server caused it.
 
-        Only an end with `is_broken` can be the effect of a crash.
+        If `end.is_broken` is False, the run did not end in a crash. An answer may show
+        that a crash was recorded by mistake; the crash is then retracted.
         """
         key = _key(server)
         with self._lock:
@@ -162,9 +165,9 @@
             was_refuted = end.is_answer and process.is_refuted_by_answer(run, now_s)
             process.ended_s = None if was_refuted else process.ended_s
         if was_refuted:
-            # The answer shows that the backend server has not crashed. A running
-            # backend server, too, may refuse connections: it may stop listening while
-            # its own queue is long.
+            # The answer shows that the backend server has not crashed. A backend server
+            # may refuse connections although it runs, because it may stop listening
+            # while its own queue is long.
             self._on_update(self._history.retract(key, now_s), now_s)
             self._events.emit("backend_server_crash_retracted", backend_server=key[0])
         if end.is_success and run is not None:
@@ -174,11 +177,14 @@
     def record_replacement(self, server: LocalBackendServer, now_s: float) -> None:
         """Record the crash of a backend server whose address another one now has.
 
-        Must not be called for a backend server that was draining, because its end is
-        not a crash. If the new backend server starts soon after a crash, `is_down`
-        reaches the new one and does not detect the crash. If a run's connection ended
-        without an answer at most `REPLACED_WITHIN_S` ago, that run was lost in the
-        crash, and the crash is recorded as of that time.
+        If the new backend server starts soon after the crash, `is_down` connects to the
+        new backend server, so that `record_end` does not detect the crash. A crash that
+        was already detected is not recorded again.
+
+        If a run's connection ended without an answer at most `REPLACED_WITHIN_S` ago,
+        the run was lost in the crash. The crash is recorded as of the end of the run.
+
+        Must not be called for a draining backend server: its end is not a crash.
         """
         with self._lock:
             process = self._process_of(_key(server))
@@ -188,8 +194,8 @@
                 return
             process.ended_s = now_s
         # If no run's connection ended recently, the backend server crashed while idle,
-        # and no request is the cause. Record this crash, too, because such crashes show
-        # how often backend servers crash without a request that causes it.
+        # and no request caused the crash. Record this crash, too: such crashes show how
+        # often backend servers crash for reasons other than requests.
         is_recent = broken_s and now_s - broken_s[-1] <= REPLACED_WITHIN_S
         self._record_crash(server, process, broken_s[-1] if is_recent else now_s)
 
@@ -212,8 +218,8 @@
                     # is not a crash.
                     return False
                 if now_s <= process.checked_s:
-                    # The address was checked after this run had ended, and the backend
-                    # server was running.
+                    # Another thread checked the address after this run had ended, and
+                    # the backend server was running.
                     return False
                 process.checked_s = now_s
                 if not self._is_down(_address(server)):
@@ -248,8 +254,8 @@
 def _runs_at(process: _ServerProcess, now_s: float) -> list[CrashedRun]:
     """Return the requests lost in a crash, each once, the shortest run first.
 
-    Requests without a content hash are left out, and so are the longest runs if there
-    are more than `REPORTED_RUNS_MAX`.
+    Requests without a content hash are omitted. If there are more than
+    `REPORTED_RUNS_MAX` requests, those with the longest runs are omitted.
     """
     run_times_s = {
         run.content_hash: max(0.0, now_s - run.started_s)
@@ -271,8 +277,8 @@
 def refuses_connections(address: str) -> bool:
     """Return whether no process listens at an address.
 
-    A timeout does not count as a refusal: the kernel also leaves connection requests
-    unanswered while the queue of new connections of a running backend server is full.
+    A timeout does not count as a refusal. While a running backend server's queue of new
+    connections is full, the kernel does not answer connection requests.
     """
     host, _, port = address.partition(":")
     with socket.socket() as connection:
--- a/balsamspindle/backend_servers/customer_turns.py
+++ b/balsamspindle/backend_servers/customer_turns.py
@@ -1,13 +1,17 @@
 """Fair turns for the customers whose requests wait in one queue.
 
-One customer may send many times as many requests as all others together, so that the
-queue never becomes empty. To keep this customer from delaying the others, the queue
-uses start-time fair queueing: each waiting request gets a turn number, its turn, and
-lower turns are served first. The highest turn of the requests that have started is the
-turn that is being served. The turn of a request is one higher than that of its
-customer's previous request, and not lower than the turn that is being served. A
-customer therefore waits behind its own requests only, not behind the backlog of another
-customer.
+One customer may send many times as many requests as all others together. The queue then
+never becomes empty. To keep this customer from delaying the others, the queue uses
+start-time fair queueing:
+
+- Each waiting request has a turn number. The request with the lowest number starts
+  first.
+- The current turn is the highest turn number of the requests that have started.
+- The turn number of a new request is one higher than the previous turn number of its
+  customer, but at least the current turn.
+
+A customer therefore waits behind its own requests only, not behind the backlog of
+another customer.
 """
 
 from collections import Counter
@@ -25,9 +29,9 @@
         self._next_turns: Counter[str] = Counter()
 
     def next_turn(self, customer: str) -> int:
-        """Return the turn for a customer's next request.
+        """Return the turn number for a customer's next request.
 
-        A request without a customer gets the turn that is being served.
+        A request without a customer gets the current turn.
         """
         return (
             max(self._current_turn, self._next_turns[customer])
@@ -36,14 +40,14 @@
         )
 
     def assign_turn(self, customer: str) -> None:
-        """Assign a customer's next turn to a request that enters the queue."""
+        """Assign the customer's next turn number to a request that enters the queue."""
         if customer:
             self._next_turns[customer] = self.next_turn(customer) + 1
         if len(self._next_turns) > CUSTOMERS_PRUNE_LIMIT:
             self._discard_served()
 
     def advance_to(self, turn: int) -> None:
-        """Set the turn number that is being served; called when a request starts."""
+        """Raise the current turn to the turn number of a request that starts."""
         self._current_turn = max(self._current_turn, turn)
 
     def reset(self) -> None:
--- a/balsamspindle/backend_servers/dispatches.py
+++ b/balsamspindle/backend_servers/dispatches.py
@@ -22,7 +22,7 @@
     """Return the deadline of an attempt on this gate's monotonic clock.
 
     The remaining time in the message is counted from `received_s`. If the message also
-    contains the deadline on this gate's clock, the earlier time is returned.
+    contains the deadline on this gate's clock, the earlier deadline is returned.
     """
     by_duration_s = received_s + dispatch.remaining_ms / 1000
     if dispatch.gate_deadline_s is None:
--- a/balsamspindle/backend_servers/evidence.py
+++ b/balsamspindle/backend_servers/evidence.py
@@ -1,4 +1,4 @@
-"""Evidence of backend servers' health, and the interface to its receiver."""
+"""Evidence of backend servers' health, and the interface that evaluates it."""
 
 from enum import StrEnum
 from typing import NamedTuple, Protocol
@@ -19,9 +19,9 @@
     """How a dispatched attempt ended at the backend server.
 
     ``SHED`` is a 503 or 429: evidence of load, not of sickness. ``SILENCE`` is a
-    timeout after the request was sent. ``CANCELLED`` is an attempt that was cancelled,
-    or whose failure is known to have a cause outside the backend server; such an
-    attempt is no evidence about the backend server.
+    timeout after the request was sent. ``CANCELLED`` is no evidence about the backend
+    server: the attempt was cancelled, or failed for a known cause outside the backend
+    server.
     """
 
     ANSWERED = "answered"
@@ -37,8 +37,8 @@
     """How a probe of a health endpoint ended.
 
     ``FAILED`` is an answer with an error status, or no answer in time.
-    ``UNREACHABLE`` is a refused connection. Requests go to the same address, so they
-    would fail as well.
+    ``UNREACHABLE`` is a refused connection. Requests would fail as well, because they
+    are sent to the same address as the probe.
     """
 
     PASSED = "passed"
@@ -47,7 +47,7 @@
 
 
 class Judgement(NamedTuple):
-    """The gate's verdict on an ended attempt; the reply carries it to the ingress.
+    """The gate's verdict on an ended attempt, sent to the ingress in the reply.
 
     Attributes
     ----------
@@ -63,7 +63,7 @@
 
 
 class HealthObserver(Protocol):
-    """Collects evidence from the gate and decides which attempts it may dispatch.
+    """Collects evidence from the gate and decides which attempts the gate may dispatch.
 
     The threads that run attempts call the methods concurrently; `now_s` is monotonic.
     """
@@ -85,7 +85,7 @@
         result: WorkResult,
         now_s: float,
     ) -> Judgement:
-        """Record that an attempt ended, and return the verdict on it."""
+        """Record the end of an attempt, and return the verdict on the attempt."""
 
     def admits(
         self,
@@ -107,8 +107,9 @@
         """Return how long the gate will refuse attempts, and on what evidence.
 
         Two kinds of attempts are not refused during this time: attempts that a trial
-        accepts, and attempts with `Dispatch.is_last_resort`, which go to a suspected
-        backend server because all others were tried or refused the request.
+        accepts, and attempts with `Dispatch.is_last_resort`. A last-resort attempt goes
+        to a suspected backend server because all other backend servers were tried or
+        refused the request.
         """
 
 
--- a/balsamspindle/backend_servers/failed_calls.py
+++ b/balsamspindle/backend_servers/failed_calls.py
@@ -1,4 +1,4 @@
-"""The latest failed call that a backend server may have made through this node.
+"""Identifies errors that a backend server returns because its own call failed.
 
 While a backend server works on a request, it may call other services through the node
 beside it. When such a call fails, the backend server answers the request that it works
@@ -11,18 +11,18 @@
 
 __all__ = ["FailedCalls"]
 
-# An error that a backend server returns this soon after the failure of a call is
-# attributed to that call. The node first reports the failure to the backend server,
-# which made the call. The backend server then stops working on its request at once, and
-# returns the error to the node. Both answers travel within one VM.
+# An error that a backend server returns this soon after a failed call is attributed to
+# that call. The delay between the two is short: the node reports the failed call to the
+# backend server, which at once stops working on its request and returns an error. Both
+# messages are sent within one VM.
 ERROR_DELAY_MAX_S = 0.06
 
 
 class FailedCalls:
     """The time at which this node last answered a caller with a failure.
 
-    The failed requests of all callers are recorded, not only those of the backend
-    server.
+    Failed calls of all callers are recorded, not only those of the backend server that
+    returns an error.
     """
 
     def __init__(self) -> None:
--- a/balsamspindle/backend_servers/gate.py
+++ b/balsamspindle/backend_servers/gate.py
@@ -1,11 +1,16 @@
 """The gate: alone decides which attempts run at the backend servers of this node.
 
 An attempt is refused, dispatched or cancelled under one lock. It is therefore either
-refused or dispatched, never both, and never dispatched after it was cancelled. An
-attempt is checked in this order: its id (each id is handled only once), its idempotency
-key and claim (each key runs only once across all gates), the checksum of its body,
-whether its request crashes backend servers, the backend server's health, the retry
-budget, a free slot, and its deadline again just before the request is sent.
+refused or dispatched, never both, and never dispatched after it was cancelled. The gate
+makes these checks in this order:
+
+1. Each attempt id is handled only once.
+2. Of all attempts with one idempotency key, only one runs across all gates.
+3. The checksum of the body is correct.
+4. The request is not blocked because it crashes backend servers.
+5. The backend server is healthy, and the retry budget permits the attempt.
+6. A slot is free. Then check 4 and the check of the health are repeated.
+7. The deadline has not passed. This is checked with 6, and just before the sending.
 """
 
 import time
@@ -129,7 +134,7 @@
         self._admission.refuse_new_attempts()
 
     def set_end_time(self, ends_s: float) -> None:
-        """Set the time at which this node ends; refuse attempts that may run longer."""
+        """Set this node's end time; refuse attempts that may still be running then."""
         self._admission.set_end_time(ends_s)
 
     def cancel_all(self) -> None:
@@ -139,7 +144,7 @@
             self._servers.changed.notify_all()
 
     def refuse_busy(self, dispatch: Dispatch, received_s: float) -> Reply | None:
-        """Refuse an attempt because too many others wait for a worker thread.
+        """Refuse an attempt because too many attempts wait for a worker thread.
 
         Returns None for a duplicate message, which gets no reply.
         """
@@ -259,14 +264,14 @@
         return begin
 
     def _handle_keyed(self, dispatch, token, deadline_s) -> Reply:
-        """Handle an attempt whose key may be used for only one run across all gates."""
+        """Run or refuse a keyed attempt, or return the earlier answer for its key."""
         match self._ledger.begin(dispatch, time.monotonic()):
             case KeyRefused(outcome, reason):
                 return self._refuse(dispatch, reason, outcome)
             case EarlierAnswer(reply):
                 self._events.emit("answer_repeated", request=dispatch.request_id)
                 return msgspec.structs.replace(reply, attempt_id=dispatch.attempt_id)
-        # If the code below raises an exception, the ledger records this reply, so that
+        # If `_handle_new` raises an exception, the ledger records this reply, so that
         # the key stays claimed.
         reply = Reply(dispatch.attempt_id, Outcome.UNKNOWN, Reason.BROKEN_ANSWER)
         try:
@@ -287,8 +292,8 @@
         service, weight = dispatch.service, dispatch.weight
         # A request suspected of crashing backend servers probably causes its failures
         # itself. Its repeats are therefore limited like those of last-resort attempts:
-        # they leave half of the service's repeats to other requests. `run_was_lost`,
-        # which gives access to reserved repeats, is ignored.
+        # they leave half of the service's repeats to other requests. `run_was_lost`
+        # gives access to repeats reserved for heavier requests. It is ignored here.
         if dispatch.is_repeat and not self._grants.try_grant(
             service,
             weight,
@@ -335,7 +340,7 @@
 
         The crash history is checked again here, because copies of a request may wait
         for slots while another copy crashes a backend server. A suspected request is
-        refused while a different one runs at the same backend server.
+        refused while a different suspected request runs at the same backend server.
         """
         status = self._crash_history.status_of(dispatch.content_hash, time.monotonic())
         if status.blocked_ms:
@@ -362,7 +367,10 @@
         return self._grants.repeat_fraction()
 
     def _health_admits(self, dispatch: Dispatch | AdmissionQuery) -> bool:
-        """Return whether the backend server's health allows this attempt."""
+        """Return whether the backend server's health permits an attempt.
+
+        The health never forbids a last-resort attempt.
+        """
         return dispatch.is_last_resort or self._observer.admits(
             dispatch.backend_server_id,
             dispatch.execution,
--- a/balsamspindle/backend_servers/health.py
+++ b/balsamspindle/backend_servers/health.py
@@ -26,15 +26,15 @@
 # ingresses how long it will refuse attempts: the remaining time of the hold-out plus
 # this estimate.
 TRIAL_ESTIMATE_MS = 100.0
-# During this first part of a trial, only idempotent requests that can be retried are
-# accepted. If each backend server gets a few requests per second, some idempotent ones
-# arrive in that time, and no other request is needed for the trial.
+# Until a trial has lasted this long, it accepts only idempotent requests that can be
+# retried. If each backend server gets a few requests per second, some of these requests
+# arrive in that time, so that the trial needs no other requests.
 TRIAL_WAIT_S = 3.0
-# During this first part of a trial, only the lightest of the idempotent requests are
-# accepted.
+# Until a trial has lasted this long, it accepts only the lightest of the idempotent
+# requests.
 LIGHTEST_WAIT_S = 0.7
-# A backend server is probed after `PROBE_AFTER_IDLE_S` without work, provided that an
-# attempt was dispatched to it within the last `PROBE_DEMAND_WINDOW_S`.
+# A serving backend server is probed after `PROBE_AFTER_IDLE_S` without work. No backend
+# server is probed if no attempt was dispatched to it for `PROBE_DEMAND_WINDOW_S`.
 PROBE_AFTER_IDLE_S = 2.0
 PROBE_DEMAND_WINDOW_S = 60.0
 # The values of the published suspicion, besides 0. There are only a few, because each
@@ -56,7 +56,7 @@
     score, threshold : float
         The backend server's score, and the score at which it is ejected.
     slow_ms : float
-        Requests that take longer count as slow.
+        Requests that take longer than this count as slow.
     peers_bad_share : float
         Estimated fraction of the service's other backend servers whose latest request
         failed or was slow, between 0 and 1.
@@ -167,13 +167,16 @@
     ) -> bool:
         """Return whether an attempt may be dispatched to the backend server now.
 
-        A backend server on trial gets one attempt at a time. In the first
-        `TRIAL_WAIT_S` of the trial it gets only idempotent attempts whose requests can
-        be retried. If such an attempt fails, its request is retried at another backend
-        server; any other request would be lost. In the first `LIGHTEST_WAIT_S` it gets
-        only the lightest of these attempts. A heavier one may be a call that a
-        non-idempotent request waits for. If the call and its retries failed, the
-        non-idempotent request would fail too, and could not be retried.
+        Without `independent_errors` the result is always True. Otherwise a hold-out
+        refuses all attempts, and a trial accepts one attempt at a time:
+
+        - In the first `TRIAL_WAIT_S` the trial accepts only idempotent attempts whose
+          requests can be retried. If such an attempt fails, its request is retried at
+          another backend server. Any other request would be lost.
+        - In the first `LIGHTEST_WAIT_S` the trial accepts only the lightest of these
+          attempts. A heavier attempt may be a call that a non-idempotent request waits
+          for. If the call and its retries failed, the non-idempotent request would
+          fail, too, and could not be retried.
 
         Parameters
         ----------
@@ -183,8 +186,8 @@
         if execution is Execution.IDEMPOTENT:
             self._lightest_weight.record(weight, now_s)
         if not self._work.detection.independent_errors:
-            # Admit every attempt: all nodes receive the published suspicion, so an
-            # ingress still uses this backend server only if it has no other.
+            # Admit every attempt. All ingresses receive the published suspicion, and
+            # use a suspected backend server only if they have no other one.
             return True
         self._update_phase(now_s)
         match self.phase:
@@ -204,7 +207,7 @@
     def _trial_wait_s(
         self, execution: Execution, weight: float, is_last_try: bool
     ) -> float:
-        """Return how long after its start a trial begins to accept an attempt."""
+        """Return how long a trial must have lasted before it accepts an attempt."""
         if execution is Execution.NON_IDEMPOTENT or is_last_try:
             return TRIAL_WAIT_S
         return 0.0 if weight <= self._lightest_weight.weight else LIGHTEST_WAIT_S
@@ -212,19 +215,22 @@
     def held_out_ms(self, now_s: float) -> float:
         """Return how long the gate will refuse attempts; 0 if it refuses none.
 
-        The gate refuses attempts only for services with the setting
-        `independent_errors`. For all other services this method returns 0, also during
-        a hold-out: the gate admits all attempts, and publishes its suspicion, so that
-        ingresses prefer other backend servers. If an ingress also received the length
-        of such a hold-out, it would send no requests until the planned end, even if a
-        restart or good requests ended the hold-out early. It would also avoid a held
-        out backend server without which the service's remaining capacity would be below
-        its floor.
-
-        For a backend server on trial, a gate that refuses attempts reports
-        `TRIAL_ESTIMATE_MS`. If the gates of all other services reported it too,
-        ingresses would avoid the backend server, which needs requests to pass the
-        trial.
+        In the serving phase, the result is 0. In the other phases, it depends on the
+        service's setting `independent_errors`.
+
+        With `independent_errors`, the result is the remaining time of the hold-out (0
+        on trial) plus `TRIAL_ESTIMATE_MS`.
+
+        Without `independent_errors`, the result is 0. The gate admits all attempts and
+        only publishes its suspicion, so that ingresses prefer other backend servers. A
+        result above 0 would have these effects:
+
+        - Ingresses would send no requests until the planned end of a hold-out, even if
+          a restart or good requests ended the hold-out early.
+        - Ingresses would avoid a held-out backend server even if the capacity of the
+          service's other backend servers is below the service's floor.
+        - Ingresses would avoid a backend server on trial, although it needs requests
+          to pass the trial.
         """
         refuses = self._work.detection.independent_errors
         if self.phase is HealthPhase.SERVING or not refuses:
@@ -239,9 +245,10 @@
     def needs_probe(self, now_s: float) -> bool:
         """Return whether the backend server should be probed now.
 
-        In the serving phase it is probed only while it has no requests, because
-        requests are stronger evidence. In any phase, it is not probed if it has got no
-        attempt for `PROBE_DEMAND_WINDOW_S`, because no ingress uses it then.
+        In the serving phase, a backend server is probed only while it has no requests,
+        because requests are stronger evidence than probes. In all phases, a backend
+        server that got no attempt for `PROBE_DEMAND_WINDOW_S` is not probed, because no
+        ingress uses it.
         """
         if now_s - self._last_attempt_s > PROBE_DEMAND_WINDOW_S:
             return False
@@ -267,10 +274,10 @@
         a hold-out, and end a trial that got no request. After such a trial, the score
         is so near the threshold that one bad request ejects the backend server again.
 
-        A failed probe raises the score, unless a request gave a verdict within the last
-        `PROBE_AFTER_IDLE_S`. A refused connection counts like a failed request. Failed
-        probes of the other kind (an error status, or no answer in time) never raise the
-        score to the threshold without bad requests.
+        A failed probe raises the score, unless a request ended as good or bad within
+        the last `PROBE_AFTER_IDLE_S`. A refused connection counts like a failed
+        request. Other failed probes (an error status, or no answer in time) cannot
+        raise the score to the threshold without bad requests.
         """
         self._readmission.record_probe_result(result is ProbeResult.PASSED)
         if (
@@ -285,9 +292,9 @@
     def record_restart(self, now_s: float) -> None:
         """Discard the work in flight after a restart of the backend server.
 
-        If the backend server is held out, a trial begins. Its ejection has made its
-        next hold-out longer. The restart does not change this, because a backend server
-        that restarts again and again also fails again and again.
+        If the backend server is held out, a trial begins. The restart does not shorten
+        the next hold-out, which the ejection has made longer: a backend server that
+        restarts again and again also fails again and again.
         """
         self._work.discard_in_flight()
         if self.phase is HealthPhase.HELD_OUT:
@@ -296,7 +303,7 @@
     def undo_crash_ejection(self, now_s: float) -> None:
         """End a hold-out or trial after a crash that a request caused.
 
-        The next hold-out will be as long as without the ejection.
+        The next hold-out will be as long as if this ejection had not happened.
         """
         if self.phase is not HealthPhase.SERVING:
             self._work.lower_for_trial(now_s)
@@ -366,9 +373,9 @@
     def _has_passed_trial(self, now_s: float) -> bool:
         """Return whether an attempt in flight shows that the trial is passed.
 
-        This is only possible with `independent_errors`. An attempt that began in the
-        trial and is still in flight passes the trial once it has run longer than
-        attempts that end in an error usually run; it will then probably succeed.
+        Without `independent_errors` the result is False. Otherwise the trial is passed
+        once an attempt that began in the trial has run longer than errors usually take.
+        Such an attempt will probably succeed.
         """
         return (
             self.phase is HealthPhase.ON_TRIAL
