--- a/balsamspindle/backend_servers/__init__.py
+++ b/balsamspindle/backend_servers/__init__.py
@@ -2,6 +2,6 @@
 
 Start with `gate.py`: it alone decides whether an attempt runs. `admission.py`
 manages slots and the queue, and `client.py` makes the HTTP call. The `health*.py`
-modules judge from the results of calls which backend servers are sick; start with
+modules use the results of calls to decide which backend servers are sick; start with
 `health.py`.
 """
--- a/balsamspindle/backend_servers/admission.py
+++ b/balsamspindle/backend_servers/admission.py
@@ -112,10 +112,10 @@
             return len(self._running)
 
     def outlasting_attempts(self, now_s: float) -> list[AttemptId]:
-        """Return the running attempts that may not finish before this node ends.
+        """Return the running attempts that may still be running when this node ends.
 
-        An attempt may not finish if its service time is unknown, or too long for the
-        time that remains. The list is empty while the node's end is not set.
+        An attempt is included if its service time is unknown, or too long for the time
+        until the node's end. The list is empty while the node's end is not set.
         """
         if math.isinf(self._node_ends_s):
             return []
@@ -171,8 +171,8 @@
     def _latest_start_s(self, dispatch: Dispatch, token: CancelToken) -> float:
         """Return the latest time at which an attempt may start.
 
-        An attempt that started later might still run when its ingress ends. The time is
-        infinity unless the ingress is leaving.
+        An attempt that starts after this time may still be running when its ingress
+        ends. The time is infinity unless the ingress is leaving.
         """
         server = self._servers.get(dispatch.backend_server_id)
         kind = WorkKind(dispatch.weight, dispatch.route_id)
@@ -288,7 +288,7 @@
         return _Availability(server, kind, free, slots, effective_slots)
 
     def _slots(self, server: LocalBackendServer, now_s: float) -> int:
-        """Return how many slots a backend server may use now; fewer while cold."""
+        """Return how many slots are usable now; fewer after a start and while cold."""
         announcement = server.announcement
         document = self._service_document(announcement.service)
         slots = ramped_slots(
--- a/balsamspindle/backend_servers/attempts.py
+++ b/balsamspindle/backend_servers/attempts.py
@@ -1,4 +1,4 @@
-"""The table of a gate's attempts, which lets each attempt run at most once."""
+"""The table of a gate's attempts; it lets each attempt run at most once."""
 
 import heapq
 from enum import Enum, auto
--- a/balsamspindle/backend_servers/gate.py
+++ b/balsamspindle/backend_servers/gate.py
@@ -10,7 +10,7 @@
 4. The request is not blocked because it crashes backend servers.
 5. The backend server is healthy, and the retry budget permits the attempt.
 6. A slot is free. Then check 4 and the check of the health are repeated.
-7. The deadline has not passed. This is checked with 6, and just before the sending.
+7. The deadline has not passed; checked with 6, and just before the request is sent.
 """
 
 import time
@@ -71,7 +71,7 @@
 
 __all__ = ["Gate"]
 
-# How long a cancellation without the attempt's deadline stays in the attempt table.
+# Assumed time until an attempt's deadline if its cancellation contains no deadline.
 CANCELLATION_TTL_S = 60.0
 
 
@@ -200,7 +200,7 @@
         return is_known
 
     def outlasting_attempts(self, now_s: float) -> list[AttemptId]:
-        """Return the running attempts that may not finish before this node ends."""
+        """Return the running attempts that may still be running when this node ends."""
         return self._admission.outlasting_attempts(now_s)
 
     def handle(self, dispatch: Dispatch, received_s: float) -> Reply | None:
@@ -232,7 +232,7 @@
         return self._handle_keyed(dispatch, token, deadline_s)
 
     def preview(self, query: AdmissionQuery, received_s: float) -> AdmissionAnswer:
-        """Return whether an attempt would be accepted now; no slot is reserved."""
+        """Return whether an attempt would be refused now, and why; reserves no slot."""
         held_out = self._observer.held_out(query.backend_server_id, received_s)
         answer = AdmissionAnswer(
             query.number, held_out=held_out, gate_time_s=received_s
--- a/balsamspindle/backend_servers/health.py
+++ b/balsamspindle/backend_servers/health.py
@@ -37,8 +37,8 @@
 # server is probed if no attempt was dispatched to it for `PROBE_DEMAND_WINDOW_S`.
 PROBE_AFTER_IDLE_S = 2.0
 PROBE_DEMAND_WINDOW_S = 60.0
-# The values of the published suspicion, besides 0. There are only a few, because each
-# change of a backend server's record is sent to all nodes of the fleet.
+# The values of the published suspicion, besides 0. There are only a few values,
+# because each change of a backend server's record is sent to all nodes of the fleet.
 SUSPICION_ON_TRIAL = 0.5
 SUSPICION_HELD_OUT = 1.0
 SUSPICION_STRONG = 2.0
