--- a/balsamspindle/membership/gossip.py
+++ b/balsamspindle/membership/gossip.py
@@ -122,8 +122,9 @@
     def _add_neighbours(self, nodes: list[NodeRecord], wanted: int) -> None:
         """Add random nodes from `nodes` until `wanted` of them are neighbours.
 
-        Nodes in `nodes` that are neighbours already count towards `wanted`. Adds fewer
-        nodes if `2 * wanted` random draws do not find enough that are not neighbours.
+        Nodes in `nodes` that are neighbours already count towards `wanted`. A random
+        draw may return a neighbour. After `2 * wanted` draws, the method returns even
+        if fewer than `wanted` nodes are neighbours.
         """
         node_ids = {node.node_id for node in nodes}
         present = node_ids & {node.node_id for node in self._neighbours}
--- a/balsamspindle/membership/member.py
+++ b/balsamspindle/membership/member.py
@@ -230,8 +230,8 @@
         """Reset this node's state after the process was suspended.
 
         The time-outs of probes and suspicions passed while this node did not
-        run; acting on them would declare healthy nodes dead. So this node
-        discards its probes, suspicions and queued verdicts. Peers may have
+        run. If this node acted on these time-outs, it would declare healthy nodes
+        dead. So it discards its probes, suspicions and queued verdicts. Peers may have
         declared this node dead, so it announces that it is alive and soon
         compares its directory with a peer's.
         """
--- a/balsamspindle/membership/membership_state.py
+++ b/balsamspindle/membership/membership_state.py
@@ -184,7 +184,7 @@
             self._events.emit("node_forgotten", peer=node_id)
 
     def _handle_own_news(self, seen: Epoch, now_s: float) -> None:
-        """If `seen` has a higher incarnation than this node, start one above `seen`."""
+        """Start an incarnation above that of `seen` if the own incarnation is lower."""
         own = self.own.epoch
         if seen.incarnation <= own.incarnation:
             return
@@ -204,8 +204,8 @@
         if spread and news.header is None and len(changes.servers) < len(news.servers):
             self._record_duplicates(news, changes)
         if changes.rejected_as_dead:
-            # A peer sends news of a node that this node considers dead. The verdict is
-            # queued again. A node that is alive refutes the verdict when it arrives.
+            # In the directory, the node is dead. The verdict is queued again to reach
+            # the node. If the node is alive, it then refutes the verdict.
             self.queue.add(self.verdict_on(news.node_id), Priority.NORMAL, 1)
             return
         if not changes.any:
@@ -295,7 +295,7 @@
         self.unrefuted_epoch = max(epoch, self.unrefuted_epoch or epoch)
 
     def confirm_reachable(self, now_s: float) -> None:
-        """Refute the verdicts on this node after a peer has reached it.
+        """Refute the verdicts on this node after a peer has reached this node.
 
         If nodes refuted verdicts on receipt, a node that can open but not accept
         connections would refute each verdict. Its peers would alternately consider
--- a/balsamspindle/membership/node_view.py
+++ b/balsamspindle/membership/node_view.py
@@ -124,7 +124,7 @@
         self.dead_since_s = None
 
     def set_entry(self, entry: ServerEntry) -> bool:
-        """Store an entry if it is newer than the known one; return whether stored."""
+        """Store an entry and return True if the entry is newer than the known one."""
         server_id = entry.record.backend_server_id
         known = self.entries.get(server_id)
         if known is not None:
--- a/balsamspindle/membership/own_record.py
+++ b/balsamspindle/membership/own_record.py
@@ -96,7 +96,7 @@
         If a VM is replaced and the new VM's wall clock is behind, the new node starts
         with a lower incarnation than the old node had. Peers that still have the old
         node's record would ignore news of the new node as outdated. So the new node
-        starts an incarnation above the one in the record.
+        starts an incarnation above that of the old node's record.
 
         Returns
         -------
--- a/balsamspindle/membership/peer_selection.py
+++ b/balsamspindle/membership/peer_selection.py
@@ -22,9 +22,9 @@
     "other_zone_targets",
 ]
 
-# One in this many peers is selected among the peers of all zones, the others in the own
-# zone. If fifty nodes of a zone send one probe a second each, about ten probes a second
-# go to other zones and carry news there.
+# One in this many peers is selected among the peers of all zones, the others among the
+# peers of the node's own zone. If fifty nodes of a zone send one probe a second each,
+# about ten probes a second go to other zones and carry news there.
 OTHER_ZONE_EVERY = 5
 # Number of nodes of other zones that each node probes. On average, each node is also
 # probed by this number of nodes of other zones. Two of a hundred nodes are probed by
--- a/balsamspindle/membership/probing.py
+++ b/balsamspindle/membership/probing.py
@@ -301,7 +301,7 @@
             self._events.emit("node_isolated" if isolated else "node_connected")
 
     def _reconnect(self, now_s: float) -> None:
-        """Ping some contact addresses without a known live node, and one dead node.
+        """Ping one dead node, and some contact addresses without a known live node.
 
         The nodes on the two sides of a partition may declare each other dead. Without
         these pings, the two sides would stay separate after the partition ends.
--- a/balsamspindle/membership/registry.py
+++ b/balsamspindle/membership/registry.py
@@ -145,7 +145,7 @@
         return False
 
     def update_rows(self) -> None:
-        """Write this node's address to those rows of its slots that lack it."""
+        """Write the address of this node to rows of its slots that don't contain it."""
         zone = self._own.availability_zone
         node_ids = {self._own.node_id}
         for node in self._directory.alive():
--- a/balsamspindle/membership/sync.py
+++ b/balsamspindle/membership/sync.py
@@ -186,9 +186,9 @@
             if node_pull is not None
         ]
         if node_pulls:
-            # Urgent, so that the byte cap does not refuse the pull after comparisons
-            # with other peers used up the routine budget. Without the pull, the next
-            # comparison would find the same difference again.
+            # Comparisons with other peers may have used up the byte budget of routine
+            # messages. The pull is sent as urgent, so that the byte cap does not refuse
+            # it. Without the pull, the next comparison would find the same difference.
             pull = Pull(node_pulls[:NODE_PULLS_MAX])
             self._channel.answer(peer, pull, now_s, Importance.URGENT)
         news = self._news_for_peer(summary)
--- a/balsamspindle/node/admin_server.py
+++ b/balsamspindle/node/admin_server.py
@@ -15,7 +15,8 @@
 
 
 class _Handler(WSGIRequestHandler):
-    # Otherwise a client that connects and sends nothing would occupy a thread forever.
+    # Without a timeout, a client that connects and sends nothing would occupy a thread
+    # forever.
     timeout = CONNECTION_TIMEOUT_S
     server: "AdminServer"
 
@@ -42,8 +43,9 @@
     def __init__(self, address: str, application, events: EventLog) -> None:
         self.events = events
         host, _, port = address.partition(":")
-        # werkzeug exits the process if it can't bind. With a listener that is created
-        # here, the error is raised, so the program can report it.
+        # If werkzeug can't bind the address, it exits the process. The listener is
+        # therefore created here: if `create_server` can't bind, it raises an error that
+        # the program can report.
         with socket.create_server((host, int(port)), backlog=BACKLOG) as listener:
             super().__init__(
                 host, int(port), application, handler=_Handler, fd=listener.fileno()
--- a/balsamspindle/node/gate_budgets.py
+++ b/balsamspindle/node/gate_budgets.py
@@ -13,7 +13,7 @@
 
 
 class GateBudgets:
-    """Divides each service's retry budget equally among the nodes with its gates.
+    """Divides each service's retry budget equally among the service's gates.
 
     Parameters
     ----------
@@ -28,8 +28,9 @@
     ) -> None:
         self._directory = directory
         self._service_document = service_document
-        # A gate that has ended or become unreachable may have granted its portion
-        # within the current window, so it is counted until the window has passed.
+        # Largest recent number of gates of each service. A gate that has ended or
+        # become unreachable may have granted its portion within the current window. The
+        # gate is therefore counted until the window has passed.
         self._gate_counts: dict[str, RecentMax] = {}
 
     def retry_budget(self, service: str, now_s: float) -> RetryBudget:
--- a/balsamspindle/node/gate_parts.py
+++ b/balsamspindle/node/gate_parts.py
@@ -128,9 +128,9 @@
     def _serve_links(self) -> None:
         """Run the link server, then end the threads that run attempts.
 
-        If the threads ended earlier, an attempt that arrives while the node stops would
-        be lost. Its caller would get the outcome unknown, although no backend server
-        ran the request.
+        If the threads ended before the link server, an attempt that arrives while the
+        node stops would be lost. The caller would get the outcome unknown, although no
+        backend server ran the request.
         """
         self.link_server.run()
         self._executor.shutdown(wait=False)
--- a/balsamspindle/node/gauges.py
+++ b/balsamspindle/node/gauges.py
@@ -124,7 +124,8 @@
                 {"backend_server": server_id, "state": server.state.value},
             )
             # The remaining time of the hold-out plus the estimated duration of the
-            # trial. Until then, the backend server gets only the requests of the trial.
+            # trial. During this time, the backend server gets only the requests of the
+            # trial.
             yield Gauge(
                 "balsamspindle_backend_server_held_out_seconds",
                 "How long usual work is still kept away from it.",
--- a/balsamspindle/node/graceful_shutdown.py
+++ b/balsamspindle/node/graceful_shutdown.py
@@ -16,9 +16,9 @@
 # After the ingress is stopped, the gate accepts new attempts until all connections of
 # callers are closed, but for at most this long.
 GATE_OPEN_MAX_S = 2.0
-# How long the node still refuses late attempts after all work has ended. If less of the
-# shutdown timeout remains, the node refuses them for the remaining time, but at least
-# for `LATE_REFUSALS_MIN_S`.
+# After all work has ended, the node still refuses new attempts for `LATE_REFUSALS_S`.
+# If less of the shutdown timeout remains, the node refuses them for the remaining time,
+# but at least for `LATE_REFUSALS_MIN_S`.
 LATE_REFUSALS_S, LATE_REFUSALS_MIN_S = 0.5, 0.1
 LAST_ANSWERS_TIMEOUT_S = 0.4
 POLL_INTERVAL_S = 0.02
@@ -51,7 +51,8 @@
         Peers and callers are notified first, so that they use other nodes while this
         node still serves. The gate refuses new attempts only after this node's own
         callers have their answers, or after `GATE_OPEN_MAX_S`. If all nodes of the
-        fleet leave at once, each ingress still needs the gates for its last requests.
+        fleet leave at once, the ingresses have only gates of leaving nodes for their
+        last requests.
         """
         self._report_leaving()
         timeout_end_s = time.monotonic() + self._settings.shutdown_timeout_s
@@ -65,9 +66,9 @@
         self._gate.refuse_new_attempts()
         if not _wait_until(self._is_idle, timeout_end_s):
             self._cancel_remaining()
-        # Attempts of peers that don't know yet that this node leaves are still refused
-        # during this wait. A refusal proves that the attempt was not run; without an
-        # answer, the attempt's outcome would be unknown.
+        # Some peers may not know yet that this node leaves. During this wait, the gate
+        # refuses their attempts. A refusal proves that the attempt was not run; without
+        # an answer, the attempt's outcome would be unknown.
         remaining_s = timeout_end_s - time.monotonic()
         time.sleep(min(LATE_REFUSALS_S, max(LATE_REFUSALS_MIN_S, remaining_s)))
 
@@ -91,8 +92,8 @@
     def _cancel_remaining(self) -> None:
         """Cancel what is still in flight; the outcome of running attempts is unknown.
 
-        Otherwise a backend server that hangs could delay the shutdown until the
-        deadlines of the requests that it runs.
+        Without the cancellation, a backend server that hangs could delay the shutdown
+        until the deadlines of the requests that it runs.
         """
         self._events.emit(
             "shutdown_timeout",
--- a/balsamspindle/node/process.py
+++ b/balsamspindle/node/process.py
@@ -223,8 +223,8 @@
 
     def _shut_down(self) -> None:
         """Shut down gracefully, then end all tasks."""
-        # Stop writing quarantines first. A running call to a store that does not answer
-        # may take two seconds; at the end of the shutdown, less time remains.
+        # Stop writing quarantines first. If the store does not answer, a running write
+        # may take two seconds. At the end of the shutdown, less time remains.
         self._crash_parts.stop()
         shutdown = GracefulShutdown(
             self._settings,
@@ -251,7 +251,8 @@
         if self._settings_watch is not None:
             self._settings_watch.stop()
         servers = (self._admin, *self._extra_servers)
-        # In parallel, because `shutdown` blocks until the loop of its server has ended.
+        # The servers are shut down in parallel, because each call of `shutdown` blocks
+        # until the loop of its server has ended.
         with ThreadPoolExecutor(len(servers), "shutdown") as executor:
             list(executor.map(AdminServer.shutdown, servers))
         if self._authenticator is not None:
@@ -270,7 +271,8 @@
         """Emit which suspected backend servers are left out, and which stay in use.
 
         A backend server that is left out gets a request only as a trial, or if a claim
-        names its gate. One that stays in use gets requests as if it were not suspected.
+        names its gate. A suspected backend server that stays in use gets requests as if
+        it were not suspected.
         """
         self.events.emit(
             "floor_decided",
--- a/balsamspindle/node/store_eras.py
+++ b/balsamspindle/node/store_eras.py
@@ -71,7 +71,11 @@
         member.share_store_era(lambda: self.known.newest, self.known.record_era)
 
     def request_claims(self, era: int) -> None:
-        """Request that all nodes write lost claims again, as callers wait for them."""
+        """Request that all nodes write lost claims again, because callers need them.
+
+        Does nothing if this node sent a request less than `CLAIMS_REQUEST_INTERVAL_S`
+        ago, and a request for `era` or a later era is recorded.
+        """
         now_s = self._clock()
         if (
             now_s - self._requested_s < CLAIMS_REQUEST_INTERVAL_S
--- a/balsamspindle/platform/announcements.py
+++ b/balsamspindle/platform/announcements.py
@@ -76,9 +76,9 @@
 class AnnouncementApplication:
     """The WSGI application that backend servers announce themselves to.
 
-    Any process on the VM may call it. A body that does not match the schema is
-    ignored as a whole: otherwise requests could be sent to an address without a
-    backend server, or the running backend server could be replaced.
+    Any process on the VM may call it. If a body does not match the schema, all of its
+    fields are ignored. If some fields were used, requests could be sent to an address
+    without a backend server, or the running backend server could be replaced.
 
     Parameters
     ----------
--- a/balsamspindle/platform/configuration.py
+++ b/balsamspindle/platform/configuration.py
@@ -1,7 +1,8 @@
 """Translates the operator's configuration into documents of the product's settings.
 
-The operator writes the whole configuration as one row of the store. It becomes the
-documents of one team, named `TEAM`; their revision is the configuration's version.
+The operator writes the whole configuration as one row of the store. The configuration
+is translated into documents of one team, named `TEAM`. The revision of the documents is
+the configuration's version.
 """
 
 import re
@@ -43,19 +44,20 @@
 
 # On this platform many backend servers can fail at the same time, independently of each
 # other and for some seconds. A failing backend server answers each request at once with
-# an error or resets the connection. A healthy one fails single requests, too. So the
-# first trial follows soon after an error, and each failed trial makes the wait for the
-# next one longer.
+# an error or resets the connection. A healthy backend server fails single requests,
+# too. An error alone does not show whether the backend server is failing, so the first
+# trial follows soon after the error. Each failed trial makes the wait for the next
+# trial longer.
 HOLD_OUT_S, HOLD_OUT_MAX_S = 0.05, 1.0
 HOLD_OUT_GROWTH = 4.0
 TRIAL_SUCCESSES = 1
-# Each second in service without an ejection undoes one multiplication of the next
-# hold-out by `HOLD_OUT_GROWTH`. A backend server that keeps failing does not stay in
-# service for a second: it fails one trial after the other. So if a backend server fails
-# after a second without an ejection, the error may well be a single failure.
+# Each second in service without an ejection divides the length of the next hold-out by
+# `HOLD_OUT_GROWTH`. A backend server that keeps failing fails one trial after the
+# other, so it is never in service for a second. If a backend server fails after a
+# second in service, the error may well be a single failure.
 HOLD_OUT_DECAY_S = 1.0
-# Attempts that may wait at one gate. They are refused earlier if they can't end before
-# their deadline, so this only bounds memory.
+# Maximum number of attempts that wait at one gate. The gate refuses an attempt that
+# can't end before its deadline, so this maximum only bounds memory.
 QUEUE_MAX = 64
 
 _METHODS = ("GET", "HEAD", "POST", "PUT", "PATCH", "DELETE", "OPTIONS")
@@ -75,7 +77,7 @@
     kind : str
         ``safe`` if a request may run more than once; see `_EXECUTIONS`.
     timeout : str
-        Time after which the caller gets an answer at the latest.
+        Longest time until the caller gets an answer.
     target_latency : str
         Latency up to which an answer has its full value.
     retry_attempts : int
@@ -142,7 +144,7 @@
 
 
 def operator_row(retries: RetryBounds) -> OperatorRow:
-    """Return where the store has the operator's configuration, and how to decode it."""
+    """Return the row that stores the operator's configuration, with its decoder."""
     return OperatorRow(
         TABLE, KEY, lambda value: translate_configuration(value, retries)
     )
--- a/balsamspindle/platform/store.py
+++ b/balsamspindle/platform/store.py
@@ -4,8 +4,8 @@
 time when a reused connection turns out to be closed.
 
 A refusal such as 503 or 429, or a connection that could not be opened, proves that
-nothing was written. After any other failure the result of a write is unknown; it may
-even take effect later.
+nothing was written. After any other failure the result of a write is unknown; the write
+may even take effect after the failure.
 
 The store may be restored from a copy that is some seconds old; it then announces a new
 era (see `balsamspindle.tables.eras`). A version belongs to one era: a version of an
@@ -186,10 +186,11 @@
                 return _classify_failure(result)
 
     def _reread_checked_rows(self, checks: list[Check]) -> Result[int, PlatformError]:
-        """Return a conflict for a transaction whose rows were read in an earlier era.
+        """Read a transaction's checked rows again and return them as a `Conflict`.
 
-        The transaction is not sent. Since its restore, the store may have assigned the
-        same version numbers again, so a check could pass on a row with other contents.
+        Used instead of sending a transaction if a checked row was read in an earlier
+        era. Since its restore, the store may have assigned the same version numbers
+        again. A check could then pass on a row with other contents.
         """
         rows: list[Row] = []
         for check in checks:
@@ -314,9 +315,9 @@
 def _transaction_result(page: _Page, checked_eras: list[int]) -> Result[int, Unknown]:
     """Return the version that a transaction wrote.
 
-    Returns `Unknown` if the store was restored after the checked rows were read. The
-    same versions may then belong to other contents, so the checks prove nothing,
-    although the transaction was written.
+    Returns `Unknown` if the store was restored after the checked rows were read. After
+    the restore, the same versions may belong to other contents. The checks then prove
+    nothing, although the store wrote the transaction.
     """
     if any(era != page.era for era in checked_eras):
         return Error(Unknown("the store was restored before the write"))
--- a/balsamspindle/settings/configuration.py
+++ b/balsamspindle/settings/configuration.py
@@ -304,13 +304,13 @@
     def apply_to_older(self, deltas: list[SettingsDelta]) -> ApplyResult:
         """Apply changes to an older revision and put the result in force.
 
-        The older revision is one that was in force at this node before the present
-        one. When many changes are accepted in a short time, each node reads only some
-        revisions from the store, and puts only these in force. So the changes that a
-        peer sends can start from an older revision than the one in force here. This
-        method restores the documents of the older revision, applies the changes to
-        them and puts the result in force. It returns GAP if the documents can't be
-        restored, and OLD if the last change is not newer than the revision in force.
+        When many changes are accepted in a short time, each node puts only some
+        revisions in force. A peer may have skipped the revision in force at this
+        node. The changes that the peer sends then apply to an older revision that was
+        in force at both nodes. This method restores the documents of the older
+        revision, applies the changes to them and puts the result in force. It returns
+        GAP if the documents can't be restored. It returns OLD if the last change is
+        not newer than the revision in force.
         """
         first, last = deltas[0], deltas[-1]
         with self._lock:
--- a/balsamspindle/settings/documents.py
+++ b/balsamspindle/settings/documents.py
@@ -81,8 +81,9 @@
     Attributes
     ----------
     threshold : float
-        Evidence of a failure at which a backend server is ejected. With a higher
-        value, failures are detected later and false ejections are rarer.
+        A backend server is ejected when its score reaches this value. The score
+        measures the evidence that the backend server has failed. With a higher value,
+        failures are detected later and false ejections are rarer.
     error_rate_healthy, error_rate_sick : float
         Error rates of a healthy and of a failing backend server, between which
         a statistical test decides.
--- a/balsamspindle/wire/codec.py
+++ b/balsamspindle/wire/codec.py
@@ -23,7 +23,8 @@
 ]
 
 WIRE_VERSION = b"\x01"
-# The same version as `WIRE_VERSION`, for frames with a deflated payload.
+# Version byte of frames with a deflated payload. After it is inflated, the payload is
+# the same as in a frame of `WIRE_VERSION`.
 WIRE_VERSION_DEFLATED = b"\x81"
 DEFLATE_ABOVE_BYTES = 512
 DEFLATE_LEVEL = 1
@@ -64,7 +65,7 @@
 
 
 def encode_member(kind: str, sender: Sender, message: Any) -> bytes:
-    """Encode a member message in an envelope; a large one is deflated."""
+    """Encode a member message in an envelope; deflate the envelope if it is large."""
     body = msgspec.Raw(_encoder.encode(message))
     payload = _encoder.encode(Envelope(kind, sender, body))
     if len(payload) <= DEFLATE_ABOVE_BYTES:
--- a/balsamspindle/wire/link_messages.py
+++ b/balsamspindle/wire/link_messages.py
@@ -161,8 +161,8 @@
     caller_service : str
         Service that runs beside the ingress and sent the request; may be empty.
     is_last_resort : bool
-        Whether all other backend servers were tried or refused the request, so that
-        it may run at a suspected one.
+        Whether the request may run at a suspected backend server, because all other
+        backend servers were tried or refused the request.
     wait_max_ms : float or None
         Longest time that the request may wait for a slot; None if it may wait until
         its deadline.
@@ -175,20 +175,21 @@
         Whether an earlier attempt of the request reached, or may have reached, a
         backend server.
     repeat_fraction : float
-        A run at a backend server of the sender's node may send requests through the
-        sender. Among the present runs at these backend servers, this is the fraction
-        that are repeats. The gate uses it as the probability that this request was
-        sent by a run that is a repeat.
+        Fraction of the runs in progress at the backend servers of the sender's node
+        that are repeats. One of these runs may have sent this request. The gate
+        therefore counts the request as this fraction of a repeat (see
+        `balsamspindle.backend_servers.retry_grants`).
     ingress_remaining_ms : float or None
         Time until the sender's node stops; None if the node is not leaving.
     run_was_lost : bool
-        Whether an earlier run of the request was lost, or is about to be lost: its
-        gate cancelled it, announced that its node stops, or did not reply; or the
-        backend server crashed.
+        Whether an earlier run of the request was lost or is about to be lost. The
+        gate of that run cancelled the run, announced that its node stops, or did not
+        reply, or the backend server crashed.
     rank_ms : float
-        Time that the gate adds to the request's target time when it sorts its queues;
-        the same for all requests that one parent request sends (see
-        `balsamspindle.requests.siblings`).
+        When the gate sorts its queues, it adds this delay to the time at which the
+        request misses its latency target. All calls that a backend server makes for
+        one request have the same delay; `balsamspindle.requests.siblings` explains
+        why.
     content_hash : int
         Hash that is the same for all repeats of a request, whatever their ids; 0 if
         unknown.
--- a/balsamspindle/wire/member_messages.py
+++ b/balsamspindle/wire/member_messages.py
@@ -213,10 +213,10 @@
 
 
 class VerdictNews(msgspec.Struct, array_like=True, tag="c", frozen=True):
-    """One node's verdict on another node: it does not answer, or it is dead.
+    """One node's verdict that another node does not answer or is dead.
 
     The verdict applies to one incarnation and header version. The judged node
-    refutes it by announcing a higher version.
+    refutes the verdict by announcing a higher version.
 
     Attributes
     ----------
@@ -277,7 +277,12 @@
 
 
 class PingRequest(msgspec.Struct, array_like=True, frozen=True):
-    """Node to node: ping a node that the sender can't reach, or the sender itself."""
+    """Node to node: ping the node `target`; the answer is an `Ack`.
+
+    A node sends this message when the target did not answer the node's own ping. If a
+    node receives a verdict on itself, it requests pings of itself. The node refutes the
+    verdict when one of these pings has reached it.
+    """
 
     sequence: int
     target: NodeId
@@ -308,7 +313,9 @@
 
 
 class NodeSummary(NamedTuple):
-    """Versions of the sender's record of one node, to compare two records.
+    """Versions in the sender's record of one node.
+
+    The receiver compares these versions with those in its own record of the node.
 
     Attributes
     ----------
@@ -344,7 +351,10 @@
 
 
 class NodePull(NamedTuple):
-    """One node of a `Pull`: send its entries above a version; 0 for all entries."""
+    """A node in a `Pull`, and the version above which its entries are requested.
+
+    Version 0 requests all entries.
+    """
 
     node_id: NodeId
     incarnation: Count
@@ -366,12 +376,16 @@
 
 
 class Page(msgspec.Struct, array_like=True, frozen=True):
-    """Records that the receiver pulled, or lacks according to its `SyncSummary`.
+    """Node to node: the answer to a `Pull` or a `SyncSummary`.
+
+    In answer to a `Pull`, the page has the requested records. In answer to a
+    `SyncSummary`, the page has news that the sender of the summary lacks.
 
     Attributes
     ----------
     remaining_count : int
-        Number of pulled nodes whose records did not fit.
+        In answer to a `Pull`: number of requested nodes whose records did not fit.
+        Otherwise 0.
     """
 
     news: list[News]
--- a/balsamspindle/wire/security.py
+++ b/balsamspindle/wire/security.py
@@ -28,9 +28,9 @@
         The pair that all nodes share, in Z85 encoding.
     allowed_public_keys : tuple of str
         Public keys of other clients that may connect, each with a key pair of its
-        own. Nodes with different fleet key pairs can't connect to each other even if
-        they list each other's public keys: a node connects only to listeners that
-        have the node's own public key.
+        own. A node connects only to listeners that have the node's own public key.
+        Therefore, nodes with different fleet key pairs can't connect to each other,
+        even if each node lists the other node's public key.
     """
 
     public_key: CurveKey
