--- a/tests/caller_side.py
+++ b/tests/caller_side.py
@@ -37,7 +37,7 @@
     forwarded : list of ForwardedRequest
         All requests so far.
     remaining_ms : list of float
-        Time until its deadline for each of these requests, when it arrived.
+        For each of these requests, the time from its arrival to its deadline.
     headers : list of tuple of str
         Headers of each answer.
     answers_allowed : Event
--- a/tests/member_network.py
+++ b/tests/member_network.py
@@ -29,8 +29,9 @@
 class FixedClock:
     """A clock that always returns the same time.
 
-    Frames contain a time, and their compressed size depends on it. The members limit
-    the bytes that they send, so that with the real clock each run would be different.
+    Frames contain a time, and their compressed size depends on this time. The members
+    limit the bytes that they send. With the real clock, the sizes of the frames would
+    differ from run to run, and the members would send different frames in each run.
     """
 
     ignored_count = 0
--- a/tests/soak_crashes.py
+++ b/tests/soak_crashes.py
@@ -299,8 +299,9 @@
         for cause in self.causes.values():
             late_runs = self._late_runs(cause)
             assert len(late_runs) <= LATE_RUNS_MAX, (
-                f"{cause.target} ({cause.crashes_after_s:.2f} s) ran {len(late_runs)} "
-                f"times more than {PROPAGATION_S} s after its third crash: {late_runs}",
+                f"{cause.target}, which crashes a backend server after "
+                f"{cause.crashes_after_s:.2f} s, began {len(late_runs)} runs later "
+                f"than {PROPAGATION_S} s after its third crash: {late_runs}",
                 self.injected,
             )
 
--- a/tests/soak_limits.py
+++ b/tests/soak_limits.py
@@ -79,7 +79,10 @@
         seed for seed, result in results.items() if result.largest_window_fraction > 1
     ]
     most = max(result.largest_window_fraction for result in results.values())
-    print(f"{count} seeds, at most {most:.2f} of the allowed requests, over 1: {over}")
+    print(
+        f"{count} seeds, highest ratio of granted to allowed requests: {most:.2f}, "
+        f"seeds with a ratio above 1: {over}"
+    )
     return 1 if over else 0
 
 
--- a/tests/test_caller_connections.py
+++ b/tests/test_caller_connections.py
@@ -99,10 +99,11 @@
     def test_a_request_that_ends_on_a_leaving_node_logs_how_long_it_has_been_leaving(
         self,
     ):
-        # The first request ends before the node starts to leave, and the second one
-        # after that. The run of the second request is lost before the node starts to
-        # leave, so the log line of this request has both `leaving_ms` and
-        # `after_cut_ms`.
+        # The first request ends before the node starts to leave, so its log line has
+        # none of the three fields. The second request ends while the node is leaving,
+        # so its line has `leaving_ms`. The run of the second request is lost, so its
+        # line has `after_cut_ms`, the time since this loss. The run is lost before the
+        # node starts to leave, so `after_cut_ms` is not less than `leaving_ms`.
         fixture = IngressFixture()
         self.addCleanup(fixture.close)
         fixture.caller().send(GET).read()
--- a/tests/test_claim_schedules.py
+++ b/tests/test_claim_schedules.py
@@ -19,7 +19,7 @@
 class Schedule:
     """Callers that resend a key while processes fail and the store is restored.
 
-    When the time for which a key may be resent is over, they send the next key.
+    After the time for which a key may be resent, the callers use the next key.
     """
 
     def __init__(self, seed: int) -> None:
@@ -151,8 +151,8 @@
 
 class RestoreScheduleTests(TestCase):
     def test_a_key_runs_at_most_once_after_restores_at_random_times(self):
-        # Guards against a second run of a key, and against 'not run' for a key that
-        # ran, after the store was restored at random times.
+        # Guards against a second run of a request, and against 'not run' for a request
+        # that ran, after the store was restored at random times.
         self.patch(claim_eras, "RESTORE_WAIT_S", 0.0)
         outcomes, lost_claims, runs_after_restore = Counter(), 0, 0
         for seed in range(1000):
--- a/tests/test_claims.py
+++ b/tests/test_claims.py
@@ -87,7 +87,7 @@
         self.assertEqual("here", resend.owner_id())
         self.assertEqual(("here", 1, 1, 5.0), resend.claim_for(HERE, 9.0))
         # The claimant sent no request to the gate that has the claim, and this gate may
-        # have run the key.
+        # have run a request with the key.
         final = resend.final_reply(reply(Outcome.NOT_RUN, Reason.CLAIM_MOVED))
         self.assertEqual(
             (Outcome.UNKNOWN, Reason.DUPLICATE), (final.outcome, final.reason)
@@ -148,9 +148,9 @@
             self.assertEqual(1, claimant.claim_for(HERE, 5.0).version)
 
     def test_without_the_platform_nothing_runs_and_the_outcome_is_unknown(self):
-        # Guards against a second run. This request did not run, but an earlier one with
-        # its key may have run. After 'not run' the caller would sign again with a new
-        # key.
+        # Guards against a second run. This request did not run, but an earlier request
+        # with the same key may have run. After 'not run', the caller would send its
+        # request again with a new key, and the request would run again.
         for faults, timeout_s in ((["down"], 30.0), (["slow"], 0.05)):
             self.tables.faults = faults
             claimant = self._claimant(timeout_s)
--- a/tests/test_claims_restored.py
+++ b/tests/test_claims_restored.py
@@ -25,7 +25,8 @@
         return claim, claimant.owner_id(), final.outcome
 
     def test_the_gate_that_ran_a_key_claims_it_again(self):
-        # Guards against a second run of a key whose claim the store has lost.
+        # Guards against a second run of a request after the store has lost the claim of
+        # its key.
         world = World()
         world.store.save_copy()
         world.run_at("a")
@@ -38,8 +39,9 @@
         self.assertEqual("a", self._resend(world, "b", "a")[0].node_id)
 
     def test_a_key_is_unknown_after_its_gate_restarted(self):
-        # Guards against a second run of a key whose claim the store has lost and whose
-        # gate has restarted, so that the gate does not know that it ran the key.
+        # Guards against a second run of a request after the store has lost the claim of
+        # its key. The gate that ran the request has restarted, so it does not know of
+        # the first run.
         world = World()
         world.store.save_copy()
         world.run_at("a", ingress="a")
@@ -73,8 +75,8 @@
         self.assertIsInstance(self._resend(world, "b", "a", "other")[0], Claim)
 
     def test_keys_are_unknown_until_their_gate_reaches_the_store_again(self):
-        # Guards against a second run of a key whose gate can't reach the store to
-        # claim it again.
+        # Guards against a second run of a request whose gate can't reach the store to
+        # claim the key again.
         world = World()
         world.store.save_copy()
         world.run_at("a", ingress="a")
@@ -92,8 +94,9 @@
         self.assertIsInstance(self._resend(world, "b", "b", "other")[0], Claim)
 
     def test_a_claim_made_before_its_writer_knew_the_era_allows_no_run(self):
-        # Guards against a second run of a key whose claim the store has lost. Before an
-        # ingress learns of the new era, it writes another claim for the key.
+        # Guards against a second run of a request after the store has lost the claim of
+        # its key. Before an ingress learns of the new era, it writes another claim for
+        # the key.
         world = World()
         world.store.save_copy()
         world.run_at("a")
@@ -101,7 +104,8 @@
         gate = world.processes["b"]
         late = gate.claimant()
         self.assertIs(Reason.CLAIMS_UNAVAILABLE, late.claim_for(gate.gate, 1.0))
-        # Another ingress finds this claim before the gate that ran the key replaces it.
+        # Another ingress finds this claim before the gate that ran the request replaces
+        # it.
         claim = world.processes["c"].claimant().claim_for(gate.gate, 1.0)
         refused = gate.ledger.begin(make_dispatch(claim), world.now_s)
         self.assertIsInstance(refused, KeyRefused)
@@ -110,9 +114,9 @@
         self.assertEqual("a", self._resend(world, "b", "b")[1])
 
     def test_a_claim_of_an_earlier_era_allows_no_run_after_keys_were_listed(self):
-        # Guards against a run that is missing from its gate's list. A gate lists the
-        # keys that it ran when an era begins. A run under a claim of an earlier era
-        # that started later would not be listed.
+        # Guards against a run that is missing from its gate's list. When an era begins,
+        # a gate lists the keys of all requests that it ran. If a request ran later
+        # under a claim of an earlier era, its key would not be on this list.
         world = World()
         gate = world.processes["a"]
         claim = world.processes["c"].claimant().claim_for(gate.gate, world.now_s)
@@ -122,7 +126,7 @@
         self.assertEqual(KeyRefused(Outcome.NOT_RUN, Reason.CLAIM_MOVED), refused)
 
     def test_not_run_is_not_replied_for_a_key_whose_claim_may_be_lost(self):
-        # Guards against 'not run' for a key that ran before the store was restored.
+        # Guards against 'not run' for a request that ran before the store was restored.
         world = World()
         world.store.save_copy()
         world.run_at("a")
@@ -207,9 +211,10 @@
         self.assertEqual(set(), eras.missing_holders({"here": Confirmation(1, 2)}))
 
     def test_a_process_that_ended_after_the_last_answer_of_the_store_is_missing(self):
-        # Guards against a process that is cut off from the store and removes the
-        # holders of claims that have ended. The copy that is restored later may have
-        # been made while these holders ran, and may lack their claims.
+        # Guards against claims that are lost without notice. A process that is cut off
+        # from the store must not remove holders of claims that have ended. The copy
+        # that is restored later may have been made while these holders ran, and may
+        # lack their claims.
         here, gone = ClaimHolder("here", 1), ClaimHolder("gone", 1)
         eras = self._eras(here, gone)
         eras.record_holders([here], 30.0, 500.0)
--- a/tests/test_claims_restored_processes.py
+++ b/tests/test_claims_restored_processes.py
@@ -31,7 +31,8 @@
         call(self.fleet.platform_address, f"/{verb}", "POST", b"")
 
     def test_a_key_runs_once_and_new_ones_are_served_soon(self):
-        # Guards against a second run of a key whose claim the store has lost.
+        # Guards against a second run of a request after the store has lost the claim of
+        # its key.
         self._store("copy")
         first = self._sign("i", "lost")
         self.assertEqual("answered", first.outcome)
--- a/tests/test_crash_gossip.py
+++ b/tests/test_crash_gossip.py
@@ -149,10 +149,11 @@
 
 
 def test_answers_to_requests_lost_once_are_not_shared():
-    """Guards against nodes that share each answer to a request lost in only one crash.
+    """Guards against nodes that share answers to requests that were lost only once.
 
-    A crash ends six runs. If each answer to these requests were shared, the traffic
-    would be seven times as high.
+    A crash ends six runs. The requests of these runs are sent again and answered. If
+    each of the six answers were shared, a crash would cause seven updates instead of
+    one, and the traffic would be seven times as high.
     """
     fleet = Fleet(21)
     before = fleet.network.frames
--- a/tests/test_crash_watch.py
+++ b/tests/test_crash_watch.py
@@ -183,11 +183,12 @@
             "server", announcement, AnnouncedStatus(1), time.monotonic()
         )
 
-    def test_a_replacement_before_its_run_ends_is_a_crash(self):
+    def test_a_replacement_during_a_run_is_a_crash(self):
         # Guards against a crash that a probe of the address can't detect. The node is
-        # suspended while its backend server crashes and is replaced under another id.
-        # When the node probes the address, the replacement already accepts connections
-        # there.
+        # suspended while its backend server crashes and is replaced by one with another
+        # id. When the node probes the address, the replacement already accepts
+        # connections there. The run at the crashed backend server has not ended at the
+        # gate yet.
         self._announce_first()
         running = self._begin(1)
         self._wait_running(1)
--- a/tests/test_crashing_requests.py
+++ b/tests/test_crashing_requests.py
@@ -57,9 +57,11 @@
         self.assertEqual(0, self._dispatches())
 
     def test_one_idempotent_request_crashes_no_more_than_three_backend_servers(self):
-        # The route allows five attempts. Before each further attempt, the crashes of
-        # this request's earlier attempts count like those of its caller's earlier
-        # requests.
+        # Guards against a request whose retries crash more than three backend servers.
+        # The route allows five attempts. The limit is three crashes for all requests
+        # with the same content. The crashes of this request's own attempts count
+        # towards the limit, like the crashes of earlier requests of its caller. The
+        # ingress checks the limit before each further attempt.
         self.answers = dict.fromkeys(self.NAMES, self._crash_and_answer)
         reply = self._forward(attempts_max=5)
         self.assertEqual(3, self._dispatches())
--- a/tests/test_ending_gates.py
+++ b/tests/test_ending_gates.py
@@ -60,8 +60,8 @@
 class EndingGateCase(TwoGateCase):
     def setUp(self):
         super().setUp()
-        # On a busy machine the greeting of a link may be slow. It must not time out
-        # here.
+        # On a busy machine a gate may answer the first message on a link, the
+        # `GreetingRequest`, late. The connection to the gate must not time out here.
         self.patch(links, "CONNECT_TIMEOUT_S", PATIENCE_S)
 
     def _request_at(self, name: str, **changes) -> Reply:
@@ -290,8 +290,11 @@
         )
 
     def test_an_attempt_at_a_second_ending_gate_is_parked_too(self):
-        # Nodes are restarted one after the other. After the first run was cut, the gate
-        # of the second run announces its end, too.
+        # Nodes are restarted one after the other. The first gate announces its end, so
+        # the ingress also sends the request to a second gate. The first gate cuts its
+        # run. Then the second gate announces its own end while the second run is not
+        # finished. The second attempt must be parked like the first one, and the
+        # request must be sent to a third gate.
         self.answers = {
             "a": lambda dispatch: [ending(dispatch), cut(dispatch, 0.2)],
         }
@@ -316,11 +319,11 @@
     NAMES = ("a",)
 
     def test_an_answer_that_arrives_during_a_run_at_the_own_gate_is_used(self):
-        # Guards against a caller that waits on or gets an error although its request
-        # was answered. The run at the leaving gate ends in time. Meanwhile the request
-        # also runs at the ingress's own gate and hangs there. If the ingress does not
-        # read the answer of the leaving gate during this time, the answer is lost when
-        # the leaving node ends and closes its connection.
+        # Guards against a caller that keeps waiting, or gets an error, although its
+        # request was answered. The run at the leaving gate ends in time. Meanwhile the
+        # request also runs at the ingress's own gate and hangs there. If the ingress
+        # does not read the answer of the leaving gate during this time, the answer is
+        # lost when the leaving node ends and closes its connection.
         server = RawServer(lambda number: (None, False))
         self.addCleanup(server.close)
         self.servers.announce(
--- a/tests/test_health_monitor.py
+++ b/tests/test_health_monitor.py
@@ -89,9 +89,12 @@
 
 
 def test_a_held_out_backend_server_is_readmitted_in_an_overload():
-    """A held-out backend server gets no dispatches, and so no summaries of its peers.
+    """Guards against a backend server that stays held out in an overload of all peers.
 
-    Summaries that arrive for another backend server of the node must count for both.
+    An ingress sends a summary of a backend server's peers only with a dispatch to this
+    backend server. A held-out backend server gets no dispatches, and so no summaries.
+    Therefore a summary that arrives for another backend server of the same service at
+    this node must count for the held-out backend server, too.
     """
     node = Node()
     neighbour = Announcement(SERVICE, "127.0.0.1:9", 6, "1")
--- a/tests/test_independent_errors.py
+++ b/tests/test_independent_errors.py
@@ -185,8 +185,10 @@
         self.assertFalse(server.admits())
 
     def test_the_lightest_idempotent_work_is_used_for_trials_first(self):
-        # A heavier idempotent request is a call that a non-idempotent one waits
-        # for. If it is lost in a trial, the non-idempotent request fails, too.
+        # Guards against a failed trial that makes a non-idempotent request fail. A
+        # heavier idempotent request may be a call that a non-idempotent request made
+        # and waits for. If the call is lost in a trial, the non-idempotent request
+        # fails, too, and it can't be retried.
         server = _TimedServer()
         server.admits(weight=LIGHT)
         server.run(WorkResult.ERROR)
--- a/tests/test_key_proofs.py
+++ b/tests/test_key_proofs.py
@@ -40,7 +40,8 @@
         self.assertFalse(self.freshness.is_fresh(7, 15.0))
 
     def test_a_proof_of_a_newer_revision_counts_once_it_is_in_force(self):
-        # Guards against the use of a key that a revision not yet in force here revokes.
+        # Guards against the use of a key that revision 8 revokes. This node still has
+        # revision 7 in force, so a proof of revision 8 must not prolong the use of 7.
         self.freshness.record(Proof(10.0, 7), 7)
         self.freshness.record(Proof(14.0, 8), 7)
         self.assertFalse(self.freshness.is_fresh(7, 15.0))
@@ -263,7 +264,7 @@
     """After its revocation a key is used no longer than a proof's maximum age."""
 
     def test_the_delay_of_an_answer_counts_as_age(self):
-        # Guards against a proof that seems new because its receiver was paused.
+        # Guards against an age that omits the time in which the asker was paused.
         fleet = Fleet(2, zones=1)
         reader, other = fleet.nodes.values()
         reader.refresher.record_read(fleet.now_s, 1)
@@ -278,7 +279,7 @@
         self.assertFalse(other.is_fresh())
 
     def test_the_delay_of_a_question_counts_as_age(self):
-        # Guards against a proof that seems new because the peer was paused.
+        # Guards against an age that omits the time in which the peer was paused.
         fleet = Fleet(2, zones=1)
         reader, other = fleet.nodes.values()
         other.refresher.send_question(reader.address, fleet.now_s)
@@ -305,8 +306,7 @@
         self.assertEqual(began_s, other.freshness.usable_proof(1).began_s)
 
     def test_in_many_schedules_no_revoked_key_is_used_after_the_maximum_age(self):
-        # Guards against a combination of delays, pauses and lost connections that lets
-        # a revoked key be used too long.
+        # Delays, pauses and lost connections together must not prolong a key's use.
         latest_s = max(map(latest_use_s, range(SCHEDULES)))
         self.assertLessEqual(latest_s, AGE_MAX_S)
 
