--- a/tests/mixed_builds.py
+++ b/tests/mixed_builds.py
@@ -71,9 +71,7 @@
         fleet.start_crashing_server(node)
     fleet.wait_ready()
     for written in earlier:
-        assert f"crew/{written}" in listed, (
-            f"the customer of the {written} build is missing"
-        )
+        assert f"crew/{written}" in listed, f"no customer of {written} build"
         assert f'"{written}"' in history, f"no change by {written} in the history"
         for node in nodes:
             answer = fleet.sign(node, f"{written}-key")
@@ -84,9 +82,7 @@
             assert refused.json()["reason"] == "crashes_servers", refused
     got = json.loads(fleet.ctl(build, "settings", "get", "crew"))
     for path, document in DOCUMENTS.items():
-        assert path in got, (
-            f"{path} is missing from the stored settings that this build reads"
-        )
+        assert path in got, f"{path} is missing from the settings that were read"
         path_prefix = document.get("path_prefix")
         assert path_prefix in (None, got[path].get("path_prefix")), got[path]
 
--- a/tests/test_at_most_once_pairs.py
+++ b/tests/test_at_most_once_pairs.py
@@ -21,7 +21,7 @@
         requests_cut = fleet.flow_fault(forward=Flow.DROP)
         hang = fleet.backend_fault(mode="hang", delay_s=1.0)
         pairs = {
-            # The VM on which both run is lost.
+            # The VM on which the gate and the backend server run is lost.
             "gate-and-backend-killed": gate_killed + backend_killed,
             # The gate to which the keys are claimed is lost, and no claim can be looked
             # up.
--- a/tests/test_claims_restored.py
+++ b/tests/test_claims_restored.py
@@ -75,8 +75,8 @@
         self.assertIsInstance(self._resend(world, "b", "a", "other")[0], Claim)
 
     def test_keys_are_unknown_until_their_gate_reaches_the_store_again(self):
-        # Guards against a second run of a request whose gate can't reach the store to
-        # claim the key again.
+        # Guards against a second run of a request. The gate that ran the request can't
+        # reach the store to claim the key again.
         world = World()
         world.store.save_copy()
         world.run_at("a", ingress="a")
@@ -211,10 +211,9 @@
         self.assertEqual(set(), eras.missing_holders({"here": Confirmation(1, 2)}))
 
     def test_a_process_that_ended_after_the_last_answer_of_the_store_is_missing(self):
-        # Guards against claims that are lost without notice. A process that is cut off
-        # from the store must not remove holders of claims that have ended. The copy
-        # that is restored later may have been made while these holders ran, and may
-        # lack their claims.
+        # Guards against a process that discards ended holders of claims while it is cut
+        # off from the store. The copy of the store that is restored later may have been
+        # made while these holders ran, and may lack their claims.
         here, gone = ClaimHolder("here", 1), ClaimHolder("gone", 1)
         eras = self._eras(here, gone)
         eras.record_holders([here], 30.0, 500.0)
--- a/tests/test_crashing_requests.py
+++ b/tests/test_crashing_requests.py
@@ -58,10 +58,10 @@
 
     def test_one_idempotent_request_crashes_no_more_than_three_backend_servers(self):
         # Guards against a request whose retries crash more than three backend servers.
-        # The route allows five attempts. The limit is three crashes for all requests
-        # with the same content. The crashes of this request's own attempts count
-        # towards the limit, like the crashes of earlier requests of its caller. The
-        # ingress checks the limit before each further attempt.
+        # The route allows five attempts, but a request's content may cause only three
+        # crashes. Before each further attempt, the ingress counts the crashes of this
+        # request's earlier attempts together with those of its caller's earlier
+        # requests.
         self.answers = dict.fromkeys(self.NAMES, self._crash_and_answer)
         reply = self._forward(attempts_max=5)
         self.assertEqual(3, self._dispatches())
--- a/tests/test_drain.py
+++ b/tests/test_drain.py
@@ -30,7 +30,7 @@
         Announcements pause, for example, while the node is suspended. The node then
         removes the backend server, or marks it as silent if requests run there. If the
         next announcement of the same boot ended the drain, the backend server would get
-        requests again. These requests would be cut when the operator shuts it down.
+        requests again. They would be cut when the operator shuts the server down.
         """
         for in_flight in (0, 1):
             for server in self.servers.all():
--- a/tests/test_ending_gates.py
+++ b/tests/test_ending_gates.py
@@ -60,8 +60,9 @@
 class EndingGateCase(TwoGateCase):
     def setUp(self):
         super().setUp()
-        # On a busy machine a gate may answer the first message on a link, the
-        # `GreetingRequest`, late. The connection to the gate must not time out here.
+        # On a busy machine, a gate may be late to answer the first message on a link,
+        # the `GreetingRequest`. The ingress must not time out while it waits for this
+        # answer.
         self.patch(links, "CONNECT_TIMEOUT_S", PATIENCE_S)
 
     def _request_at(self, name: str, **changes) -> Reply:
--- a/tests/test_floor.py
+++ b/tests/test_floor.py
@@ -117,7 +117,7 @@
 
 
 def test_draining_and_cold_backend_servers_reduce_the_allowed_ejections():
-    """Three of ten are draining and one is cold: the floor allows no ejection."""
+    """Three of ten servers drain and one is cold, so the floor allows no ejection."""
     view = [placement(0, SICK), *(placement(number) for number in range(1, 6))]
     view += [placement(number, state="draining") for number in range(6, 9)]
     view += [placement(9, ramp=0.1)]
@@ -127,7 +127,7 @@
 
 
 def test_a_backend_server_on_trial_is_used_in_full_when_the_floor_needs_it():
-    """Four of ten are ejected. Ejecting one on trial, too, would break the floor."""
+    """Four of ten servers are ejected. Ejecting a fifth one would break the floor."""
     view = [placement(number, SICK) for number in range(4)]
     view += [placement(4, ON_TRIAL), *(placement(number) for number in range(5, 10))]
     decision = decide_floor(view, 0.6)
--- a/tests/test_gate.py
+++ b/tests/test_gate.py
@@ -224,9 +224,10 @@
         self.assertEqual(["node_leaving"] * 2, cuts)
 
     def test_an_attempt_that_is_read_after_its_deadline_is_not_run(self):
-        # The gate's process was suspended, so the message is read late. Its remaining
-        # time counts from when it is read and looks sufficient. But the deadline on the
-        # gate's clock has passed, and the caller has already been notified of that.
+        # The gate's process was suspended, so it reads the message late. The gate
+        # counts the message's remaining time from the moment of reading, so this time
+        # looks sufficient. But the deadline on the gate's clock has passed, and the
+        # caller has already been notified that it has passed.
         late = self._dispatch(gate_deadline_s=time.monotonic() - 0.01)
         self.assertEqual((Outcome.NOT_RUN, Reason.DEADLINE), self._ended(late))
         self.assertEqual([], self.server.requests)
--- a/tests/test_health_monitor.py
+++ b/tests/test_health_monitor.py
@@ -111,9 +111,9 @@
 def test_own_failures_do_not_count_as_failures_of_peers():
     """One of a node's two backend servers fails and is held out.
 
-    The other one gets requests with summaries that count one bad peer: the held-out
-    server. Guards against a held-out server that is counted as its own peer. Its
-    failures would seem to have a cause shared with peers, and it would be on trial
+    The other backend server gets requests with summaries that count one bad peer: the
+    held-out server. Guards against a held-out server that is counted as its own peer.
+    Its failures would seem to have a cause shared with peers, and it would be on trial
     again after 50 ms.
     """
     node = Node()
--- a/tests/test_independent_errors.py
+++ b/tests/test_independent_errors.py
@@ -64,10 +64,10 @@
     def test_after_an_error_only_idempotent_requests_run_until_a_trial_succeeds(
         self,
     ):
-        # A sick backend server answers errors within a millisecond, so it looks
-        # idle and would attract all requests. A non-idempotent request that gets
-        # an error is lost, so none is sent there after the first error, until an
-        # idempotent request has succeeded.
+        # A sick backend server answers errors within a millisecond, so it looks idle
+        # and would attract all requests. A non-idempotent request that gets an error is
+        # lost. After the first error, the backend server therefore gets no
+        # non-idempotent request until an idempotent request has succeeded there.
         server = _TimedServer()
         server.run(WorkResult.ANSWERED)
         server.run(WorkResult.ERROR)
@@ -81,8 +81,8 @@
 
     def test_a_request_that_cannot_be_retried_is_not_used_for_a_trial(self):
         # Guards against a request that fails in a trial on its last attempt while other
-        # backend servers are free. It is used for a trial only after `TRIAL_WAIT_S`, in
-        # which no other request was available.
+        # backend servers are free. A trial accepts a request on its last attempt only
+        # after `TRIAL_WAIT_S`, in which no other request was available.
         server = _TimedServer()
         server.run(WorkResult.ERROR)
         server.now_s += DETECTION.hold_out_s + 0.01
@@ -92,9 +92,9 @@
         self.assertTrue(server.admits(last=True))
 
     def test_a_trial_succeeds_once_it_has_run_longer_than_errors_take(self):
-        # All errors come within a millisecond, so an attempt that has run for 20 ms is
-        # no such error, and the trial succeeds. Guards against leaving the other slots
-        # empty until the attempt ends after 300 ms.
+        # All errors come within a millisecond. An attempt that has run for 20 ms is
+        # therefore not one of these errors, and the trial succeeds. Guards against
+        # leaving the other slots empty until the attempt ends after 300 ms.
         server = _TimedServer()
         server.run(WorkResult.ERROR)
         server.now_s += DETECTION.hold_out_s + 0.01
--- a/tests/test_key_proofs.py
+++ b/tests/test_key_proofs.py
@@ -264,7 +264,7 @@
     """After its revocation a key is used no longer than a proof's maximum age."""
 
     def test_the_delay_of_an_answer_counts_as_age(self):
-        # Guards against an age that omits the time in which the asker was paused.
+        # Guards against an age that omits the time in which the asking node was paused.
         fleet = Fleet(2, zones=1)
         reader, other = fleet.nodes.values()
         reader.refresher.record_read(fleet.now_s, 1)
--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -118,8 +118,8 @@
         faults = [fault for caller in self.callers for fault in caller.faults]
         self.assertEqual([], faults)
         self.assertGreater(len(calls), 300)
-        # The node closes an idle connection with 408. A caller may have sent a request
-        # on the connection just before, which gets this 408 and is not run.
+        # The node closes an idle connection with 408. If a caller sent a request on the
+        # connection just before the close, the request gets this 408 and is not run.
         others = [
             call
             for call in calls
--- a/tests/test_leaving_in_doubt.py
+++ b/tests/test_leaving_in_doubt.py
@@ -123,8 +123,9 @@
         # Guards against 504 and 'unknown' for a read that could be repeated, because
         # another backend server is free all the time. The gate that runs the read gets
         # SIGTERM and cuts the run after its shutdown timeout. The ingress must send the
-        # second attempt as soon as it learns that the gate is leaving. If it waited for
-        # the cut, it might be leaving as well and end before the second attempt does.
+        # second attempt as soon as it learns that the gate is leaving. If the ingress
+        # waited for the cut, it might be leaving as well by then, and might end before
+        # the second attempt ends.
         far = self._start_node("far", "zone-1")
         self.fleet.start_backend("contract-near", SERVICE, self.near, work_ms=15000)
         server = self.fleet.start_backend("contract-far", SERVICE, far, work_ms=2500)
--- a/tests/test_lifetimes.py
+++ b/tests/test_lifetimes.py
@@ -40,8 +40,9 @@
 
     def test_a_late_ready_announcement_does_not_undo_a_drain(self):
         # A delayed announcement that reports "ready" arrives after one that reports
-        # "draining". If the node accepted the late one, the backend server would get
-        # new requests, which are cut when it ends.
+        # "draining". If the node accepted the delayed announcement, the backend server
+        # would get new requests. These requests would be cut when the backend server
+        # ends.
         self.announce("one", 1, 0.0)
         self.announce("one", 3, 1.0, draining=True)
         self.announce("one", 2, 1.1)
@@ -120,8 +121,8 @@
 
     def test_late_messages_of_an_earlier_start_are_ignored(self):
         # A network failure delays the announcement of the drain and the leave of the
-        # first start. They arrive while the second start serves. If they counted for
-        # the second start, healthy capacity would be lost permanently.
+        # first start. Both messages arrive after the second start. If the node applied
+        # them to the second start, healthy capacity would be lost permanently.
         self.announce("one", 1, 0.0, start_unix_ms=2000)
         self.announce("one", 9, 0.5, draining=True, start_unix_ms=1000)
         self.lifetimes.record_leave("one", start_unix_ms=1000)
--- a/tests/test_links.py
+++ b/tests/test_links.py
@@ -121,8 +121,9 @@
             # The noise is sent both before and after the answer.
             return [*first, (delay_s, own), *first]
 
-        # 16 tasks open links at once. On a busy machine a greeting may take longer
-        # than the time-out for connecting, and the request would be `not_run`.
+        # 16 tasks open links at once. On a busy machine a gate's `GreetingReply` may
+        # take longer than the time-out for connecting, and the request would be
+        # `not_run`.
         self.patch(links, "CONNECT_TIMEOUT_S", 10.0)
         _, address = self._gate(answer)
         ingress = self._ingress(address)
@@ -189,9 +190,9 @@
 
     def test_no_request_is_sent_over_a_link_that_is_cut_in_one_direction(self):
         # One direction of a link is cut while the link is idle, and its connection
-        # stays open. A request sent over it, or its answer, would be lost, with the
-        # outcome `unknown`. The ingress must check the link before it sends the
-        # request. The outcome is then `not_run`.
+        # stays open. If a request were sent over this link, the request or its answer
+        # would be lost, and the outcome would be `unknown`. The ingress must check the
+        # link before it sends the request. The outcome is then `not_run`.
         self.patch(links, "CHECK_VALID_S", dict.fromkeys(Execution, 0.0))
         for direction in ("forward", "backward"):
             gate, relay, ingress = self._relayed()
@@ -215,8 +216,8 @@
             self.assertEqual(ran, len(gate.dispatches))
 
     def test_a_link_gets_its_full_timeout_despite_a_pause_of_the_process(self):
-        # Guards against `not_run` although the gate greeted the new link in time. A
-        # pause of this process delays the reading of the greeting.
+        # Guards against `not_run` although the gate sent its `GreetingReply` on the new
+        # link in time. A pause of this process delays the reading of the reply.
         gate, _, ingress = self._relayed()
         stall = threading.Thread(target=_stall_process)
         stall.start()
