--- a/balsamspindle/membership/peer_selection.py
+++ b/balsamspindle/membership/peer_selection.py
@@ -27,8 +27,8 @@
 # about ten probes a second go to other zones and carry news there.
 OTHER_ZONE_EVERY = 5
 # Number of nodes of other zones that each node probes. On average, each node is also
-# probed by this number of nodes of other zones. Two of a hundred nodes are probed by
-# none; only nodes of their own zone detect their failure.
+# probed by this number of nodes of other zones. Two of a hundred nodes are probed by no
+# node of another zone; only nodes of their own zone detect their failure.
 OTHER_ZONE_TARGET_COUNT = 4
 
 
--- a/balsamspindle/membership/probing.py
+++ b/balsamspindle/membership/probing.py
@@ -174,8 +174,8 @@
         """Return the node ids to probe in the next round, in random order.
 
         A round has each peer of this node's zone once, and some peers of other
-        zones. The peers of other zones are drawn from the same few in each round, so
-        that connections to them are reused: a new connection for each probe would
+        zones. Each round draws the peers of other zones from the same few peers, so
+        that connections to them are reused. A new connection for each probe would
         cost more bytes than the probe itself. Probes within a zone detect a node that
         cannot be reached; probes from other zones detect that a whole zone is cut off.
         """
--- a/balsamspindle/membership/sync.py
+++ b/balsamspindle/membership/sync.py
@@ -37,8 +37,9 @@
 # long pause, it compares its directory with `CATCH_UP_PEERS` peers at this interval.
 CATCH_UP_INTERVAL_S = 0.4
 CATCH_UP_PEERS = 4
-# Time until the next comparison if the differences that the last one found fitted into
-# one exchange, or if its request could not be sent.
+# If one exchange transfers all differences that a comparison found, the next comparison
+# starts at the latest after this time. The time is the same if the request of a
+# comparison could not be sent.
 REPAIR_INTERVAL_S = 2.0
 SUMMARY_NODES_MAX = 64
 NODE_PULLS_MAX = 64
@@ -54,8 +55,8 @@
 # One pull requests as many buckets as hold this many nodes on average. The page with
 # their records, 100 bytes a node before compression, fits into what a peer may send at
 # once. If each pull requested one bucket, 233 nodes in 256 buckets would spend nine of
-# ten bytes on overhead, and nodes that all start together would need 19 s to know each
-# other.
+# ten bytes on overhead. If all nodes started together, they would need 19 s to know
+# each other.
 NODES_PER_PULL = 64
 BUCKETS_PER_PULL_MAX = 64
 
@@ -99,7 +100,8 @@
         self._pull_buckets(peers, now_s)
         if now_s < self._next_comparison_s or self._buckets_to_pull:
             return
-        # Random, so that nodes that start together do not all compare at once.
+        # The interval is random, so that nodes that start together do not all compare
+        # at the same time.
         self._next_comparison_s = now_s + SYNC_INTERVAL_S * self._random.uniform(
             0.5, 1.5
         )
@@ -170,9 +172,9 @@
         needs_all = (
             summary.differing_count > PULL_ALL_ABOVE_BUCKETS and self._state.peers()
         )
-        # All differing buckets are pulled at most once per interval. After that pull,
-        # only the nodes that did not fit into a page are missing. They are few, so they
-        # are pulled one by one, as `node_pulls`.
+        # All differing buckets are pulled at most once per `PULL_ALL_INTERVAL_S`. After
+        # that pull, only the nodes that did not fit into a page are missing. These few
+        # nodes are pulled one by one, as `node_pulls`.
         if needs_all and now_s >= self._next_pull_all_s:
             self._next_pull_all_s = now_s + PULL_ALL_INTERVAL_S
             wanted = [*summary.buckets, *summary.unlisted_buckets]
--- a/balsamspindle/node/customer_parts.py
+++ b/balsamspindle/node/customer_parts.py
@@ -66,8 +66,8 @@
     Parameters
     ----------
     renew_proof : callable
-        Starts a read of the store's newest revision. Its result, which `record_read`
-        receives, proves whether the settings in force are the newest.
+        Starts a read of the store's newest revision. The result is passed to
+        `record_read` and proves whether the settings in force are the newest.
 
     Attributes
     ----------
--- a/balsamspindle/platform/store.py
+++ b/balsamspindle/platform/store.py
@@ -48,8 +48,9 @@
 
 # Rows in one answer; the store's own limit.
 PAGE_ROWS_MAX = 500
-# `read` requests a range of keys. One answer may contain up to this many rows more than
-# there are requested keys, because other keys may lie between them.
+# `read` requests the range from its first to its last key. The range may contain rows
+# with other keys, so `read` accepts up to this many rows more than it has keys in one
+# answer.
 OTHER_ROWS_MAX = 16
 # All of the product's rows are in one partition (`part` on the wire), because a
 # transaction may write several tables but only one partition.
@@ -228,7 +229,7 @@
         """Read a table page by page.
 
         The returned version is that of the first page. A wait for changes after this
-        version also returns the rows that changed while the other pages were read.
+        version therefore returns the rows that changed while later pages were read.
         """
         rows: list[Row] = []
         first, version = "", None
--- a/balsamspindle/wire/link_messages.py
+++ b/balsamspindle/wire/link_messages.py
@@ -191,8 +191,8 @@
         one request have the same delay; `balsamspindle.requests.siblings` explains
         why.
     content_hash : int
-        Hash that is the same for all repeats of a request, whatever their ids; 0 if
-        unknown.
+        Hash of the request's content; 0 if unknown. All repeats of a request have the
+        same hash, even if their ids differ.
     customer : str
         The customer who made the request; empty if there is none.
     is_last_try : bool
--- a/balsamspindle/wire/member_messages.py
+++ b/balsamspindle/wire/member_messages.py
@@ -362,7 +362,7 @@
 
 
 class Pull(msgspec.Struct, array_like=True, frozen=True):
-    """Node to node: send the records of these nodes that fit in one page.
+    """Node to node: send the records of some nodes, as many as fit in one page.
 
     Attributes
     ----------
