--- a/tests/test_claims_restored.py
+++ b/tests/test_claims_restored.py
@@ -56,8 +56,8 @@
 
     def test_an_ingress_claims_a_key_again_whose_gate_has_ended(self):
         # Guards against a second run after `KEY_RESEND_MAX_S`. From then on, the era is
-        # settled although the gate has ended and can't claim the key again. Therefore
-        # the ingress that wrote the claim has to write it again.
+        # settled although the gate has ended and can't write the claim of the key
+        # again. Therefore the ingress that wrote the claim must write it again.
         world = World()
         world.store.save_copy()
         world.run_at("a", ingress="c")
@@ -70,7 +70,7 @@
         claim, owner, outcome = self._resend(world, "b", "a")
         self.assertIs(Reason.CLAIM_MOVED, claim)
         self.assertEqual(("a", Outcome.UNKNOWN), (owner, outcome))
-        # Keys without a claim are served again.
+        # Requests with unclaimed keys are served again.
         world.step_all()
         self.assertIsInstance(self._resend(world, "b", "a", "other")[0], Claim)
 
@@ -137,7 +137,7 @@
         self.assertIs(Outcome.UNKNOWN, final.outcome)
 
     def test_new_keys_are_soon_served_when_no_process_has_ended(self):
-        # Guards against a fleet that serves no new keys after a restore.
+        # Guards against a fleet that refuses requests with new keys after a restore.
         world = World()
         world.store.save_copy()
         world.store.restore()
--- a/tests/test_closing.py
+++ b/tests/test_closing.py
@@ -21,8 +21,9 @@
 
 class ClosingTests(TestCase):
     def test_connections_in_the_backlog_are_served(self):
-        # Guards against a reset of connections that are established, with a request
-        # sent, but not accepted yet when the listener closes.
+        # Guards against resets of connections in the listener's backlog. The caller has
+        # connected and sent a request, but the listener closes before it accepts the
+        # connection.
         listener = socket.create_server(("127.0.0.1", 0), backlog=CALLERS)
         callers = [
             socket.create_connection(listener.getsockname(), 5) for _ in range(CALLERS)
--- a/tests/test_crash_verdicts.py
+++ b/tests/test_crash_verdicts.py
@@ -172,8 +172,8 @@
     """Guards against the refusal of requests while backend servers crash at random.
 
     Requests take about a second on six backend servers, one of which crashes each
-    second. A lost request is retried up to twice, as are its caller's repeats. One
-    request in ten thousand may be refused wrongly. A rule that only counts three
+    second. A lost request is retried up to twice, and so is each repeat by its caller.
+    One request in ten thousand may be refused wrongly. A rule that only counts three
     crashes would refuse dozens.
     """
     rng, scenario, tried, lost_three_times = random.Random(26), CrashScenario(), 0, 0
@@ -253,7 +253,8 @@
     """Guards against the quarantine of a lookup after the loss of a rack.
 
     Its caller had repeated the lookup, so copies that began at different times ran at
-    all lost backend servers. These ended for one reason, which counts as one crash.
+    all lost backend servers. All of these servers ended for one reason, so their ends
+    count as one crash.
     """
     scenario = CrashScenario()
     for ran_s in (0.2, 0.9, 2.4):
@@ -300,7 +301,7 @@
 
     Many callers send the lookup, so it runs at nearly all backend servers. Seven of
     them crash for another reason within two seconds. Each run takes two seconds, so
-    none ends before, and no crash without the lookup shows the wave.
+    none ends before its crash, and no crash without the lookup shows the wave.
     """
     scenario = CrashScenario()
     ran_s = (0.3, 1.4, 0.8, 1.9, 0.6, 1.1, 1.6)
@@ -313,8 +314,8 @@
     """Guards against a cause that is not quarantined in a wave of other crashes.
 
     A cause may crash three backend servers, and three more during a wave. Here each
-    backend server crashes every second for other reasons, and the cause takes longer to
-    crash one that has just started.
+    backend server crashes every second for other reasons. A backend server that
+    has just started takes longer than others until it crashes from the cause.
     """
     rng = random.Random(3)
     for crashes_after_s in (0.02, 0.1, 0.4, 1.5):
@@ -353,8 +354,8 @@
 
 def test_a_lookup_lost_four_times_in_two_seconds_is_not_quarantined():
     # Guards against the quarantine of request 2, which is lost four times in two
-    # seconds. This happens if a short wave of crashes does not raise the crash rate
-    # enough.
+    # seconds. It would be quarantined if a short wave of crashes did not raise the
+    # crash rate enough.
     scenario, last_s = CrashScenario(2 * SERVERS), 0.0
     for at_s, runs in CRASHES_WITH_THREE_CAUSES:
         scenario.crash(runs, after_s=at_s - last_s)
@@ -374,8 +375,8 @@
 
 
 def test_fewer_crashes_than_expected_are_no_evidence():
-    # Guards against the quarantine of a long request that is lost less often than the
-    # crash rate of its service lets expect.
+    # Guards against the quarantine of a long request that is lost less often than
+    # expected from the crash rate of its service.
     crashes = [AttributedCrash(at_s, 10.0) for at_s in (0.0, 1.0, 2.0)]
     evidence = CauseEvidence(crashes, service_crash_count=60, server_count=SERVERS)
     assert coincidence_probability(evidence) >= SIMILAR_TIMES_PROBABILITY_MIN
--- a/tests/test_crashing_requests.py
+++ b/tests/test_crashing_requests.py
@@ -26,8 +26,8 @@
         super().setUp()
         self.history = CrashHistory(lambda service: 5)
         self.forwarder._crash_history = self.history
-        # With a minimum for the whole fleet, gates grant the retries. This budget is
-        # never used up.
+        # If a retry budget has a minimum for the whole fleet, gates grant the retries.
+        # This test never uses up the minimum of 100 retries per second.
         self.forwarder._retries = RetryPolicy(
             lambda service: RetryBudget(fleet_per_s_min=100.0)
         )
@@ -104,9 +104,9 @@
         self.assertEqual(Outcome.ANSWERED, self._request(content_hash=8).outcome)
 
     def test_the_retry_of_a_request_lost_in_a_crash_is_marked_as_lost(self):
-        # The first attempt failed through another request's fault. Therefore gates also
-        # grant the retry from the part of the budget that is reserved for heavier
-        # requests.
+        # The first attempt was lost through another request's fault. Therefore gates
+        # may grant the retry also from the part of the budget that is reserved for
+        # heavier requests.
         self.answers = dict.fromkeys(self.NAMES, crashed)
         self._forward(attempts_max=2)
         dispatches = [one for gate in self.gates.values() for one in gate.dispatches]
--- a/tests/test_health_monitor.py
+++ b/tests/test_health_monitor.py
@@ -163,9 +163,9 @@
 def test_a_backend_server_that_a_request_crashed_serves_after_its_restart():
     """One request crashes a backend server again and again.
 
-    Guards against hold-outs that double with each of these crashes, during which other
-    callers can't use the backend server. The request may be quarantined before or after
-    the restart of the backend server.
+    Guards against hold-outs that double with each of these crashes. During a hold-out
+    other callers can't use the backend server. The request may be quarantined before or
+    after the restart of the backend server.
     """
     for is_late in (False, True):
         node, blamed = Node(), set()
--- a/tests/test_health_pauses.py
+++ b/tests/test_health_pauses.py
@@ -25,7 +25,7 @@
 
 
 def _run_slow_pair(second_begins_ms: float, good_ends_ms: float) -> HealthDriver:
-    """Run a request from 0 to 80 ms, one that ends at 140 ms, and a good 2 ms one."""
+    """Run two slow requests, which end at 80 and 140 ms, and a good one of 2 ms."""
     driver = HealthDriver(
         peers=PeerEvidence(judged_count=5, bad_count=0, median_p99_ms=13.0)
     )
@@ -46,11 +46,11 @@
 @pytest.mark.parametrize(
     ("second_begins_ms", "good_ends_ms"),
     [
-        # Both slow requests begin almost together. A good one begins later and ends at
-        # 35 ms, before them.
+        # Both slow requests begin almost together. The good request begins after both,
+        # and ends at 35 ms, before both.
         (2.0, 35.0),
-        # The second slow request begins after a good one that ends shortly after the
-        # first slow one.
+        # The first slow request ends at 80 ms, the good one at 82 ms. Then the second
+        # slow request begins.
         (83.0, 82.0),
     ],
 )
--- a/tests/test_independent_errors.py
+++ b/tests/test_independent_errors.py
@@ -307,7 +307,7 @@
 
 
 class _Observer:
-    """A `HealthObserver` that records results and admits attempts by a flag."""
+    """A `HealthObserver` that records results, and admits all attempts or none."""
 
     def __init__(self) -> None:
         self.is_admitting = True
--- a/tests/test_key_proofs.py
+++ b/tests/test_key_proofs.py
@@ -34,7 +34,7 @@
         self.assertFalse(self.freshness.is_fresh(7, 0.0))
 
     def test_a_proof_counts_from_the_start_of_its_read(self):
-        # Guards against a slow read that lets a node use a revoked key for longer.
+        # Guards against a slow read that prolongs the use of a revoked key.
         self.freshness.record(Proof(10.0, 7), 7)
         self.assertTrue(self.freshness.is_fresh(7, 14.9))
         self.assertFalse(self.freshness.is_fresh(7, 15.0))
@@ -348,8 +348,7 @@
         return WholeSettings(value, {})
 
     def test_the_age_of_a_proof_counts_from_the_start_of_the_read(self):
-        # Guards against a proof that hides a revision written while the read was
-        # running.
+        # Guards against a proof that seems newer than a revision which its read missed.
         began_s = time.monotonic()
         self.watcher.renew_proof()
         (proof,) = self.proofs
--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -342,7 +342,7 @@
         wait_until(lambda: self._events(node, "attempt_dispatched"), "the request runs")
 
     def _check_leaving(self, node, callers: str) -> None:
-        """Check that a leaving node logged its open requests and what it cut."""
+        """Check that a leaving node logged its open requests and the run it cut."""
         [leaving] = self._events(node, "node_leaving")
         self.assertEqual(
             ("3000", "1", "0", callers),
--- a/tests/test_links.py
+++ b/tests/test_links.py
@@ -118,7 +118,7 @@
                 return [(0, answer_frame(dispatch, body=half))]
             first = [noise[kind]] if kind in noise else []
             delay_s = rng.random() * 0.02 if kind == "late" else 0
-            # The noise is sent both before and after the answer.
+            # The unwanted reply is sent both before and after the right answer.
             return [*first, (delay_s, own), *first]
 
         # 16 tasks open links at once. On a busy machine a gate's `GreetingReply` may
