--- a/balsamspindle/crashes/history.py
+++ b/balsamspindle/crashes/history.py
@@ -39,8 +39,8 @@
 BLOCKED_MAX_S = 86_400.0
 QUARANTINES_MAX = 1000
 QUARANTINE_EXPIRY_S = 2 * BLOCKED_MAX_S
-# The estimated time of a crash is after the crash, by the delay of its report: at most
-# this. So an answer less than this before the estimated time counts as after the crash.
+# The estimated time of a crash is late by the delay of the report, by at most this. An
+# answer within this time before the estimate may follow the crash, and counts as later.
 REPORT_DELAY_MAX_S = 1.0
 EXPIRE_INTERVAL_S = 1.0
 
@@ -60,8 +60,7 @@
 
     The histories of all nodes become equal, in whatever order and however often they
     receive updates. A merge only adds crashes, removes runs of answered requests, and
-    replaces a request's quarantine by one with a higher term (the number of its
-    quarantines so far) or by a lifted one with the same term.
+    replaces a quarantine by one with a higher term or a lifted one with the same term.
 
     Most requests that are lost in a crash are answered at their next attempt and never
     lost again. To share each answer would cost six updates for a crash with six runs.
@@ -72,9 +71,9 @@
     count_servers : callable
         Returns the number of a service's backend servers.
     on_quarantine : callable
-        Called when a quarantine is new to this node or was just lifted. Arguments: the
-        quarantine; ids of backend servers that crashed while the request ran; the new
-        evidence, or `NO_EVIDENCE`. Called with the lock held, so it must not block.
+        Called when a quarantine is new to this node or was just lifted. Must not block,
+        as the lock is held. Arguments: the quarantine; ids of backend servers that
+        crashed while the request ran; the new evidence, or `NO_EVIDENCE`.
     """
 
     def __init__(
@@ -335,7 +334,8 @@
     def _related_crashes(self, crashes: list[Crash], now_s: float) -> list[Crash]:
         """Return other crashes from which runs of requests in `crashes` were removed.
 
-        Peers may not know of the removals: answers after one loss were not shared.
+        Peers may still list these runs, because a request's answer after its first loss
+        is not shared until the request is lost again (see `CrashHistory`).
         """
         content_hashes = {run.content_hash for crash in crashes for run in crash.runs}
         keys = set().union(*(self._removed.get(one, ()) for one in content_hashes))
--- a/balsamspindle/crashes/verdicts.py
+++ b/balsamspindle/crashes/verdicts.py
@@ -145,9 +145,11 @@
 
     The loss of a rack or an availability zone ends several backend servers at the same
     moment. If copies of a request were running at several of them, the request must not
-    be quarantined for this loss. So only the first of several simultaneous crashes is
-    returned. A later one is returned too if the request had been running for about the
-    same time at both crashes, since the request may then have caused both.
+    be quarantined for this loss. So only the first of several crashes within
+    `SIMULTANEOUS_S` is returned. There is one exception: a further crash is returned
+    if the request had been running for about the same time at this crash and at the
+    last one returned. The request may then have caused both. An outage that ends copies
+    of a request that started together looks the same, so its crashes are returned, too.
     """
     kept: list[AttributedCrash] = []
     for crash in crashes:
@@ -208,10 +210,11 @@
     if expected >= count:
         return 1.0
     # The result approximates the probability of `count` or more crashes by that of
-    # exactly `count`. If `expected` is less than half of `count`, the probability of
-    # each larger count is less than half of that of the count before. So the result is
-    # more than half of the probability of `count` or more crashes. As `expected` rises
-    # towards `count`, the result becomes a smaller fraction of that probability.
+    # exactly `count`. If `expected` is less than half of `count`, each larger count is
+    # less than half as probable as the next smaller count. All counts above `count`
+    # together are then less probable than `count` (1/2 + 1/4 + ... = 1). So the result
+    # is more than half of the probability of `count` or more crashes. As `expected`
+    # rises towards `count`, the result becomes a smaller fraction of that probability.
     return expected**count * math.exp(-expected) / math.factorial(count)
 
 
--- a/balsamspindle/customers/granters.py
+++ b/balsamspindle/customers/granters.py
@@ -49,17 +49,19 @@
     zones : int
         Number of availability zones in the fleet; if 0, the known zones are counted.
     window_s : float
-        Length of a time window in s. In any window of this length, a customer may run
-        `rate_per_s * window_s + burst` requests, at an even rate: only as many as
-        `over_fraction` and `slack` allow can run at once. If 0, there is no window: a
-        customer may run its burst at once, and a spent burst refills at the customer's
-        rate.
+        Length of a time window in s. A customer may run `rate_per_s * window_s + burst`
+        requests in any window of this length. Requests are granted at the even rate
+        that results in this number. The customer's burst therefore raises the rate, but
+        not the number of requests that can be granted at once: `over_fraction` and
+        `slack` determine that number. If 0, there is no window: a customer may run its
+        burst at once, and a spent burst refills at the customer's rate.
     over_fraction : float
-        Fraction of the requests allowed in a window by which a customer may exceed that
-        number. Not used if `window_s` is 0.
+        Fraction of the requests allowed in a window. A customer may run this fraction
+        at once, and may exceed the number allowed in a window by this fraction. Not
+        used if `window_s` is 0.
     slack : float
-        Number of requests by which a customer may exceed its limit, in addition to
-        those that `over_fraction` allows.
+        Number of requests that a customer may run at once, and by which it may exceed
+        its limit, in addition to those that `over_fraction` or the burst allows.
     """
 
     zones: int = 0
--- a/balsamspindle/requests/claims.py
+++ b/balsamspindle/requests/claims.py
@@ -50,10 +50,9 @@
 CLAIMS_TABLE = "claims"
 STORE_CALLS_MAX = 16
 WRITE_ATTEMPTS_MAX = 2
-# How long after a request's deadline its claim may still be read to determine the reply
-# for the caller: enough for a few calls to a store that answers within milliseconds. If
-# the read fails, the caller gets `unknown` and has to resend the request with the same
-# key.
+# How long after a request's deadline its claim may be read for the caller's reply. This
+# is enough for a few calls to a store that answers within milliseconds. If the read
+# fails, the caller gets `unknown` and has to resend the request with the same key.
 FINAL_READ_TIMEOUT_S = 0.1
 # For a claim with this version, a gate repeats an earlier answer but starts no run.
 REPEAT_ONLY_VERSION = 0
@@ -73,8 +72,9 @@
     Attributes
     ----------
     gate_time_s : float
-        Time of the claim on the gate's monotonic clock. The ingress estimates it with
-        `GateClock`. The estimate may be early by the delay of one message of the gate.
+        Time of the claim on the gate's monotonic clock, estimated by the ingress. The
+        time in a message from the gate is out of date on arrival, so the estimate may
+        be early by the delay of one such message. `GateClock` makes the estimate.
     claimed_wall_s : float
         Wall-clock time of the claim, only for the removal of old rows. No decision
         about a key depends on it.
--- a/balsamspindle/requests/forwarding.py
+++ b/balsamspindle/requests/forwarding.py
@@ -307,9 +307,10 @@
         """Prepare a new search after all gates refused; return False to end the search.
 
         Every `SEARCH_AGAIN_S`, a non-idempotent request is sent to the gates again, one
-        by one. Within a second, a suspected backend server gets a trial, and may serve
-        the request if it passes. After a fraction of its remaining time, the request
-        may be sent to suspected ones as a last resort; an idempotent request at once.
+        by one. Within a second, a suspected backend server gets a trial. If it passes,
+        the next search can select it. After a fraction of its remaining time, the
+        non-idempotent request may be sent to suspected ones as a last resort. The new
+        search for an idempotent request begins at once and is already a last resort.
         So some requests are answered even if all are suspected or busy.
         """
         now_s = self._clock()
--- a/balsamspindle/requests/hedging.py
+++ b/balsamspindle/requests/hedging.py
@@ -54,8 +54,12 @@
     ) -> Hedge | None:
         """Return when and where a second attempt may start; None if it may not.
 
-        A second attempt after one at the own gate may cost a retry token. This token is
-        spent here; `refund` returns it if the second attempt is not made.
+        A second attempt costs a retry token, unless the gates limit the service's
+        retries. If the first attempt is at another gate, the token is spent when the
+        second attempt starts. A first attempt at the own gate is ended before the
+        second attempt starts, so this method spends the token before the first attempt.
+        If no token is available, the first attempt is not ended early. `refund` returns
+        the token if the second attempt is not made.
         """
         route, placement = forwarded.route, selected.placement
         if route.execution is not Execution.IDEMPOTENT:
--- a/balsamspindle/requests/link_attempts.py
+++ b/balsamspindle/requests/link_attempts.py
@@ -79,7 +79,7 @@
         self._outcomes = AttemptOutcomes(events, clock, lambda: self._aborted)
 
     def set_end_time(self, ends_s: float) -> None:
-        """Set this node's stop time; gates refuse attempts that would end after it."""
+        """Set the time at which this node stops; see `AttemptSender.set_end_time`."""
         self._announced_end_s = ends_s - REPLY_RESERVE_S
 
     def time_to_stop_ms(self) -> float | None:
--- a/balsamspindle/requests/placement_selection.py
+++ b/balsamspindle/requests/placement_selection.py
@@ -237,7 +237,8 @@
     ) -> Selection | None:
         """Select the placement with the shortest queue; None if all are too long.
 
-        Removes the selected queue from the waits that the search may use.
+        Removes the selected backend server's wait from `search.queue_wait_ms`. The
+        search can select this queue again only after its wait is recorded again.
 
         Parameters
         ----------
--- a/balsamspindle/requests/retries.py
+++ b/balsamspindle/requests/retries.py
@@ -169,7 +169,8 @@
     HEDGE_LATEST_FRACTION = 1 / 3
     # An attempt at the own gate is ended early only after SLOWEST_FACTOR times the 99th
     # percentile of latency that the gate reported for the backend server. By then the
-    # gate has counted the attempt as slow.
+    # gate has counted the attempt as slow. If the attempt were ended before that, the
+    # gate would not detect a backend server that hangs.
     SLOWEST_FACTOR = 3.0
 
     def __init__(self, budget: Callable[[str], RetryBudget]) -> None:
@@ -317,10 +318,11 @@
             latency = state.latency(route_id)
             if self.gates_limit_retries(service):
                 if is_own:
-                    # The attempt may run until the deadline. An attempt at the own gate
-                    # is ended before its retry is sent. If it were ended early and all
-                    # gates then denied the retry, the request would fail, although the
-                    # first attempt might still have been answered.
+                    # An attempt at the own gate is ended before its retry is sent. If
+                    # gates limit the retries, all gates may deny the retry after that.
+                    # The request would then fail, although the first attempt might
+                    # still have been answered. So in this case, the first attempt may
+                    # run until the deadline.
                     return remaining_s
             elif not state.tokens.available(self._budget(service), now_s):
                 return remaining_s
--- a/balsamspindle/requests/siblings.py
+++ b/balsamspindle/requests/siblings.py
@@ -66,7 +66,12 @@
 
 
 class SiblingRanks:
-    """Assigns ranks to the requests that arrive at one node; thread-safe."""
+    """Assigns random ranks to arriving requests: one rank to all calls of a request.
+
+    A rank delays the due time of a request, and gates serve requests by due time. If a
+    service is overloaded, its gates therefore serve all calls with a low rank and
+    refuse all calls with a high rank. Thread-safe.
+    """
 
     def __init__(self, rng: random.Random) -> None:
         self._random = rng
--- a/balsamspindle/services/subset.py
+++ b/balsamspindle/services/subset.py
@@ -17,9 +17,10 @@
 __all__ = ["OTHER_ZONES_MIN", "SUBSET_MAX", "choose_subset"]
 
 # Maximum number of backend servers of one service to which a node keeps links. Eight of
-# them are reserved for other zones, which leaves sixteen for the own zone. Sixteen
-# gates with seven slots each nearly always have a free slot, at a utilization of two
-# thirds and with a third of the gates unhealthy.
+# them are reserved for other zones, which leaves sixteen for the own zone. Suppose that
+# sixteen gates have seven slots each, that a third of the gates are unhealthy, and that
+# two thirds of the slots of the healthy gates are in use. Then a healthy gate with a
+# free slot is nearly always among them.
 SUBSET_MAX = 24
 # Entries reserved for backend servers of other zones, even if the own zone could fill
 # the subset. They get requests when all gates of the own zone are busy or lost.
@@ -38,10 +39,11 @@
     other regions if the own region has too few backend servers.
 
     Without the preference for the own zone, a subset of 16 of 90 backend servers in
-    five zones would contain only three of the own zone. At a utilization of two thirds
-    and with a third of the backend servers unhealthy, 6 to 7 of 100 requests would then
-    go to other zones although other backend servers of the own zone have free slots.
-    With the preference, it is less than 1 of 100.
+    five zones would contain only three of the own zone. Suppose that a third of the
+    backend servers are unhealthy, and that two thirds of the slots of the healthy ones
+    are in use. Then 6 to 7 of 100 requests would go to other zones although other
+    backend servers of the own zone have free slots. With the preference, it is less
+    than 1 of 100.
     """
     if len(placements) <= size_max:
         return list(placements)
