--- a/balsamspindle/backend_servers/crash_watch.py
+++ b/balsamspindle/backend_servers/crash_watch.py
@@ -182,7 +182,8 @@
         was already detected is not recorded again.
 
         If a run's connection ended without an answer at most `REPLACED_WITHIN_S` ago,
-        the run was lost in the crash. The crash is recorded as of the end of the run.
+        the run was lost in the crash. The crash is then recorded as of the end of the
+        run. If no run ended like this, the crash is recorded as of `now_s`.
 
         Must not be called for a draining backend server: its end is not a crash.
         """
--- a/balsamspindle/backend_servers/health.py
+++ b/balsamspindle/backend_servers/health.py
@@ -167,16 +167,18 @@
     ) -> bool:
         """Return whether an attempt may be dispatched to the backend server now.
 
-        Without `independent_errors` the result is always True. Otherwise a hold-out
-        refuses all attempts, and a trial accepts one attempt at a time:
+        If the setting `Detection.independent_errors` is False, the result is always
+        True. Otherwise a hold-out refuses all attempts, and a trial accepts one attempt
+        at a time:
 
         - In the first `TRIAL_WAIT_S` the trial accepts only idempotent attempts whose
           requests can be retried. If such an attempt fails, its request is retried at
           another backend server. Any other request would be lost.
-        - In the first `LIGHTEST_WAIT_S` the trial accepts only the lightest of these
-          attempts. A heavier attempt may be a call that a non-idempotent request waits
-          for. If the call and its retries failed, the non-idempotent request would
-          fail, too, and could not be retried.
+        - In the first `LIGHTEST_WAIT_S` the trial accepts only those of these attempts
+          whose weight is at most `LightestWeight.weight`, the least weight of recent
+          idempotent requests for the backend server. An attempt of higher weight may be
+          a call that a non-idempotent request waits for. If the call and its retries
+          failed, the non-idempotent request would fail, too, and could not be retried.
 
         Parameters
         ----------
--- a/balsamspindle/backend_servers/health_work.py
+++ b/balsamspindle/backend_servers/health_work.py
@@ -189,8 +189,7 @@
         Parameters
         ----------
         may_learn : bool
-            Whether the attempt may change the healthy rates and the percentile of
-            latency; true only while the backend server is serving.
+            Whether to learn rates and latencies; True only while the server is serving.
         """
         attempt = self._in_flight.pop(attempt_id, None)
         if attempt is None:
@@ -329,10 +328,11 @@
         """Return whether an attempt was slow for a reason other than the last pause.
 
         If the attempt began at the same moment as the last attempt counted as slow, the
-        pause delayed both, even if they end at different times: threads wait for a
-        processor for different times. For any other attempt, a good request can prove
-        another reason in two ways. It ended after the pause and before the attempt
-        began. Or it began after the attempt and ended earlier than the attempt: a pause
+        last pause delayed both, even if they end at different times: threads wait for a
+        processor for different times. Otherwise, a good request proves another reason
+        in two cases. If it ended after the last slow attempt was counted and before
+        this attempt began, the pause was over before this attempt began. If it began
+        after this attempt and ended earlier, no pause delayed this attempt: a pause
         would have delayed both. Ends at the same moment prove nothing, because all
         requests end together at the end of a pause.
         """
--- a/balsamspindle/backend_servers/lifetimes.py
+++ b/balsamspindle/backend_servers/lifetimes.py
@@ -93,7 +93,17 @@
         status: AnnouncedStatus,
         now_s: float,
     ) -> None:
-        """Apply an announcement unless it is late.
+        """Apply an announcement, or ignore it if it is late.
+
+        An announcement is late in each of these cases:
+
+        - A later start of the backend server is known. For exceptions, see
+          `_Lifetime.blocks_earlier_lifetimes`.
+        - The backend server has left in the announcement's lifetime.
+        - An announcement of the same lifetime with the same or a higher sequence number
+          was applied before.
+        - The announcement's lifetime is known, but another backend server has announced
+          the same address within the last `REPLACED_SILENT_S`.
 
         The announcement's `boot_id` is replaced by a value that is made from the
         backend server's id and the time of its start.
--- a/balsamspindle/cli/ctl_customers.py
+++ b/balsamspindle/cli/ctl_customers.py
@@ -24,7 +24,8 @@
 __all__ = ["app"]
 
 LIST_HEADER = ("CUSTOMER", "TOLD AS", "RATE/S", "BURST", "WEIGHT", "KEYS")
-# Length of the start of a digest in lists; distinguishes the few keys of one customer.
+# A list of customers shows this many characters of the digest of each key. They suffice
+# to distinguish the few keys of one customer.
 DIGEST_PREFIX_CHARACTERS = 8
 
 CUSTOMER_ARGUMENT = typer.Argument(..., help="TEAM/NAME of the customer.")
--- a/balsamspindle/load/ejections.py
+++ b/balsamspindle/load/ejections.py
@@ -1,4 +1,4 @@
-"""Sampling of the backend servers that nodes have ejected, from their status."""
+"""Polls the status of nodes, and records which backend servers the nodes ejected."""
 
 import threading
 from collections.abc import Callable, Mapping, Sequence
--- a/balsamspindle/load/experiment.py
+++ b/balsamspindle/load/experiment.py
@@ -90,8 +90,9 @@
             finally:
                 self._stopped.set()
                 self.sampler.stop()
-            # Raise the exception of a failed task. Otherwise, an experiment in which
-            # sampling or setting faults failed would report that it found no problems.
+            # Raise the exception of a failed task. Without it, the experiment would
+            # report that it found no problems, although the task that samples ejections
+            # or the task that sets faults had failed.
             sampling.result()
             setting_faults.result()
         return results
--- a/balsamspindle/settings/documents.py
+++ b/balsamspindle/settings/documents.py
@@ -209,8 +209,10 @@
         Maximum number of backend servers to which one request is sent.
     target_ms : float
         Time within which an answer has its full value; 0 if the route does not
-        specify a target. The target determines at which gate a request waits, and
-        the request's position in the queue of this gate.
+        specify a target. A request may wait for a fraction of the target in queues
+        of its own zone. If the gates there report longer waits, the ingress sends
+        the request to gates in other zones. The target also determines the
+        request's position in the queue of a gate.
     allows_anonymous : bool
         Whether requests without a customer's key are served.
     """
--- a/balsamspindle/settings/gossip.py
+++ b/balsamspindle/settings/gossip.py
@@ -54,7 +54,8 @@
 INBOX_MAX = 1000
 TICK_S = 0.1
 IDLE_TICK_S = 1.0
-# Number of revisions whose pages are kept.
+# Number of revisions for which a node stores the pages that it sends to peers. A page
+# is a compressed part of a revision's documents; see `pages_of_documents`.
 PAGED_REVISIONS_MAX = 2
 
 
--- a/balsamspindle/standins/backend_server.py
+++ b/balsamspindle/standins/backend_server.py
@@ -63,7 +63,8 @@
     Attributes
     ----------
     share : float
-        Fraction of the requests that the fault affects, at regular intervals.
+        Fraction of the requests that the fault affects. The affected requests are
+        evenly spaced: with 0.25, the fault affects every fourth request.
     delay_s : float
         Delay of the answer with `SLOW` and `HANG`.
     """
--- a/balsamspindle/standins/store_rows.py
+++ b/balsamspindle/standins/store_rows.py
@@ -105,5 +105,7 @@
 
 
 class _Forbidden(HTTPException):
+    # In the description, "the system" is the client that sent the transaction. Only the
+    # operator and the platform may write the table.
     code = 403
     description = "the system may not write to this table"
--- a/balsamspindle/tables/eras.py
+++ b/balsamspindle/tables/eras.py
@@ -90,7 +90,7 @@
         before = self.record_era(era)
         if era < before:
             # The store sent the answer before it was restored, so the data in the
-            # answer may no longer exist.
+            # answer may no longer exist. `before` is the highest era recorded so far.
             self._on_invalid(f"the store's answer is of era {era}, after {before}")
             return None
         self.answered_s = self._clock()
--- a/balsamspindle/timeline/events.py
+++ b/balsamspindle/timeline/events.py
@@ -172,8 +172,9 @@
 
     def _write_batch(self) -> None:
         time.sleep(BATCH_INTERVAL_S)
-        # Reset before the flush: a line that is added later schedules the next batch,
-        # so no line stays pending.
+        # Reset `_batch_due` before the flush. If it were reset after the flush, a line
+        # that is added between the flush and the reset would schedule no batch, and
+        # would stay pending until another line is added.
         self._batch_due = False
         self.flush()
         dropped, self._dropped = self._dropped, 0
--- a/balsamspindle/timeline/line_budget.py
+++ b/balsamspindle/timeline/line_budget.py
@@ -2,8 +2,9 @@
 
 Each request writes several lines. Under overload, writing them would take processor
 time from the requests. Each event name has its own budget, so a flood of one event
-does not suppress others. Lines over the budget are counted. The counts are written to
-the log together with the first event of a later second that is within its budget.
+does not suppress others. Lines over the budget are counted. In a later second, the
+event log writes the counts together with the first line, of any event name, that is
+within the budget of its own event name.
 """
 
 import threading
