--- a/balsamspindle/crashes/history.py
+++ b/balsamspindle/crashes/history.py
@@ -143,7 +143,7 @@
 
     def record_answer(self, content_hash: int, now_s: float) -> CrashUpdate:
         """Record that a request was answered; return the changes to send to peers."""
-        # Needed even if no crash is known: an earlier crash may be reported late.
+        # Needed even if no crash is known: an earlier crash may still be reported.
         self._answers.record(content_hash, now_s)
         if content_hash not in self._counts and content_hash not in self._quarantined:
             return CrashUpdate()
@@ -243,7 +243,7 @@
         return True
 
     def _was_answered(self, content_hash: int, now_s: float) -> bool:
-        """Return whether a request was answered so recently that peers may not know."""
+        """Return whether the last answer is so recent that peers may not know of it."""
         return now_s - self._answers.answered_s(content_hash) < ANSWER_VALID_S
 
     def _quarantine_causes(self, crashes: Iterable[Crash], now_s: float) -> None:
@@ -270,7 +270,7 @@
         )
 
     def _is_quarantined(self, content_hash: int) -> bool:
-        """Return whether a request has an unlifted quarantine, blocking or not."""
+        """Return whether a request has an unlifted quarantine, even an expired one."""
         quarantined = self._quarantined.get(content_hash)
         return quarantined is not None and not quarantined.is_lifted
 
--- a/balsamspindle/customers/granters.py
+++ b/balsamspindle/customers/granters.py
@@ -1,4 +1,4 @@
-"""Selects the nodes that grant a customer's requests, and each one's fraction.
+"""Selects the nodes that grant a customer's requests, and the fraction of each node.
 
 One fraction of each limit is divided equally among the availability zones. In each
 zone, one node grants the zone's fraction: the customer's granter for the zone. Each
