--- a/bench/capacity/member_simulation.py
+++ b/bench/capacity/member_simulation.py
@@ -149,8 +149,9 @@
     def _return_frames(self) -> None:
         """Deliver to the member what its peers would send for each queued frame.
 
-        Pings and sync requests are answered. Gossip is returned as if from a peer. The
-        news of an ack is returned in the next ack.
+        Pings and sync requests are answered. Gossip is returned as if from a peer. When
+        the member sends an ack, the news in it is returned in the next ack that a peer
+        sends to the member.
         """
         sent, self._sent = self._sent, []
         for address, frame in sent:
--- a/bench/capacity/members.py
+++ b/bench/capacity/members.py
@@ -91,9 +91,11 @@
 
 
 def _page_bytes_per_entry() -> float:
-    """Return the size of a backend server in an encoded page, in bytes.
+    """Return the size of an encoded page in bytes, divided by its backend servers.
 
-    Pages are the messages in which nodes send each other the records that differ.
+    A page is a message in which a node sends a peer the node records that the peer
+    lacks or has in an older version. A node record has an entry for each backend server
+    of the node.
     """
     size = LONG_RUN.scaled(ENTRIES_PER_PAGE // LONG_RUN.backend_servers_per_node)
     directory = Directory()
--- a/bench/detection.py
+++ b/bench/detection.py
@@ -263,7 +263,8 @@
         ]
         print(
             f"{baseline.deployment:12} {baseline.setting!s:18}"
-            f" median {baseline_s:5.1f} s, {_rate_text(baseline)} false/server-h:"
+            f" median {baseline_s:5.1f} s, {_rate_text(baseline)} false"
+            " ejections/server-h:"
             f" {_describe_speed(as_accurate, baseline_s)};"
             f" {_describe_accuracy(as_fast, baseline)}"
         )
@@ -281,18 +282,24 @@
 
 def _describe_accuracy(as_fast: list[Figures], baseline: Figures) -> str:
     if not as_fast:
-        return "no sequential setting is as fast"
+        return "no sequential setting is as fast as the baseline"
     best = min(as_fast, key=lambda point: (point.false_rate, point.setting.parameters))
     if not baseline.false_ejections:
-        return f"{best.setting} is as fast with {_rate_text(best)} false/server-h"
+        return (
+            f"{best.setting} is at least as fast as the baseline, with"
+            f" {_rate_text(best)} false ejections/server-h"
+        )
     if not best.false_ejections:
         ratio_min = baseline.false_ejections / RULE_OF_THREE
         return (
-            f"{best.setting} is as fast with over {ratio_min:.1f} times fewer"
-            " false ejections"
+            f"{best.setting} is at least as fast as the baseline, with over"
+            f" {ratio_min:.1f} times fewer false ejections"
         )
     ratio = baseline.false_rate / best.false_rate
-    return f"{best.setting} is as fast with {ratio:.1f} times fewer false ejections"
+    return (
+        f"{best.setting} is at least as fast as the baseline, with {ratio:.1f} times"
+        " fewer false ejections"
+    )
 
 
 def main(
--- a/bench/played_days.py
+++ b/bench/played_days.py
@@ -106,8 +106,9 @@
 def day_results(variant: str, entry: dict) -> list[DayResult]:
     """Return the results of all days of a journal entry of the users' bench.
 
-    The price of processor time is added back to the score, because it varies between
-    runs of the same version.
+    The users' bench subtracts the price of processor time from a day's score. Here,
+    this price is added to the score again and removed from the prices, because
+    processor time varies between runs of the same version.
     """
     return [_day_result(variant, day) for day in entry["days"]]
 
--- a/tests/test_overload.py
+++ b/tests/test_overload.py
@@ -106,13 +106,16 @@
 
 class OverloadTests(TestCase):
     def test_unserved_requests_are_refused_in_time_for_a_retry(self):
-        # Filings are heavier than lookups, so they go first and use most of the three
-        # slots. More lookups arrive than the other slots can serve. If the wait in the
-        # queue is not limited, a lookup that can't be served is refused shortly before
-        # its deadline (median 3.5 s of 5 s), too late for a retry. If the wait is
-        # limited to half of the time until the deadline, at least half of the refusals
-        # are immediate, and all come within 3.3 s. The limit does not reduce the number
-        # of requests served.
+        # Each request has a deadline of 5 s. Filings are heavier than lookups, so they
+        # go first and use about 2.5 of the three slots. More lookups arrive than the
+        # remaining half slot can serve. Without a limit of the wait in the queue, the
+        # gate refuses lookups after a median of 3.5 s, too late for a retry.
+        #
+        # The limit is half of the time until the deadline, 2.5 s. With the limit, at
+        # least half of the refusals are immediate. An attempt that is already in the
+        # queue is refused after 1.3 times the limit (`WAIT_OVERRUN_FACTOR`), so all
+        # refusals come within 3.3 s. The limit does not reduce the number of requests
+        # served.
         unlimited = [_Gate(seed, None).run() for seed in range(2)]
         limited = [_Gate(seed, QUEUE_WAIT_FRACTION).run() for seed in range(2)]
         unlimited_median_s = statistics.median(
--- a/tests/test_placement_selection.py
+++ b/tests/test_placement_selection.py
@@ -228,7 +228,7 @@
 
     def test_the_last_resort_is_a_backend_server_with_a_single_error(self):
         # All backend servers are suspected. All but one fail every request within a
-        # millisecond, so all of their slots are free. The last one had a single error
+        # millisecond, so all of their slots are free. Only `far-3` had a single error
         # and is busy. If last resorts were selected by free slots alone, four of five
         # would fail.
         for name in NEAR + FAR:
@@ -240,7 +240,7 @@
         self.forwarded.is_last_resort = True
         queue_ms = QUEUE_WAIT_FRACTION * DEADLINE_S * 1000
         self.assertEqual(("far-3", queue_ms), self.tries()[-1])
-        # After that backend server has failed as well, the others are tried.
+        # After a failed attempt at `far-3`, one of the four failing servers is tried.
         self.forwarded.failed.add("far-3")
         self.forwarded.search.restart()
         self.assertIn(self.tries()[0][0], NEAR)
@@ -260,10 +260,10 @@
             now_s += 1.0
 
     def test_slots_are_reserved_for_heavier_calls_while_light_requests_run(self):
-        # Light requests of 1.3 s fill all slots. Other requests wait for 13 heavier
-        # calls of 0.13 s per second. These calls are first in the queue, but a slot
-        # becomes free only when a light request ends, so without reserved slots they
-        # would be late.
+        # Light requests of 1.3 s fill all slots. Each second, 13 heavier calls arrive,
+        # each of 0.13 s. Other requests need the answers to these calls. The calls are
+        # first in the queue, but a slot becomes free only when a light request ends.
+        # Without reserved slots, the calls would be late.
         account = SlotAccount()
         self.work(account, self.HEAVY, 13, 0.13, 10.0)
         reserved = account.reserved_for_heavier(self.LIGHT.weight, self.SLOTS, 10.0)
@@ -353,8 +353,8 @@
 
     def test_a_late_request_whose_run_was_lost_is_not_moved_back(self):
         # The request is late because its run was cut when the gate's node left. Late
-        # requests are served after all that can be in time. If this one were, too, new
-        # requests could keep it from being served at all.
+        # requests are served after all requests that can be in time. If this rule
+        # applied to the cut request, new requests could prevent its service for ever.
         queue = SlotQueue(10)
         cut = self.ticket(target_s=1.0, route_time_s=0.5, run_was_lost=True)
         on_time = self.ticket(target_s=3.0, route_time_s=0.5)
--- a/tests/test_settings_races.py
+++ b/tests/test_settings_races.py
@@ -96,11 +96,14 @@
     def test_no_edit_is_lost_or_made_twice_while_the_platform_fails(self):
         # Failure: an edit that was reported as accepted is missing from the log or is
         # in it twice, or an edit that was reported as not accepted is in the log. A
-        # write may take effect although its reply is lost, or may take effect late. The
-        # tool retries or settles the edit while others change the same subtree and the
-        # fleet's revision. If the store did not check the operation id, a retry would
-        # be a second edit. If the tool finds no effect, that proves nothing while the
-        # write may still arrive.
+        # write may take effect although its reply is lost, or may take effect late.
+        #
+        # The store retries the edit. If the outcome remains unknown, the tool calls
+        # `settle`, which returns the outcome. `settle` withdraws an edit that has not
+        # taken effect, so that its delayed write fails. Meanwhile, other operators
+        # change the same subtree and the fleet's revision. If the store did not check
+        # the operation id, a retry would be a second edit. If the edit is not in the
+        # log, the tool can't conclude that the edit failed: its write may still arrive.
         self.platform.standin.set_faults(*FAULTS)
         with ThreadPoolExecutor(WRITERS) as executor:
             reported = [
@@ -157,9 +160,9 @@
         self.assertEqual(48, self.store.revision().ok)
 
     def test_a_write_that_takes_effect_after_it_was_settled_is_refused(self):
-        # Failure: an edit is reported as not accepted and is later in force. The write
-        # is delayed beyond the tool's time-out. The tool checks the log, finds no
-        # effect and reports the edit as not accepted; then the write arrives.
+        # Failure: an edit is reported as not accepted and takes effect after that. The
+        # edit's write is delayed beyond the tool's time-out. The tool does not find the
+        # edit in the log and reports the edit as not accepted. Then the write arrives.
         tables = DelayedWriteTables(self.platform.tables())
         store = SettingsStore(tables, sleep=lambda pause_s: None)
         unanswered = store.put("crew/services/board", {}).error
@@ -171,8 +174,8 @@
 
     def test_a_lost_reply_is_settled_by_the_log(self):
         # Failure: an edit in force is reported as not accepted, or its retry is a
-        # second edit. The write takes effect, but its reply and the calls after it are
-        # lost.
+        # second edit. The write takes effect, but its reply is lost and the store's
+        # next calls fail.
         tables = DelayedWriteTables(self.platform.tables())
         store = SettingsStore(tables, sleep=lambda pause_s: None)
         unanswered = store.put("crew/services/board", {}).error
@@ -257,9 +260,9 @@
         self.assertEqual(1, self.configuration.revision)
 
     def test_a_node_far_behind_a_restarted_history_catches_up(self):
-        # An operator restarts the history far above the platform's own revision.
-        # The changes in between never existed, so a node that waited for them
-        # would stay behind for ever without an error.
+        # An operator restarts the history at a revision far above the platform's own.
+        # The revisions between these two have no changes. A node that waited for such
+        # changes would stay behind for ever without an error.
         self.accept("crew/services/a", {})
         self.reader.poll()
         self.accept("crew/services/b", {})
@@ -274,12 +277,12 @@
 
 
 class DelayedWriteTables(TableService):
-    """Tables that delay their first write and fail all calls after it.
+    """Tables that delay their first write until `deliver_write` is called.
 
     Attributes
     ----------
     is_cut_off : bool
-        Whether calls after the first write fail.
+        Whether all reads and writes after the first write fail; initially True.
     """
 
     def __init__(self, tables: TableService) -> None:
--- a/tests/test_shared_slowness.py
+++ b/tests/test_shared_slowness.py
@@ -17,9 +17,11 @@
     def test_no_backend_server_stays_suspected_when_all_become_slow(self):
         """All backend servers answer 0.4 s late from one moment on.
 
-        The first late answers cause suspicions. The gates withdraw them when summaries
-        show that the other backend servers are late, too. Guards against repeated
-        hold-outs, which would move the load of the first suspects to the others.
+        The first late answers cause suspicions. Each request to a gate contains a
+        summary of how the service's other backend servers answered the ingress. When
+        these summaries show that the other backend servers are late, too, the gates
+        withdraw the suspicions. Guards against repeated hold-outs, which would move the
+        load of the first suspects to the other backend servers.
         """
         wait_until(lambda: self.calls >= CALLS, "the callers made enough requests", 40)
         for server in self.servers:
--- a/tests/test_start_at_size.py
+++ b/tests/test_start_at_size.py
@@ -17,11 +17,14 @@
 class StartAtSizeTests(TestCase):
     def test_nodes_that_start_together_soon_know_each_other(self):
         # A node refuses callers until it knows the backend servers of their services,
-        # so nodes that lost power together have to learn of each other quickly. Guards
-        # against pulls that each request a single bucket of members, which has less
-        # than one node on average. These pulls would use up the byte caps: some nodes
-        # would know only half of the fleet after 12 s, and four of five bytes would go
-        # to other zones.
+        # so nodes that lost power together have to learn of each other quickly.
+        #
+        # A node pulls missing records from its peers by bucket. A bucket is the set of
+        # nodes whose ids hash to the same number. There are 256 buckets for 233 nodes,
+        # so a bucket has less than one node on average. Guards against pulls that each
+        # request a single bucket. Most bytes of such pulls would be overhead, which
+        # would use up the byte caps. Some nodes would then know only half of the fleet
+        # after 12 s, and four of five bytes would go to other zones.
         network = MemberNetwork()
         nodes = [
             network.add(
--- a/tests/test_store_restored.py
+++ b/tests/test_store_restored.py
@@ -203,9 +203,11 @@
         )
 
     def test_a_key_whose_gate_replied_not_run_runs_after_a_restore(self):
-        # The gate replied `not_run` and from then on refuses the claim's version. If
-        # the restored store assigned that version again, the gate would refuse each
-        # resend of the request as moved for as long as it remembers the key.
+        # After its reply `not_run`, the gate refuses all claims of the key up to the
+        # version of the present claim, because another gate may have claimed the key.
+        # If the restored store assigned that version to a new claim for this gate, the
+        # gate would refuse each resend of the request with the reason `claim_moved`,
+        # for as long as its ledger contains that version.
         ledger = RunLedger(*HERE)
         self._copy()
         for number in range(3):
