--- a/balsamspindle/load/experiment.py
+++ b/balsamspindle/load/experiment.py
@@ -20,8 +20,8 @@
 
 __all__ = ["run_experiment"]
 
-# A backend server may be held out for this long after the end of its fault. An ejection
-# that is sampled later counts as false.
+# A backend server may be held out for this long after the end of its fault. If a sample
+# after this time shows the backend server as ejected, the ejection counts as false.
 READMISSION_GRACE_S = 30.0
 
 
--- a/balsamspindle/timeline/events.py
+++ b/balsamspindle/timeline/events.py
@@ -167,7 +167,8 @@
         try:
             self._executor.submit(self._write_batch)
         except RuntimeError:
-            # The interpreter is shutting down and accepts no more tasks.
+            # The interpreter is shutting down and the executor accepts no more tasks.
+            # This thread writes the lines itself.
             self.flush()
 
     def _write_batch(self) -> None:
--- a/balsamspindle/timeline/losses.py
+++ b/balsamspindle/timeline/losses.py
@@ -31,13 +31,14 @@
     WAITED_AND_REFUSED
         No slot was free; refused after a longer wait.
     NO_HEALTHY_SERVER
-        Refused because backend servers were suspected or draining, or there was none.
+        Refused because the service's backend servers were suspected or draining, or
+        because the service had no backend server.
     NOT_REACHED
         Refused because a gate could not be reached.
     ERROR_AT_SUSPECTED
         A backend server answered with an error. Suspected backend servers were allowed
-        for the last attempt, because all others had been tried or had refused the
-        request.
+        for the last attempt, because all backend servers that were not suspected had
+        been tried or had refused the request.
     ERROR_RETRY_DENIED
         A backend server answered with an error and a retry was denied.
     ERROR_AFTER_RETRY
@@ -95,8 +96,8 @@
 def lost_requests(events: Iterable[TimelineEvent]) -> list[LostRequest]:
     """Return the requests that were not served, from the events of all nodes.
 
-    Requests without a route belong to no service and are left out. So are requests
-    whose end is not among the events.
+    Requests without a route are left out, because they belong to no service. Requests
+    whose end is not among the events are left out, too.
     """
     by_request: dict[str, list[TimelineEvent]] = defaultdict(list)
     for event in events:
--- a/balsamspindle/timeline/merge.py
+++ b/balsamspindle/timeline/merge.py
@@ -56,9 +56,9 @@
     Attributes
     ----------
     with_requests : bool
-        Whether the events of a service include those of its requests. They are left
-        out by default because their number would hide the few events that show why a
-        backend server was ejected.
+        Whether the events of a service include the events of its requests. Events of
+        requests are left out by default: their large number would hide the few events
+        that show why a backend server was ejected.
     """
 
     request: str | None = None
