--- a/balsamspindle/requests/forwarding.py
+++ b/balsamspindle/requests/forwarding.py
@@ -307,11 +307,11 @@
         """Prepare a new search after all gates refused; return False to end the search.
 
         Every `SEARCH_AGAIN_S`, a non-idempotent request is sent to the gates again, one
-        by one. Within a second, a suspected backend server gets a trial. If it passes,
-        the next search can select it. After a fraction of its remaining time, the
-        non-idempotent request may be sent to suspected ones as a last resort. The new
-        search for an idempotent request begins at once and is already a last resort.
-        So some requests are answered even if all are suspected or busy.
+        by one. A suspected backend server's hold-out ends within a second, and a trial
+        begins. If it passes the trial, the next search can select it. After a fraction
+        of its remaining time, the non-idempotent request may be sent to suspected ones
+        as a last resort. The new search for an idempotent request begins at once, as a
+        last resort. So some requests are answered even if all are suspected or busy.
         """
         now_s = self._clock()
         if forwarded.is_last_resort or not forwarded.may_send():
--- a/balsamspindle/requests/ingress.py
+++ b/balsamspindle/requests/ingress.py
@@ -39,10 +39,10 @@
 ERROR_STATUS_MIN = 500
 
 # Fraction of the shutdown timeout during which a leaving node still accepts requests.
-# Callers are directed to other nodes from the start of the shutdown. All of them are
-# expected to have switched at half of the timeout (0.5). A request that arrives between
-# 0.5 and this fraction is therefore one that its caller sent before it switched. After
-# this fraction, enough of the timeout remains for a request that takes some seconds.
+# In the first half of the timeout (0.5), the platform detects that the node leaves, and
+# directs all its callers to other nodes. A request that arrives between 0.5 and this
+# fraction was therefore sent before its caller was directed to another node. After this
+# fraction, enough of the timeout remains for a request that takes some seconds.
 LAST_REQUEST_FRACTION = 0.55
 
 
