--- a/balsamspindle/backend_servers/health.py
+++ b/balsamspindle/backend_servers/health.py
@@ -30,8 +30,8 @@
 # retried. If each backend server gets a few requests per second, some of these requests
 # arrive in that time, so that the trial needs no other requests.
 TRIAL_WAIT_S = 3.0
-# Until a trial has lasted this long, it accepts only the lightest of the idempotent
-# requests.
+# Until a trial has lasted this long, it accepts no request whose weight is above the
+# least weight of recent idempotent requests.
 LIGHTEST_WAIT_S = 0.7
 # A serving backend server is probed after `PROBE_AFTER_IDLE_S` without work. No backend
 # server is probed if no attempt was dispatched to it for `PROBE_DEMAND_WINDOW_S`.
@@ -375,8 +375,9 @@
     def _has_passed_trial(self, now_s: float) -> bool:
         """Return whether an attempt in flight shows that the trial is passed.
 
-        Without `independent_errors` the result is False. Otherwise the trial is passed
-        once an attempt that began in the trial has run longer than errors usually take.
+        If the setting `independent_errors` is False, the result is False. Otherwise the
+        trial is passed once an attempt that began in the trial has run longer than
+        errors usually take.
         Such an attempt will probably succeed.
         """
         return (
