--- a/tests/test_placement_selection.py
+++ b/tests/test_placement_selection.py
@@ -240,7 +240,7 @@
         self.forwarded.is_last_resort = True
         queue_ms = QUEUE_WAIT_FRACTION * DEADLINE_S * 1000
         self.assertEqual(("far-3", queue_ms), self.tries()[-1])
-        # After a failed attempt at `far-3`, one of the four failing servers is tried.
+        # After a failed attempt at `far-3`, the own zone's failing servers are tried.
         self.forwarded.failed.add("far-3")
         self.forwarded.search.restart()
         self.assertIn(self.tries()[0][0], NEAR)
--- a/tests/test_settings_races.py
+++ b/tests/test_settings_races.py
@@ -221,9 +221,9 @@
         self.assertEqual(6, loaded.revision)
 
     def test_a_snapshot_of_a_lost_history_is_not_used(self):
-        # The tables are restored from a backup and the objects are not. A node that
-        # used the snapshot would serve changes that the platform no longer has,
-        # mixed with new changes of the same revision numbers.
+        # The tables are restored from a backup, but the object store with the snapshot
+        # is not. A node that used the snapshot would serve changes that the tables no
+        # longer have, mixed with new changes of the same revision numbers.
         backup = call(self.platform.address, "/v1/backup").body
         self.accept("crew/services/lost", {})
         self.snapshot_now()
@@ -248,8 +248,8 @@
         )
 
     def test_a_replaced_node_does_not_begin_below_its_peers(self):
-        # After the platform is restored from a backup, a node that starts from it
-        # would serve its callers by settings older than those of its peers.
+        # The platform is restored from a backup. A node that started with the
+        # platform's settings would serve its callers by older settings than its peers.
         self.accept("crew/services/old", {})
         self.offered_revision = 4
         self.reader.poll()
