--- a/balsamspindle/membership/sync.py
+++ b/balsamspindle/membership/sync.py
@@ -54,9 +54,9 @@
 PULLS_PER_TICK = 4
 # One pull requests as many buckets as hold this many nodes on average. The page with
 # their records, 100 bytes a node before compression, fits into what a peer may send at
-# once. If each pull requested one bucket, 233 nodes in 256 buckets would spend nine of
-# ten bytes on overhead. If all nodes started together, they would need 19 s to know
-# each other.
+# once. With one bucket per pull, 233 nodes in 256 buckets spent nine of ten bytes on
+# overhead. With one bucket per pull, nodes that all started together also needed 19 s
+# until they knew each other.
 NODES_PER_PULL = 64
 BUCKETS_PER_PULL_MAX = 64
 
--- a/balsamspindle/node/store_eras.py
+++ b/balsamspindle/node/store_eras.py
@@ -73,8 +73,10 @@
     def request_claims(self, era: int) -> None:
         """Request that all nodes write lost claims again, because callers need them.
 
-        Does nothing if this node sent a request less than `CLAIMS_REQUEST_INTERVAL_S`
-        ago, and a request for `era` or a later era is recorded.
+        Does nothing if two conditions hold. First, this method sent a request, for any
+        era, less than `CLAIMS_REQUEST_INTERVAL_S` ago. Second, this node has recorded
+        a request for `era` or a later era. A node records the requests that it makes
+        and those that it receives from peers.
         """
         now_s = self._clock()
         if (
--- a/balsamspindle/platform/announcements.py
+++ b/balsamspindle/platform/announcements.py
@@ -83,8 +83,10 @@
     Parameters
     ----------
     is_service_allowed : callable
-        Takes a service's name; returns whether the settings in force may define it.
-        Returns True while no settings are in force.
+        Takes a service's name; returns whether backend servers of this service may
+        announce themselves. Announcements of other services are ignored. A node allows
+        the services that the settings in force define. It also allows the service in
+        the node's own settings. While no settings are in force, it allows all services.
     on_ignored : callable
         Called with the reason why an announcement was ignored.
     """
--- a/balsamspindle/platform/store.py
+++ b/balsamspindle/platform/store.py
@@ -55,7 +55,8 @@
 # All of the product's rows are in one partition (`part` on the wire), because a
 # transaction may write several tables but only one partition.
 PARTITION = ""
-# A key with this suffix is the next possible key after it.
+# In the order of keys, `key + _NEXT_KEY_SUFFIX` comes directly after `key`. No
+# other key can lie between them.
 _NEXT_KEY_SUFFIX = "\0"
 
 _OK, _NOT_FOUND, _GONE, _CONFLICT = 200, 404, 410, 412
@@ -344,8 +345,10 @@
     try:
         value = msgspec.json.decode(decode_value(stored.value))
     except (PlatformFormatError, msgspec.MsgspecError):
-        # Nodes are not the only writers of rows: the operator, for example, may have
-        # stored this value. The reader of the row reports that its value is missing.
+        # The stored value is malformed. Nodes are not the only writers of rows: the
+        # operator, for example, may have stored this value. The row gets the value
+        # None, so its reader handles it like a row without a value. The reader of the
+        # settings, for example, reports that the row is empty.
         value = None
     return Row(stored.key, version, value)
 
--- a/balsamspindle/platform/store_calls.py
+++ b/balsamspindle/platform/store_calls.py
@@ -55,7 +55,7 @@
 
 
 class LongPollConnections:
-    """Sockets of the calls that wait for changes; shuts them down to end the calls."""
+    """Sockets of the call that waits for changes; shuts them down to end the call."""
 
     def __init__(self) -> None:
         self._lock = threading.Lock()
@@ -75,17 +75,17 @@
             return opened
 
     def close_finished(self) -> None:
-        """Close the stored duplicates of the sockets of a call that has ended.
+        """Close the duplicate descriptors that `open_socket` stored for an ended call.
 
-        All stored duplicates belong to this call, because only one call waits for
-        changes at a time.
+        `open_socket` explains why it stores duplicates. Only one call waits for changes
+        at a time, so all stored duplicates belong to the call that has ended.
         """
         with self._lock:
             while self._open:
                 self._open.pop().close()
 
     def shut_down_all(self) -> None:
-        """Shut down the connections of all waiting calls and refuse new ones."""
+        """Shut down the connection of the waiting call, if any; refuse new ones."""
         with self._lock:
             self._ended = True
             for opened in self._open:
--- a/balsamspindle/wire/link_messages.py
+++ b/balsamspindle/wire/link_messages.py
@@ -175,9 +175,10 @@
         Whether an earlier attempt of the request reached, or may have reached, a
         backend server.
     repeat_fraction : float
-        Fraction of the runs in progress at the backend servers of the sender's node
-        that are repeats. One of these runs may have sent this request. The gate
-        therefore counts the request as this fraction of a repeat (see
+        Among the runs in progress at the backend servers of the sender's node: number
+        of runs that are repeats, divided by the number of all runs. If one of these
+        runs sent this request, the fraction is the probability that this run is a
+        repeat. The gate therefore counts the request as this fraction of a repeat (see
         `balsamspindle.backend_servers.retry_grants`).
     ingress_remaining_ms : float or None
         Time until the sender's node stops; None if the node is not leaving.
